--- a/IntegrationTests/Chaos/Cluster.h
+++ b/IntegrationTests/Chaos/Cluster.h
@@ -32,7 +32,7 @@
 };
 
 /// The plan of `lindqvist` or `balikbayan`. Errors: `BadInput`.
-Result<ClusterPlan> planOf(const std::string &Deployment);
+Result<ClusterPlan> findClusterPlan(const std::string &Deployment);
 
 /// One slot of the product: a daemon or an entry, replaced at need.
 struct Slot {
@@ -75,20 +75,20 @@
   /// An engine's process now; it may be replaced meanwhile.
   std::shared_ptr<harness::StandIn> engine(std::size_t Which) const;
   /// Runs wasabictl to its end; its exit code and what it printed.
-  struct CommandEnd {
+  struct CtlCommandResult {
     int Code = -1;
     std::string Output;
   };
-  CommandEnd control(std::vector<std::string> Arguments) const;
+  CtlCommandResult control(std::vector<std::string> Arguments) const;
   /// Writes a folder of declarations in which the limit `chaos` has this rate.
   std::string writeDeclarations(const std::string &Name,
                                 std::uint32_t Rate) const;
   /// Every fault proxy.
   std::vector<harness::StandIn *> links();
   /// The address of a slot's part now; empty while it is down.
-  static Address adminOf(const Slot &Which);
-  static Address httpOf(const Slot &Which);
-  static std::shared_ptr<harness::Process> processOf(const Slot &Which);
+  static Address adminAddress(const Slot &Which);
+  static Address httpAddress(const Slot &Which);
+  static std::shared_ptr<harness::Process> currentProcess(const Slot &Which);
 
   const ClusterPlan Plan;
   const std::uint64_t Seed;
@@ -121,7 +121,7 @@
   Result<void> startProduct();
   std::vector<std::string> engineFlags(std::size_t Which) const;
 
-  mutable std::mutex EnginesGuard;
+  mutable std::mutex EnginesMutex;
   std::vector<std::shared_ptr<harness::StandIn>> Engines;
 };
 
--- a/IntegrationTests/Chaos/Injector.cpp
+++ b/IntegrationTests/Chaos/Injector.cpp
@@ -37,9 +37,9 @@
   Problems.push_back(Problem);
 }
 
-void Injector::record(const OperatorAct &Act) {
+void Injector::record(const OperatorAction &Act) {
   std::lock_guard<std::mutex> lock(Guard);
-  Acts.push_back(Act);
+  OperatorActions.push_back(Act);
 }
 
 void Injector::run(const std::vector<Fault> &Schedule) {
@@ -82,9 +82,9 @@
   case FaultKind::LinkLosesAnswers:
   case FaultKind::LinkSlow:
     return injectLink(What);
-  case FaultKind::DomainCutOff:
-    return cutOffDomain(What);
-  case FaultKind::OperatorsRace:
+  case FaultKind::DomainPartitioned:
+    return partitionDomain(What);
+  case FaultKind::ConcurrentOperators:
   case FaultKind::SwitchPreset:
     return injectOperator(What);
   default:
@@ -95,9 +95,9 @@
 void Injector::injectProcess(const Fault &What, Slot &Which) {
   // Two faults of one process come one after the other.
   std::lock_guard<std::mutex> busy(Which.Busy);
-  const std::shared_ptr<Process> process = Cluster::processOf(Which);
+  const std::shared_ptr<Process> process = Cluster::currentProcess(Which);
   if (!process)
-    return startAgain(Which);
+    return restartSlot(Which);
   switch (What.Kind) {
   case FaultKind::PauseDaemon:
   case FaultKind::PauseDaemonLong:
@@ -108,28 +108,28 @@
     return;
   case FaultKind::StopDaemon:
   case FaultKind::StopEntry:
-    stopSlot(Which, What.Alone);
+    stopSlot(Which, What.WithoutOtherFaults);
     break;
   default:
     On.killSlot(Which);
     break;
   }
   waitFor(What.For);
-  startAgain(Which);
+  restartSlot(Which);
 }
 
-void Injector::stopSlot(Slot &Which, bool Alone) {
-  const std::shared_ptr<Process> process = Cluster::processOf(Which);
+void Injector::stopSlot(Slot &Which, bool WithoutOtherFaults) {
+  const std::shared_ptr<Process> process = Cluster::currentProcess(Which);
   PlannedStop stop;
-  stop.Alone = Alone;
+  stop.WithoutOtherFaults = WithoutOtherFaults;
   if (!Which.Server.empty())
     stop.Servers.push_back(Which.Server);
-  stop.Signalled = wallMicros();
+  stop.SignalMicros = wallMicros();
   process->signal(SIGTERM);
-  const std::optional<harness::ProcessEnd> end = process->wait(StopLimit);
+  const std::optional<harness::ProcessExit> end = process->wait(StopLimit);
   stop.Ended = wallMicros();
-  stop.InOrder = end && end->Code == 0;
-  if (!stop.InOrder)
+  stop.ExitedCleanly = end && end->Code == 0;
+  if (!stop.ExitedCleanly)
     note(Which.Instance + " did not stop in order: " +
          (end ? "exit code " + std::to_string(end->Code) : "still runs"));
   On.killSlot(Which);
@@ -137,7 +137,7 @@
   Stops.push_back(stop);
 }
 
-void Injector::startAgain(Slot &Which) {
+void Injector::restartSlot(Slot &Which) {
   const Outcome<Done> started = toOutcome<Done>([&]() -> Result<Done> {
     BOOST_LEAF_CHECK(On.startSlot(Which));
     return Done{};
@@ -158,8 +158,8 @@
     note("an engine can't be started: " + describe(started.failure()));
 }
 
-void Injector::setFor(StandIn &Which, const std::string &Faults, Millis Length,
-                      const std::string &Undo) {
+void Injector::applyFaultsFor(StandIn &Which, const std::string &Faults,
+                              Millis Length, const std::string &Undo) {
   const Outcome<Done> set = Which.setFaults(Faults);
   if (!set)
     note("fault " + Faults + ": " + describe(set.failure()));
@@ -175,22 +175,26 @@
   StandIn &service = *pick(On.Services, What.Target);
   switch (What.Kind) {
   case FaultKind::EngineHang:
-    return setFor(engine, R"({"hang":true})", What.For, R"({"hang":false})");
+    return applyFaultsFor(engine, R"({"hang":true})", What.For,
+                          R"({"hang":false})");
   case FaultKind::EngineSlow:
-    return setFor(engine, R"({"slow_factor":10})", What.For,
-                  R"({"slow_factor":1})");
+    return applyFaultsFor(engine, R"({"slow_factor":10})", What.For,
+                          R"({"slow_factor":1})");
   case FaultKind::EngineSwapFails:
-    return setFor(engine, R"({"fail_next_load":1})", What.For, "");
+    return applyFaultsFor(engine, R"({"fail_next_load":1})", What.For, "");
   case FaultKind::EngineWrongVersion:
-    return setFor(engine, R"({"wrong_version_next_load":1})", What.For, "");
+    return applyFaultsFor(engine, R"({"wrong_version_next_load":1})", What.For,
+                          "");
   case FaultKind::EngineLosesOrderAnswer:
-    return setFor(engine, R"({"lose_order_answers":1})", What.For, "");
+    return applyFaultsFor(engine, R"({"lose_order_answers":1})", What.For, "");
   case FaultKind::ServiceHang:
-    return setFor(service, R"({"hang":true})", What.For, R"({"hang":false})");
+    return applyFaultsFor(service, R"({"hang":true})", What.For,
+                          R"({"hang":false})");
   case FaultKind::ServiceResetsBeforeAnswer:
-    return setFor(service, R"({"reset_before_answer":3})", What.For, "");
+    return applyFaultsFor(service, R"({"reset_before_answer":3})", What.For,
+                          "");
   default:
-    return setFor(service, R"({"reset_mid_answer":3})", What.For, "");
+    return applyFaultsFor(service, R"({"reset_mid_answer":3})", What.For, "");
   }
 }
 
@@ -198,30 +202,31 @@
   switch (What.Kind) {
   case FaultKind::LogOutage:
   case FaultKind::LogOutageLong:
-    return setFor(*On.Log, R"({"outage":true})", What.For,
-                  R"({"outage":false})");
+    return applyFaultsFor(*On.Log, R"({"outage":true})", What.For,
+                          R"({"outage":false})");
   case FaultKind::LogSlow:
-    return setFor(*On.Log, R"({"slow_ms":400})", What.For, R"({"slow_ms":0})");
+    return applyFaultsFor(*On.Log, R"({"slow_ms":400})", What.For,
+                          R"({"slow_ms":0})");
   case FaultKind::LogLosesAnswers:
-    return setFor(*On.Log, R"({"lose_answers":3})", What.For,
-                  R"({"lose_answers":0})");
+    return applyFaultsFor(*On.Log, R"({"lose_answers":3})", What.For,
+                          R"({"lose_answers":0})");
   case FaultKind::LogStaleTail:
-    return setFor(*On.Log, R"({"stale_tail":2})", What.For,
-                  R"({"stale_tail":0})");
+    return applyFaultsFor(*On.Log, R"({"stale_tail":2})", What.For,
+                          R"({"stale_tail":0})");
   case FaultKind::StoreOutage:
-    return setFor(*On.Weights, R"({"outage":true})", What.For,
-                  R"({"outage":false})");
+    return applyFaultsFor(*On.Weights, R"({"outage":true})", What.For,
+                          R"({"outage":false})");
   case FaultKind::InstancesOutage:
-    return setFor(*On.Instances, R"({"outage":true})", What.For,
-                  R"({"outage":false})");
+    return applyFaultsFor(*On.Instances, R"({"outage":true})", What.For,
+                          R"({"outage":false})");
   case FaultKind::TrainerOutage:
-    return setFor(*On.Trainer, R"({"outage":true})", What.For,
-                  R"({"outage":false})");
+    return applyFaultsFor(*On.Trainer, R"({"outage":true})", What.For,
+                          R"({"outage":false})");
   case FaultKind::TrainerLosesAnswers:
-    return setFor(*On.Trainer, R"({"lose_answers":2})", What.For,
-                  R"({"lose_answers":0})");
+    return applyFaultsFor(*On.Trainer, R"({"lose_answers":2})", What.For,
+                          R"({"lose_answers":0})");
   default:
-    return setFor(*On.Scorer, R"({"fail_next":3})", What.For, "");
+    return applyFaultsFor(*On.Scorer, R"({"fail_next":3})", What.For, "");
   }
 }
 
@@ -230,24 +235,25 @@
   StandIn &link = *pick(links, What.Target);
   switch (What.Kind) {
   case FaultKind::LinkDelay:
-    return setFor(link, R"({"delay_ms":60,"jitter_ms":60})", What.For,
-                  ClearLink);
+    return applyFaultsFor(link, R"({"delay_ms":60,"jitter_ms":60})", What.For,
+                          ClearLink);
   case FaultKind::LinkCut:
-    return setFor(link, R"({"cut_now":true})", What.For, "");
+    return applyFaultsFor(link, R"({"cut_now":true})", What.For, "");
   case FaultKind::LinkHalfOpen:
-    return setFor(link, R"({"half_open":true})", What.For, ClearLink);
+    return applyFaultsFor(link, R"({"half_open":true})", What.For, ClearLink);
   case FaultKind::LinkRefuses:
-    return setFor(link, R"({"refuse":true,"cut_now":true})", What.For,
-                  ClearLink);
+    return applyFaultsFor(link, R"({"refuse":true,"cut_now":true})", What.For,
+                          ClearLink);
   case FaultKind::LinkLosesAnswers:
-    return setFor(link, R"({"answer_loss":2,"cut_now":true})", What.For,
-                  ClearLink);
+    return applyFaultsFor(link, R"({"answer_loss":2,"cut_now":true})", What.For,
+                          ClearLink);
   default:
-    return setFor(link, R"({"bytes_per_s":20000})", What.For, ClearLink);
+    return applyFaultsFor(link, R"({"bytes_per_s":20000})", What.For,
+                          ClearLink);
   }
 }
 
-void Injector::cutOffDomain(const Fault &What) {
+void Injector::partitionDomain(const Fault &What) {
   const std::string &domain = pick(On.Plan.Domains, What.Target);
   std::vector<StandIn *> links;
   for (const std::vector<std::unique_ptr<Slot>> *of :
@@ -270,11 +276,11 @@
 void Injector::injectOperator(const Fault &What) {
   if (What.Kind == FaultKind::SwitchPreset) {
     const std::string preset = What.Target % 2 == 0 ? "peak" : "maintenance";
-    const Cluster::CommandEnd end =
+    const Cluster::CtlCommandResult end =
         On.control({"preset", preset, "--operator=chaos"});
     record({0, end.Code, end.Output});
     waitFor(What.For);
-    switchBack();
+    restorePreset();
     return;
   }
   // Two operators change the same object from the same state.
@@ -288,7 +294,7 @@
     operators.emplace_back([this, name, rate] {
       const std::string folder =
           On.writeDeclarations("declarations-" + std::to_string(rate), rate);
-      const Cluster::CommandEnd end =
+      const Cluster::CtlCommandResult end =
           On.control({"apply", folder, "--operator=" + name});
       record({rate, end.Code, end.Output});
     });
@@ -298,12 +304,12 @@
 }
 
 /// An operator whose switch back meets an outage tries again.
-void Injector::switchBack() {
+void Injector::restorePreset() {
   constexpr int Tries = 40;
   constexpr Millis Pause{500};
   constexpr int AcceptedNotSeen = 5;
   for (int n = 0; n < Tries; ++n) {
-    const Cluster::CommandEnd end =
+    const Cluster::CtlCommandResult end =
         On.control({"preset", "ordinary", "--operator=chaos"});
     record({0, end.Code, end.Output});
     if (end.Code == 0 || end.Code == AcceptedNotSeen)
@@ -313,7 +319,7 @@
   note("the preset can't be switched back");
 }
 
-void Injector::heal() {
+void Injector::restoreCluster() {
   for (StandIn *it : On.links())
     it->setFaults(ClearLink);
   On.Log->setFaults(R"({"outage":false,"slow_ms":0,"lose_answers":0,)"
@@ -329,17 +335,17 @@
     On.engine(n)->setFaults(
         R"({"hang":false,"slow_factor":1,"fail_next_load":0,)"
         R"("wrong_version_next_load":0,"lose_order_answers":0})");
-  switchBack();
+  restorePreset();
   for (std::vector<std::unique_ptr<Slot>> *of : {&On.Daemons, &On.Entries}) {
     for (const std::unique_ptr<Slot> &it : *of) {
-      const std::shared_ptr<Process> process = Cluster::processOf(*it);
+      const std::shared_ptr<Process> process = Cluster::currentProcess(*it);
       if (process && process->running())
         continue;
       // It should not have ended: what it said last is in its log.
       if (process)
         note(it->Instance + " ended by itself");
       On.killSlot(*it);
-      startAgain(*it);
+      restartSlot(*it);
     }
   }
 }
@@ -348,7 +354,7 @@
   std::vector<std::thread> threads;
   for (std::vector<std::unique_ptr<Slot>> *of : {&On.Daemons, &On.Entries}) {
     for (const std::unique_ptr<Slot> &it : *of) {
-      if (Cluster::processOf(*it))
+      if (Cluster::currentProcess(*it))
         threads.emplace_back([this, &it] { stopSlot(*it, false); });
     }
   }
--- a/IntegrationTests/Chaos/Injector.h
+++ b/IntegrationTests/Chaos/Injector.h
@@ -16,7 +16,7 @@
 namespace wasabi::chaos {
 
 /// What operators did, and what came of it. An immutable value.
-struct OperatorAct {
+struct OperatorAction {
   /// The rate that the limit `chaos` was to have; 0 for a preset.
   std::uint32_t Rate = 0;
   /// Exit code of wasabictl: 0 or 5 accepted, 1 refused, 6 unknown.
@@ -33,12 +33,12 @@
   /// process runs again.
   void run(const std::vector<Fault> &Schedule);
   /// Whatever is still wrong is made right: faults cleared, processes started.
-  void heal();
+  void restoreCluster();
   /// Stops every process of the product as planned.
   void stopAll();
 
   const std::vector<PlannedStop> &stops() const { return Stops; }
-  const std::vector<OperatorAct> &acts() const { return Acts; }
+  const std::vector<OperatorAction> &acts() const { return OperatorActions; }
   /// What the harness could not do.
   const std::vector<std::string> &problems() const { return Problems; }
 
@@ -46,26 +46,26 @@
   void inject(const Fault &What, TimePoint Begin);
   void injectProcess(const Fault &What, Slot &Which);
   void injectLink(const Fault &What);
-  void cutOffDomain(const Fault &What);
+  void partitionDomain(const Fault &What);
   void injectPlatform(const Fault &What);
   void injectUpstream(const Fault &What);
   void injectOperator(const Fault &What);
-  void stopSlot(Slot &Which, bool Alone);
-  void startAgain(Slot &Which);
-  void switchBack();
+  void stopSlot(Slot &Which, bool WithoutOtherFaults);
+  void restartSlot(Slot &Which);
+  void restorePreset();
   void killEngine(const Fault &What);
-  void setFor(harness::StandIn &Which, const std::string &Faults, Millis Length,
-              const std::string &Undo);
+  void applyFaultsFor(harness::StandIn &Which, const std::string &Faults,
+                      Millis Length, const std::string &Undo);
   void waitFor(Millis Length);
   void waitUntil(TimePoint When);
   void note(const std::string &Problem);
-  void record(const OperatorAct &Act);
+  void record(const OperatorAction &Act);
 
   Cluster &On;
   std::mutex Guard;
   std::condition_variable Never;
   std::vector<PlannedStop> Stops;
-  std::vector<OperatorAct> Acts;
+  std::vector<OperatorAction> OperatorActions;
   std::vector<std::string> Problems;
   std::uint32_t Rates = 1000;
 };
--- a/IntegrationTests/Chaos/Main.cpp
+++ b/IntegrationTests/Chaos/Main.cpp
@@ -28,15 +28,15 @@
     "begins with \"chaos:\"; exit code 0 only if every promise held."};
 
 Result<ExitCode> run() {
-  BOOST_LEAF_AUTO(plan, wasabi::chaos::planOf(FLAGS_deployment));
+  BOOST_LEAF_AUTO(plan, wasabi::chaos::findClusterPlan(FLAGS_deployment));
   const std::vector<wasabi::chaos::Fault> schedule =
       wasabi::chaos::makeSchedule(FLAGS_seed,
                                   std::chrono::seconds(FLAGS_seconds));
   std::cout << wasabi::chaos::describe(schedule) << std::flush;
   if (FLAGS_schedule_only)
     return ExitCode::Success;
-  return wasabi::chaos::runOnce(std::move(plan), FLAGS_seed, schedule,
-                                FLAGS_keep);
+  return wasabi::chaos::runChaosTest(std::move(plan), FLAGS_seed, schedule,
+                                     FLAGS_keep);
 }
 
 } // namespace
--- a/IntegrationTests/Chaos/Observer.cpp
+++ b/IntegrationTests/Chaos/Observer.cpp
@@ -16,8 +16,8 @@
 } // namespace
 
 Observer::Observer(Cluster &Of, CallerLoad &Load)
-    : Of(Of), Load(Load), Balancer([this] { watchEntries(); }),
-      Gatherer([this] { watchTimelines(); }) {}
+    : Of(Of), Load(Load), Balancer([this] { balancerLoop(); }),
+      TimelineThread([this] { timelineLoop(); }) {}
 
 Observer::~Observer() { stop(); }
 
@@ -25,25 +25,25 @@
   Ending = true;
   if (Balancer.joinable())
     Balancer.join();
-  if (Gatherer.joinable())
-    Gatherer.join();
+  if (TimelineThread.joinable())
+    TimelineThread.join();
 }
 
-void Observer::watchEntries() {
+void Observer::balancerLoop() {
   while (!Ending) {
     std::vector<Address> ready;
     for (const std::unique_ptr<Slot> &it : Of.Entries) {
-      const Address admin = Cluster::adminOf(*it);
+      const Address admin = Cluster::adminAddress(*it);
       if (!admin.empty() &&
           harness::getText(admin, "/readyz", BalancerPatience))
-        ready.push_back(Cluster::httpOf(*it));
+        ready.push_back(Cluster::httpAddress(*it));
     }
     Load.setEntries(std::move(ready));
     harness::waitUntil([this] { return Ending.load(); }, BalancerPeriod);
   }
 }
 
-void Observer::watchTimelines() {
+void Observer::timelineLoop() {
   while (!Ending) {
     for (const std::unique_ptr<Slot> &it : Of.Daemons)
       gather(*it);
@@ -54,7 +54,7 @@
 }
 
 void Observer::gather(const Slot &Which) {
-  const Address admin = Cluster::adminOf(Which);
+  const Address admin = Cluster::adminAddress(Which);
   if (admin.empty())
     return;
   std::uint64_t &next = Next[admin];
--- a/IntegrationTests/Chaos/Observer.h
+++ b/IntegrationTests/Chaos/Observer.h
@@ -29,8 +29,8 @@
   std::vector<TimelineEvent> finish();
 
 private:
-  void watchEntries();
-  void watchTimelines();
+  void balancerLoop();
+  void timelineLoop();
   void gather(const Slot &Which);
   void stop();
 
@@ -41,7 +41,7 @@
   std::map<Address, std::uint64_t> Next;
   std::vector<TimelineEvent> Events;
   std::thread Balancer;
-  std::thread Gatherer;
+  std::thread TimelineThread;
 };
 
 } // namespace wasabi::chaos
--- a/IntegrationTests/Chaos/Recovery.cpp
+++ b/IntegrationTests/Chaos/Recovery.cpp
@@ -14,12 +14,12 @@
 constexpr unsigned Success = 200;
 
 bool isReady(const Slot &which) {
-  const Address admin = Cluster::adminOf(which);
+  const Address admin = Cluster::adminAddress(which);
   return !admin.empty() && harness::getText(admin, "/readyz", Patience);
 }
 
 bool answers(const Slot &entry, http::Request ask) {
-  const Address where = Cluster::httpOf(entry);
+  const Address where = Cluster::httpAddress(entry);
   if (where.empty())
     return false;
   const Outcome<http::Response> answer =
@@ -42,7 +42,7 @@
 /// The configuration revision of a slot's process; empty while it is silent.
 std::optional<std::uint64_t> revisionOf(const Slot &which) {
   const Outcome<boost::json::value> status =
-      harness::getJson(Cluster::adminOf(which), "/status", Patience);
+      harness::getJson(Cluster::adminAddress(which), "/status", Patience);
   if (!status || !status->is_object())
     return std::nullopt;
   const boost::json::value *revision =
@@ -79,7 +79,7 @@
       return it->Instance + " has no answer of " + of.Plan.EngineService;
   }
   const Outcome<boost::json::value> truth = of.Trainer->truth();
-  if (!truth || readTrainer(*truth).StepsWhole <= wholeSteps)
+  if (!truth || readTrainer(*truth).StepsComplete <= wholeSteps)
     return "the trainer's step is not whole";
   return {};
 }
@@ -91,7 +91,7 @@
   // The step that is open now may have been whole but for a moment: one more
   // must follow.
   const Outcome<boost::json::value> truth = Of.Trainer->truth();
-  const std::uint64_t before = truth ? readTrainer(*truth).StepsWhole : 0;
+  const std::uint64_t before = truth ? readTrainer(*truth).StepsComplete : 0;
   const bool recovered = harness::waitUntil(
       [&] {
         Missing = missingOf(Of, before);
--- a/IntegrationTests/Chaos/Recovery.h
+++ b/IntegrationTests/Chaos/Recovery.h
@@ -11,7 +11,7 @@
 namespace wasabi::chaos {
 
 /// Recovery may take this long after the last fault.
-constexpr Millis RecoveryBound{15000};
+constexpr Millis MaxRecoveryTime{15000};
 /// How long it is waited for, so that a late one can be told from none.
 constexpr Millis RecoveryPatience{45000};
 
--- a/IntegrationTests/Chaos/Run.cpp
+++ b/IntegrationTests/Chaos/Run.cpp
@@ -32,7 +32,7 @@
                            describe(truth.failure()));
       return;
     }
-    const std::vector<UpstreamRun> found = readRuns(*truth, name);
+    const std::vector<UpstreamRun> found = parseUpstreamRuns(*truth, name);
     runs.insert(runs.end(), found.begin(), found.end());
   };
   for (std::size_t n = 0; n < of.Plan.Engines; ++n)
@@ -58,7 +58,7 @@
 void gatherTrainer(Cluster &of, Tally &sum) {
   const Outcome<boost::json::value> truth = of.Trainer->truth();
   if (truth)
-    judgeTrainer(sum, readTrainer(*truth));
+    checkTrainerTruth(sum, readTrainer(*truth));
   else
     sum.Faults.push_back("no truth of the trainer");
 }
@@ -66,11 +66,11 @@
 /// What an operator was told is what is in force in the end: the limit has the
 /// rate of the last act that was accepted.
 void judgeOperators(Tally &sum, Cluster &of,
-                    const std::vector<OperatorAct> &acts) {
+                    const std::vector<OperatorAction> &acts) {
   constexpr int Accepted = 0;
   constexpr int AcceptedNotSeen = 5;
-  const Cluster::CommandEnd history = of.control({"history"});
-  for (const OperatorAct &it : acts) {
+  const Cluster::CtlCommandResult history = of.control({"history"});
+  for (const OperatorAction &it : acts) {
     if (it.Code != Accepted && it.Code != AcceptedNotSeen)
       continue;
     // It was in force already: nothing was accepted.
@@ -94,13 +94,13 @@
 
 /// Holds the gathered time line against the promises.
 void judgeTimeline(Tally &sum, const replay::Trace &trace) {
-  const replay::Outcomes config{{"config-never-reverts"}, {}, {}};
-  const std::optional<replay::BrokenOutcome> broken =
+  const replay::TraceExpectations config{{"config-never-reverts"}, {}, {}};
+  const std::optional<replay::TraceViolation> broken =
       replay::check(trace, config);
   if (!broken)
     return;
   ++sum.ConfigReverts;
-  sum.Faults.push_back(replay::describeBroken(trace, *broken));
+  sum.Faults.push_back(replay::describeViolation(trace, *broken));
 }
 
 /// The other rules say where to look; the stand-ins' records decide.
@@ -109,11 +109,11 @@
        {"sample-once", "label-true", "fresh", "answer-whole", "not-run-is-true",
         "at-most-once", "leaving-gets-no-new-work", "planned-stop-cuts-nothing",
         "fences-never-go-back"}) {
-    const replay::Outcomes against{{rule}, {}, {}};
-    const std::optional<replay::BrokenOutcome> broken =
+    const replay::TraceExpectations against{{rule}, {}, {}};
+    const std::optional<replay::TraceViolation> broken =
         replay::check(trace, against);
     if (broken)
-      std::cout << "time line: " << replay::describeBroken(trace, *broken);
+      std::cout << "time line: " << replay::describeViolation(trace, *broken);
   }
 }
 
@@ -160,8 +160,8 @@
 
 } // namespace
 
-Result<ExitCode> runOnce(ClusterPlan Plan, std::uint64_t Seed,
-                         const std::vector<Fault> &Schedule, bool Keep) {
+Result<ExitCode> runChaosTest(ClusterPlan Plan, std::uint64_t Seed,
+                              const std::vector<Fault> &Schedule, bool Keep) {
   BOOST_LEAF_AUTO(folder, harness::TestFolder::create());
   const Outcome<std::unique_ptr<Cluster>> started =
       toOutcome<std::unique_ptr<Cluster>>([&] {
@@ -187,7 +187,7 @@
 
   // Faults, then none, under load throughout.
   injector.run(Schedule);
-  injector.heal();
+  injector.restoreCluster();
   const std::uint64_t healed = wallMicros();
   const std::optional<Millis> recovered =
       awaitRecovery(cluster, healed, missing);
@@ -196,15 +196,15 @@
   // The verdict.
   Tally sum;
   const std::vector<UpstreamRun> runs = gatherRuns(cluster, sum);
-  judgeCallers(sum, seen, runs);
-  judgeStops(sum, injector.stops(), seen, runs);
+  checkCallers(sum, seen, runs);
+  checkPlannedStops(sum, injector.stops(), seen, runs);
   judgeOperators(sum, cluster, injector.acts());
   judgeLinks(sum, cluster);
   for (const std::string &it : injector.problems())
     sum.Faults.push_back(it);
   if (!recovered)
     sum.Faults.push_back("no recovery: " + missing);
-  else if (*recovered > RecoveryBound)
+  else if (*recovered > MaxRecoveryTime)
     sum.Faults.push_back("recovery took too long");
   const replay::Trace trace = replay::makeTrace(observer.finish());
   injector.stopAll();
--- a/IntegrationTests/Chaos/Run.h
+++ b/IntegrationTests/Chaos/Run.h
@@ -17,8 +17,8 @@
 /// promise was broken or recovery took too long; then, and with `Keep`, the
 /// time line and the logs are kept in a folder that is named. Errors:
 /// `Unavailable` when the processes cannot be started.
-Result<ExitCode> runOnce(ClusterPlan Plan, std::uint64_t Seed,
-                         const std::vector<Fault> &Schedule, bool Keep);
+Result<ExitCode> runChaosTest(ClusterPlan Plan, std::uint64_t Seed,
+                              const std::vector<Fault> &Schedule, bool Keep);
 
 } // namespace wasabi::chaos
 
--- a/IntegrationTests/Chaos/Schedule.cpp
+++ b/IntegrationTests/Chaos/Schedule.cpp
@@ -48,14 +48,14 @@
     {FaultKind::LinkRefuses, "link-refuses", 2},
     {FaultKind::LinkLosesAnswers, "link-loses-answers", 2},
     {FaultKind::LinkSlow, "link-slow", 1},
-    {FaultKind::DomainCutOff, "domain-cut-off", 2},
-    {FaultKind::OperatorsRace, "operators-race", 3},
+    {FaultKind::DomainPartitioned, "domain-cut-off", 2},
+    {FaultKind::ConcurrentOperators, "operators-race", 3},
     {FaultKind::SwitchPreset, "switch-preset", 2},
 };
 
 /// Calm before the first fault, and around a planned stop that is alone.
 constexpr Millis Warmup{2000};
-constexpr Millis Calm{4000};
+constexpr Millis FaultFreeTime{4000};
 /// The longest stretch between two draws.
 constexpr std::uint32_t MaxGapMs = 2500;
 constexpr std::uint32_t MinLengthMs = 300;
@@ -132,7 +132,7 @@
 }
 
 bool isPlanned(FaultKind Kind) {
-  return stopsProcess(Kind) || Kind == FaultKind::OperatorsRace ||
+  return stopsProcess(Kind) || Kind == FaultKind::ConcurrentOperators ||
          Kind == FaultKind::SwitchPreset;
 }
 
@@ -146,10 +146,10 @@
     Fault drawn = drawFault(draw, at);
     // Most planned stops come when nothing else is wrong.
     if (stopsProcess(drawn.Kind) && draw.percent(AlonePercent)) {
-      drawn.Alone = true;
-      drawn.At = std::max(at, busyUntil + Calm);
+      drawn.WithoutOtherFaults = true;
+      drawn.At = std::max(at, busyUntil + FaultFreeTime);
       if (drawn.At + drawn.For <= Length)
-        at = drawn.At + drawn.For + Calm;
+        at = drawn.At + drawn.For + FaultFreeTime;
     }
     if (at >= Length)
       return byTime(std::move(schedule));
@@ -157,7 +157,7 @@
       continue;
     busyUntil = std::max(busyUntil, drawn.At + drawn.For);
     schedule.push_back(drawn);
-    if (drawn.Alone)
+    if (drawn.WithoutOtherFaults)
       continue;
     // The same again, while its first time may still be felt.
     Fault twice = drawn;
@@ -185,7 +185,7 @@
     text += " for_ms=" + std::to_string(it.For.count()) + " ";
     text += toText(it.Kind);
     text += " target=" + std::to_string(it.Target);
-    text += it.Alone ? " alone\n" : "\n";
+    text += it.WithoutOtherFaults ? " alone\n" : "\n";
   }
   return text;
 }
--- a/IntegrationTests/Chaos/Schedule.h
+++ b/IntegrationTests/Chaos/Schedule.h
@@ -49,8 +49,8 @@
   LinkLosesAnswers,
   LinkSlow,
   /// No process of a failure domain can be connected to.
-  DomainCutOff,
-  OperatorsRace,
+  DomainPartitioned,
+  ConcurrentOperators,
   SwitchPreset,
 };
 
@@ -70,7 +70,7 @@
   /// Which of its kind of target, modulo how many there are.
   std::uint32_t Target = 0;
   /// Nothing else is wrong around it: failures then are its own.
-  bool Alone = false;
+  bool WithoutOtherFaults = false;
   bool operator==(const Fault &) const = default;
 };
 
--- a/IntegrationTests/Chaos/Tally.cpp
+++ b/IntegrationTests/Chaos/Tally.cpp
@@ -64,7 +64,7 @@
 
 } // namespace
 
-void judgeCallers(Tally &Sum, const std::vector<CallerRecord> &Seen,
+void checkCallers(Tally &Sum, const std::vector<CallerRecord> &Seen,
                   const std::vector<UpstreamRun> &Runs) {
   const RunsByMark runs = byMark(Runs);
   std::unordered_map<std::string, std::vector<const CallerRecord *>> asks;
@@ -85,49 +85,50 @@
   }
 }
 
-void judgeStops(Tally &Sum, const std::vector<PlannedStop> &Stops,
-                const std::vector<CallerRecord> &Asked,
-                const std::vector<UpstreamRun> &Runs) {
+void checkPlannedStops(Tally &Sum, const std::vector<PlannedStop> &Stops,
+                       const std::vector<CallerRecord> &Asked,
+                       const std::vector<UpstreamRun> &Runs) {
   for (const PlannedStop &stop : Stops) {
     for (const CallerRecord &it : Asked) {
       const bool isCut = it.End == Seen::MayHaveRun &&
-                         it.Ended >= stop.Signalled && it.Begun <= stop.Ended;
-      if (!stop.Alone || !isCut)
+                         it.Ended >= stop.SignalMicros &&
+                         it.Begun <= stop.Ended;
+      if (!stop.WithoutOtherFaults || !isCut)
         continue;
-      ++Sum.CutByPlannedStop;
+      ++Sum.InterruptedByPlannedStop;
       Sum.Faults.push_back("cut by a planned stop: " + describe(it));
     }
     for (const UpstreamRun &it : Runs) {
       const bool isMine = std::find(stop.Servers.begin(), stop.Servers.end(),
                                     it.Server) != stop.Servers.end();
-      if (!isMine || it.Started <= stop.Signalled + LeavingGraceMicros ||
+      if (!isMine || it.Started <= stop.SignalMicros + DrainGraceMicros ||
           it.Started >= stop.Ended)
         continue;
-      ++Sum.LateToLeaving;
+      ++Sum.RunsAfterDrain;
       Sum.Faults.push_back("work to a leaving upstream: " + it.Mark + " on " +
                            it.Server + " at " + std::to_string(it.Started));
     }
-    if (stop.Alone && !stop.InOrder)
+    if (stop.WithoutOtherFaults && !stop.ExitedCleanly)
       Sum.Faults.push_back("a planned stop did not end in order, at " +
-                           std::to_string(stop.Signalled));
+                           std::to_string(stop.SignalMicros));
   }
 }
 
-void judgeTrainer(Tally &Sum, const TrainerTruth &Truth) {
+void checkTrainerTruth(Tally &Sum, const TrainerTruth &Truth) {
   Sum.Samples += Truth.Samples;
   Sum.Duplicates += Truth.Duplicates;
   Sum.Stale += Truth.Stale;
   Sum.Mislabelled += Truth.Mislabelled;
   // The step that is open last is under way.
-  if (Truth.StepsOpened > Truth.StepsWhole + 1)
-    Sum.Missing += Truth.StepsOpened - Truth.StepsWhole - 1;
+  if (Truth.StepsOpened > Truth.StepsComplete + 1)
+    Sum.Missing += Truth.StepsOpened - Truth.StepsComplete - 1;
 }
 
 bool holds(const Tally &Sum) {
-  const std::uint64_t wrong = Sum.FalseNotRun + Sum.DoubleRuns +
-                              Sum.WrongAnswers + Sum.CutByPlannedStop +
-                              Sum.Duplicates + Sum.Missing + Sum.Mislabelled +
-                              Sum.Stale + Sum.ConfigReverts + Sum.LateToLeaving;
+  const std::uint64_t wrong =
+      Sum.FalseNotRun + Sum.DoubleRuns + Sum.WrongAnswers +
+      Sum.InterruptedByPlannedStop + Sum.Duplicates + Sum.Missing +
+      Sum.Mislabelled + Sum.Stale + Sum.ConfigReverts + Sum.RunsAfterDrain;
   return wrong == 0 && Sum.Faults.empty();
 }
 
@@ -145,14 +146,14 @@
   add("false_not_run", Sum.FalseNotRun);
   add("double_runs", Sum.DoubleRuns);
   add("wrong_answers", Sum.WrongAnswers);
-  add("cut_by_planned_stop", Sum.CutByPlannedStop);
+  add("cut_by_planned_stop", Sum.InterruptedByPlannedStop);
   add("samples", Sum.Samples);
   add("duplicates", Sum.Duplicates);
   add("missing", Sum.Missing);
   add("mislabelled", Sum.Mislabelled);
   add("stale", Sum.Stale);
   add("config_reverts", Sum.ConfigReverts);
-  add("late_to_leaving", Sum.LateToLeaving);
+  add("late_to_leaving", Sum.RunsAfterDrain);
   return text;
 }
 
--- a/IntegrationTests/Chaos/Tally.h
+++ b/IntegrationTests/Chaos/Tally.h
@@ -15,12 +15,12 @@
 /// A stretch in which one process stopped as planned. An immutable value.
 struct PlannedStop {
   /// Wall microseconds of the signal and of the process' end.
-  std::uint64_t Signalled = 0;
+  std::uint64_t SignalMicros = 0;
   std::uint64_t Ended = 0;
   /// Nothing else was wrong.
-  bool Alone = false;
+  bool WithoutOtherFaults = false;
   /// The process ended by itself and in order.
-  bool InOrder = false;
+  bool ExitedCleanly = false;
   /// The servers that it was in front of; none for an entry.
   std::vector<std::string> Servers;
 };
@@ -34,30 +34,30 @@
   std::uint64_t FalseNotRun = 0;
   std::uint64_t DoubleRuns = 0;
   std::uint64_t WrongAnswers = 0;
-  std::uint64_t CutByPlannedStop = 0;
+  std::uint64_t InterruptedByPlannedStop = 0;
   std::uint64_t Samples = 0;
   std::uint64_t Duplicates = 0;
   std::uint64_t Missing = 0;
   std::uint64_t Mislabelled = 0;
   std::uint64_t Stale = 0;
   std::uint64_t ConfigReverts = 0;
-  std::uint64_t LateToLeaving = 0;
+  std::uint64_t RunsAfterDrain = 0;
   /// One line for each thing that is wrong, for a person.
   std::vector<std::string> Faults;
 };
 
 /// How long after the signal an instance may still be given work.
-constexpr std::uint64_t LeavingGraceMicros = 3000000;
+constexpr std::uint64_t DrainGraceMicros = 3000000;
 
 /// Adds what callers and upstreams say. Pure but for `Sum`.
-void judgeCallers(Tally &Sum, const std::vector<CallerRecord> &Seen,
+void checkCallers(Tally &Sum, const std::vector<CallerRecord> &Seen,
                   const std::vector<UpstreamRun> &Runs);
 /// Adds what planned stops cut off, and the work that came too late.
-void judgeStops(Tally &Sum, const std::vector<PlannedStop> &Stops,
-                const std::vector<CallerRecord> &Seen,
-                const std::vector<UpstreamRun> &Runs);
+void checkPlannedStops(Tally &Sum, const std::vector<PlannedStop> &Stops,
+                       const std::vector<CallerRecord> &Seen,
+                       const std::vector<UpstreamRun> &Runs);
 /// Adds what a trainer says.
-void judgeTrainer(Tally &Sum, const TrainerTruth &Truth);
+void checkTrainerTruth(Tally &Sum, const TrainerTruth &Truth);
 
 /// Whether all promises hold.
 bool holds(const Tally &Sum);
--- a/IntegrationTests/Chaos/Truth.cpp
+++ b/IntegrationTests/Chaos/Truth.cpp
@@ -34,8 +34,8 @@
 
 } // namespace
 
-std::vector<UpstreamRun> readRuns(const json::value &Truth,
-                                  const std::string &Server) {
+std::vector<UpstreamRun> parseUpstreamRuns(const json::value &Truth,
+                                           const std::string &Server) {
   std::vector<UpstreamRun> runs;
   for (const json::value &it : arrayAt(Truth, "runs"))
     runs.push_back({textAt(it, "path"), Server, countAt(it, "started_us")});
@@ -52,7 +52,7 @@
   truth.Mislabelled = countAt(Truth, "mislabelled");
   for (const json::value &it : arrayAt(Truth, "steps")) {
     ++truth.StepsOpened;
-    truth.StepsWhole += countAt(it, "whole_us") > 0 ? 1 : 0;
+    truth.StepsComplete += countAt(it, "whole_us") > 0 ? 1 : 0;
   }
   return truth;
 }
--- a/IntegrationTests/Chaos/Truth.h
+++ b/IntegrationTests/Chaos/Truth.h
@@ -28,12 +28,12 @@
   std::uint64_t Stale = 0;
   std::uint64_t Mislabelled = 0;
   std::uint64_t StepsOpened = 0;
-  std::uint64_t StepsWhole = 0;
+  std::uint64_t StepsComplete = 0;
 };
 
 /// Runs in a plain service's or an engine's record. Pure.
-std::vector<UpstreamRun> readRuns(const boost::json::value &Truth,
-                                  const std::string &Server);
+std::vector<UpstreamRun> parseUpstreamRuns(const boost::json::value &Truth,
+                                           const std::string &Server);
 
 /// A trainer's record. Pure.
 TrainerTruth readTrainer(const boost::json::value &Truth);
--- a/IntegrationTests/Demo/Demo.cpp
+++ b/IntegrationTests/Demo/Demo.cpp
@@ -21,7 +21,7 @@
 /// Within this a change must be in force everywhere.
 constexpr Millis InForceLimit{13000};
 /// How often a caller sends again what was refused as not run.
-constexpr std::uint32_t PatientRepeats = 10;
+constexpr std::uint32_t MaxDelayedRetries = 10;
 /// Characters of a refusal's reason that are shown.
 constexpr std::size_t MaxReason = 120;
 
@@ -151,12 +151,12 @@
       " upstreams, " + std::to_string(Running->nodes().size()) +
       " processes of the system");
   publish();
-  serveCallers();
-  trainOneStep();
-  operate();
-  stopEachProcess();
-  trainTheRest();
-  maintain();
+  startCallerLoad();
+  waitForFirstStep();
+  runOperatorCommands();
+  restartEachProcess();
+  waitForAllSteps();
+  enterMaintenance();
   showTimeline();
   judge();
   return Report;
@@ -172,8 +172,8 @@
       Limit);
 }
 
-harness::CtlRun Demo::control(const std::vector<std::string> &Arguments) {
-  harness::CtlRun run = Running->control(Arguments);
+harness::CtlResult Demo::control(const std::vector<std::string> &Arguments) {
+  harness::CtlResult run = Running->control(Arguments);
   std::string command;
   for (const std::string &it : Arguments)
     command += " " + it;
@@ -197,15 +197,16 @@
 }
 
 void Demo::publish() {
-  harness::CtlRun run = control({"apply", Running->declarations()});
+  harness::CtlResult run = control({"apply", Running->declarations()});
   Report.InForce = std::max(Report.InForce, run.Took);
-  bool known = await([&] { return Running->isAcquainted(); }, ReadyLimit);
+  bool known =
+      await([&] { return Running->areAllUpstreamsKnown(); }, ReadyLimit);
   expect(known, "not all processes know all upstreams");
   say("published: declarations in force everywhere after " +
       std::to_string(run.Took.count()) + " ms");
 }
 
-void Demo::serveCallers() {
+void Demo::startCallerLoad() {
   const Configuration &declared = Running->example().Declared;
   const ServiceDeclaration &engines = serviceOf(declared, ServiceKind::Engines);
   chaos::CallerLoad::Settings load;
@@ -214,27 +215,28 @@
   load.EngineService = engines.Name.Text;
   load.Model = engines.Model.Text;
   load.PlainService = serviceOf(declared, ServiceKind::Plain).Name.Text;
-  load.PatientRepeats = PatientRepeats;
+  load.MaxDelayedRetries = MaxDelayedRetries;
   Load = chaos::CallerLoad::start(load);
-  bool enough = await([&] { return Load->wholeSoFar() >= Setup.FirstAnswers; },
-                      AnswersLimit);
+  bool enough =
+      await([&] { return Load->completeAnswerCount() >= Setup.FirstAnswers; },
+            AnswersLimit);
   expect(enough, "callers got too few answers");
-  say("path 1, callers: " + std::to_string(Load->wholeSoFar()) +
+  say("path 1, callers: " + std::to_string(Load->completeAnswerCount()) +
       " whole answers from " + load.EngineService + " and " +
       load.PlainService);
 }
 
-void Demo::trainOneStep() {
+void Demo::waitForFirstStep() {
   bool whole =
-      await([&] { return trainerTruth().StepsWhole >= 1; }, StepsLimit);
+      await([&] { return trainerTruth().StepsComplete >= 1; }, StepsLimit);
   expect(whole, "the trainer's first step did not become whole");
   say("path 2, trainer: first step whole, " +
       std::to_string(trainerTruth().Samples) + " samples delivered");
 }
 
-void Demo::operate() {
+void Demo::runOperatorCommands() {
   for (const std::string preset : {"peak", "ordinary"}) {
-    harness::CtlRun run = control({"preset", preset});
+    harness::CtlResult run = control({"preset", preset});
     Report.InForce = std::max(Report.InForce, run.Took);
     say("path 3, operator: preset " + preset + " in force everywhere after " +
         std::to_string(run.Took.count()) + " ms");
@@ -244,28 +246,28 @@
   control({"history"});
 }
 
-void Demo::stopEachProcess() {
-  for (harness::ProductNode &it : Running->nodes())
-    stopOne(it);
+void Demo::restartEachProcess() {
+  for (harness::WasabiProcess &it : Running->nodes())
+    restartOne(it);
   say("path 4, planned stops: " + std::to_string(Stops.size()) +
       " processes stopped and replaced under load");
 }
 
-void Demo::stopOne(harness::ProductNode &Node) {
+void Demo::restartOne(harness::WasabiProcess &Node) {
   chaos::PlannedStop stop;
-  stop.Alone = true;
-  stop.Signalled = wallMicros();
+  stop.WithoutOtherFaults = true;
+  stop.SignalMicros = wallMicros();
   if (!Node.isEntry())
     stop.Servers.push_back(Running->upstreams()[*Node.Upstream].Name);
   Node.Running->signal(SIGTERM);
   bool ended = await([&] { return !Node.Running->running(); }, StopLimit);
   stop.Ended = wallMicros();
-  std::optional<harness::ProcessEnd> end = Node.Running->wait(Millis(0));
-  stop.InOrder = ended && end && end->Code == 0;
+  std::optional<harness::ProcessExit> end = Node.Running->wait(Millis(0));
+  stop.ExitedCleanly = ended && end && end->Code == 0;
   Stops.push_back(stop);
-  expect(stop.InOrder, Node.Name + " did not end in order");
+  expect(stop.ExitedCleanly, Node.Name + " did not end in order");
   say("  " + Node.Name + " ended after " +
-      std::to_string((stop.Ended - stop.Signalled) / 1000) + " ms");
+      std::to_string((stop.Ended - stop.SignalMicros) / 1000) + " ms");
   if (!ended)
     Running->kill(Node);
 
@@ -276,25 +278,27 @@
       await([&] { return harness::Deployment::isReady(Node); }, ReadyLimit);
   expect(ready, Node.Name + " did not become ready again");
   // An operator replaces the next one when the last one is back.
-  bool known = await([&] { return Running->isAcquainted(); }, ReadyLimit);
+  bool known =
+      await([&] { return Running->areAllUpstreamsKnown(); }, ReadyLimit);
   expect(known, Node.Name + " is not known to all others:\n" +
-                    (known ? "" : Running->describeViews()));
+                    (known ? "" : Running->describeIncompleteViews()));
 }
 
-void Demo::trainTheRest() {
-  bool whole = await([&] { return trainerTruth().StepsWhole >= Setup.Steps; },
-                     StepsLimit);
-  expect(whole, "the trainer has " + std::to_string(trainerTruth().StepsWhole) +
+void Demo::waitForAllSteps() {
+  bool whole = await(
+      [&] { return trainerTruth().StepsComplete >= Setup.Steps; }, StepsLimit);
+  expect(whole, "the trainer has " +
+                    std::to_string(trainerTruth().StepsComplete) +
                     " whole steps of " + std::to_string(Setup.Steps));
-  say("path 2, trainer: " + std::to_string(trainerTruth().StepsWhole) +
+  say("path 2, trainer: " + std::to_string(trainerTruth().StepsComplete) +
       " steps whole");
 }
 
-void Demo::maintain() {
+void Demo::enterMaintenance() {
   // Callers go home first, so that what is refused then is not their concern.
   Records = Load->finish();
   Load.reset();
-  harness::CtlRun run = control({"preset", "maintenance"});
+  harness::CtlResult run = control({"preset", "maintenance"});
   Report.InForce = std::max(Report.InForce, run.Took);
   bool drained = await(
       [&] { return Running->control({"drain-check"}).Code == 0; }, DrainLimit);
@@ -304,26 +308,27 @@
 
 void Demo::judge() {
   std::vector<chaos::UpstreamRun> runs;
-  for (const harness::UpstreamNode &it : Running->upstreams()) {
+  for (const harness::UpstreamProcess &it : Running->upstreams()) {
     Outcome<boost::json::value> truth = it.Server->truth();
     expect(static_cast<bool>(truth), it.Name + " tells no truth");
     if (!truth)
       continue;
-    std::vector<chaos::UpstreamRun> found = chaos::readRuns(*truth, it.Name);
+    std::vector<chaos::UpstreamRun> found =
+        chaos::parseUpstreamRuns(*truth, it.Name);
     runs.insert(runs.end(), found.begin(), found.end());
   }
-  chaos::judgeCallers(Report.Callers, Records, runs);
-  chaos::judgeStops(Report.Callers, Stops, endsOf(Records), runs);
+  chaos::checkCallers(Report.Callers, Records, runs);
+  chaos::checkPlannedStops(Report.Callers, Stops, endsOf(Records), runs);
   Report.Trainer = trainerTruth();
-  chaos::judgeTrainer(Report.Callers, Report.Trainer);
-  judgeRequests();
+  chaos::checkTrainerTruth(Report.Callers, Report.Trainer);
+  checkRequests();
   sayRefusals(Records);
   Report.Samples = Setup.Steps * Setup.Groups * Setup.GroupSize;
   for (const std::string &it : Report.Callers.Faults)
     say("FAULT: " + it);
 }
 
-void Demo::judgeRequests() {
+void Demo::checkRequests() {
   for (const std::pair<const std::string, Sends> &it : byRequest(Records)) {
     ++Report.Requests;
     if (it.second.back().End == chaos::Seen::Whole)
@@ -335,9 +340,9 @@
 }
 
 void Demo::showTimeline() {
-  harness::CtlRun run = control({"timeline"});
+  harness::CtlResult run = control({"timeline"});
   say("time line, highlights:");
-  for (const std::string &it : highlights(run.Output))
+  for (const std::string &it : selectHighlights(run.Output))
     say("  " + it);
 }
 
--- a/IntegrationTests/Demo/Demo.h
+++ b/IntegrationTests/Demo/Demo.h
@@ -64,20 +64,20 @@
   Demo(Settings Setup, std::unique_ptr<harness::Deployment> Running);
 
   void publish();
-  void serveCallers();
-  void trainOneStep();
-  void operate();
-  void stopEachProcess();
-  void stopOne(harness::ProductNode &Node);
-  void trainTheRest();
-  void maintain();
+  void startCallerLoad();
+  void waitForFirstStep();
+  void runOperatorCommands();
+  void restartEachProcess();
+  void restartOne(harness::WasabiProcess &Node);
+  void waitForAllSteps();
+  void enterMaintenance();
   void judge();
-  void judgeRequests();
+  void checkRequests();
   void showTimeline();
 
   /// Waits, and sends callers to the entries that are ready meanwhile.
   bool await(const std::function<bool()> &Condition, Millis Limit);
-  harness::CtlRun control(const std::vector<std::string> &Arguments);
+  harness::CtlResult control(const std::vector<std::string> &Arguments);
   chaos::TrainerTruth trainerTruth() const;
   void expect(bool Holds, const std::string &What);
 
--- a/IntegrationTests/Demo/Highlights.cpp
+++ b/IntegrationTests/Demo/Highlights.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-std::vector<std::string> highlights(std::string_view Timeline) {
+std::vector<std::string> selectHighlights(std::string_view Timeline) {
   std::vector<std::string> lines;
   std::istringstream text{std::string(Timeline)};
   for (std::string line; std::getline(text, line);)
--- a/IntegrationTests/Demo/Highlights.h
+++ b/IntegrationTests/Demo/Highlights.h
@@ -11,7 +11,7 @@
 
 /// The first and last lines of each kind that matters, in their order, and how
 /// many there are in all. Pure.
-std::vector<std::string> highlights(std::string_view Timeline);
+std::vector<std::string> selectHighlights(std::string_view Timeline);
 
 } // namespace wasabi::demo
 
--- a/IntegrationTests/Harness/Deployment.cpp
+++ b/IntegrationTests/Harness/Deployment.cpp
@@ -67,7 +67,7 @@
          });
 }
 
-bool knowsDaemons(const ProductNode &Node,
+bool knowsDaemons(const WasabiProcess &Node,
                   const std::map<std::string, Address> &Daemons) {
   Outcome<boost::json::value> status = getJson(Node.Admin, "/status");
   if (!status)
@@ -146,7 +146,7 @@
 }
 
 std::vector<std::string>
-Deployment::upstreamFlags(const UpstreamNode &Node) const {
+Deployment::upstreamFlags(const UpstreamProcess &Node) const {
   const ServiceDeclaration &service = Source.Declared.Services.at(Node.Service);
   if (service.Kind == ServiceKind::Plain)
     return {flag("name", Node.Name)};
@@ -160,7 +160,7 @@
        Source.Declared.Services) {
     for (const Placement &place : service.second.Placements) {
       for (std::uint32_t i = 1; i <= place.Servers; ++i) {
-        UpstreamNode node;
+        UpstreamProcess node;
         node.Name = service.first.Text + "-" + place.Domain.Text + "-" +
                     std::to_string(i);
         node.Service = service.first;
@@ -173,7 +173,7 @@
   return Done{};
 }
 
-Result<Done> Deployment::restart(UpstreamNode &Node) {
+Result<Done> Deployment::restart(UpstreamProcess &Node) {
   Address listen = Node.Server ? Node.Server->address() : Anywhere;
   Node.Server.reset();
   bool plain =
@@ -186,7 +186,7 @@
 
 Result<Done> Deployment::startNodes() {
   for (std::size_t i = 0; i < Upstreams.size(); ++i) {
-    ProductNode node;
+    WasabiProcess node;
     node.Name = "slot-" + Upstreams[i].Name;
     node.Domain = Upstreams[i].Domain;
     node.Upstream = i;
@@ -194,7 +194,7 @@
   }
   for (const DomainName &domain : domainsOf(Source.Declared)) {
     for (std::size_t i = 1; i <= Setup.EntriesPerDomain; ++i) {
-      ProductNode node;
+      WasabiProcess node;
       node.Name = "entry-" + domain.Text + "-" + std::to_string(i);
       node.Domain = domain;
       Nodes.push_back(std::move(node));
@@ -206,7 +206,7 @@
     BOOST_LEAF_CHECK(launch(Nodes[i]));
   for (std::size_t i = 1; i < Nodes.size(); ++i)
     BOOST_LEAF_CHECK(readAddresses(Nodes[i]));
-  for (const ProductNode &it : Nodes) {
+  for (const WasabiProcess &it : Nodes) {
     if (!waitUntil([&] { return isReady(it); }, ReadyLimit))
       return unavailable(it.Name, "it did not become ready: " +
                                       readFile(Folder->file(it.Name + ".err")));
@@ -215,12 +215,12 @@
 }
 
 std::vector<std::string>
-Deployment::nodeArguments(const ProductNode &Node) const {
+Deployment::nodeArguments(const WasabiProcess &Node) const {
   std::vector<std::string> arguments = {
       flag("instance", Node.Name), flag("failure_domain", Node.Domain.Text),
       flag("log", Log->address()), flag("instances", Instances->address())};
   std::string seeds;
-  for (const ProductNode &it : Nodes) {
+  for (const WasabiProcess &it : Nodes) {
     if (seeds.empty() && it.Running && it.Name != Node.Name &&
         !it.Control.empty())
       seeds = toText(it.Control);
@@ -229,7 +229,7 @@
     arguments.push_back(flag("seeds", seeds));
   if (Node.isEntry())
     return arguments;
-  const UpstreamNode &server = Upstreams[*Node.Upstream];
+  const UpstreamProcess &server = Upstreams[*Node.Upstream];
   arguments.push_back(flag("weights", Weights->address()));
   arguments.push_back(flag("scorer", Scorer->address()));
   arguments.push_back(flag("upstreams", server.Name + "=" +
@@ -238,9 +238,9 @@
   return arguments;
 }
 
-Result<Done> Deployment::launch(ProductNode &Node) {
+Result<Done> Deployment::launch(WasabiProcess &Node) {
   std::vector<std::string> arguments = nodeArguments(Node);
-  if (Setup.Proxied && !Node.isEntry())
+  if (Setup.UsesFaultProxies && !Node.isEntry())
     BOOST_LEAF_CHECK(launchBehindProxy(Node, arguments));
   Node.Running.reset();
   BOOST_LEAF_ASSIGN(
@@ -253,61 +253,63 @@
 }
 
 Result<Done>
-Deployment::launchBehindProxy(ProductNode &Node,
+Deployment::launchBehindProxy(WasabiProcess &Node,
                               std::vector<std::string> &Arguments) {
   if (!Node.Proxy) {
     // The proxy needs the daemon's port before there is a daemon, and stays
     // when the daemon is replaced.
-    BOOST_LEAF_ASSIGN(Node.Serves, freePort());
+    BOOST_LEAF_ASSIGN(Node.ListenAddress, freePort());
     BOOST_LEAF_ASSIGN(Node.Proxy,
                       startStandIn("faultproxy", "proxy-" + Node.Name,
-                                   {flag("upstream", Node.Serves)}, Anywhere));
+                                   {flag("upstream", Node.ListenAddress)},
+                                   Anywhere));
   }
-  Arguments.push_back(flag("frames", Node.Serves));
+  Arguments.push_back(flag("frames", Node.ListenAddress));
   Arguments.push_back(flag("advertise_frames", Node.Proxy->address()));
   return Done{};
 }
 
-Result<Done> Deployment::readAddresses(ProductNode &Node) {
-  BOOST_LEAF_ASSIGN(Node.Control, Node.Running->announced("control"));
-  BOOST_LEAF_ASSIGN(Node.Admin, Node.Running->announced("admin"));
-  BOOST_LEAF_ASSIGN(Node.Serves, Node.Running->announced(
-                                     Node.isEntry() ? "listening" : "frames"));
+Result<Done> Deployment::readAddresses(WasabiProcess &Node) {
+  BOOST_LEAF_ASSIGN(Node.Control, Node.Running->waitForAddress("control"));
+  BOOST_LEAF_ASSIGN(Node.Admin, Node.Running->waitForAddress("admin"));
+  BOOST_LEAF_ASSIGN(
+      Node.ListenAddress,
+      Node.Running->waitForAddress(Node.isEntry() ? "listening" : "frames"));
   return Done{};
 }
 
-Result<Done> Deployment::restart(ProductNode &Node) {
+Result<Done> Deployment::restart(WasabiProcess &Node) {
   BOOST_LEAF_CHECK(launch(Node));
   return readAddresses(Node);
 }
 
-bool Deployment::isReady(const ProductNode &Node) {
+bool Deployment::isReady(const WasabiProcess &Node) {
   return Node.Running && Node.Running->running() &&
          static_cast<bool>(getText(Node.Admin, "/readyz"));
 }
 
 std::vector<Address> Deployment::readyEntries() const {
   std::vector<Address> ready;
-  for (const ProductNode &it : Nodes) {
+  for (const WasabiProcess &it : Nodes) {
     if (it.isEntry() && isReady(it))
-      ready.push_back(it.Serves);
+      ready.push_back(it.ListenAddress);
   }
   return ready;
 }
 
-std::map<std::string, Address> Deployment::daemonControls() const {
+std::map<std::string, Address> Deployment::daemonControlAddresses() const {
   std::map<std::string, Address> daemons;
-  for (const ProductNode &it : Nodes) {
+  for (const WasabiProcess &it : Nodes) {
     if (!it.isEntry())
       daemons[it.Name] = it.Control;
   }
   return daemons;
 }
 
-std::string Deployment::describeViews() const {
-  std::map<std::string, Address> daemons = daemonControls();
+std::string Deployment::describeIncompleteViews() const {
+  std::map<std::string, Address> daemons = daemonControlAddresses();
   std::string text;
-  for (const ProductNode &it : Nodes) {
+  for (const WasabiProcess &it : Nodes) {
     if (!isReady(it) || knowsDaemons(it, daemons))
       continue;
     Outcome<std::string> status = getText(it.Admin, "/status");
@@ -317,28 +319,29 @@
   return text;
 }
 
-bool Deployment::isAcquainted() const {
-  std::map<std::string, Address> daemons = daemonControls();
-  return std::all_of(Nodes.begin(), Nodes.end(), [&](const ProductNode &it) {
+bool Deployment::areAllUpstreamsKnown() const {
+  std::map<std::string, Address> daemons = daemonControlAddresses();
+  return std::all_of(Nodes.begin(), Nodes.end(), [&](const WasabiProcess &it) {
     return !isReady(it) || knowsDaemons(it, daemons);
   });
 }
 
-CtlRun Deployment::control(std::vector<std::string> Arguments, Millis Limit) {
+CtlResult Deployment::control(std::vector<std::string> Arguments,
+                              Millis Limit) {
   Arguments.push_back(flag("log", Log->address()));
   Arguments.push_back(flag("instances", Instances->address()));
   Arguments.push_back(flag("operator", "harness"));
   std::string errors = Folder->file("wasabictl.err");
   std::ofstream(errors).close();
   TimePoint begun = monotonicNow();
-  CtlRun run;
+  CtlResult run;
   Outcome<std::unique_ptr<Process>> child =
       toOutcome<std::unique_ptr<Process>>([&] {
         return Process::start({"wasabictl", std::move(Arguments), {}, errors});
       });
   if (!child)
     return {-1, "", describe(child.failure()), Millis(0)};
-  std::optional<ProcessEnd> end = (*child)->waitAndRead(Limit);
+  std::optional<ProcessExit> end = (*child)->waitAndRead(Limit);
   run.Code = end ? end->Code : -1;
   run.Output = (*child)->output();
   run.Errors = readFile(errors);
@@ -346,9 +349,9 @@
   return run;
 }
 
-void Deployment::kill(ProductNode &Node) {
+void Deployment::kill(WasabiProcess &Node) {
   Node.Running->signal(SIGKILL);
-  Node.Running->wait(StartLimit);
+  Node.Running->wait(ProcessStartTimeout);
   http::Request ask;
   ask.Method = "DELETE";
   ask.Target = "/v1/instances/" + Node.Name;
@@ -356,7 +359,7 @@
   call(Instances->address(), std::move(ask));
 }
 
-std::optional<ProcessEnd> Deployment::stop(ProductNode &Node, Millis Limit) {
+std::optional<ProcessExit> Deployment::stop(WasabiProcess &Node, Millis Limit) {
   Node.Running->signal(SIGTERM);
   return Node.Running->wait(Limit);
 }
--- a/IntegrationTests/Harness/Deployment.h
+++ b/IntegrationTests/Harness/Deployment.h
@@ -18,7 +18,7 @@
 namespace wasabi::harness {
 
 /// One upstream server of a service.
-struct UpstreamNode {
+struct UpstreamProcess {
   std::string Name;
   ServiceName Service;
   DomainName Domain;
@@ -26,7 +26,7 @@
 };
 
 /// One process of the product, which may be ended and started again.
-struct ProductNode {
+struct WasabiProcess {
   std::string Name;
   DomainName Domain;
   /// Index of the server that a daemon stands in front of.
@@ -35,7 +35,7 @@
   Address Control;
   Address Admin;
   /// An entry's address for callers, a daemon's for frames.
-  Address Serves;
+  Address ListenAddress;
   /// The fault proxy between the entries and a daemon, if there is one.
   std::unique_ptr<StandIn> Proxy;
 
@@ -43,7 +43,7 @@
 };
 
 /// How a `wasabictl` ended. An immutable value.
-struct CtlRun {
+struct CtlResult {
   int Code = 0;
   std::string Output;
   std::string Errors;
@@ -59,7 +59,7 @@
     std::string Example = "lindqvist";
     std::size_t EntriesPerDomain = 1;
     /// Whether a fault proxy stands in front of each daemon's frames.
-    bool Proxied = false;
+    bool UsesFaultProxies = false;
     /// Flags of the stand-ins by role, besides addresses and names.
     std::map<std::string, std::vector<std::string>> Flags;
   };
@@ -78,9 +78,9 @@
   const std::map<TrainerName, std::unique_ptr<StandIn>> &trainers() const {
     return Trainers;
   }
-  std::vector<UpstreamNode> &upstreams() { return Upstreams; }
+  std::vector<UpstreamProcess> &upstreams() { return Upstreams; }
   /// Daemons, in the order of `upstreams`, then entries.
-  std::vector<ProductNode> &nodes() { return Nodes; }
+  std::vector<WasabiProcess> &nodes() { return Nodes; }
   const Example &example() const { return Source; }
   /// The declarations with real endpoints, for `wasabictl apply`.
   std::string declarations() const { return Folder->file("declarations"); }
@@ -89,23 +89,23 @@
   /// Where callers may ask: the entries that run and call themselves ready.
   std::vector<Address> readyEntries() const;
   /// Whether a process says that it is ready.
-  static bool isReady(const ProductNode &Node);
+  static bool isReady(const WasabiProcess &Node);
   /// Whether every ready process knows all upstreams as serving, behind the
   /// daemons that run now.
-  bool isAcquainted() const;
+  bool areAllUpstreamsKnown() const;
   /// The view of each ready process that lacks one, for a person.
-  std::string describeViews() const;
+  std::string describeIncompleteViews() const;
   /// Runs `wasabictl` to its end with the platform's addresses.
-  CtlRun control(std::vector<std::string> Arguments,
-                 Millis Limit = Millis(60000));
+  CtlResult control(std::vector<std::string> Arguments,
+                    Millis Limit = Millis(60000));
   /// Starts a node's process anew, after it ended. Errors: `Unavailable`.
-  Result<Done> restart(ProductNode &Node);
+  Result<Done> restart(WasabiProcess &Node);
   /// Starts an upstream anew on the address that it had. Errors: `Unavailable`.
-  Result<Done> restart(UpstreamNode &Node);
+  Result<Done> restart(UpstreamProcess &Node);
   /// SIGKILL, and the platform takes the instance off its list.
-  void kill(ProductNode &Node);
+  void kill(WasabiProcess &Node);
   /// SIGTERM, and how it ended; empty when it still runs after `Limit`.
-  static std::optional<ProcessEnd> stop(ProductNode &Node, Millis Limit);
+  static std::optional<ProcessExit> stop(WasabiProcess &Node, Millis Limit);
 
 private:
   explicit Deployment(Settings Setup, Example Source,
@@ -115,17 +115,17 @@
   Result<Done> startTrainers();
   Result<Done> startUpstreams();
   Result<Done> startNodes();
-  std::map<std::string, Address> daemonControls() const;
-  Result<Done> launch(ProductNode &Node);
-  Result<Done> launchBehindProxy(ProductNode &Node,
+  std::map<std::string, Address> daemonControlAddresses() const;
+  Result<Done> launch(WasabiProcess &Node);
+  Result<Done> launchBehindProxy(WasabiProcess &Node,
                                  std::vector<std::string> &Arguments);
-  Result<Done> readAddresses(ProductNode &Node);
+  Result<Done> readAddresses(WasabiProcess &Node);
   Result<std::unique_ptr<StandIn>> startStandIn(const std::string &Role,
                                                 const std::string &Name,
                                                 std::vector<std::string> Flags,
                                                 Address Listen);
-  std::vector<std::string> upstreamFlags(const UpstreamNode &Node) const;
-  std::vector<std::string> nodeArguments(const ProductNode &Node) const;
+  std::vector<std::string> upstreamFlags(const UpstreamProcess &Node) const;
+  std::vector<std::string> nodeArguments(const WasabiProcess &Node) const;
 
   const Settings Setup;
   const Example Source;
@@ -135,8 +135,8 @@
   std::unique_ptr<StandIn> Weights;
   std::unique_ptr<StandIn> Scorer;
   std::map<TrainerName, std::unique_ptr<StandIn>> Trainers;
-  std::vector<UpstreamNode> Upstreams;
-  std::vector<ProductNode> Nodes;
+  std::vector<UpstreamProcess> Upstreams;
+  std::vector<WasabiProcess> Nodes;
 };
 
 } // namespace wasabi::harness
--- a/IntegrationTests/Harness/Process.cpp
+++ b/IntegrationTests/Harness/Process.cpp
@@ -92,7 +92,7 @@
 Process::~Process() {
   signal(SIGKILL);
   // A killed child ends in a moment, whatever state it was in.
-  while (!wait(StartLimit)) {
+  while (!wait(ProcessStartTimeout)) {
   }
   Reader.join();
 }
@@ -115,7 +115,7 @@
   close(Output);
 }
 
-Result<Address> Process::announced(std::string_view Key, Millis Limit) {
+Result<Address> Process::waitForAddress(std::string_view Key, Millis Limit) {
   std::optional<std::string> found;
   {
     std::unique_lock<std::mutex> lock(Guard);
@@ -158,19 +158,19 @@
   int status = 0;
   if (waitpid(Pid, &status, WNOHANG) != Pid)
     return true;
-  End = ProcessEnd{WIFSIGNALED(status) ? SignalBase + WTERMSIG(status)
-                                       : WEXITSTATUS(status)};
+  End = ProcessExit{WIFSIGNALED(status) ? SignalBase + WTERMSIG(status)
+                                        : WEXITSTATUS(status)};
   return false;
 }
 
-std::optional<ProcessEnd> Process::wait(Millis Limit) {
+std::optional<ProcessExit> Process::wait(Millis Limit) {
   waitUntil([this] { return !running(); }, Limit);
   std::lock_guard<std::mutex> lock(Guard);
   return End;
 }
 
-std::optional<ProcessEnd> Process::waitAndRead(Millis Limit) {
-  std::optional<ProcessEnd> end = wait(Limit);
+std::optional<ProcessExit> Process::waitAndRead(Millis Limit) {
+  std::optional<ProcessExit> end = wait(Limit);
   if (!end)
     return end;
   std::unique_lock<std::mutex> lock(Guard);
--- a/IntegrationTests/Harness/Process.h
+++ b/IntegrationTests/Harness/Process.h
@@ -21,13 +21,13 @@
 namespace wasabi::harness {
 
 /// How long a process may take until it has announced its addresses.
-constexpr Millis StartLimit{20000};
+constexpr Millis ProcessStartTimeout{20000};
 
 /// How a process ended. An immutable value.
-struct ProcessEnd {
+struct ProcessExit {
   /// The exit code; 128 plus the signal for one that a signal ended.
   int Code = 0;
-  bool operator==(const ProcessEnd &) const = default;
+  bool operator==(const ProcessExit &) const = default;
 };
 
 /// One child. The kernel kills it when the harness dies, and destroying this
@@ -52,15 +52,16 @@
 
   /// The address that the process printed as `KEY IP:PORT`, waited for. Errors:
   /// `Unavailable` with the end of its stderr when it ends or stays silent.
-  Result<Address> announced(std::string_view Key, Millis Limit = StartLimit);
+  Result<Address> waitForAddress(std::string_view Key,
+                                 Millis Limit = ProcessStartTimeout);
   /// All that it printed on stdout up to now.
   std::string output() const;
   /// Sends a signal; nothing happens once it has ended.
   void signal(int Number);
   /// Waits for the end; empty when it still runs after `Limit`.
-  std::optional<ProcessEnd> wait(Millis Limit);
+  std::optional<ProcessExit> wait(Millis Limit);
   /// Waits for the end and for all of stdout to be read.
-  std::optional<ProcessEnd> waitAndRead(Millis Limit);
+  std::optional<ProcessExit> waitAndRead(Millis Limit);
   bool running();
   pid_t pid() const { return Pid; }
 
@@ -75,7 +76,7 @@
   std::condition_variable Changed;
   std::string Read;
   bool Closed = false;
-  std::optional<ProcessEnd> End;
+  std::optional<ProcessExit> End;
   std::thread Reader;
 };
 
--- a/IntegrationTests/Harness/RolloutCluster.cpp
+++ b/IntegrationTests/Harness/RolloutCluster.cpp
@@ -72,7 +72,7 @@
   for (std::size_t at = 0; at < cluster->Setup.Engines; ++at)
     BOOST_LEAF_CHECK(cluster->startDaemon(at));
   for (Daemon &it : cluster->Daemons) {
-    BOOST_LEAF_ASSIGN(it.Admin, it.Child->announced("admin"));
+    BOOST_LEAF_ASSIGN(it.Admin, it.Child->waitForAddress("admin"));
   }
   Outcome<Done> declared = cluster->declare();
   if (!declared)
@@ -216,8 +216,9 @@
   return got ? *got : boost::json::value();
 }
 
-boost::json::value RolloutCluster::ownedBy(std::size_t At,
-                                           const std::string &Trainer) const {
+boost::json::value
+RolloutCluster::ownedTrainerStatus(std::size_t At,
+                                   const std::string &Trainer) const {
   if (!Daemons[At].Child->running())
     return {};
   boost::json::value told = status(At);
@@ -235,9 +236,9 @@
 }
 
 std::optional<std::size_t>
-RolloutCluster::ownerOf(const std::string &Trainer) const {
+RolloutCluster::findOwner(const std::string &Trainer) const {
   for (std::size_t at = 0; at < Daemons.size(); ++at) {
-    if (!ownedBy(at, Trainer).is_null())
+    if (!ownedTrainerStatus(at, Trainer).is_null())
       return at;
   }
   return std::nullopt;
@@ -245,10 +246,10 @@
 
 std::optional<std::uint64_t>
 RolloutCluster::runningSamples(const std::string &Trainer) const {
-  std::optional<std::size_t> owner = ownerOf(Trainer);
+  std::optional<std::size_t> owner = findOwner(Trainer);
   if (!owner)
     return std::nullopt;
-  boost::json::value told = ownedBy(*owner, Trainer);
+  boost::json::value told = ownedTrainerStatus(*owner, Trainer);
   if (told.is_null())
     return std::nullopt;
   return numberOf(told, "running");
@@ -307,7 +308,7 @@
       Limit);
 }
 
-std::vector<std::uint64_t> RolloutCluster::swapTimes() const {
+std::vector<std::uint64_t> RolloutCluster::weightSwapTimes() const {
   std::vector<std::uint64_t> times;
   Outcome<boost::json::value> told = Weights->truth();
   if (!told)
--- a/IntegrationTests/Harness/RolloutCluster.h
+++ b/IntegrationTests/Harness/RolloutCluster.h
@@ -83,7 +83,7 @@
   std::size_t daemons() const { return Daemons.size(); }
 
   /// The daemon that owns a trainer, by its own status; empty for none.
-  std::optional<std::size_t> ownerOf(const std::string &Trainer) const;
+  std::optional<std::size_t> findOwner(const std::string &Trainer) const;
   /// Attempts that a trainer's owner has under way; empty without an owner.
   std::optional<std::uint64_t> runningSamples(const std::string &Trainer) const;
   /// A daemon's `/status`; null when it does not answer.
@@ -99,7 +99,7 @@
   /// Waits until a trainer has trained on `Steps` steps.
   bool waitForSteps(std::size_t At, std::uint64_t Steps, Millis Limit) const;
   /// Microseconds from each version's publication until its last whole fetch.
-  std::vector<std::uint64_t> swapTimes() const;
+  std::vector<std::uint64_t> weightSwapTimes() const;
   /// Tokens that all engines generated; engines that are gone count nothing.
   std::uint64_t generatedTokens() const;
 
@@ -111,7 +111,8 @@
   };
 
   /// What a daemon says of a trainer it owns; null when it does not own it.
-  boost::json::value ownedBy(std::size_t At, const std::string &Trainer) const;
+  boost::json::value ownedTrainerStatus(std::size_t At,
+                                        const std::string &Trainer) const;
   explicit RolloutCluster(Settings Setup) : Setup(std::move(Setup)) {}
   Result<void> startPlatform();
   Result<std::unique_ptr<StandIn>> startEngine(std::size_t At, Address Listen);
--- a/IntegrationTests/Harness/StandIn.cpp
+++ b/IntegrationTests/Harness/StandIn.cpp
@@ -18,18 +18,18 @@
   child.ErrorFile = Setup.ErrorFile;
 
   BOOST_LEAF_AUTO(process, Process::start(std::move(child)));
-  BOOST_LEAF_AUTO(serves, process->announced("listening"));
+  BOOST_LEAF_AUTO(serves, process->waitForAddress("listening"));
   Address control = serves;
   if (proxy) {
-    BOOST_LEAF_ASSIGN(control, process->announced("control"));
+    BOOST_LEAF_ASSIGN(control, process->waitForAddress("control"));
   }
   return std::unique_ptr<StandIn>(
       new StandIn(std::move(process), serves, control));
 }
 
-StandIn::StandIn(std::unique_ptr<Process> Child, Address Serves,
+StandIn::StandIn(std::unique_ptr<Process> Child, Address ListenAddress,
                  Address Control)
-    : Child(std::move(Child)), Serves(std::move(Serves)),
+    : Child(std::move(Child)), ListenAddress(std::move(ListenAddress)),
       Control(std::move(Control)) {}
 
 Outcome<Done> StandIn::setFaults(std::string Faults) const {
--- a/IntegrationTests/Harness/StandIn.h
+++ b/IntegrationTests/Harness/StandIn.h
@@ -33,7 +33,7 @@
   static Result<std::unique_ptr<StandIn>> start(Settings Setup);
 
   /// Where it serves the product.
-  const Address &address() const { return Serves; }
+  const Address &address() const { return ListenAddress; }
   /// Merges faults into what is set, as a JSON object.
   Outcome<Done> setFaults(std::string Faults) const;
   /// Its own record of what happened. Errors when it is not there or is hung.
@@ -41,10 +41,11 @@
   Process &process() const { return *Child; }
 
 private:
-  StandIn(std::unique_ptr<Process> Child, Address Serves, Address Control);
+  StandIn(std::unique_ptr<Process> Child, Address ListenAddress,
+          Address Control);
 
   const std::unique_ptr<Process> Child;
-  const Address Serves;
+  const Address ListenAddress;
   /// Where faults are set: a fault proxy's is a port of its own.
   const Address Control;
 };
--- a/IntegrationTests/Platform/PlatformWorld.cpp
+++ b/IntegrationTests/Platform/PlatformFixture.cpp
@@ -1,4 +1,4 @@
-#include "IntegrationTests/Platform/PlatformWorld.h"
+#include "IntegrationTests/Platform/PlatformFixture.h"
 
 #include "IntegrationTests/Harness/FreePort.h"
 #include "IntegrationTests/Harness/HttpCall.h"
@@ -37,9 +37,9 @@
           {"retention_s", 40.0}};
 }
 
-json::array customerList(const std::vector<WorldCustomer> &Of) {
+json::array customerList(const std::vector<ConfiguredCustomer> &Of) {
   json::array list;
-  for (const WorldCustomer &it : Of)
+  for (const ConfiguredCustomer &it : Of)
     list.push_back(
         json::object{{"name", it.Name},
                      {"api_keys", json::array(it.Keys.begin(), it.Keys.end())},
@@ -49,22 +49,22 @@
 
 } // namespace
 
-http::Request PlatformWorld::request(const std::string &Method,
-                                     const std::string &Target,
-                                     const std::string &Id) const {
+http::Request PlatformFixture::request(const std::string &Method,
+                                       const std::string &Target,
+                                       const std::string &Id) const {
   http::Request ask;
   ask.Method = Method;
   ask.Target = Target;
   ask.Headers = {{"Host", "host.example"}, {"Wasabisail-Request-Id", Id}};
-  if (!KeyInUse.empty())
-    ask.Headers.push_back({"Wasabisail-Key", KeyInUse});
+  if (!CustomerKey.empty())
+    ask.Headers.push_back({"Wasabisail-Key", CustomerKey});
   return ask;
 }
 
-PlatformWorld::PlatformWorld(WorldShape Shape)
+PlatformFixture::PlatformFixture(PlatformFixtureSettings Shape)
     : Size(std::move(Shape)), Customers(Size.Customers) {
   Store = std::make_unique<PlatformStore>(Context);
-  Reports = std::make_unique<PlatformReports>(Context);
+  Reports = std::make_unique<PlatformReportEndpoint>(Context);
   makeServers();
   Folder = harness::TestFolder::create().value();
   Edges.resize(Size.Edges);
@@ -73,20 +73,20 @@
     it.Callers = it.Listens;
     it.Readiness = harness::freePort().value();
   }
-  if (Size.Proxied)
+  if (Size.UsesFaultProxies)
     makeLinks();
   Thread = std::thread([this] { Context.run(); });
   for (std::size_t i = 0; i < servers(); ++i)
     registerServer(i, false);
   configure(1);
-  Sides.resize(Size.Engines);
+  Sidecars.resize(Size.Engines);
   for (std::size_t i = 0; i < Size.Engines; ++i)
-    startSide(i);
+    startSidecar(i);
   for (std::size_t i = 0; i < Size.Edges; ++i)
     startEdge(i);
 }
 
-void PlatformWorld::makeServers() {
+void PlatformFixture::makeServers() {
   for (std::size_t i = 1; i <= Size.Engines; ++i) {
     Engines.push_back(std::make_unique<PlatformServer>(
         Context, "i-engine-" + std::to_string(i)));
@@ -97,15 +97,15 @@
         Context, "i-desk-" + std::to_string(i)));
 }
 
-PlatformWorld::Proxy PlatformWorld::makeLink(const Address &Upstream) {
+PlatformFixture::Proxy PlatformFixture::makeLink(const Address &Upstream) {
   return standins::FaultProxy::create(Context, {{"127.0.0.1", 0}, Upstream, 1})
       .value();
 }
 
-void PlatformWorld::makeLinks() {
+void PlatformFixture::makeLinks() {
   for (std::size_t i = 0; i < servers(); ++i) {
     ServerLinks.push_back(makeLink(server(i).address()));
-    server(i).setPublic(ServerLinks.back()->address());
+    server(i).setPublicAddress(ServerLinks.back()->address());
   }
   for (EdgeProcess &it : Edges) {
     CallerLinks.push_back(makeLink(it.Listens));
@@ -117,16 +117,16 @@
     ReportLinks.push_back(makeLink(Reports->address()));
 }
 
-void PlatformWorld::setFaults(const Proxy &Of,
-                              const boost::json::object &Changes) {
-  onPlatform([&] {
+void PlatformFixture::setFaults(const Proxy &Of,
+                                const boost::json::object &Changes) {
+  runOnPlatformThread([&] {
     Of->Told.merge(Changes);
-    Of->faultsChanged();
+    Of->onFaultsChanged();
   });
 }
 
-void PlatformWorld::registerServer(std::size_t Index, bool Draining) {
-  onPlatform([&] {
+void PlatformFixture::registerServer(std::size_t Index, bool Draining) {
+  runOnPlatformThread([&] {
     PlatformServer &it = server(Index);
     Store->write(
         "keyed.servers", it.id(),
@@ -134,8 +134,8 @@
   });
 }
 
-void PlatformWorld::crashOn(const std::string &Text) {
-  onPlatform([&] {
+void PlatformFixture::setCrashMarker(const std::string &Text) {
+  runOnPlatformThread([&] {
     for (std::size_t i = 0; i < servers(); ++i) {
       PlatformServer &it = server(i);
       it.CrashOn = Text;
@@ -143,14 +143,14 @@
         const char *service = i < Size.Engines ? "llm" : "desk";
         Store->write("keyed.servers", Before, std::nullopt);
         Store->write("keyed.servers", it.id(), it.registration(service, false));
-        ++Returned;
+        ++RestartedServers;
       };
     }
   });
 }
 
-int PlatformWorld::ends() {
-  return onPlatform<int>([&] {
+int PlatformFixture::ends() {
+  return runOnPlatformThread<int>([&] {
     int sum = 0;
     for (std::size_t i = 0; i < servers(); ++i)
       sum += server(i).Ends;
@@ -158,50 +158,51 @@
   });
 }
 
-bool PlatformWorld::allBack() {
+bool PlatformFixture::waitForRestarts() {
   return harness::waitUntil(
       [this] {
-        int returned = onPlatform<int>([&] { return Returned; });
+        int returned =
+            runOnPlatformThread<int>([&] { return RestartedServers; });
         return returned == ends();
       },
       Patience);
 }
 
-void PlatformWorld::unregisterServer(const std::string &Id) {
-  onPlatform([&] { Store->write("keyed.servers", Id, std::nullopt); });
+void PlatformFixture::unregisterServer(const std::string &Id) {
+  runOnPlatformThread([&] { Store->write("keyed.servers", Id, std::nullopt); });
 }
 
-void PlatformWorld::startSide(std::size_t Index) {
+void PlatformFixture::startSidecar(std::size_t Index) {
   std::string app = fmt::format(R"("listen":{{}},"app":"{}",)",
                                 toText(Engines[Index]->publicAddress()));
   harness::Process::Settings setup;
   setup.Program = "wasabi-side";
   setup.Environment = {
-      {"WASABISAIL_BOOT",
-       bootFile("side-" + std::to_string(Index), app, Size.Edges + Index)}};
-  Sides[Index] = harness::Process::start(std::move(setup)).value();
+      {"WASABISAIL_BOOT", writeSettingsFile("side-" + std::to_string(Index),
+                                            app, Size.Edges + Index)}};
+  Sidecars[Index] = harness::Process::start(std::move(setup)).value();
 }
 
-PlatformWorld::~PlatformWorld() {
+PlatformFixture::~PlatformFixture() {
   Edges.clear();
-  Sides.clear();
+  Sidecars.clear();
   Work.reset();
   Context.stop();
   Thread.join();
 }
 
-std::string PlatformWorld::bootFile(const std::string &Name,
-                                    const std::string &Extra,
-                                    std::size_t Process) {
+std::string PlatformFixture::writeSettingsFile(const std::string &Name,
+                                               const std::string &Extra,
+                                               std::size_t Process) {
   Address store =
-      Size.Proxied ? StoreLinks[Process]->address() : Store->address();
+      Size.UsesFaultProxies ? StoreLinks[Process]->address() : Store->address();
   std::string reports;
   if (Size.Reports && Process < Size.Edges)
     reports = fmt::format(
         R"("cloud_api":{{"address":"{}","duties":["usage_report"],
         "duty_per_s":50.0}},)",
-        toText(Size.Proxied ? ReportLinks[Process]->address()
-                            : Reports->address()));
+        toText(Size.UsesFaultProxies ? ReportLinks[Process]->address()
+                                     : Reports->address()));
   std::string path = Folder->file(Name + ".json");
   std::ofstream(path) << fmt::format(
       R"({{"node_name":"{}","zone":"hall","ip":"127.0.0.1",{}{}
@@ -212,12 +213,12 @@
   return path;
 }
 
-void PlatformWorld::breakBootFile(const std::string &Name,
-                                  const std::string &Text) {
+void PlatformFixture::overwriteSettingsFile(const std::string &Name,
+                                            const std::string &Text) {
   std::ofstream(Folder->file(Name + ".json")) << Text;
 }
 
-void PlatformWorld::startEdge(std::size_t Index) {
+void PlatformFixture::startEdge(std::size_t Index) {
   EdgeProcess &edge = Edges[Index];
   std::string listen =
       fmt::format(R"("listen":{{"front":"{}","ready_addr":"{}"}},)",
@@ -227,11 +228,11 @@
   setup.Arguments = {"--metrics_port=0", "--drain_notice_ms=300"};
   setup.Environment = {
       {"WASABISAIL_BOOT",
-       bootFile("edge-" + std::to_string(Index), listen, Index)}};
+       writeSettingsFile("edge-" + std::to_string(Index), listen, Index)}};
   edge.Running = harness::Process::start(std::move(setup)).value();
 }
 
-void PlatformWorld::configure(std::uint64_t Version) {
+void PlatformFixture::configure(std::uint64_t Version) {
   json::object stream = routeOf("/stream/", "streaming", "llm");
   stream["resumable"] = true;
   // Longer than the longest text takes.
@@ -254,11 +255,12 @@
   if (!Customers.empty())
     whole["tenants"] = customerList(Customers);
   std::string text = json::serialize(whole);
-  onPlatform([this, text] { Store->write("keyed.op", "config", text); });
+  runOnPlatformThread(
+      [this, text] { Store->write("keyed.op", "config", text); });
 }
 
-void PlatformWorld::configureCustomers(std::uint64_t Version,
-                                       std::vector<WorldCustomer> Known) {
+void PlatformFixture::configureCustomers(
+    std::uint64_t Version, std::vector<ConfiguredCustomer> Known) {
   Customers = std::move(Known);
   configure(Version);
   // A configuration brings a route of its own, which is not there before.
@@ -271,21 +273,21 @@
                        Patience);
 }
 
-void PlatformWorld::nameVersion(std::uint64_t Version) {
+void PlatformFixture::nameVersion(std::uint64_t Version) {
   std::string text =
       json::serialize(json::object{{"model", Model}, {"version", Version}});
-  onPlatform([this, text] {
+  runOnPlatformThread([this, text] {
     Store->write("keyed.op", std::string("version/") + Model, text);
   });
 }
 
-bool PlatformWorld::ready(std::size_t Index) {
+bool PlatformFixture::ready(std::size_t Index) {
   Outcome<http::Response> got = harness::call(
       Edges[Index].Readiness, request("GET", "/api/readiness", ""));
   return got && got->Status == Ok;
 }
 
-bool PlatformWorld::allReady() {
+bool PlatformFixture::waitUntilAllReady() {
   return harness::waitUntil(
       [this] {
         for (std::size_t i = 0; i < Edges.size(); ++i) {
@@ -297,7 +299,7 @@
       Patience);
 }
 
-http::Response PlatformWorld::send(std::size_t Edge, http::Request Ask) {
+http::Response PlatformFixture::send(std::size_t Edge, http::Request Ask) {
   Outcome<http::Response> got =
       harness::call(Edges[Edge].Callers, std::move(Ask));
   if (got)
@@ -305,23 +307,23 @@
   return http::Response{0, {}, describe(got.failure())};
 }
 
-http::Response PlatformWorld::ask(std::size_t Edge, const std::string &Path,
-                                  const std::string &Id) {
-  return askAgain(Edge, Path, Id, "body of " + Id);
+http::Response PlatformFixture::ask(std::size_t Edge, const std::string &Path,
+                                    const std::string &Id) {
+  return sendWithBody(Edge, Path, Id, "body of " + Id);
 }
 
-http::Response PlatformWorld::askAgain(std::size_t Edge,
-                                       const std::string &Path,
-                                       const std::string &Id,
-                                       const std::string &Body) {
+http::Response PlatformFixture::sendWithBody(std::size_t Edge,
+                                             const std::string &Path,
+                                             const std::string &Id,
+                                             const std::string &Body) {
   http::Request ask = request("POST", Path, Id);
   ask.Headers.push_back({"Wasabisail-Deadline-Ms", "2000"});
   ask.Body = Body;
   return send(Edge, std::move(ask));
 }
 
-std::string PlatformWorld::sendRaw(std::size_t Edge, const std::string &Bytes,
-                                   Millis Wait, const std::string &Until) {
+std::string PlatformFixture::sendRaw(std::size_t Edge, const std::string &Bytes,
+                                     Millis Wait, const std::string &Until) {
   using Tcp = boost::asio::ip::tcp;
   constexpr std::size_t ReadBytes = 4096;
   boost::asio::io_context context;
@@ -350,9 +352,9 @@
   return got;
 }
 
-std::string jobText(const std::string &Job,
-                    const std::vector<std::string> &Items,
-                    std::uint64_t MinVersion) {
+std::string makeJobBody(const std::string &Job,
+                        const std::vector<std::string> &Items,
+                        std::uint64_t MinVersion) {
   json::array items;
   for (std::size_t i = 0; i < Items.size(); ++i) {
     const std::string &id = Items[i];
@@ -375,20 +377,20 @@
                                       {"items", items}});
 }
 
-unsigned PlatformWorld::submit(std::size_t Edge, const std::string &Job,
-                               std::size_t Items, std::uint64_t MinVersion) {
+unsigned PlatformFixture::submit(std::size_t Edge, const std::string &Job,
+                                 std::size_t Items, std::uint64_t MinVersion) {
   std::vector<std::string> names;
   for (std::size_t i = 0; i < Items; ++i)
     names.push_back(Job + "-" + std::to_string(i));
   http::Request ask = request("POST", "/rollout/" + Job, Job);
-  ask.Body = jobText(Job, names, MinVersion);
+  ask.Body = makeJobBody(Job, names, MinVersion);
   Outcome<http::Response> got =
       harness::call(Edges[Edge].Callers, std::move(ask));
   return got ? got->Status : 0;
 }
 
-json::value PlatformWorld::results(std::size_t Edge, const std::string &Job,
-                                   unsigned &Status) {
+json::value PlatformFixture::results(std::size_t Edge, const std::string &Job,
+                                     unsigned &Status) {
   Outcome<http::Response> got =
       harness::call(Edges[Edge].Callers,
                     request("GET", "/api/lots/" + Job + "?after=0", "read"));
@@ -396,8 +398,8 @@
   return Status == Ok ? json::parse(got->Body) : json::value();
 }
 
-bool PlatformWorld::finishes(std::size_t Edge, const std::string &Job,
-                             std::size_t Items) {
+bool PlatformFixture::finishes(std::size_t Edge, const std::string &Job,
+                               std::size_t Items) {
   return harness::waitUntil(
       [&] {
         unsigned status = 0;
@@ -407,14 +409,15 @@
       Patience);
 }
 
-unsigned PlatformWorld::itemBody(std::size_t Edge, const std::string &Job,
-                                 const std::string &Item) {
+unsigned PlatformFixture::getItemBodyStatus(std::size_t Edge,
+                                            const std::string &Job,
+                                            const std::string &Item) {
   return send(Edge, request("GET", "/api/items/" + Job + "?id=" + Item, "body"))
       .Status;
 }
 
-std::vector<ServerCall> PlatformWorld::deskRuns() {
-  return onPlatform<std::vector<ServerCall>>([&] {
+std::vector<ServerCall> PlatformFixture::plainServerRuns() {
+  return runOnPlatformThread<std::vector<ServerCall>>([&] {
     std::vector<ServerCall> all;
     for (const std::unique_ptr<PlatformServer> &it : Desks)
       all.insert(all.end(), it->Runs.begin(), it->Runs.end());
@@ -422,8 +425,8 @@
   });
 }
 
-std::vector<ServerCall> PlatformWorld::engineRuns() {
-  return onPlatform<std::vector<ServerCall>>([&] {
+std::vector<ServerCall> PlatformFixture::engineRuns() {
+  return runOnPlatformThread<std::vector<ServerCall>>([&] {
     std::vector<ServerCall> all;
     for (const std::unique_ptr<PlatformServer> &it : Engines)
       all.insert(all.end(), it->Runs.begin(), it->Runs.end());
@@ -431,16 +434,16 @@
   });
 }
 
-std::string PlatformWorld::output() {
+std::string PlatformFixture::output() {
   std::string all;
   for (const EdgeProcess &it : Edges)
     all += it.Running->output();
-  for (const std::unique_ptr<harness::Process> &it : Sides)
+  for (const std::unique_ptr<harness::Process> &it : Sidecars)
     all += it->output();
   return all;
 }
 
-unsigned PlatformWorld::end(std::size_t Edge, const std::string &Job) {
+unsigned PlatformFixture::end(std::size_t Edge, const std::string &Job) {
   Outcome<http::Response> got = harness::call(
       Edges[Edge].Callers, request("DELETE", "/api/lots/" + Job, "end"));
   return got ? got->Status : 0;
--- a/IntegrationTests/Platform/PlatformWorld.h
+++ b/IntegrationTests/Platform/PlatformFixture.h
@@ -1,11 +1,11 @@
 /// \file
 /// The users' platform on loopback with the real processes on it.
-#ifndef WASABI_INTEGRATIONTESTS_PLATFORM_PLATFORMWORLD_H
-#define WASABI_INTEGRATIONTESTS_PLATFORM_PLATFORMWORLD_H
+#ifndef WASABI_INTEGRATIONTESTS_PLATFORM_PLATFORMFIXTURE_H
+#define WASABI_INTEGRATIONTESTS_PLATFORM_PLATFORMFIXTURE_H
 
 #include "IntegrationTests/Harness/Process.h"
 #include "IntegrationTests/Harness/TestFolder.h"
-#include "IntegrationTests/Platform/PlatformReports.h"
+#include "IntegrationTests/Platform/PlatformReportEndpoint.h"
 #include "IntegrationTests/Platform/PlatformServers.h"
 #include "IntegrationTests/Platform/PlatformStore.h"
 #include "StandIns/FaultProxy.h"
@@ -24,30 +24,30 @@
 namespace wasabi::test {
 
 /// A submission of scored items, two a group, as a trainer sends it.
-std::string jobText(const std::string &Job,
-                    const std::vector<std::string> &Items,
-                    std::uint64_t MinVersion);
+std::string makeJobBody(const std::string &Job,
+                        const std::vector<std::string> &Items,
+                        std::uint64_t MinVersion);
 
 /// A customer as the operator configures it.
-struct WorldCustomer {
+struct ConfiguredCustomer {
   std::string Name;
   std::vector<std::string> Keys;
   std::uint32_t Priority = 1;
 };
 
 /// How large a world is.
-struct WorldShape {
+struct PlatformFixtureSettings {
   std::size_t Edges = 1;
   std::size_t Engines = 2;
   std::size_t Desks = 2;
   /// Whether each connection leads through a fault proxy.
-  bool Proxied = false;
+  bool UsesFaultProxies = false;
   /// Whether usage is reported, in windows of one second.
   bool Reports = false;
   /// When the report of a window is due after its end, in seconds.
   unsigned ReportDueSeconds = 12;
   /// Of the first configuration.
-  std::vector<WorldCustomer> Customers = {};
+  std::vector<ConfiguredCustomer> Customers = {};
 };
 
 /// An edge process and where it listens.
@@ -62,39 +62,39 @@
 
 /// A store, engines with a process beside each, plain servers, and edge
 /// processes. The stand-ins run on a thread of their own.
-class PlatformWorld {
+class PlatformFixture {
 public:
   using Proxy = std::shared_ptr<standins::FaultProxy>;
 
-  explicit PlatformWorld(std::size_t Edges)
-      : PlatformWorld(WorldShape{Edges, 2, 2, false}) {}
-  explicit PlatformWorld(WorldShape Size);
-  ~PlatformWorld();
-  PlatformWorld(const PlatformWorld &) = delete;
-  PlatformWorld &operator=(const PlatformWorld &) = delete;
+  explicit PlatformFixture(std::size_t Edges)
+      : PlatformFixture(PlatformFixtureSettings{Edges, 2, 2, false}) {}
+  explicit PlatformFixture(PlatformFixtureSettings Size);
+  ~PlatformFixture();
+  PlatformFixture(const PlatformFixture &) = delete;
+  PlatformFixture &operator=(const PlatformFixture &) = delete;
 
   /// Runs `Body` on the stand-ins' thread and gives what it returns.
-  template <typename T> T onPlatform(std::function<T()> Body) {
+  template <typename T> T runOnPlatformThread(std::function<T()> Body) {
     std::packaged_task<T()> task(std::move(Body));
     std::future<T> result = task.get_future();
     boost::asio::post(Context, [&task] { task(); });
     return result.get();
   }
-  void onPlatform(const std::function<void()> &Body) {
-    onPlatform<int>([&Body] {
+  void runOnPlatformThread(const std::function<void()> &Body) {
+    runOnPlatformThread<int>([&Body] {
       Body();
       return 0;
     });
   }
 
   PlatformStore &store() { return *Store; }
-  PlatformReports &reports() { return *Reports; }
+  PlatformReportEndpoint &reports() { return *Reports; }
   PlatformServer &engine(std::size_t Index) { return *Engines[Index]; }
   PlatformServer &desk(std::size_t Index) { return *Desks[Index]; }
   EdgeProcess &edge(std::size_t Index) { return Edges[Index]; }
-  harness::Process &side(std::size_t Index) { return *Sides[Index]; }
+  harness::Process &side(std::size_t Index) { return *Sidecars[Index]; }
   std::size_t edges() const { return Edges.size(); }
-  const WorldShape &size() const { return Size; }
+  const PlatformFixtureSettings &size() const { return Size; }
   /// Engines first, then plain servers.
   PlatformServer &server(std::size_t Index) {
     return Index < Size.Engines ? *Engines[Index]
@@ -113,12 +113,12 @@
 
   /// Writes a process's settings file, with `Extra` fields, and gives its path.
   /// `Process` counts the links to the store.
-  std::string bootFile(const std::string &Name, const std::string &Extra,
-                       std::size_t Process);
+  std::string writeSettingsFile(const std::string &Name,
+                                const std::string &Extra, std::size_t Process);
   /// Puts other text into a settings file.
-  void breakBootFile(const std::string &Name, const std::string &Text);
+  void overwriteSettingsFile(const std::string &Name, const std::string &Text);
   void startEdge(std::size_t Index);
-  void startSide(std::size_t Index);
+  void startSidecar(std::size_t Index);
   /// Writes a server's registration, or its end.
   void registerServer(std::size_t Index, bool Draining);
   void unregisterServer(const std::string &Id);
@@ -126,36 +126,36 @@
   /// asks for keys if there are `Customers`; not on the route `/open/`.
   void configure(std::uint64_t Version);
   /// The customers of the configurations that are published from now on.
-  void setCustomers(std::vector<WorldCustomer> Known) {
+  void setCustomers(std::vector<ConfiguredCustomer> Known) {
     Customers = std::move(Known);
   }
   /// When a window's report is due after its end.
-  Millis reportsDue() const {
+  Millis reportDueDelay() const {
     return std::chrono::seconds(Size.ReportDueSeconds);
   }
   /// Publishes one with other customers, and waits until it is in force.
   void configureCustomers(std::uint64_t Version,
-                          std::vector<WorldCustomer> Known);
+                          std::vector<ConfiguredCustomer> Known);
   void nameVersion(std::uint64_t Version);
   /// Whether an edge process is ready for callers.
   bool ready(std::size_t Index);
-  bool allReady();
+  bool waitUntilAllReady();
 
   /// The key that the requests from now on bring; empty for none.
-  void useKey(std::string Key) { KeyInUse = std::move(Key); }
+  void setCustomerKey(std::string Key) { CustomerKey = std::move(Key); }
   /// Sends a request as it is.
   http::Response send(std::size_t Edge, http::Request Ask);
   http::Response ask(std::size_t Edge, const std::string &Path,
                      const std::string &Id);
   /// The same with a body that does not tell one attempt from another.
-  http::Response askAgain(std::size_t Edge, const std::string &Path,
-                          const std::string &Id, const std::string &Body);
+  http::Response sendWithBody(std::size_t Edge, const std::string &Path,
+                              const std::string &Id, const std::string &Body);
   /// Lets all servers end that begin to run what has `Text` in it.
-  void crashOn(const std::string &Text);
+  void setCrashMarker(const std::string &Text);
   /// How many servers have ended so.
   int ends();
   /// Waits until no server is down.
-  bool allBack();
+  bool waitForRestarts();
   /// Sends bytes as they are and gives all that comes until the connection
   /// ends, `Until` has come, or `Wait` is over; then closes.
   std::string sendRaw(std::size_t Edge, const std::string &Bytes, Millis Wait,
@@ -170,10 +170,10 @@
   bool finishes(std::size_t Edge, const std::string &Job, std::size_t Items);
   unsigned end(std::size_t Edge, const std::string &Job);
   /// The status of asking for the body of an item.
-  unsigned itemBody(std::size_t Edge, const std::string &Job,
-                    const std::string &Item);
+  unsigned getItemBodyStatus(std::size_t Edge, const std::string &Job,
+                             const std::string &Item);
   /// What all servers of a kind were asked.
-  std::vector<ServerCall> deskRuns();
+  std::vector<ServerCall> plainServerRuns();
   std::vector<ServerCall> engineRuns();
   /// All that the processes that run now have logged.
   std::string output();
@@ -185,28 +185,28 @@
   void makeServers();
   void makeLinks();
 
-  const WorldShape Size;
+  const PlatformFixtureSettings Size;
   boost::asio::io_context Context{1};
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
       Work = boost::asio::make_work_guard(Context);
   std::unique_ptr<PlatformStore> Store;
-  std::unique_ptr<PlatformReports> Reports;
+  std::unique_ptr<PlatformReportEndpoint> Reports;
   std::vector<std::unique_ptr<PlatformServer>> Engines;
   std::vector<std::unique_ptr<PlatformServer>> Desks;
   std::unique_ptr<harness::TestFolder> Folder;
   std::vector<EdgeProcess> Edges;
-  std::vector<std::unique_ptr<harness::Process>> Sides;
+  std::vector<std::unique_ptr<harness::Process>> Sidecars;
   std::vector<Proxy> CallerLinks;
   std::vector<Proxy> StoreLinks;
   std::vector<Proxy> ServerLinks;
   std::vector<Proxy> ReportLinks;
-  std::vector<WorldCustomer> Customers;
-  std::string KeyInUse;
-  /// Servers that were back after an end by `crashOn`.
-  int Returned = 0;
+  std::vector<ConfiguredCustomer> Customers;
+  std::string CustomerKey;
+  /// Servers that were back after an end by `setCrashMarker`.
+  int RestartedServers = 0;
   std::thread Thread;
 };
 
 } // namespace wasabi::test
 
-#endif // WASABI_INTEGRATIONTESTS_PLATFORM_PLATFORMWORLD_H
+#endif // WASABI_INTEGRATIONTESTS_PLATFORM_PLATFORMFIXTURE_H
--- a/IntegrationTests/Platform/PlatformReports.cpp
+++ b/IntegrationTests/Platform/PlatformReportEndpoint.cpp
@@ -1,4 +1,4 @@
-#include "IntegrationTests/Platform/PlatformReports.h"
+#include "IntegrationTests/Platform/PlatformReportEndpoint.h"
 
 #include "Wasabi/Core/AsyncSignal.h"
 
@@ -61,7 +61,8 @@
 
 } // namespace
 
-PlatformReports::PlatformReports(asio::io_context &Context) : Context(Context) {
+PlatformReportEndpoint::PlatformReportEndpoint(asio::io_context &Context)
+    : Context(Context) {
   http::Server::Settings limits;
   Serving = http::Server::create(
                 Context, limits,
@@ -72,32 +73,32 @@
 }
 
 asio::awaitable<void>
-PlatformReports::handle(http::Request Ask,
-                        std::shared_ptr<http::Responder> Out) {
+PlatformReportEndpoint::handle(http::Request Ask,
+                               std::shared_ptr<http::Responder> Out) {
   constexpr Millis VeryLong{60000};
   ReportCall call = readCall(Ask);
   bool stale = ChecksFences && call.Token < Greatest;
-  call.Taken =
-      !stale && (Mood == ReportMood::Well || Mood == ReportMood::LosesAnswers);
+  call.Taken = !stale && (Behavior == ReportBehavior::Normal ||
+                          Behavior == ReportBehavior::LosesAnswers);
   Greatest = std::max(Greatest, call.Token);
   Calls.push_back(call);
-  if (Mood == ReportMood::Silent) {
+  if (Behavior == ReportBehavior::Silent) {
     co_await pauseFor(Context.get_executor(), VeryLong);
     co_return;
   }
-  if (Mood == ReportMood::LosesAnswers) {
+  if (Behavior == ReportBehavior::LosesAnswers) {
     Out->abort();
     co_return;
   }
-  unsigned status = stale                      ? PreconditionFailed
-                    : Mood == ReportMood::Busy ? TooMany
-                                               : Ok;
+  unsigned status = stale                              ? PreconditionFailed
+                    : Behavior == ReportBehavior::Busy ? TooMany
+                                                       : Ok;
   co_await Out->send(http::jsonResponse(status, "{}"));
 }
 
-std::vector<std::string> judgeCalls(const std::vector<ReportCall> &Calls,
-                                    Millis Lease,
-                                    const std::vector<TimeSpan> &Excused) {
+std::vector<std::string>
+findCallViolations(const std::vector<ReportCall> &Calls, Millis Lease,
+                   const std::vector<TimeSpan> &Excused) {
   std::vector<std::string> faults;
   std::map<std::uint64_t, std::string> bodies;
   std::map<std::uint64_t, std::string> holders;
@@ -124,7 +125,7 @@
 }
 
 std::map<std::string, std::uint64_t>
-sumsOf(const std::vector<ReportCall> &Calls) {
+sumReportedUsage(const std::vector<ReportCall> &Calls) {
   std::map<std::uint64_t, const ReportCall *> windows;
   for (const ReportCall &it : Calls) {
     if (it.Taken && it.Path == "/usage")
--- a/IntegrationTests/Platform/PlatformReports.h
+++ b/IntegrationTests/Platform/PlatformReportEndpoint.h
@@ -1,8 +1,8 @@
 /// \file
 /// A stand-in of the address that takes calls of one holder at a time, and the
 /// judge of what it was told.
-#ifndef WASABI_INTEGRATIONTESTS_PLATFORM_PLATFORMREPORTS_H
-#define WASABI_INTEGRATIONTESTS_PLATFORM_PLATFORMREPORTS_H
+#ifndef WASABI_INTEGRATIONTESTS_PLATFORM_PLATFORMREPORTENDPOINT_H
+#define WASABI_INTEGRATIONTESTS_PLATFORM_PLATFORMREPORTENDPOINT_H
 
 #include "Wasabi/Adapters/Http/HttpServer.h"
 #include "Wasabi/Core/Clock.h"
@@ -32,8 +32,8 @@
 };
 
 /// How the address answers.
-enum class ReportMood : std::uint8_t {
-  Well,
+enum class ReportBehavior : std::uint8_t {
+  Normal,
   /// 429.
   Busy,
   /// Takes the call and resets the connection.
@@ -43,12 +43,12 @@
 };
 
 /// The address. Everything happens on the context's thread.
-class PlatformReports {
+class PlatformReportEndpoint {
 public:
-  explicit PlatformReports(boost::asio::io_context &Context);
+  explicit PlatformReportEndpoint(boost::asio::io_context &Context);
 
   Address address() const { return Serving->address(); }
-  void setMood(ReportMood Now) { Mood = Now; }
+  void setBehavior(ReportBehavior Now) { Behavior = Now; }
   /// Whether a lower fencing token than one seen is refused.
   bool ChecksFences = false;
   std::vector<ReportCall> Calls;
@@ -58,7 +58,7 @@
                                       std::shared_ptr<http::Responder> Out);
 
   boost::asio::io_context &Context;
-  ReportMood Mood = ReportMood::Well;
+  ReportBehavior Behavior = ReportBehavior::Normal;
   std::uint64_t Greatest = 0;
   std::shared_ptr<http::Server> Serving;
 };
@@ -71,14 +71,14 @@
 
 /// What breaks the rules of calls that one holder at a time may make; one line
 /// each. `Excused` are stretches in which calls may arrive that were held up.
-std::vector<std::string> judgeCalls(const std::vector<ReportCall> &Calls,
-                                    Millis Lease,
-                                    const std::vector<TimeSpan> &Excused = {});
+std::vector<std::string>
+findCallViolations(const std::vector<ReportCall> &Calls, Millis Lease,
+                   const std::vector<TimeSpan> &Excused = {});
 
 /// The sums of what was reported, by customer.
 std::map<std::string, std::uint64_t>
-sumsOf(const std::vector<ReportCall> &Calls);
+sumReportedUsage(const std::vector<ReportCall> &Calls);
 
 } // namespace wasabi::test
 
-#endif // WASABI_INTEGRATIONTESTS_PLATFORM_PLATFORMREPORTS_H
+#endif // WASABI_INTEGRATIONTESTS_PLATFORM_PLATFORMREPORTENDPOINT_H
--- a/IntegrationTests/Platform/PlatformServers.cpp
+++ b/IntegrationTests/Platform/PlatformServers.cpp
@@ -34,12 +34,12 @@
 
 void noteCustomer(ServerCall &In, const http::Request &Ask) {
   for (const http::Header &it : Ask.Headers) {
-    if (http::sameName(it.Name, "Wasabisail-Key"))
-      In.KeyCame = true;
-    if (!http::sameName(it.Name, "Wasabisail-Tenant"))
+    if (http::isSameHeaderName(it.Name, "Wasabisail-Key"))
+      In.KeyForwarded = true;
+    if (!http::isSameHeaderName(it.Name, "Wasabisail-Tenant"))
       continue;
     In.Customer = it.Value;
-    ++In.CustomersNamed;
+    ++In.CustomerHeaderCount;
   }
 }
 
@@ -75,7 +75,7 @@
   ++Ends;
   restart(before + "+");
   Serving->stop();
-  co_await pauseFor(Context.get_executor(), DownTime);
+  co_await pauseFor(Context.get_executor(), CrashDownTime);
   listenAt(where);
   if (Back)
     Back(before);
@@ -152,7 +152,7 @@
                                       std::uint64_t Number,
                                       std::uint64_t Version) const {
   std::string text = Of + ":" + std::to_string(Number);
-  return TellsVersion ? text + ":v" + std::to_string(Version) : text;
+  return IncludesVersion ? text + ":v" + std::to_string(Version) : text;
 }
 
 asio::awaitable<void>
@@ -252,8 +252,8 @@
   co_await Out->begin(std::move(head));
   std::uint64_t life = Life;
   std::uint64_t length = lengthOf(id);
-  bool breaks = Breaks > 0;
-  Breaks -= breaks ? 1 : 0;
+  bool breaks = StreamsToBreak > 0;
+  StreamsToBreak -= breaks ? 1 : 0;
   for (std::uint64_t sent = 0; next < length && !Out->gone(); ++sent) {
     co_await pauseFor(Context.get_executor(), Pace);
     if (life != Life || (breaks && sent == 2)) {
--- a/IntegrationTests/Platform/PlatformServers.h
+++ b/IntegrationTests/Platform/PlatformServers.h
@@ -31,9 +31,9 @@
   std::string ResumeAfter;
   /// Whose request it is, as the server was told, and how often it was.
   std::string Customer;
-  std::size_t CustomersNamed = 0;
+  std::size_t CustomerHeaderCount = 0;
   /// Whether a key was passed on.
-  bool KeyCame = false;
+  bool KeyForwarded = false;
   /// Of an order: who gave it, and its token.
   std::string Holder;
   std::uint64_t Token = 0;
@@ -50,7 +50,7 @@
   std::size_t running() const { return Running; }
   Address address() const { return Serving->address(); }
   /// Where others reach it, if not at its own address.
-  void setPublic(Address Where) { Public = std::move(Where); }
+  void setPublicAddress(Address Where) { Public = std::move(Where); }
   Address publicAddress() const { return Public.value_or(address()); }
   /// Ends all runs and goes on as another incarnation, with the same weights;
   /// `NewId` may be the id that it had.
@@ -70,7 +70,7 @@
   /// The pause before each event.
   Millis Pace{5};
   /// Whether each event tells the version that made it.
-  bool TellsVersion = false;
+  bool IncludesVersion = false;
   /// How long an order takes.
   Millis LoadTime{0};
   /// Runs at once; more are refused as not run. 0 for any number.
@@ -78,14 +78,14 @@
   /// The next so many requests run and fail.
   int Fails = 0;
   /// The next so many runs break off after their second event.
-  int Breaks = 0;
+  int StreamsToBreak = 0;
   /// Whether it answers that it is full.
   bool Full = false;
   /// A request with this in its target or body ends the server that begins to
   /// run it; empty for none. The server is back as another incarnation after
-  /// `DownTime`, and refuses connections until then.
+  /// `CrashDownTime`, and refuses connections until then.
   std::string CrashOn;
-  Millis DownTime{300};
+  Millis CrashDownTime{300};
   /// Ends by `CrashOn`.
   int Ends = 0;
   /// Called when it is back, with the id that it had.
--- a/IntegrationTests/Platform/PlatformStore.cpp
+++ b/IntegrationTests/Platform/PlatformStore.cpp
@@ -98,20 +98,20 @@
 asio::awaitable<void>
 PlatformStore::handle(http::Request Ask, std::shared_ptr<http::Responder> Out) {
   constexpr Millis VeryLong{60000};
-  if (Mood == StoreMood::Silent) {
+  if (Behavior == StoreBehavior::Silent) {
     co_await pauseFor(Context.get_executor(), VeryLong);
     co_return;
   }
-  if (Mood == StoreMood::Reset) {
+  if (Behavior == StoreBehavior::Reset) {
     Out->abort();
     co_return;
   }
-  if (Mood == StoreMood::Busy) {
+  if (Behavior == StoreBehavior::Busy) {
     co_await Out->send(http::jsonResponse(Busy, "{}"));
     co_return;
   }
-  if (Mood == StoreMood::Slow)
-    co_await pauseFor(Context.get_executor(), SlowBy);
+  if (Behavior == StoreBehavior::Slow)
+    co_await pauseFor(Context.get_executor(), SlowResponseDelay);
   if (Ask.path().ends_with("log-append"))
     co_await append(std::move(Ask), std::move(Out));
   else if (Ask.path().ends_with("log-read"))
@@ -123,9 +123,10 @@
 asio::awaitable<void>
 PlatformStore::append(http::Request Ask, std::shared_ptr<http::Responder> Out) {
   constexpr Millis VeryLong{60000};
-  bool answers = Mood != StoreMood::LosesAnswers && Mood != StoreMood::Late;
-  if (Mood == StoreMood::Late)
-    co_await pauseFor(Context.get_executor(), LateBy);
+  bool answers = Behavior != StoreBehavior::LosesAnswers &&
+                 Behavior != StoreBehavior::Late;
+  if (Behavior == StoreBehavior::Late)
+    co_await pauseFor(Context.get_executor(), LateAppendDelay);
   std::optional<std::size_t> first = take(Ask);
   if (!answers)
     co_await pauseFor(Context.get_executor(), VeryLong);
--- a/IntegrationTests/Platform/PlatformStore.h
+++ b/IntegrationTests/Platform/PlatformStore.h
@@ -18,8 +18,8 @@
 namespace wasabi::test {
 
 /// How the store answers.
-enum class StoreMood : std::uint8_t {
-  Well,
+enum class StoreBehavior : std::uint8_t {
+  Normal,
   /// 503, and nothing is done.
   Busy,
   /// No answer, and nothing is done.
@@ -28,9 +28,9 @@
   Reset,
   /// Done, but appends are not answered.
   LosesAnswers,
-  /// Appends are not answered, and done after `LateBy`.
+  /// Appends are not answered, and done after `LateAppendDelay`.
   Late,
-  /// Every answer takes `SlowBy`.
+  /// Every answer takes `SlowResponseDelay`.
   Slow,
 };
 
@@ -40,7 +40,7 @@
   explicit PlatformStore(boost::asio::io_context &Context);
 
   Address address() const { return Serving->address(); }
-  void setMood(StoreMood Now) { Mood = Now; }
+  void setBehavior(StoreBehavior Now) { Behavior = Now; }
   /// What the operator and the servers write: the newest record of a key, or
   /// its deletion.
   void write(const std::string &Topic, const std::string &Key,
@@ -53,9 +53,9 @@
   std::string content() const;
 
   /// How much later a late store does what it was asked.
-  Millis LateBy{1500};
+  Millis LateAppendDelay{1500};
   /// How long a slow store takes.
-  Millis SlowBy{240};
+  Millis SlowResponseDelay{240};
 
 private:
   struct Topic {
@@ -74,7 +74,7 @@
 
   boost::asio::io_context &Context;
   std::map<std::string, Topic> Topics;
-  StoreMood Mood = StoreMood::Well;
+  StoreBehavior Behavior = StoreBehavior::Normal;
   AsyncSignal Grown;
   std::shared_ptr<http::Server> Serving;
 };
--- a/IntegrationTests/Soak/Main.cpp
+++ b/IntegrationTests/Soak/Main.cpp
@@ -36,8 +36,8 @@
 
 bool runSeed(std::uint64_t Seed) {
   constexpr std::size_t MostPrinted = 20;
-  std::vector<wasabi::soak::SoakStep> plan =
-      wasabi::soak::drawPlan(Seed, std::chrono::seconds(FLAGS_seconds));
+  std::vector<wasabi::soak::ScheduledFault> plan =
+      wasabi::soak::makeSoakPlan(Seed, std::chrono::seconds(FLAGS_seconds));
   if (FLAGS_customers > 0)
     wasabi::soak::addCustomerFaults(plan, Seed,
                                     std::chrono::seconds(FLAGS_seconds));
@@ -53,7 +53,7 @@
   size.Crashing = FLAGS_crashing;
   size.Customers = FLAGS_customers;
   wasabi::soak::SoakResult got =
-      wasabi::soak::soakOnce(size, Seed, plan, FLAGS_keep);
+      wasabi::soak::runSoakTest(size, Seed, plan, FLAGS_keep);
   if (!got.Faults.empty())
     std::cout << wasabi::soak::describe(plan);
   for (std::size_t i = 0; i < got.Faults.size() && i < MostPrinted; ++i)
@@ -61,7 +61,7 @@
   std::cout << fmt::format("soak: seed={} broken={} asks={} served={} jobs={} "
                            "whole_jobs={} recovered_ms={}\n",
                            Seed, got.Faults.size(), got.Asks, got.Served,
-                           got.Jobs, got.WholeJobs, got.Recovered.count())
+                           got.Jobs, got.CompleteJobs, got.RecoveryTime.count())
             << std::flush;
   return got.Faults.empty();
 }
--- a/IntegrationTests/Soak/SoakClients.cpp
+++ b/IntegrationTests/Soak/SoakClients.cpp
@@ -1,6 +1,6 @@
 #include "IntegrationTests/Soak/SoakClients.h"
 
-#include "IntegrationTests/Platform/PlatformWorld.h"
+#include "IntegrationTests/Platform/PlatformFixture.h"
 #include "IntegrationTests/Soak/SoakCustomers.h"
 #include "Wasabi/Core/AsyncSignal.h"
 
@@ -43,7 +43,8 @@
 }
 
 /// What is wrong with a whole answer of a plain service to `Id`.
-std::string faultOfAnswer(const http::Response &Answer, const std::string &Id) {
+std::string findAnswerError(const http::Response &Answer,
+                            const std::string &Id) {
   if (Answer.Body != "answer to " + Id)
     return "body: " + Answer.Body;
   if (Answer.header("Wasabisail-Server-Stamp") != "stamp-" + Id)
@@ -65,9 +66,9 @@
 
 } // namespace
 
-std::string faultOfText(const std::string &Text, const std::string &Item,
-                        std::uint64_t Length,
-                        const std::vector<std::uint64_t> &Versions) {
+std::string findTextError(const std::string &Text, const std::string &Item,
+                          std::uint64_t Length,
+                          const std::vector<std::uint64_t> &Versions) {
   std::istringstream lines(Text);
   std::uint64_t count = 0;
   std::vector<std::uint64_t> found;
@@ -85,9 +86,9 @@
   return Versions.empty() || found == Versions ? "" : "other versions made it";
 }
 
-SoakClients::SoakClients(Settings Setup, std::vector<ClientEdge> Edges)
+SoakClients::SoakClients(Settings Setup, std::vector<EdgeEndpoints> Edges)
     : Lives(Edges.size()), Setup(std::move(Setup)), Edges(std::move(Edges)),
-      Random(this->Setup.Seed), Misses(this->Edges.size(), 0) {
+      Random(this->Setup.Seed), MissedReadinessChecks(this->Edges.size(), 0) {
   http::Client::Settings limits;
   limits.ConnectTimeout = Millis(1000);
   Client = http::Client::create(Context.get_executor(), limits);
@@ -121,7 +122,8 @@
   while (!Stopping) {
     Outcome<http::Response> got = co_await Client->call(
         Edges[Edge].Readiness, request("GET", "/api/readiness", ""), Every);
-    Misses[Edge] = got && got->Status == Ok ? 0 : Misses[Edge] + 1;
+    MissedReadinessChecks[Edge] =
+        got && got->Status == Ok ? 0 : MissedReadinessChecks[Edge] + 1;
     co_await pauseFor(Context.get_executor(), Every);
   }
 }
@@ -129,27 +131,27 @@
 std::size_t SoakClients::pickEdge() {
   std::vector<std::size_t> ready;
   for (std::size_t i = 0; i < Edges.size(); ++i) {
-    if (Misses[i] <= MissesAllowed)
+    if (MissedReadinessChecks[i] <= MissesAllowed)
       ready.push_back(i);
   }
   return ready.empty() ? draw(Edges.size()) : ready[draw(ready.size())];
 }
 
 /// Any customer's request, now and then by the key that may be gone.
-void SoakClients::chooseKey(AskRecord &For) {
+void SoakClients::chooseCustomerKey(ClientRequestRecord &For) {
   if (Setup.Customers == 0)
     return;
   For.CustomerNumber = draw(Setup.Customers);
   For.Customer = customerName(For.CustomerNumber);
-  For.PassingKey = For.Kind != AskKind::Probe && draw(4) == 0;
+  For.UsesRevocableKey = For.Kind != ClientRequestKind::Probe && draw(4) == 0;
 }
 
-http::Request SoakClients::jobRequest(const JobRecord &Job,
-                                      const std::string &Method,
-                                      const std::string &Target) {
+http::Request SoakClients::makeJobRequest(const JobRecord &Job,
+                                          const std::string &Method,
+                                          const std::string &Target) {
   http::Request ask = request(Method, Target, Job.Id);
   if (Setup.Customers > 0)
-    ask.Headers.push_back({"Wasabisail-Key", lastingKey(Job.CustomerNumber)});
+    ask.Headers.push_back({"Wasabisail-Key", permanentKey(Job.CustomerNumber)});
   return ask;
 }
 
@@ -161,15 +163,17 @@
   while (!Stopping) {
     std::uint64_t kind = draw(10);
     if (kind < 5)
-      co_await ask(AskKind::Repeatable, "/desk/" + std::to_string(Number), edge,
-                   0);
+      co_await ask(ClientRequestKind::Repeatable,
+                   "/desk/" + std::to_string(Number), edge, 0);
     else if (kind < 8)
-      co_await ask(AskKind::Once, "/once/" + std::to_string(Number), edge, 0);
+      co_await ask(ClientRequestKind::Once, "/once/" + std::to_string(Number),
+                   edge, 0);
     else
-      co_await ask(AskKind::Stream, "/stream/" + std::to_string(Number), edge,
-                   0);
+      co_await ask(ClientRequestKind::Stream,
+                   "/stream/" + std::to_string(Number), edge, 0);
     // A client stays with its connection until that fails it.
-    if (Record.Asks.back().Status != Ok || Misses[edge] > MissesAllowed)
+    if (Record.Asks.back().Status != Ok ||
+        MissedReadinessChecks[edge] > MissesAllowed)
       edge = pickEdge();
     co_await pauseFor(Context.get_executor(), Millis(draw(MostPauseMs)));
   }
@@ -178,11 +182,12 @@
 SoakClients::Task<void> SoakClients::probe() {
   constexpr Millis Every{60};
   for (std::size_t n = 0; !Stopping; ++n) {
-    std::uint64_t newest = Configured;
+    std::uint64_t newest = LatestConfigVersion;
     bool old = newest > 1 && draw(2) == 0;
     std::uint64_t version = old ? newest - 1 : newest;
-    co_await ask(AskKind::Probe, "/desk-" + std::to_string(version) + "/",
-                 n % Edges.size(), version);
+    co_await ask(ClientRequestKind::Probe,
+                 "/desk-" + std::to_string(version) + "/", n % Edges.size(),
+                 version);
     co_await pauseFor(Context.get_executor(), Every);
   }
 }
@@ -191,39 +196,41 @@
   constexpr std::uint64_t LeastPauseMs = 200;
   constexpr std::uint64_t MorePauseMs = 700;
   while (!Stopping) {
-    co_await ask(AskKind::Crashing, CrashPath + std::to_string(Number),
-                 pickEdge(), 0);
+    co_await ask(ClientRequestKind::Crashing,
+                 CrashPathPrefix + std::to_string(Number), pickEdge(), 0);
     co_await pauseFor(Context.get_executor(),
                       Millis(LeastPauseMs + draw(MorePauseMs)));
   }
 }
 
-SoakClients::Task<void> SoakClients::ask(AskKind Kind, std::string Path,
-                                         std::size_t Edge,
+SoakClients::Task<void> SoakClients::ask(ClientRequestKind Kind,
+                                         std::string Path, std::size_t Edge,
                                          std::uint64_t Version) {
-  AskRecord record;
+  ClientRequestRecord record;
   record.Kind = Kind;
   record.Id = "r" + std::to_string(++Requests);
   record.Version = Version;
   record.Edge = Edge;
   record.Life = Lives[Edge];
-  chooseKey(record);
+  chooseCustomerKey(record);
   http::Request what = request("POST", Path, record.Id);
-  bool stream = Kind == AskKind::Stream;
+  bool stream = Kind == ClientRequestKind::Stream;
   Millis patience = stream ? 4 * Setup.Deadline : Setup.Deadline;
   what.Headers.push_back(
       {"Wasabisail-Deadline-Ms", std::to_string(patience.count())});
   what.Headers.push_back({"Wasabisail-Model", Model});
   if (Setup.Customers > 0)
     what.Headers.push_back(
-        {"Wasabisail-Key", record.PassingKey
-                               ? passingKey(record.CustomerNumber)
-                               : lastingKey(record.CustomerNumber)});
-  what.Body = Kind == AskKind::Crashing ? "body" : "body of " + record.Id;
+        {"Wasabisail-Key", record.UsesRevocableKey
+                               ? revocableKey(record.CustomerNumber)
+                               : permanentKey(record.CustomerNumber)});
+  what.Body =
+      Kind == ClientRequestKind::Crashing ? "body" : "body of " + record.Id;
   record.Sent = monotonicNow();
   std::optional<Outcome<http::Response>> got;
   if (stream)
-    got.emplace(co_await askStream(std::move(what), Edges[Edge].Callers));
+    got.emplace(
+        co_await sendStreamRequest(std::move(what), Edges[Edge].Callers));
   else
     got.emplace(co_await Client->call(Edges[Edge].Callers, std::move(what),
                                       patience + Slack));
@@ -231,17 +238,17 @@
   if (*got) {
     record.Status = (*got)->Status;
     if (record.Status == Ok && stream)
-      record.Wrong = faultOfText(dataOf((*got)->Body), record.Id,
-                                 Setup.LengthOf(record.Id), {});
+      record.Wrong = findTextError(dataOf((*got)->Body), record.Id,
+                                   Setup.ExpectedEventCount(record.Id), {});
     else if (record.Status == Ok)
-      record.Wrong = faultOfAnswer(**got, record.Id);
+      record.Wrong = findAnswerError(**got, record.Id);
   } else
-    record.GaveUp = got->failure().Code == FailureCode::TimedOut;
+    record.CallerTimedOut = got->failure().Code == FailureCode::TimedOut;
   Record.Asks.push_back(std::move(record));
 }
 
 SoakClients::Task<Outcome<http::Response>>
-SoakClients::askStream(http::Request What, Address Where) {
+SoakClients::sendStreamRequest(http::Request What, Address Where) {
   Millis patience = 4 * Setup.Deadline + Slack;
   Outcome<std::unique_ptr<http::ResponseStream>> got =
       co_await Client->open(Where, std::move(What), patience);
@@ -273,7 +280,7 @@
     // Weights that were named a moment ago are on their way.
     std::uint64_t named = Named;
     job.MinVersion = named > 1 ? named - 1 : 1;
-    std::string body = test::jobText(job.Id, job.Items, job.MinVersion);
+    std::string body = test::makeJobBody(job.Id, job.Items, job.MinVersion);
     std::size_t index = Record.Jobs.size();
     Record.Jobs.push_back(std::move(job));
     if (!co_await submit(index, std::move(body)))
@@ -286,10 +293,11 @@
 /// Submits until the job is accepted or its step's time is up.
 SoakClients::Task<bool> SoakClients::submit(std::size_t Job, std::string Body) {
   constexpr Millis Pause{150};
-  TimePoint until = monotonicNow() + Setup.StepTime;
+  TimePoint until = monotonicNow() + Setup.JobTimeout;
   while (monotonicNow() < until) {
     const std::string id = Record.Jobs[Job].Id;
-    http::Request ask = jobRequest(Record.Jobs[Job], "POST", "/rollout/" + id);
+    http::Request ask =
+        makeJobRequest(Record.Jobs[Job], "POST", "/rollout/" + id);
     ask.Body = Body;
     Outcome<http::Response> got = co_await Client->call(
         Edges[pickEdge()].Callers, std::move(ask), Setup.Deadline + Slack);
@@ -302,7 +310,7 @@
     bool promise = got && got->Status == Unavailable;
     // No connection means that nothing was read.
     bool unsent = !got && got.failure().Run == Verdict::NotRun;
-    job.Promised = job.Promised && (promise || unsent);
+    job.RefusalsGuaranteed = job.RefusalsGuaranteed && (promise || unsent);
     co_await pauseFor(Context.get_executor(), Pause);
   }
   co_return false;
@@ -310,7 +318,7 @@
 
 SoakClients::Task<void> SoakClients::follow(std::size_t Job) {
   constexpr Millis Pause{120};
-  TimePoint until = monotonicNow() + Setup.StepTime;
+  TimePoint until = monotonicNow() + Setup.JobTimeout;
   while (monotonicNow() < until) {
     std::size_t known = Record.Jobs[Job].Seen.size();
     if (known == Record.Jobs[Job].Items.size())
@@ -318,19 +326,19 @@
     // Now and then from the start, elsewhere.
     co_await readOnce(Job, draw(3) == 0 ? 0 : known);
     if (Setup.Customers > 1 && draw(4) == 0)
-      co_await readForeign(Job);
+      co_await readAsOtherCustomer(Job);
     co_await pauseFor(Context.get_executor(), Pause);
   }
 }
 
 /// Another customer asks for a job and learns nothing.
-SoakClients::Task<void> SoakClients::readForeign(std::size_t Job) {
+SoakClients::Task<void> SoakClients::readAsOtherCustomer(std::size_t Job) {
   JobRecord other;
   other.Id = Record.Jobs[Job].Id;
   other.CustomerNumber =
       (Record.Jobs[Job].CustomerNumber + 1) % Setup.Customers;
   http::Request ask =
-      jobRequest(other, "GET", "/api/lots/" + other.Id + "?after=0");
+      makeJobRequest(other, "GET", "/api/lots/" + other.Id + "?after=0");
   Outcome<http::Response> got = co_await Client->call(
       Edges[pickEdge()].Callers, std::move(ask), Setup.Deadline + Slack);
   if (got && got->Status == Ok)
@@ -343,7 +351,7 @@
   constexpr Millis Wait{300};
   std::string target =
       "/api/lots/" + Record.Jobs[Job].Id + "?after=" + std::to_string(After);
-  http::Request ask = jobRequest(Record.Jobs[Job], "GET", target);
+  http::Request ask = makeJobRequest(Record.Jobs[Job], "GET", target);
   ask.Headers.push_back({"Wasabisail-Wait-Ms", std::to_string(Wait.count())});
   TimePoint sent = monotonicNow();
   Outcome<http::Response> got = co_await Client->call(
@@ -365,7 +373,7 @@
     if (!fresh && seen->second != text)
       job.Wrong.push_back("position " + std::to_string(position) + " changed");
     if (fresh) {
-      std::string fault = faultOfResult(job, it);
+      std::string fault = findResultError(job, it);
       if (!fault.empty())
         job.Wrong.push_back(fault);
     }
@@ -374,8 +382,8 @@
   co_return true;
 }
 
-std::string SoakClients::faultOfResult(const JobRecord &Job,
-                                       const json::value &Result) const {
+std::string SoakClients::findResultError(const JobRecord &Job,
+                                         const json::value &Result) const {
   std::string id = json::value_to<std::string>(Result.at("id"));
   if (std::find(Job.Items.begin(), Job.Items.end(), id) == Job.Items.end())
     return id + " is not an item of the job";
@@ -394,24 +402,24 @@
   if (versions.empty() || versions.front() < Job.MinVersion)
     return id + " is older than allowed";
   std::string fault =
-      faultOfText(json::value_to<std::string>(Result.at("output")), id,
-                  Setup.LengthOf(id), versions);
+      findTextError(json::value_to<std::string>(Result.at("output")), id,
+                    Setup.ExpectedEventCount(id), versions);
   return fault.empty() ? "" : id + ": " + fault;
 }
 
 SoakClients::Task<void> SoakClients::end(std::size_t Job) {
   constexpr Millis Pause{150};
-  TimePoint until = monotonicNow() + Setup.StepTime;
-  Record.Jobs[Job].EndAsked = true;
+  TimePoint until = monotonicNow() + Setup.JobTimeout;
+  Record.Jobs[Job].EndRequested = true;
   while (monotonicNow() < until) {
-    http::Request ask = jobRequest(Record.Jobs[Job], "DELETE",
-                                   "/api/lots/" + Record.Jobs[Job].Id);
+    http::Request ask = makeJobRequest(Record.Jobs[Job], "DELETE",
+                                       "/api/lots/" + Record.Jobs[Job].Id);
     Outcome<http::Response> got = co_await Client->call(
         Edges[pickEdge()].Callers, std::move(ask), Setup.Deadline + Slack);
     JobRecord &job = Record.Jobs[Job];
     if (got && got->Status == Ok) {
-      job.EndTaken = true;
-      job.EndTakenAt = monotonicNow();
+      job.EndAccepted = true;
+      job.EndAcceptedAt = monotonicNow();
       co_return;
     }
     co_await pauseFor(Context.get_executor(), Pause);
--- a/IntegrationTests/Soak/SoakClients.h
+++ b/IntegrationTests/Soak/SoakClients.h
@@ -4,7 +4,7 @@
 #ifndef WASABI_INTEGRATIONTESTS_SOAK_SOAKCLIENTS_H
 #define WASABI_INTEGRATIONTESTS_SOAK_SOAKCLIENTS_H
 
-#include "IntegrationTests/Soak/SoakRecord.h"
+#include "IntegrationTests/Soak/SoakObservations.h"
 #include "Wasabi/Adapters/Http/HttpClient.h"
 
 #include <boost/asio/io_context.hpp>
@@ -18,7 +18,7 @@
 namespace wasabi::soak {
 
 /// An edge process as clients know it.
-struct ClientEdge {
+struct EdgeEndpoints {
   Address Callers;
   Address Readiness;
 };
@@ -38,24 +38,24 @@
     /// How long a caller waits, as it says.
     Millis Deadline{2000};
     /// A trainer ends a job that is older than this.
-    Millis StepTime{5000};
+    Millis JobTimeout{5000};
     /// Events of an item's or a stream's text.
-    std::function<std::uint64_t(const std::string &)> LengthOf;
+    std::function<std::uint64_t(const std::string &)> ExpectedEventCount;
   };
 
-  SoakClients(Settings Setup, std::vector<ClientEdge> Edges);
+  SoakClients(Settings Setup, std::vector<EdgeEndpoints> Edges);
   ~SoakClients();
   SoakClients(const SoakClients &) = delete;
   SoakClients &operator=(const SoakClients &) = delete;
 
   /// Lets each client finish what it has begun.
   void stop();
-  const SoakRecord &record() const { return Record; }
+  const SoakObservations &record() const { return Record; }
 
   /// Which start of each edge process runs now.
   std::vector<std::atomic<std::uint64_t>> Lives;
   /// The newest configuration and weights that were published.
-  std::atomic<std::uint64_t> Configured{1};
+  std::atomic<std::uint64_t> LatestConfigVersion{1};
   std::atomic<std::uint64_t> Named{1};
 
 private:
@@ -67,39 +67,40 @@
   Task<void> probe();
   Task<void> crash(std::size_t Number);
   Task<void> train(std::size_t Number);
-  Task<void> ask(AskKind Kind, std::string Path, std::size_t Edge,
+  Task<void> ask(ClientRequestKind Kind, std::string Path, std::size_t Edge,
                  std::uint64_t Version);
-  Task<Outcome<http::Response>> askStream(http::Request What, Address Where);
+  Task<Outcome<http::Response>> sendStreamRequest(http::Request What,
+                                                  Address Where);
   Task<bool> submit(std::size_t Job, std::string Body);
   Task<void> follow(std::size_t Job);
   Task<bool> readOnce(std::size_t Job, std::size_t After);
-  std::string faultOfResult(const JobRecord &Job,
-                            const boost::json::value &Result) const;
+  std::string findResultError(const JobRecord &Job,
+                              const boost::json::value &Result) const;
   Task<void> end(std::size_t Job);
   std::size_t pickEdge();
-  void chooseKey(AskRecord &For);
-  http::Request jobRequest(const JobRecord &Job, const std::string &Method,
-                           const std::string &Target);
-  Task<void> readForeign(std::size_t Job);
+  void chooseCustomerKey(ClientRequestRecord &For);
+  http::Request makeJobRequest(const JobRecord &Job, const std::string &Method,
+                               const std::string &Target);
+  Task<void> readAsOtherCustomer(std::size_t Job);
   std::uint64_t draw(std::uint64_t Below) { return Random() % Below; }
 
   const Settings Setup;
-  const std::vector<ClientEdge> Edges;
+  const std::vector<EdgeEndpoints> Edges;
   boost::asio::io_context Context{1};
   std::shared_ptr<http::Client> Client;
   std::mt19937_64 Random;
-  std::vector<int> Misses;
+  std::vector<int> MissedReadinessChecks;
   std::atomic<bool> Stopping{false};
   std::uint64_t Requests = 0;
-  SoakRecord Record;
+  SoakObservations Record;
   std::thread Thread;
 };
 
 /// What is wrong with a text that is said to be `Item`'s whole one of `Length`
 /// events made by `Versions`; empty if nothing is.
-std::string faultOfText(const std::string &Text, const std::string &Item,
-                        std::uint64_t Length,
-                        const std::vector<std::uint64_t> &Versions);
+std::string findTextError(const std::string &Text, const std::string &Item,
+                          std::uint64_t Length,
+                          const std::vector<std::uint64_t> &Versions);
 
 } // namespace wasabi::soak
 
--- a/IntegrationTests/Soak/SoakCustomers.cpp
+++ b/IntegrationTests/Soak/SoakCustomers.cpp
@@ -29,12 +29,13 @@
 /// Since when a process had counts that were not written when it was killed: an
 /// append takes some milliseconds, more where a link delays it, and longer
 /// where the store is out of reach.
-TimePoint unwrittenSince(const SoakTruth &Truth, const EdgeStop &Kill) {
+TimePoint unwrittenSince(const SoakGroundTruth &Truth, const EdgeStop &Kill) {
   constexpr Millis Append{600};
   TimePoint since = Kill.At - Append;
   for (bool more = true; more;) {
     more = false;
-    for (const SoakTruth::StoreCut &it : Truth.StoreCuts) {
+    for (const SoakGroundTruth::StoreOutagePeriod &it :
+         Truth.StoreOutagePeriods) {
       bool concerns = !it.Edge || *it.Edge == Kill.Edge;
       if (!concerns || it.When.From >= since || it.When.From > Kill.At ||
           it.When.To + Append < since)
@@ -46,7 +47,7 @@
   return since;
 }
 
-bool killedAbout(const SoakTruth &Truth, const AskRecord &Of) {
+bool killedAbout(const SoakGroundTruth &Truth, const ClientRequestRecord &Of) {
   constexpr Millis Crossing{50};
   return std::any_of(Truth.Kills.begin(), Truth.Kills.end(),
                      [&](const EdgeStop &It) {
@@ -57,10 +58,10 @@
 }
 
 /// Every server was told the truth, and no key.
-void judgeRuns(const SoakRecord &Seen, const SoakTruth &Truth,
+void judgeRuns(const SoakObservations &Seen, const SoakGroundTruth &Truth,
                std::vector<std::string> &Faults) {
   std::unordered_map<std::string, std::string> owners;
-  for (const AskRecord &it : Seen.Asks)
+  for (const ClientRequestRecord &it : Seen.Asks)
     owners[it.Id] = it.Customer;
   for (const JobRecord &job : Seen.Jobs) {
     for (const std::string &item : job.Items)
@@ -69,7 +70,7 @@
   for (const std::vector<ServerCall> *runs :
        {&Truth.PlainRuns, &Truth.EngineRuns}) {
     for (const ServerCall &it : *runs) {
-      if (it.KeyCame)
+      if (it.KeyForwarded)
         Faults.push_back(it.Id + " brought a key to a server");
       auto owner = owners.find(it.Id);
       if (owner != owners.end() && it.Customer != owner->second)
@@ -80,8 +81,8 @@
 }
 
 /// Whether a passing key was taken away before `Since` and stays away.
-bool isRevoked(const SoakTruth &Truth, std::size_t Customer, TimePoint Since,
-               TimePoint To) {
+bool isRevoked(const SoakGroundTruth &Truth, std::size_t Customer,
+               TimePoint Since, TimePoint To) {
   bool revoked = false;
   for (const KeyChange &it : Truth.KeyChanges) {
     if (it.Customer != Customer)
@@ -94,21 +95,22 @@
   return revoked;
 }
 
-void judgeKeys(const SoakRecord &Seen, const SoakTruth &Truth,
+void judgeKeys(const SoakObservations &Seen, const SoakGroundTruth &Truth,
                const SoakBounds &Bounds, std::vector<std::string> &Faults) {
-  for (const AskRecord &it : Seen.Asks) {
-    if (!it.PassingKey && it.Status == Unauthorized)
+  for (const ClientRequestRecord &it : Seen.Asks) {
+    if (!it.UsesRevocableKey && it.Status == Unauthorized)
       Faults.push_back(it.Id + " was denied though its key is good");
     TimePoint since = it.Sent - Bounds.Configure - Bounds.Slack;
-    bool revoked =
-        it.PassingKey && isRevoked(Truth, it.CustomerNumber, since, it.Done);
-    if (revoked && it.Status == Ok && calmFor(Truth, Bounds, since, it.Done))
+    bool revoked = it.UsesRevocableKey &&
+                   isRevoked(Truth, it.CustomerNumber, since, it.Done);
+    if (revoked && it.Status == Ok &&
+        isFaultFree(Truth, Bounds, since, it.Done))
       Faults.push_back(it.Id + " was served for a key that is taken away");
   }
 }
 
 /// What was reported of each customer is what servers began to run.
-void judgeCounts(const SoakRecord &Seen, const SoakTruth &Truth,
+void judgeCounts(const SoakObservations &Seen, const SoakGroundTruth &Truth,
                  std::vector<std::string> &Faults) {
   std::unordered_map<std::string, std::size_t> runs;
   for (const std::vector<ServerCall> *all :
@@ -117,19 +119,20 @@
       ++runs[it.Id];
   }
   std::map<std::string, Tally> tallies;
-  for (const AskRecord &it : Seen.Asks) {
+  for (const ClientRequestRecord &it : Seen.Asks) {
     bool ran = runs.contains(it.Id);
     bool lost =
         it.Status != Ok && it.Status != 503 && it.Status != Unauthorized;
     Tally &tally = tallies[it.Customer];
     if (killedAbout(Truth, it) || (lost && !ran) ||
         // A stream counts with its first event, which may not have come.
-        (lost && it.Kind == AskKind::Stream))
+        (lost && it.Kind == ClientRequestKind::Stream))
       ++tally.Unsure;
     else
       tally.Ran += ran ? 1 : 0;
   }
-  std::map<std::string, std::uint64_t> reported = test::sumsOf(Truth.Reports);
+  std::map<std::string, std::uint64_t> reported =
+      test::sumReportedUsage(Truth.Reports);
   for (const auto &[customer, tally] : tallies) {
     std::uint64_t told = reported[customer];
     if (told < tally.Ran || told > tally.Ran + tally.Unsure)
@@ -140,7 +143,8 @@
 }
 
 /// No window is left out between the first and the last one.
-void judgeWindows(const SoakTruth &Truth, std::vector<std::string> &Faults) {
+void judgeWindows(const SoakGroundTruth &Truth,
+                  std::vector<std::string> &Faults) {
   std::set<std::uint64_t> windows;
   for (const test::ReportCall &it : Truth.Reports) {
     if (it.Taken)
@@ -162,27 +166,27 @@
   return "customer-" + std::to_string(Number);
 }
 
-std::string lastingKey(std::size_t Number) {
+std::string permanentKey(std::size_t Number) {
   return "lasting-" + std::to_string(Number);
 }
 
-std::string passingKey(std::size_t Number) {
+std::string revocableKey(std::size_t Number) {
   return "passing-" + std::to_string(Number);
 }
 
-std::vector<test::WorldCustomer>
-customersOf(std::size_t Count, const std::set<std::size_t> &Revoked) {
-  std::vector<test::WorldCustomer> all{{OwnCustomer, {OwnKey}, 1}};
+std::vector<test::ConfiguredCustomer>
+makeSoakCustomers(std::size_t Count, const std::set<std::size_t> &Revoked) {
+  std::vector<test::ConfiguredCustomer> all{{HarnessCustomer, {HarnessKey}, 1}};
   for (std::size_t i = 0; i < Count; ++i) {
-    test::WorldCustomer customer{customerName(i), {lastingKey(i)}, 1};
+    test::ConfiguredCustomer customer{customerName(i), {permanentKey(i)}, 1};
     if (!Revoked.contains(i))
-      customer.Keys.push_back(passingKey(i));
+      customer.Keys.push_back(revocableKey(i));
     all.push_back(std::move(customer));
   }
   return all;
 }
 
-void addCustomerFaults(std::vector<SoakStep> &Plan, std::uint64_t Seed,
+void addCustomerFaults(std::vector<ScheduledFault> &Plan, std::uint64_t Seed,
                        Millis Length) {
   constexpr auto First = static_cast<std::uint64_t>(SoakFault::RevokeKey);
   constexpr auto Kinds = static_cast<std::uint64_t>(SoakFault::Count) - First;
@@ -190,7 +194,7 @@
   std::mt19937_64 random(Seed ^ Salt);
   Millis at(500);
   while (at < Length) {
-    SoakStep step;
+    ScheduledFault step;
     step.At = at;
     step.Kind = static_cast<SoakFault>(First + random() % Kinds);
     step.Target = static_cast<std::uint32_t>(random() % 1000);
@@ -205,16 +209,17 @@
     }
     at += Millis(300 + static_cast<std::int64_t>(random() % 2500));
   }
-  std::stable_sort(
-      Plan.begin(), Plan.end(),
-      [](const SoakStep &L, const SoakStep &R) { return L.At < R.At; });
+  std::stable_sort(Plan.begin(), Plan.end(),
+                   [](const ScheduledFault &L, const ScheduledFault &R) {
+                     return L.At < R.At;
+                   });
 }
 
-std::vector<std::string> judgeCustomers(const SoakRecord &Seen,
-                                        const SoakTruth &Truth,
-                                        const SoakBounds &Bounds) {
+std::vector<std::string> findCustomerViolations(const SoakObservations &Seen,
+                                                const SoakGroundTruth &Truth,
+                                                const SoakBounds &Bounds) {
   std::vector<std::string> faults =
-      test::judgeCalls(Truth.Reports, Lease, Truth.HeldUp);
+      test::findCallViolations(Truth.Reports, Lease, Truth.ReportDelaySpans);
   judgeRuns(Seen, Truth, faults);
   judgeKeys(Seen, Truth, Bounds, faults);
   judgeCounts(Seen, Truth, faults);
--- a/IntegrationTests/Soak/SoakCustomers.h
+++ b/IntegrationTests/Soak/SoakCustomers.h
@@ -4,8 +4,8 @@
 #ifndef WASABI_INTEGRATIONTESTS_SOAK_SOAKCUSTOMERS_H
 #define WASABI_INTEGRATIONTESTS_SOAK_SOAKCUSTOMERS_H
 
-#include "IntegrationTests/Platform/PlatformReports.h"
-#include "IntegrationTests/Platform/PlatformWorld.h"
+#include "IntegrationTests/Platform/PlatformFixture.h"
+#include "IntegrationTests/Platform/PlatformReportEndpoint.h"
 #include "IntegrationTests/Soak/SoakPlan.h"
 
 #include <map>
@@ -14,30 +14,30 @@
 
 namespace wasabi::soak {
 
-struct SoakRecord;
-struct SoakTruth;
+struct SoakObservations;
+struct SoakGroundTruth;
 struct SoakBounds;
 
 /// A customer by its number, its key for good, and the one that comes and goes.
 std::string customerName(std::size_t Number);
-std::string lastingKey(std::size_t Number);
-std::string passingKey(std::size_t Number);
+std::string permanentKey(std::size_t Number);
+std::string revocableKey(std::size_t Number);
 /// Of the soak's own requests.
-inline constexpr const char *OwnCustomer = "own";
-inline constexpr const char *OwnKey = "own-key";
+inline constexpr const char *HarnessCustomer = "own";
+inline constexpr const char *HarnessKey = "own-key";
 
 /// All customers; those in `Revoked` are without their passing key.
-std::vector<test::WorldCustomer>
-customersOf(std::size_t Count, const std::set<std::size_t> &Revoked);
+std::vector<test::ConfiguredCustomer>
+makeSoakCustomers(std::size_t Count, const std::set<std::size_t> &Revoked);
 
 /// Adds faults of keys and of the reporter, drawn from the seed, to a plan.
-void addCustomerFaults(std::vector<SoakStep> &Plan, std::uint64_t Seed,
+void addCustomerFaults(std::vector<ScheduledFault> &Plan, std::uint64_t Seed,
                        Millis Length);
 
 /// Each broken promise of customers and their usage, one line each.
-std::vector<std::string> judgeCustomers(const SoakRecord &Seen,
-                                        const SoakTruth &Truth,
-                                        const SoakBounds &Bounds);
+std::vector<std::string> findCustomerViolations(const SoakObservations &Seen,
+                                                const SoakGroundTruth &Truth,
+                                                const SoakBounds &Bounds);
 
 } // namespace wasabi::soak
 
--- a/IntegrationTests/Soak/SoakInjector.cpp
+++ b/IntegrationTests/Soak/SoakInjector.cpp
@@ -20,39 +20,39 @@
 
 } // namespace
 
-SoakInjector::SoakInjector(test::PlatformWorld &World, SoakClients &Clients,
+SoakInjector::SoakInjector(test::PlatformFixture &World, SoakClients &Clients,
                            std::size_t Customers)
     : World(World), Clients(Clients), Customers(Customers) {}
 
 void SoakInjector::later(Millis After, std::function<void()> Act) {
-  Queue.push(Timed{monotonicNow() + After, Orders++, std::move(Act)});
+  Queue.push(QueuedAction{monotonicNow() + After, Orders++, std::move(Act)});
 }
 
-void SoakInjector::play(const std::vector<SoakStep> &Plan) {
-  for (const SoakStep &it : Plan)
+void SoakInjector::runPlan(const std::vector<ScheduledFault> &Plan) {
+  for (const ScheduledFault &it : Plan)
     later(it.At, [this, it] { begin(it); });
   while (!Queue.empty()) {
-    Timed next = Queue.top();
+    QueuedAction next = Queue.top();
     Queue.pop();
     std::this_thread::sleep_until(next.At);
     next.Act();
   }
 }
 
-void SoakInjector::begin(const SoakStep &Step) {
+void SoakInjector::begin(const ScheduledFault &Step) {
   TimePoint now = monotonicNow();
   Done.Faults.push_back({Step.Kind, now, now + Step.For});
-  noteStoreCut(Step, now);
-  if (beginPlanned(Step) || beginOnProcess(Step) || beginOnStore(Step) ||
-      beginOnLink(Step) || beginOnKeys(Step) || beginOnReporter(Step) ||
-      beginOnReports(Step))
+  recordStoreOutage(Step, now);
+  if (injectPlannedWork(Step) || injectProcessFault(Step) ||
+      injectStoreFault(Step) || injectLinkFault(Step) || injectKeyFault(Step) ||
+      injectReporterFault(Step) || injectReportFault(Step))
     return;
-  beginOnServer(Step);
+  injectServerFault(Step);
 }
 
 //===--- Planned work -----------------------------------------------------===//
 
-bool SoakInjector::beginPlanned(const SoakStep &Step) {
+bool SoakInjector::injectPlannedWork(const ScheduledFault &Step) {
   std::size_t edge = Step.Target % World.edges();
   switch (Step.Kind) {
   case SoakFault::Configure:
@@ -66,7 +66,7 @@
     stopEdge(edge);
     return true;
   case SoakFault::ReloadEdge:
-    if (!EdgesAway.contains(edge))
+    if (!UnavailableEdges.contains(edge))
       World.edge(edge).Running->signal(SIGHUP);
     return true;
   case SoakFault::DrainServer:
@@ -80,49 +80,51 @@
 void SoakInjector::publish() {
   World.configure(++Versions);
   Done.Publications.push_back({Versions, monotonicNow()});
-  Clients.Configured = Versions;
+  Clients.LatestConfigVersion = Versions;
 }
 
 /// A stop of the only process that is left is no planned work, so it is left
 /// out.
 void SoakInjector::stopEdge(std::size_t Edge) {
-  if (EdgesAway.contains(Edge) || EdgesAway.size() + 1 >= World.edges())
+  if (UnavailableEdges.contains(Edge) ||
+      UnavailableEdges.size() + 1 >= World.edges())
     return;
-  EdgesAway.insert(Edge);
+  UnavailableEdges.insert(Edge);
   Done.Stops.push_back({Edge, Clients.Lives[Edge], monotonicNow()});
   World.edge(Edge).Running->signal(SIGTERM);
   later(Millis(0),
-        [this, Edge] { awaitStop(Edge, monotonicNow() + StopLimit); });
+        [this, Edge] { checkStopped(Edge, monotonicNow() + StopLimit); });
 }
 
-void SoakInjector::awaitStop(std::size_t Edge, TimePoint Until) {
+void SoakInjector::checkStopped(std::size_t Edge, TimePoint Until) {
   constexpr Millis Look{50};
   harness::Process &process = *World.edge(Edge).Running;
   if (process.running() && monotonicNow() < Until) {
-    later(Look, [this, Edge, Until] { awaitStop(Edge, Until); });
+    later(Look, [this, Edge, Until] { checkStopped(Edge, Until); });
     return;
   }
   if (process.running())
-    Done.Unstopped.push_back(Edge);
+    Done.UnstoppedEdges.push_back(Edge);
   restartEdge(Edge);
 }
 
 void SoakInjector::drainServer(std::size_t Index) {
-  if (Away.contains(Index) || Away.size() + 2 >= World.servers())
+  if (UnavailableServers.contains(Index) ||
+      UnavailableServers.size() + 2 >= World.servers())
     return;
-  Away.insert(Index);
+  UnavailableServers.insert(Index);
   std::string id = World.server(Index).id();
   World.registerServer(Index, true);
   Done.Drains.push_back({id, monotonicNow()});
   later(DrainTime, [this, Index, id] {
     World.unregisterServer(id);
-    returnServer(Index, newId());
+    restartServer(Index, newId());
   });
 }
 
 //===--- Processes --------------------------------------------------------===//
 
-bool SoakInjector::beginOnProcess(const SoakStep &Step) {
+bool SoakInjector::injectProcessFault(const ScheduledFault &Step) {
   std::size_t edge = Step.Target % World.edges();
   std::size_t side = Step.Target % World.size().Engines;
   switch (Step.Kind) {
@@ -136,16 +138,16 @@
   case SoakFault::PauseEdge:
     pauseEdge(edge, Step.For);
     return true;
-  case SoakFault::KillSide:
-    if (!SidesAway.insert(side).second)
+  case SoakFault::KillSidecar:
+    if (!UnavailableSidecars.insert(side).second)
       return true;
     World.side(side).signal(SIGKILL);
     later(Step.For, [this, side] {
-      SidesAway.erase(side);
-      World.startSide(side);
+      UnavailableSidecars.erase(side);
+      World.startSidecar(side);
     });
     return true;
-  case SoakFault::PauseSide:
+  case SoakFault::PauseSidecar:
     World.side(side).signal(SIGSTOP);
     later(Step.For, [this, side] { World.side(side).signal(SIGCONT); });
     return true;
@@ -156,17 +158,17 @@
 
 /// What it has written before may arrive when it goes on.
 void SoakInjector::pauseEdge(std::size_t Edge, Millis For) {
-  if (EdgesAway.contains(Edge))
+  if (UnavailableEdges.contains(Edge))
     return;
   World.edge(Edge).Running->signal(SIGSTOP);
   later(For, [this, Edge] {
     World.edge(Edge).Running->signal(SIGCONT);
-    heldUpUntil(Millis(0));
+    recordReportDelay(Millis(0));
   });
 }
 
 void SoakInjector::killEdge(std::size_t Edge, Millis Down) {
-  if (!EdgesAway.insert(Edge).second)
+  if (!UnavailableEdges.insert(Edge).second)
     return;
   Done.Kills.push_back({Edge, Clients.Lives[Edge], monotonicNow()});
   World.edge(Edge).Running->signal(SIGKILL);
@@ -177,47 +179,48 @@
   Done.Output += World.edge(Edge).Running->output();
   ++Clients.Lives[Edge];
   World.startEdge(Edge);
-  EdgesAway.erase(Edge);
+  UnavailableEdges.erase(Edge);
 }
 
 //===--- The store --------------------------------------------------------===//
 
-void SoakInjector::mood(test::StoreMood What, Millis For) {
-  World.onPlatform([&] { World.store().setMood(What); });
+void SoakInjector::mood(test::StoreBehavior What, Millis For) {
+  World.runOnPlatformThread([&] { World.store().setBehavior(What); });
   later(For, [this] {
-    World.onPlatform([&] { World.store().setMood(test::StoreMood::Well); });
+    World.runOnPlatformThread(
+        [&] { World.store().setBehavior(test::StoreBehavior::Normal); });
   });
 }
 
-bool SoakInjector::beginOnStore(const SoakStep &Step) {
-  using test::StoreMood;
+bool SoakInjector::injectStoreFault(const ScheduledFault &Step) {
+  using test::StoreBehavior;
   switch (Step.Kind) {
   case SoakFault::StoreBusy:
-    mood(StoreMood::Busy, Step.For);
+    mood(StoreBehavior::Busy, Step.For);
     return true;
   case SoakFault::StoreSilent:
-    mood(StoreMood::Silent, Step.For);
+    mood(StoreBehavior::Silent, Step.For);
     return true;
   case SoakFault::StoreResets:
-    mood(StoreMood::Reset, Step.For);
+    mood(StoreBehavior::Reset, Step.For);
     return true;
   case SoakFault::StoreLosesAnswers:
-    mood(StoreMood::LosesAnswers, Step.For);
+    mood(StoreBehavior::LosesAnswers, Step.For);
     return true;
   case SoakFault::StoreLate:
-    mood(StoreMood::Late, Step.For);
+    mood(StoreBehavior::Late, Step.For);
     return true;
   case SoakFault::StoreSlow:
-    mood(StoreMood::Slow, Step.For);
+    mood(StoreBehavior::Slow, Step.For);
     return true;
-  case SoakFault::StoreForgets:
-    World.onPlatform([&] {
+  case SoakFault::StoreCompacts:
+    World.runOnPlatformThread([&] {
       World.store().compact("keyed.op");
       World.store().compact("keyed.servers");
     });
-    writeForeignEntries(Step.Target % World.servers());
+    writeInvalidRegistrations(Step.Target % World.servers());
     return true;
-  case SoakFault::RegistrationsLapse:
+  case SoakFault::RegistrationsExpire:
     lapse(Step);
     return true;
   default:
@@ -227,33 +230,33 @@
 
 /// Another writer puts entries among the registrations, one over that of a
 /// server, which registers again a heartbeat later.
-void SoakInjector::writeForeignEntries(std::size_t Over) {
+void SoakInjector::writeInvalidRegistrations(std::size_t Over) {
   constexpr Millis Heartbeat{600};
   const std::string entries[] = {
       "{", R"({"service":"desk"})", "\xff\xfe bytes",
       R"({"service":"desk","address":"127.0.0.1:9","zone":"hall",)"
       R"("version":"v1","slots":4,"state":"warming","sequence":1})"};
-  World.onPlatform([&] {
+  World.runOnPlatformThread([&] {
     for (std::size_t i = 0; i < std::size(entries); ++i)
       World.store().write("keyed.servers", "x-" + std::to_string(i),
                           entries[i]);
-    if (!Away.contains(Over))
+    if (!UnavailableServers.contains(Over))
       World.store().write("keyed.servers", World.server(Over).id(), "{}");
   });
   later(Heartbeat, [this, Over] {
-    if (!Away.contains(Over))
+    if (!UnavailableServers.contains(Over))
       World.registerServer(Over, false);
   });
 }
 
 /// The store is away, and registrations lapse meanwhile; the servers are back
 /// in it within two seconds of its return.
-void SoakInjector::lapse(const SoakStep &Step) {
+void SoakInjector::lapse(const ScheduledFault &Step) {
   constexpr Millis BackAfter{1200};
-  mood(test::StoreMood::Busy, Step.For);
+  mood(test::StoreBehavior::Busy, Step.For);
   std::vector<std::size_t> lapsed;
   for (std::size_t i = 0; i < World.servers(); ++i) {
-    if (!Away.contains(i))
+    if (!UnavailableServers.contains(i))
       lapsed.push_back(i);
   }
   later(Step.For / 2, [this, lapsed] {
@@ -262,7 +265,7 @@
   });
   later(Step.For + BackAfter, [this, lapsed] {
     for (std::size_t it : lapsed) {
-      if (!Away.contains(it))
+      if (!UnavailableServers.contains(it))
         World.registerServer(it, false);
     }
   });
@@ -270,18 +273,18 @@
 
 //===--- Links ------------------------------------------------------------===//
 
-void SoakInjector::fault(const test::PlatformWorld::Proxy &Of, const char *Name,
-                         const boost::json::value &Begin,
+void SoakInjector::fault(const test::PlatformFixture::Proxy &Of,
+                         const char *Name, const boost::json::value &Begin,
                          const boost::json::value &End, Millis For) {
   World.setFaults(Of, {{Name, Begin}});
   later(For, [this, Of, Name, End] { World.setFaults(Of, {{Name, End}}); });
 }
 
-bool SoakInjector::beginOnLink(const SoakStep &Step) {
+bool SoakInjector::injectLinkFault(const ScheduledFault &Step) {
   constexpr double DelayMs = 250;
   std::size_t process = Step.Target % (World.edges() + World.size().Engines);
-  test::PlatformWorld::Proxy store = World.storeLink(process);
-  test::PlatformWorld::Proxy caller =
+  test::PlatformFixture::Proxy store = World.storeLink(process);
+  test::PlatformFixture::Proxy caller =
       World.callerLink(Step.Target % World.edges());
   switch (Step.Kind) {
   case SoakFault::StoreLinkRefuses:
@@ -311,18 +314,18 @@
 //===--- Keys and the reporter
 //---------------------------------------------===//
 
-bool SoakInjector::beginOnKeys(const SoakStep &Step) {
+bool SoakInjector::injectKeyFault(const ScheduledFault &Step) {
   if (Step.Kind != SoakFault::RevokeKey)
     return false;
   std::size_t customer = Step.Target % Customers;
   if (!Revoked.insert(customer).second)
     return true;
-  World.setCustomers(customersOf(Customers, Revoked));
+  World.setCustomers(makeSoakCustomers(Customers, Revoked));
   publish();
   Done.KeyChanges.push_back({customer, true, monotonicNow()});
   later(Step.For + Millis(3000), [this, customer] {
     Revoked.erase(customer);
-    World.setCustomers(customersOf(Customers, Revoked));
+    World.setCustomers(makeSoakCustomers(Customers, Revoked));
     Done.KeyChanges.push_back({customer, false, monotonicNow()});
     publish();
   });
@@ -330,25 +333,26 @@
 }
 
 /// Notes for whom the store is out of reach during a step.
-void SoakInjector::noteStoreCut(const SoakStep &Step, TimePoint Now) {
+void SoakInjector::recordStoreOutage(const ScheduledFault &Step,
+                                     TimePoint Now) {
   bool ofReporter = Step.Kind >= SoakFault::ReporterStoreRefuses &&
                     Step.Kind <= SoakFault::ReporterStoreDelays;
   bool ofLink = Step.Kind >= SoakFault::StoreLinkRefuses &&
                 Step.Kind <= SoakFault::StoreLinkDelays;
   bool ofAll = Step.Kind >= SoakFault::StoreBusy &&
-               Step.Kind <= SoakFault::RegistrationsLapse;
+               Step.Kind <= SoakFault::RegistrationsExpire;
   std::optional<std::size_t> edge;
   if (ofReporter)
     edge = reporter();
   if (ofLink)
     edge = Step.Target % (World.edges() + World.size().Engines);
   if (ofAll || edge)
-    Done.StoreCuts.push_back({edge, {Now, Now + Step.For}});
+    Done.StoreOutagePeriods.push_back({edge, {Now, Now + Step.For}});
 }
 
 /// The edge process that reported last; empty if none has.
 std::optional<std::size_t> SoakInjector::reporter() {
-  std::string holder = World.onPlatform<std::string>([&] {
+  std::string holder = World.runOnPlatformThread<std::string>([&] {
     const std::vector<test::ReportCall> &calls = World.reports().Calls;
     return calls.empty() ? std::string() : calls.back().Holder;
   });
@@ -358,7 +362,7 @@
   return std::stoul(holder.substr(Prefix.size()));
 }
 
-bool SoakInjector::beginOnReporter(const SoakStep &Step) {
+bool SoakInjector::injectReporterFault(const ScheduledFault &Step) {
   constexpr double DelayMs = 400;
   if (Step.Kind < SoakFault::KillReporter ||
       Step.Kind > SoakFault::ReporterStoreDelays)
@@ -366,7 +370,7 @@
   std::optional<std::size_t> found = reporter();
   if (!found)
     return true;
-  test::PlatformWorld::Proxy store = World.storeLink(*found);
+  test::PlatformFixture::Proxy store = World.storeLink(*found);
   switch (Step.Kind) {
   case SoakFault::KillReporter:
     killEdge(*found, Step.For);
@@ -390,37 +394,38 @@
   return true;
 }
 
-void SoakInjector::reportMood(test::ReportMood What, Millis For) {
-  World.onPlatform([&] { World.reports().setMood(What); });
+void SoakInjector::setReportFault(test::ReportBehavior What, Millis For) {
+  World.runOnPlatformThread([&] { World.reports().setBehavior(What); });
   later(For, [this] {
-    World.onPlatform([&] { World.reports().setMood(test::ReportMood::Well); });
+    World.runOnPlatformThread(
+        [&] { World.reports().setBehavior(test::ReportBehavior::Normal); });
   });
 }
 
 /// Calls that were held up may arrive until shortly after `After` from now.
-void SoakInjector::heldUpUntil(Millis After) {
+void SoakInjector::recordReportDelay(Millis After) {
   constexpr Millis Thaw{300};
   TimePoint now = monotonicNow();
-  Done.HeldUp.push_back({now, now + After + Thaw});
+  Done.ReportDelaySpans.push_back({now, now + After + Thaw});
 }
 
-bool SoakInjector::beginOnReports(const SoakStep &Step) {
+bool SoakInjector::injectReportFault(const ScheduledFault &Step) {
   constexpr double DelayMs = 700;
-  test::PlatformWorld::Proxy link =
+  test::PlatformFixture::Proxy link =
       World.reportLink(Step.Target % World.edges());
   switch (Step.Kind) {
   case SoakFault::ReportsBusy:
-    reportMood(test::ReportMood::Busy, Step.For);
+    setReportFault(test::ReportBehavior::Busy, Step.For);
     return true;
   case SoakFault::ReportsLoseAnswers:
-    reportMood(test::ReportMood::LosesAnswers, Step.For);
+    setReportFault(test::ReportBehavior::LosesAnswers, Step.For);
     return true;
   case SoakFault::ReportsSilent:
-    reportMood(test::ReportMood::Silent, Step.For);
+    setReportFault(test::ReportBehavior::Silent, Step.For);
     return true;
   case SoakFault::ReportLinkSilent:
     fault(link, "half_open", true, false, Step.For);
-    later(Step.For, [this] { heldUpUntil(Millis(0)); });
+    later(Step.For, [this] { recordReportDelay(Millis(0)); });
     return true;
   case SoakFault::ReportLinkDelays:
     fault(link, "delay_ms", DelayMs, 0.0, Step.For);
@@ -432,10 +437,10 @@
 
 //===--- Servers ----------------------------------------------------------===//
 
-void SoakInjector::beginOnServer(const SoakStep &Step) {
+void SoakInjector::injectServerFault(const ScheduledFault &Step) {
   std::size_t index = Step.Target % World.servers();
   test::PlatformServer &server = World.server(index);
-  test::PlatformWorld::Proxy link = World.serverLink(index);
+  test::PlatformFixture::Proxy link = World.serverLink(index);
   constexpr int Few = 3;
   switch (Step.Kind) {
   case SoakFault::ServerCrashes:
@@ -454,16 +459,16 @@
     fault(link, "answer_loss", Few, 0, Step.For);
     return;
   case SoakFault::ServerSlow:
-    World.onPlatform([&] { server.Pace = SlowPace; });
+    World.runOnPlatformThread([&] { server.Pace = SlowPace; });
     later(Step.For, [this, &server] {
-      World.onPlatform([&] { server.Pace = UsualPace; });
+      World.runOnPlatformThread([&] { server.Pace = UsualPace; });
     });
     return;
-  case SoakFault::ServerBreaksOff:
-    World.onPlatform([&] { server.Breaks = Few; });
+  case SoakFault::ServerBreaksStreams:
+    World.runOnPlatformThread([&] { server.StreamsToBreak = Few; });
     return;
   case SoakFault::ServerFails:
-    World.onPlatform([&] { server.Fails = Few; });
+    World.runOnPlatformThread([&] { server.Fails = Few; });
     return;
   default:
     return;
@@ -471,7 +476,7 @@
 }
 
 void SoakInjector::crashServer(std::size_t Index, Millis Down) {
-  if (!Away.insert(Index).second)
+  if (!UnavailableServers.insert(Index).second)
     return;
   std::string id = World.server(Index).id();
   World.setFaults(World.serverLink(Index), {{"cut_now", true}});
@@ -481,7 +486,7 @@
     later(RegistrationLag, [this, id] { World.unregisterServer(id); });
   // By turns it starts again under a new id and under the one that it had.
   std::string next = ++Crashes % 2 == 0 ? newId() : id;
-  later(Down, [this, Index, next] { returnServer(Index, next); });
+  later(Down, [this, Index, next] { restartServer(Index, next); });
 }
 
 std::string SoakInjector::newId() {
@@ -489,15 +494,15 @@
 }
 
 /// The server starts anew, as another incarnation at the same address.
-void SoakInjector::returnServer(std::size_t Index, const std::string &Id) {
+void SoakInjector::restartServer(std::size_t Index, const std::string &Id) {
   // A request may have ended it meanwhile, and it registered under a new id.
   std::string before = World.server(Index).id();
   if (before != Id)
     World.unregisterServer(before);
-  World.onPlatform([&] { World.server(Index).restart(Id); });
+  World.runOnPlatformThread([&] { World.server(Index).restart(Id); });
   World.setFaults(World.serverLink(Index), {{"refuse", false}});
   World.registerServer(Index, false);
-  Away.erase(Index);
+  UnavailableServers.erase(Index);
 }
 
 } // namespace wasabi::soak
--- a/IntegrationTests/Soak/SoakJudge.cpp
+++ b/IntegrationTests/Soak/SoakJudge.cpp
@@ -15,15 +15,15 @@
 
 /// What the checks share.
 struct Case {
-  const SoakRecord &Seen;
-  const SoakTruth &Truth;
+  const SoakObservations &Seen;
+  const SoakGroundTruth &Truth;
   const SoakBounds &Bounds;
   /// Runs by request, at all servers.
   std::unordered_map<std::string, std::vector<const ServerCall *>> Runs;
   std::vector<std::string> Faults;
 
   bool calm(TimePoint From, TimePoint To) const {
-    return calmFor(Truth, Bounds, From, To);
+    return isFaultFree(Truth, Bounds, From, To);
   }
   std::size_t runsOf(const std::string &Id) const {
     auto it = Runs.find(Id);
@@ -36,7 +36,7 @@
 }
 
 void judgeAsks(Case &Of) {
-  for (const AskRecord &it : Of.Seen.Asks) {
+  for (const ClientRequestRecord &it : Of.Seen.Asks) {
     std::size_t runs = Of.runsOf(it.Id);
     if (!it.Wrong.empty())
       Of.Faults.push_back(
@@ -44,7 +44,7 @@
     if (promisesNotRun(it.Status) && runs > 0)
       Of.Faults.push_back(
           fmt::format("{} was answered {} and has run", it.Id, it.Status));
-    if (it.Kind == AskKind::Once && runs > 1)
+    if (it.Kind == ClientRequestKind::Once && runs > 1)
       Of.Faults.push_back(fmt::format("{} ran {} times", it.Id, runs));
     if (runs > Of.Bounds.MaxAttempts)
       Of.Faults.push_back(
@@ -54,7 +54,7 @@
 
 void judgeIds(Case &Of) {
   std::set<std::string> known;
-  for (const AskRecord &it : Of.Seen.Asks)
+  for (const ClientRequestRecord &it : Of.Seen.Asks)
     known.insert(it.Id);
   for (const JobRecord &job : Of.Seen.Jobs) {
     for (const std::string &item : job.Items) {
@@ -63,7 +63,7 @@
     }
   }
   for (const auto &[id, runs] : Of.Runs) {
-    bool own = id.find(OwnName) != std::string::npos;
+    bool own = id.find(HarnessRequestName) != std::string::npos;
     if (!own && !known.contains(id))
       Of.Faults.push_back("nobody asked for " + id);
   }
@@ -77,12 +77,12 @@
       auto runs = Of.Runs.find(item);
       if (runs == Of.Runs.end())
         continue;
-      if (!job.Accepted && job.Promised)
+      if (!job.Accepted && job.RefusalsGuaranteed)
         Of.Faults.push_back(item + " ran though its job was refused");
       TimePoint last = runs->second.back()->At;
-      bool late = job.EndTaken &&
-                  last > job.EndTakenAt + Of.Bounds.Cancel + Of.Bounds.Slack;
-      if (late && Of.calm(job.EndTakenAt, last))
+      bool late = job.EndAccepted &&
+                  last > job.EndAcceptedAt + Of.Bounds.Cancel + Of.Bounds.Slack;
+      if (late && Of.calm(job.EndAcceptedAt, last))
         Of.Faults.push_back(item + " ran after its job had ended");
     }
   }
@@ -103,14 +103,14 @@
 }
 
 /// A planned stop cuts nothing off that has run or that was sent in good time.
-void judgeStops(Case &Of) {
+void checkPlannedStops(Case &Of) {
   constexpr Millis Crossing{200};
-  for (std::size_t it : Of.Truth.Unstopped)
+  for (std::size_t it : Of.Truth.UnstoppedEdges)
     Of.Faults.push_back("edge " + std::to_string(it) + " did not stop");
   for (const EdgeStop &stop : Of.Truth.Stops) {
-    for (const AskRecord &it : Of.Seen.Asks) {
+    for (const ClientRequestRecord &it : Of.Seen.Asks) {
       bool cut = it.Edge == stop.Edge && it.Life == stop.Life &&
-                 it.Status == 0 && !it.GaveUp && it.Done >= stop.At;
+                 it.Status == 0 && !it.CallerTimedOut && it.Done >= stop.At;
       bool owed = it.Done - it.Sent > Crossing || Of.runsOf(it.Id) > 0;
       if (cut && owed && Of.calm(it.Sent, it.Done))
         Of.Faults.push_back(fmt::format(
@@ -126,11 +126,12 @@
   /// By edge process and start: the newest in force, and since when it was
   /// seen.
   std::map<std::pair<std::size_t, std::uint64_t>, Publication> newest;
-  for (const AskRecord &it : Of.Seen.Asks) {
-    if (it.Kind != AskKind::Probe || it.Status != Ok)
+  for (const ClientRequestRecord &it : Of.Seen.Asks) {
+    if (it.Kind != ClientRequestKind::Probe || it.Status != Ok)
       continue;
     Publication &known = newest[{it.Edge, it.Life}];
-    if (it.Version < known.Version && it.Sent > known.At + Of.Bounds.Regress)
+    if (it.Version < known.Version &&
+        it.Sent > known.At + Of.Bounds.ConfigRegressTolerance)
       Of.Faults.push_back(
           fmt::format("{}: edge {} went back from configuration {} to {}",
                       it.Id, it.Edge, known.Version, it.Version));
@@ -144,8 +145,8 @@
   constexpr unsigned NotFound = 404;
   for (const Publication &it : Of.Truth.Publications) {
     TimePoint latest = it.At + Of.Bounds.Configure + Of.Bounds.Slack;
-    for (const AskRecord &probe : Of.Seen.Asks) {
-      if (probe.Kind != AskKind::Probe || probe.Sent < latest ||
+    for (const ClientRequestRecord &probe : Of.Seen.Asks) {
+      if (probe.Kind != ClientRequestKind::Probe || probe.Sent < latest ||
           !Of.calm(it.At, probe.Done))
         continue;
       bool missing = probe.Version == it.Version && probe.Status == NotFound &&
@@ -163,7 +164,7 @@
 void judgeCrashing(Case &Of) {
   std::map<std::string, std::vector<TimePoint>> tries;
   for (const ServerCall &it : Of.Truth.PlainRuns) {
-    if (it.Path.starts_with(CrashPath))
+    if (it.Path.starts_with(CrashPathPrefix))
       tries[it.Path].push_back(it.At);
   }
   for (auto &[path, times] : tries) {
@@ -171,12 +172,12 @@
       continue;
     std::sort(times.begin(), times.end());
     TimePoint latest =
-        times[Of.Bounds.Ends - 1] + Of.Bounds.Calm + Of.Bounds.Slack;
+        times[Of.Bounds.Ends - 1] + Of.Bounds.FaultFreeTime + Of.Bounds.Slack;
     std::ptrdiff_t late =
         std::count_if(times.begin(), times.end(), [&](TimePoint At) {
           return At > latest && Of.calm(At, At);
         });
-    if (late > static_cast<std::ptrdiff_t>(Of.Bounds.LateTries))
+    if (late > static_cast<std::ptrdiff_t>(Of.Bounds.MaxLateCrashRequests))
       Of.Faults.push_back(fmt::format(
           "{} ended servers {} times, {} of them long after it was known", path,
           times.size(), late));
@@ -201,16 +202,17 @@
 
 } // namespace
 
-bool calmFor(const SoakTruth &Truth, const SoakBounds &Bounds, TimePoint From,
-             TimePoint To) {
-  TimePoint start = From - Bounds.Calm;
+bool isFaultFree(const SoakGroundTruth &Truth, const SoakBounds &Bounds,
+                 TimePoint From, TimePoint To) {
+  TimePoint start = From - Bounds.FaultFreeTime;
   return std::none_of(
       Truth.Faults.begin(), Truth.Faults.end(), [&](const FaultWindow &It) {
         return !isPlanned(It.Kind) && It.From <= To && It.To >= start;
       });
 }
 
-std::vector<std::string> judge(const SoakRecord &Seen, const SoakTruth &Truth,
+std::vector<std::string> judge(const SoakObservations &Seen,
+                               const SoakGroundTruth &Truth,
                                const SoakBounds &Bounds) {
   Case all{Seen, Truth, Bounds, {}, {}};
   for (const ServerCall &it : Truth.PlainRuns)
@@ -221,7 +223,7 @@
   judgeIds(all);
   judgeJobs(all);
   judgeDrains(all);
-  judgeStops(all);
+  checkPlannedStops(all);
   judgeRegress(all);
   judgeForce(all);
   judgeOrders(all);
--- a/IntegrationTests/Soak/SoakJudge.h
+++ b/IntegrationTests/Soak/SoakJudge.h
@@ -3,10 +3,10 @@
 #ifndef WASABI_INTEGRATIONTESTS_SOAK_SOAKJUDGE_H
 #define WASABI_INTEGRATIONTESTS_SOAK_SOAKJUDGE_H
 
-#include "IntegrationTests/Platform/PlatformReports.h"
+#include "IntegrationTests/Platform/PlatformReportEndpoint.h"
 #include "IntegrationTests/Platform/PlatformServers.h"
+#include "IntegrationTests/Soak/SoakObservations.h"
 #include "IntegrationTests/Soak/SoakPlan.h"
-#include "IntegrationTests/Soak/SoakRecord.h"
 
 #include <string>
 #include <vector>
@@ -48,10 +48,10 @@
 };
 
 /// Requests that the soak itself makes to see that all is served again.
-inline constexpr const char *OwnName = "soak-own";
+inline constexpr const char *HarnessRequestName = "soak-own";
 
 /// What really happened, as the servers and the injector know it.
-struct SoakTruth {
+struct SoakGroundTruth {
   std::vector<test::ServerCall> PlainRuns;
   std::vector<test::ServerCall> EngineRuns;
   /// By engine.
@@ -63,18 +63,18 @@
   /// Edge processes that were killed.
   std::vector<EdgeStop> Kills;
   /// When processes could not write to the store; `Edge` is empty for all.
-  struct StoreCut {
+  struct StoreOutagePeriod {
     std::optional<std::size_t> Edge;
     test::TimeSpan When;
   };
-  std::vector<StoreCut> StoreCuts;
+  std::vector<StoreOutagePeriod> StoreOutagePeriods;
   std::vector<KeyChange> KeyChanges;
   /// Calls that arrived where usage is reported.
   std::vector<test::ReportCall> Reports;
   /// When such calls may arrive that were held up.
-  std::vector<test::TimeSpan> HeldUp;
+  std::vector<test::TimeSpan> ReportDelaySpans;
   /// Edge processes that were still there long after their grace.
-  std::vector<std::size_t> Unstopped;
+  std::vector<std::size_t> UnstoppedEdges;
   /// What processes that are gone had logged.
   std::string Output;
 };
@@ -82,10 +82,10 @@
 /// Bounds of the promises that have a time, as the users' pages set them.
 struct SoakBounds {
   /// Without a fault for this long, promises with a time hold.
-  Millis Calm{3000};
+  Millis FaultFreeTime{3000};
   Millis Drain{2000};
   Millis Configure{2000};
-  Millis Regress{250};
+  Millis ConfigRegressTolerance{250};
   Millis Cancel{3000};
   /// What the machine under the soak may add.
   Millis Slack{400};
@@ -93,15 +93,16 @@
   /// Servers that a request may end, and the tries that may come later than
   /// `Calm` after the last of these.
   std::size_t Ends = 3;
-  std::size_t LateTries = 3;
+  std::size_t MaxLateCrashRequests = 3;
 };
 
 /// Whether nothing unplanned was wrong from `Calm` before `From` to `To`.
-bool calmFor(const SoakTruth &Truth, const SoakBounds &Bounds, TimePoint From,
-             TimePoint To);
+bool isFaultFree(const SoakGroundTruth &Truth, const SoakBounds &Bounds,
+                 TimePoint From, TimePoint To);
 
 /// Each broken promise, one line each.
-std::vector<std::string> judge(const SoakRecord &Seen, const SoakTruth &Truth,
+std::vector<std::string> judge(const SoakObservations &Seen,
+                               const SoakGroundTruth &Truth,
                                const SoakBounds &Bounds = {});
 
 } // namespace wasabi::soak
--- a/IntegrationTests/Soak/SoakRecord.h
+++ b/IntegrationTests/Soak/SoakObservations.h
@@ -1,7 +1,7 @@
 /// \file
 /// What callers and trainers of a soak saw, for the judge.
-#ifndef WASABI_INTEGRATIONTESTS_SOAK_SOAKRECORD_H
-#define WASABI_INTEGRATIONTESTS_SOAK_SOAKRECORD_H
+#ifndef WASABI_INTEGRATIONTESTS_SOAK_SOAKOBSERVATIONS_H
+#define WASABI_INTEGRATIONTESTS_SOAK_SOAKOBSERVATIONS_H
 
 #include "Wasabi/Core/Clock.h"
 
@@ -12,7 +12,7 @@
 
 namespace wasabi::soak {
 
-enum class AskKind : std::uint8_t {
+enum class ClientRequestKind : std::uint8_t {
   /// May run more than once.
   Repeatable,
   /// Runs at most once.
@@ -26,11 +26,11 @@
 };
 
 /// Requests whose path has this end the servers that begin to run them.
-inline constexpr const char *CrashPath = "/desk/crash-";
+inline constexpr const char *CrashPathPrefix = "/desk/crash-";
 
 /// One request of a caller and what came of it.
-struct AskRecord {
-  AskKind Kind = AskKind::Repeatable;
+struct ClientRequestRecord {
+  ClientRequestKind Kind = ClientRequestKind::Repeatable;
   std::string Id;
   /// Of a probe: the configuration whose own route it asks for.
   std::uint64_t Version = 0;
@@ -38,7 +38,7 @@
   /// Whose request it is, and whether by the key that comes and goes.
   std::string Customer;
   std::size_t CustomerNumber = 0;
-  bool PassingKey = false;
+  bool UsesRevocableKey = false;
   /// Which start of that edge process took it.
   std::uint64_t Life = 0;
   TimePoint Sent;
@@ -46,7 +46,7 @@
   /// 0 when there was no whole answer.
   unsigned Status = 0;
   /// The caller's own limit was up.
-  bool GaveUp = false;
+  bool CallerTimedOut = false;
   /// What is wrong with an answer that looks whole; empty if nothing is.
   std::string Wrong;
 };
@@ -63,10 +63,10 @@
   TimePoint AcceptedAt;
   /// Whether each submission was answered with a promise that nothing was
   /// taken.
-  bool Promised = true;
-  bool EndAsked = false;
-  bool EndTaken = false;
-  TimePoint EndTakenAt;
+  bool RefusalsGuaranteed = true;
+  bool EndRequested = false;
+  bool EndAccepted = false;
+  TimePoint EndAcceptedAt;
   /// Results by position, as they were read first.
   std::map<std::size_t, std::string> Seen;
   /// What was read and must not be.
@@ -74,11 +74,11 @@
 };
 
 /// All of a run.
-struct SoakRecord {
-  std::vector<AskRecord> Asks;
+struct SoakObservations {
+  std::vector<ClientRequestRecord> Asks;
   std::vector<JobRecord> Jobs;
 };
 
 } // namespace wasabi::soak
 
-#endif // WASABI_INTEGRATIONTESTS_SOAK_SOAKRECORD_H
+#endif // WASABI_INTEGRATIONTESTS_SOAK_SOAKOBSERVATIONS_H
--- a/IntegrationTests/Soak/SoakPlan.cpp
+++ b/IntegrationTests/Soak/SoakPlan.cpp
@@ -98,15 +98,15 @@
 }
 
 /// The steps of one kind that begin at `At`: one, or a series.
-std::vector<SoakStep> drawSeries(Draw &From, const PlanStyle &Style,
-                                 Millis At) {
+std::vector<ScheduledFault> drawSeries(Draw &From, const PlanStyle &Style,
+                                       Millis At) {
   constexpr std::int64_t ShortMs = 300;
-  SoakStep step;
+  ScheduledFault step;
   step.At = At;
   step.Kind = From.kind(Style.PlannedOnly);
   step.Target = static_cast<std::uint32_t>(From.between(0, 1000));
   step.For = Millis(From.between(ShortMs, Style.LongMs));
-  std::vector<SoakStep> series{step};
+  std::vector<ScheduledFault> series{step};
   if (!From.oneIn(4))
     return series;
   std::int64_t more = From.between(1, 3);
@@ -129,27 +129,29 @@
   return Kind <= SoakFault::DrainServer || Kind == SoakFault::RevokeKey;
 }
 
-std::vector<SoakStep> drawPlan(std::uint64_t Seed, Millis Length) {
+std::vector<ScheduledFault> makeSoakPlan(std::uint64_t Seed, Millis Length) {
   Draw from{std::mt19937_64(Seed)};
-  std::vector<SoakStep> plan;
+  std::vector<ScheduledFault> plan;
   PlanStyle style = styleOf(Seed);
   Millis at(from.between(300, 1200));
   while (at < Length) {
-    std::vector<SoakStep> series = drawSeries(from, style, at);
+    std::vector<ScheduledFault> series = drawSeries(from, style, at);
     plan.insert(plan.end(), series.begin(), series.end());
     at += Millis(from.between(style.LeastGapMs, style.MostGapMs));
   }
-  std::erase_if(
-      plan, [Length](const SoakStep &It) { return It.At + It.For > Length; });
-  std::stable_sort(
-      plan.begin(), plan.end(),
-      [](const SoakStep &L, const SoakStep &R) { return L.At < R.At; });
+  std::erase_if(plan, [Length](const ScheduledFault &It) {
+    return It.At + It.For > Length;
+  });
+  std::stable_sort(plan.begin(), plan.end(),
+                   [](const ScheduledFault &L, const ScheduledFault &R) {
+                     return L.At < R.At;
+                   });
   return plan;
 }
 
-std::string describe(const std::vector<SoakStep> &Plan) {
+std::string describe(const std::vector<ScheduledFault> &Plan) {
   std::string text;
-  for (const SoakStep &it : Plan)
+  for (const ScheduledFault &it : Plan)
     fmt::format_to(std::back_inserter(text),
                    "step: at_ms={} for_ms={} kind={} target={}\n",
                    it.At.count(), it.For.count(), toText(it.Kind), it.Target);
--- a/IntegrationTests/Soak/SoakPlan.h
+++ b/IntegrationTests/Soak/SoakPlan.h
@@ -25,8 +25,8 @@
   KillEdge,
   PauseEdge,
   KillAllEdges,
-  KillSide,
-  PauseSide,
+  KillSidecar,
+  PauseSidecar,
   // The store.
   StoreBusy,
   StoreSilent,
@@ -34,8 +34,8 @@
   StoreLosesAnswers,
   StoreLate,
   StoreSlow,
-  StoreForgets,
-  RegistrationsLapse,
+  StoreCompacts,
+  RegistrationsExpire,
   // One process's way to the store.
   StoreLinkRefuses,
   StoreLinkSilent,
@@ -48,7 +48,7 @@
   ServerLinkCut,
   ServerLosesAnswers,
   ServerSlow,
-  ServerBreaksOff,
+  ServerBreaksStreams,
   ServerFails,
   // Callers' ways to the system.
   CallerLinkCut,
@@ -77,24 +77,24 @@
 bool isPlanned(SoakFault Kind);
 
 /// One fault. An immutable value.
-struct SoakStep {
+struct ScheduledFault {
   /// From the beginning of the load.
   Millis At{0};
   Millis For{0};
   SoakFault Kind = SoakFault::Configure;
   /// Which of its kind of target, modulo how many there are.
   std::uint32_t Target = 0;
-  bool operator==(const SoakStep &) const = default;
+  bool operator==(const ScheduledFault &) const = default;
 };
 
 /// The steps of a run by time, all over by `Length`: single ones, series of the
 /// same kind, and overlaps. By the seed, a third of the plans is dense, a third
 /// has planned work only, and a third leaves calm stretches, since promises
 /// with a time hold only there. Pure.
-std::vector<SoakStep> drawPlan(std::uint64_t Seed, Millis Length);
+std::vector<ScheduledFault> makeSoakPlan(std::uint64_t Seed, Millis Length);
 
 /// One line a step. Pure.
-std::string describe(const std::vector<SoakStep> &Plan);
+std::string describe(const std::vector<ScheduledFault> &Plan);
 
 } // namespace wasabi::soak
 
--- a/IntegrationTests/Soak/SoakRun.cpp
+++ b/IntegrationTests/Soak/SoakRun.cpp
@@ -16,18 +16,18 @@
 constexpr unsigned Ok = 200;
 constexpr unsigned Accepted = 202;
 
-std::vector<ClientEdge> clientEdges(test::PlatformWorld &World) {
-  std::vector<ClientEdge> edges;
+std::vector<EdgeEndpoints> clientEdges(test::PlatformFixture &World) {
+  std::vector<EdgeEndpoints> edges;
   for (std::size_t i = 0; i < World.edges(); ++i)
     edges.push_back({World.edge(i).Callers, World.edge(i).Readiness});
   return edges;
 }
 
-void prepareServers(test::PlatformWorld &World) {
-  World.onPlatform([&] {
+void prepareServers(test::PlatformFixture &World) {
+  World.runOnPlatformThread([&] {
     for (std::size_t i = 0; i < World.servers(); ++i) {
       test::PlatformServer &it = World.server(i);
-      it.TellsVersion = true;
+      it.IncludesVersion = true;
       it.Length = 5;
       it.Spread = 30;
       it.Pace = Millis(15);
@@ -37,8 +37,8 @@
   });
 }
 
-SoakTruth gather(test::PlatformWorld &World, SoakTruth Done) {
-  World.onPlatform([&] {
+SoakGroundTruth gather(test::PlatformFixture &World, SoakGroundTruth Done) {
+  World.runOnPlatformThread([&] {
     for (std::size_t i = 0; i < World.servers(); ++i) {
       test::PlatformServer &it = World.server(i);
       bool engine = i < World.size().Engines;
@@ -57,13 +57,14 @@
 }
 
 /// After the last fault everything must be served again, everywhere.
-bool recovers(test::PlatformWorld &World, const std::string &Job,
+bool recovers(test::PlatformFixture &World, const std::string &Job,
               std::uint64_t Version) {
   constexpr std::size_t Items = 4;
   std::string route = "/desk-" + std::to_string(Version) + "/";
   auto serves = [&] {
     for (std::size_t i = 0; i < World.edges(); ++i) {
-      if (!World.ready(i) || World.ask(i, route, OwnName).Status != Ok)
+      if (!World.ready(i) ||
+          World.ask(i, route, HarnessRequestName).Status != Ok)
         return false;
     }
     return true;
@@ -77,7 +78,7 @@
 }
 
 /// What was accepted can be read at every process, as it was read before.
-void checkKept(test::PlatformWorld &World, const SoakRecord &Seen,
+void checkKept(test::PlatformFixture &World, const SoakObservations &Seen,
                std::vector<std::string> &Faults) {
   for (const JobRecord &job : Seen.Jobs) {
     if (!job.Accepted)
@@ -85,7 +86,7 @@
     for (std::size_t edge = 0; edge < World.edges(); ++edge) {
       unsigned status = 0;
       if (!job.Customer.empty())
-        World.useKey(lastingKey(job.CustomerNumber));
+        World.setCustomerKey(permanentKey(job.CustomerNumber));
       boost::json::value page = World.results(edge, job.Id, status);
       if (status != Ok) {
         Faults.push_back(job.Id + " can't be read at edge " +
@@ -105,23 +106,23 @@
 }
 
 /// All calls once the windows of the last requests have been reported.
-std::vector<test::ReportCall> lastReports(test::PlatformWorld &World,
-                                          const SoakRecord &Seen) {
+std::vector<test::ReportCall> lastReports(test::PlatformFixture &World,
+                                          const SoakObservations &Seen) {
   auto calls = [&] {
-    return World.onPlatform<std::vector<test::ReportCall>>(
+    return World.runOnPlatformThread<std::vector<test::ReportCall>>(
         [&] { return World.reports().Calls; });
   };
   TimePoint last;
-  for (const AskRecord &it : Seen.Asks)
+  for (const ClientRequestRecord &it : Seen.Asks)
     last = std::max(last, it.Done);
   // A report that leaves late enough holds all that was counted before it.
-  TimePoint until = last + World.reportsDue() + Millis(1000);
+  TimePoint until = last + World.reportDueDelay() + Millis(1000);
   harness::waitUntil([&] { return monotonicNow() > until; },
-                     World.reportsDue() + Millis(2000));
+                     World.reportDueDelay() + Millis(2000));
   return calls();
 }
 
-void keepLogs(test::PlatformWorld &World, const SoakTruth &Truth,
+void keepLogs(test::PlatformFixture &World, const SoakGroundTruth &Truth,
               std::uint64_t Seed) {
   std::string path = "soak-" + std::to_string(Seed) + ".log";
   std::ofstream file(path);
@@ -134,18 +135,19 @@
 
 } // namespace
 
-SoakResult soakOnce(const SoakSize &Size, std::uint64_t Seed,
-                    const std::vector<SoakStep> &Plan, bool KeepLogs) {
-  test::WorldShape shape{Size.Edges, Size.Engines, Size.Desks, true};
+SoakResult runSoakTest(const SoakSize &Size, std::uint64_t Seed,
+                       const std::vector<ScheduledFault> &Plan, bool KeepLogs) {
+  test::PlatformFixtureSettings shape{Size.Edges, Size.Engines, Size.Desks,
+                                      true};
   shape.Reports = Size.Customers > 0;
   if (Size.Customers > 0)
-    shape.Customers = customersOf(Size.Customers, {});
-  test::PlatformWorld world(shape);
+    shape.Customers = makeSoakCustomers(Size.Customers, {});
+  test::PlatformFixture world(shape);
   if (Size.Customers > 0)
-    world.useKey(OwnKey);
+    world.setCustomerKey(HarnessKey);
   prepareServers(world);
   SoakResult result;
-  if (!world.allReady()) {
+  if (!world.waitUntilAllReady()) {
     result.Faults.push_back("the processes did not become ready");
     keepLogs(world, {}, Seed);
     return result;
@@ -157,35 +159,35 @@
   setup.Crashing = Size.Crashing;
   setup.Customers = Size.Customers;
   if (Size.Crashing > 0)
-    world.crashOn(CrashPath);
-  setup.LengthOf = [&world](const std::string &Item) {
+    world.setCrashMarker(CrashPathPrefix);
+  setup.ExpectedEventCount = [&world](const std::string &Item) {
     return world.server(0).lengthOf(Item);
   };
   SoakClients clients(setup, clientEdges(world));
   SoakInjector injector(world, clients, Size.Customers);
-  injector.play(Plan);
+  injector.runPlan(Plan);
   TimePoint healed = monotonicNow();
-  if (!recovers(world, OwnName, clients.Configured))
+  if (!recovers(world, HarnessRequestName, clients.LatestConfigVersion))
     result.Faults.push_back("not all is served again after the last fault");
-  result.Recovered =
+  result.RecoveryTime =
       std::chrono::duration_cast<Millis>(monotonicNow() - healed);
   clients.stop();
 
-  SoakTruth truth = gather(world, injector.done());
-  const SoakRecord &seen = clients.record();
+  SoakGroundTruth truth = gather(world, injector.done());
+  const SoakObservations &seen = clients.record();
   std::vector<std::string> faults = judge(seen, truth);
   if (Size.Customers > 0) {
     truth.Reports = lastReports(world, seen);
-    std::vector<std::string> more = judgeCustomers(seen, truth, {});
+    std::vector<std::string> more = findCustomerViolations(seen, truth, {});
     faults.insert(faults.end(), more.begin(), more.end());
   }
   result.Faults.insert(result.Faults.end(), faults.begin(), faults.end());
   checkKept(world, seen, result.Faults);
-  for (const AskRecord &it : seen.Asks)
+  for (const ClientRequestRecord &it : seen.Asks)
     result.Served += it.Status == Ok ? 1 : 0;
   result.Asks = seen.Asks.size();
   for (const JobRecord &it : seen.Jobs)
-    result.WholeJobs += it.Seen.size() == it.Items.size() ? 1 : 0;
+    result.CompleteJobs += it.Seen.size() == it.Items.size() ? 1 : 0;
   result.Jobs = seen.Jobs.size();
   if (KeepLogs || !result.Faults.empty())
     keepLogs(world, truth, Seed);
--- a/Replay/Main.cpp
+++ b/Replay/Main.cpp
@@ -12,7 +12,7 @@
 
 using wasabi::ExitCode;
 using wasabi::Result;
-using wasabi::replay::BrokenOutcome;
+using wasabi::replay::TraceViolation;
 
 const wasabi::ProgramDescription About{
     "wasabi-replay", "TRACE OUTCOMES",
@@ -32,13 +32,14 @@
   if (arguments.size() != 2)
     return wasabi::badInput("arguments", "TRACE and OUTCOMES are needed");
   BOOST_LEAF_AUTO(rules, readFile(arguments[1]));
-  BOOST_LEAF_AUTO(against, wasabi::replay::readOutcomes(arguments[1], rules));
+  BOOST_LEAF_AUTO(against,
+                  wasabi::replay::readExpectations(arguments[1], rules));
   BOOST_LEAF_AUTO(lines, readFile(arguments[0]));
   BOOST_LEAF_AUTO(trace, wasabi::replay::readTrace(arguments[0], lines));
-  const std::optional<BrokenOutcome> broken =
+  const std::optional<TraceViolation> broken =
       wasabi::replay::check(trace, against);
   if (broken) {
-    std::cout << wasabi::replay::describeBroken(trace, *broken);
+    std::cout << wasabi::replay::describeViolation(trace, *broken);
     return ExitCode::OutcomeNotMet;
   }
   std::cout << "replay: events=" << trace.Events.size()
--- a/StandIns/EngineBatch.cpp
+++ b/StandIns/EngineBatch.cpp
@@ -34,7 +34,7 @@
   double perMicro = TokensPerSecond / MicrosPerSecond;
   std::vector<Job> changed;
   for (const Job &it : Running) {
-    if (advanceOne(*it, micros, perMicro, Version))
+    if (advanceJob(*it, micros, perMicro, Version))
       changed.push_back(it);
   }
   for (const Job &it : changed) {
@@ -47,19 +47,19 @@
   return changed;
 }
 
-bool EngineBatch::advanceOne(EngineJob &What, double Micros,
+bool EngineBatch::advanceJob(EngineJob &What, double Micros,
                              double TokensPerMicro, std::uint64_t Version) {
   // The prompt comes first; what is left of the time goes to tokens.
-  double prefill = std::min(Micros, What.PrefillLeft);
-  What.PrefillLeft -= prefill;
-  What.Earned += (Micros - prefill) * TokensPerMicro;
+  double prefill = std::min(Micros, What.RemainingPrefillMicros);
+  What.RemainingPrefillMicros -= prefill;
+  What.TokenCredit += (Micros - prefill) * TokensPerMicro;
   std::uint64_t left = What.Length - std::min(What.Length, What.Position);
   std::uint64_t tokens =
-      std::min(left, static_cast<std::uint64_t>(What.Earned));
+      std::min(left, static_cast<std::uint64_t>(What.TokenCredit));
   if (tokens == 0)
     return What.finished();
 
-  What.Earned -= static_cast<double>(tokens);
+  What.TokenCredit -= static_cast<double>(tokens);
   std::uint64_t end = What.Position + tokens;
   if (!What.Spans.empty() && What.Spans.back().Version == Version)
     What.Spans.back().To = end;
--- a/StandIns/EngineBatch.h
+++ b/StandIns/EngineBatch.h
@@ -18,7 +18,7 @@
 namespace wasabi::standins {
 
 /// What a completion asks for.
-struct EngineAsk {
+struct EngineRequest {
   std::string Request;
   std::string Attempt;
   std::string Prompt;
@@ -31,12 +31,12 @@
 
 /// One completion and how far it has come.
 struct EngineJob {
-  explicit EngineJob(EngineAsk Asked)
+  explicit EngineJob(EngineRequest Asked)
       : Ask(std::move(Asked)), Writer(Ask.Prompt, Ask.Seed),
         Length(sampleLength(Ask.Prompt, Ask.Seed, Ask.MaxTokens)),
         Position(Ask.Start) {}
 
-  const EngineAsk Ask;
+  const EngineRequest Ask;
   const TokenWriter Writer;
   /// Tokens of the whole sample.
   const std::uint64_t Length;
@@ -45,9 +45,9 @@
   /// Which versions made the tokens from `Ask.Start` on.
   std::vector<VersionSpan> Spans;
   /// Time that the prompt still takes, in microseconds.
-  double PrefillLeft = 0;
+  double RemainingPrefillMicros = 0;
   /// Tokens earned by time, less those generated.
-  double Earned = 0;
+  double TokenCredit = 0;
   bool Ended = false;
   std::uint64_t StartedUs = 0;
   std::uint64_t EndedUs = 0;
@@ -83,7 +83,7 @@
   std::uint64_t generated() const { return Generated; }
 
 private:
-  bool advanceOne(EngineJob &What, double Micros, double TokensPerMicro,
+  bool advanceJob(EngineJob &What, double Micros, double TokensPerMicro,
                   std::uint64_t Version);
   void fillSlots();
 
--- a/StandIns/EngineRole.cpp
+++ b/StandIns/EngineRole.cpp
@@ -34,7 +34,7 @@
 
 /// A job with the coroutine that sends its tokens.
 struct Sending {
-  Sending(const boost::asio::any_io_executor &Executor, EngineAsk Ask)
+  Sending(const boost::asio::any_io_executor &Executor, EngineRequest Ask)
       : Job(std::make_shared<EngineJob>(std::move(Ask))), Wake(Executor) {}
   EngineBatch::Job Job;
   Signal Wake;
@@ -78,7 +78,7 @@
   boost::json::value truth() const override;
   boost::asio::awaitable<void> answer(const http::Request &Ask,
                                       const Answer &To) override;
-  void faultsChanged() override;
+  void onFaultsChanged() override;
 
 private:
   boost::asio::awaitable<void> complete(const http::Request &Ask,
@@ -87,8 +87,8 @@
                                           const Answer &To);
   boost::asio::awaitable<void> sendWhole(std::shared_ptr<Sending> Work,
                                          const Answer &To);
-  EngineAsk readAsk(const http::Request &Ask,
-                    const boost::json::object &Body) const;
+  EngineRequest readAsk(const http::Request &Ask,
+                        const boost::json::object &Body) const;
   bool start(const std::shared_ptr<Sending> &Work);
   void end(const std::shared_ptr<Sending> &Work);
   std::string nextChunks(Sending &Work) const;
@@ -163,7 +163,7 @@
 
 void EngineRole::noteLoad() {
   Loads.push_back(LoadSample{monotonicNow(), Batch.running(), Batch.queued()});
-  TimePoint seen = monotonicNow() - Settings.LoadLag;
+  TimePoint seen = monotonicNow() - Settings.LoadReportDelay;
   // The newest of those that may be told is the one that is told.
   while (Loads.size() > 1 && Loads[1].At <= seen)
     Loads.pop_front();
@@ -172,7 +172,7 @@
 boost::json::value EngineRole::state() {
   noteLoad();
   LoadSample told;
-  if (Loads.front().At <= monotonicNow() - Settings.LoadLag)
+  if (Loads.front().At <= monotonicNow() - Settings.LoadReportDelay)
     told = Loads.front();
   boost::json::object state;
   state["model"] = ModelName;
@@ -202,7 +202,7 @@
   return answer;
 }
 
-void EngineRole::faultsChanged() {
+void EngineRole::onFaultsChanged() {
   GeneratedBefore = Batch.generated();
   for (const std::pair<const EngineBatch::Job, std::shared_ptr<Sending>> &it :
        Active)
@@ -213,7 +213,7 @@
                                                 const Answer &To) {
   std::string_view path = Ask.path();
   if (Told.isOn("hang")) {
-    co_await awaitGone(To);
+    co_await waitForDisconnect(To);
   } else if (path == "/v1/completions") {
     co_await complete(Ask, To);
   } else if (path == "/v1/orders") {
@@ -238,9 +238,9 @@
 
 //===--- Completions ------------------------------------------------------===//
 
-EngineAsk EngineRole::readAsk(const http::Request &Ask,
-                              const boost::json::object &Body) const {
-  EngineAsk ask;
+EngineRequest EngineRole::readAsk(const http::Request &Ask,
+                                  const boost::json::object &Body) const {
+  EngineRequest ask;
   ask.Request = std::string(Ask.header("X-Request-Id"));
   ask.Attempt = std::string(Ask.header("X-Attempt"));
   ask.Prompt = readText(Body, "prompt");
@@ -287,7 +287,7 @@
 
 bool EngineRole::start(const std::shared_ptr<Sending> &Work) {
   EngineJob &job = *Work->Job;
-  const EngineAsk &ask = job.Ask;
+  const EngineRequest &ask = job.Ask;
   std::size_t held = Cache.use(ask.Prompt, monotonicNow());
   std::size_t bytes = ask.Prompt.size() - held + ask.Start * TokenBytes;
   const std::unordered_map<std::string, std::uint64_t>::iterator imported =
@@ -295,8 +295,9 @@
   if (imported != Imports.end() && imported->second >= ask.Start)
     bytes = 0;
   // Milliseconds for 1,000 bytes are microseconds for one.
-  job.PrefillLeft = static_cast<double>(bytes) * Settings.PrefillMillis *
-                    std::max(1.0, Told.real("slow_factor"));
+  job.RemainingPrefillMicros = static_cast<double>(bytes) *
+                               Settings.PrefillMillis *
+                               std::max(1.0, Told.real("slow_factor"));
   job.StartedUs = wallMicros();
   if (!Batch.submit(Work->Job))
     return false;
@@ -453,7 +454,7 @@
     done["role"] = Duty;
     co_await sendJson(To, Ok, std::move(done));
   } else {
-    throw BadBody("'order' is neither load nor role");
+    throw InvalidBody("'order' is neither load nor role");
   }
 }
 
@@ -544,7 +545,7 @@
 void EngineRole::importCache(const std::string &Text) {
   std::size_t colon = Text.find(':');
   if (colon == std::string::npos)
-    throw BadBody("'kv' is not an export");
+    throw InvalidBody("'kv' is not an export");
   if (Imports.size() >= MaxImports)
     Imports.clear();
   Imports[Text.substr(0, colon)] = readQuery(Text.substr(colon + 1), "kv", 0);
--- a/StandIns/EngineRole.h
+++ b/StandIns/EngineRole.h
@@ -25,7 +25,7 @@
   Address Store;
   Millis LoadTime{0};
   /// How old the reported load is.
-  Millis LoadLag{0};
+  Millis LoadReportDelay{0};
   std::uint64_t Seed = 1;
 };
 
--- a/StandIns/FaultProxy.cpp
+++ b/StandIns/FaultProxy.cpp
@@ -55,7 +55,7 @@
   boost::json::value truth() const override;
   boost::asio::awaitable<void> answer(const http::Request &Ask,
                                       const Answer &To) override;
-  void faultsChanged() override;
+  void onFaultsChanged() override;
 
 private:
   void prepareFaults();
@@ -81,7 +81,7 @@
   std::minstd_rand Random;
   ProxyFaults LinkFaults;
   std::set<std::shared_ptr<ProxyLink>> Links;
-  std::uint64_t CutAfter = 0;
+  std::uint64_t CutAfterBytes = 0;
   std::uint64_t Accepted = 0;
   std::uint64_t Lost = 0;
   std::uint64_t EndedUp = 0;
@@ -91,10 +91,10 @@
 void FaultProxyImpl::prepareFaults() {
   LinkFaults.Delay = [this] { return delay(); };
   LinkFaults.Rate = [this] { return Told.number("bytes_per_s"); };
-  LinkFaults.CutAfter = [this] { return Told.number("cut_after_bytes"); };
+  LinkFaults.CutAfterBytes = [this] { return Told.number("cut_after_bytes"); };
   LinkFaults.HalfOpen = [this] { return Told.isOn("half_open"); };
   LinkFaults.OneWay = [this] { return Told.isOn("one_way"); };
-  LinkFaults.LoseAnswer = [this] {
+  LinkFaults.DropResponse = [this] {
     bool lost = Told.takeOne("answer_loss");
     Lost += lost ? 1 : 0;
     return lost;
@@ -208,20 +208,20 @@
   const Outcome<Address> told = toOutcome<Address>(
       [this] { return parseAddress(Told.text("upstream"), "upstream"); });
   if (!told)
-    throw BadBody(describe(told.failure()));
+    throw InvalidBody(describe(told.failure()));
   Upstream = *told;
 }
 
-void FaultProxyImpl::faultsChanged() {
+void FaultProxyImpl::onFaultsChanged() {
   pointUpstream();
   if (Told.number("seed") != Seed) {
     Seed = Told.number("seed");
     Random.seed(static_cast<std::minstd_rand::result_type>(Seed));
   }
-  if (Told.number("cut_after_bytes") != CutAfter) {
-    CutAfter = Told.number("cut_after_bytes");
+  if (Told.number("cut_after_bytes") != CutAfterBytes) {
+    CutAfterBytes = Told.number("cut_after_bytes");
     for (const std::shared_ptr<ProxyLink> &it : Links)
-      it->restartCount();
+      it->resetByteCount();
   }
   if (Told.isOn("cut_now")) {
     cutAll(false);
@@ -239,7 +239,7 @@
     ec = listen();
   }
   if (ec)
-    throw BadBody("cannot listen again: " + ec.message());
+    throw InvalidBody("cannot listen again: " + ec.message());
 }
 
 boost::json::value FaultProxyImpl::truth() const {
--- a/StandIns/Faults.cpp
+++ b/StandIns/Faults.cpp
@@ -28,10 +28,10 @@
   for (const boost::json::key_value_pair &it : Changes) {
     const boost::json::value *known = Values.if_contains(it.key());
     if (known == nullptr)
-      throw BadBody("no fault '" + std::string(it.key()) + "'");
+      throw InvalidBody("no fault '" + std::string(it.key()) + "'");
     if (!fits(*known, it.value())) {
-      throw BadBody("the fault '" + std::string(it.key()) +
-                    "' takes another kind of value");
+      throw InvalidBody("the fault '" + std::string(it.key()) +
+                        "' takes another kind of value");
     }
   }
   for (const boost::json::key_value_pair &it : Changes) {
--- a/StandIns/Faults.h
+++ b/StandIns/Faults.h
@@ -18,7 +18,7 @@
   /// \param Defaults every fault that the role knows, with its resting value.
   explicit Faults(boost::json::object Defaults) : Values(std::move(Defaults)) {}
 
-  /// Sets the members given, and leaves the others. Throws `BadBody`, with
+  /// Sets the members given, and leaves the others. Throws `InvalidBody`, with
   /// nothing set, when one is unknown or of another kind.
   void merge(const boost::json::object &Changes);
 
--- a/StandIns/InstancesRole.cpp
+++ b/StandIns/InstancesRole.cpp
@@ -87,9 +87,9 @@
   std::string state = readText(Entry, "state");
   std::uint64_t incarnation = readNumber(Entry, "incarnation");
   if (role != "daemon" && role != "entry")
-    throw BadBody("'role' is neither daemon nor entry");
+    throw InvalidBody("'role' is neither daemon nor entry");
   if (state != "live" && state != "leaving")
-    throw BadBody("'state' is neither live nor leaving");
+    throw InvalidBody("'state' is neither live nor leaving");
   // A late announcement of an earlier process says nothing of the present one.
   const Entries::iterator known = Now.find(name);
   if (known != Now.end() &&
