--- a/StandIns/Json.cpp
+++ b/StandIns/Json.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-BadBody wrong(std::string_view Name, std::string_view What) {
-  return BadBody("'" + std::string(Name) + "' " + std::string(What));
+InvalidBody wrong(std::string_view Name, std::string_view What) {
+  return InvalidBody("'" + std::string(Name) + "' " + std::string(What));
 }
 
 const boost::json::value *find(const boost::json::object &From,
@@ -43,9 +43,9 @@
   boost::json::error_code ec;
   boost::json::value value = boost::json::parse({Body.data(), Body.size()}, ec);
   if (ec)
-    throw BadBody("the body is not JSON: " + ec.message());
+    throw InvalidBody("the body is not JSON: " + ec.message());
   if (!value.is_object())
-    throw BadBody("the body is not a JSON object");
+    throw InvalidBody("the body is not a JSON object");
   return std::move(value.get_object());
 }
 
--- a/StandIns/Json.h
+++ b/StandIns/Json.h
@@ -17,14 +17,14 @@
 namespace wasabi::standins {
 
 /// A body that cannot be read; the role's server answers 400 with its text.
-struct BadBody : std::invalid_argument {
+struct InvalidBody : std::invalid_argument {
   using std::invalid_argument::invalid_argument;
 };
 
-/// The body as an object. Throws `BadBody`. Thread-safe, as all here.
+/// The body as an object. Throws `InvalidBody`. Thread-safe, as all here.
 boost::json::object readObject(std::string_view Body);
 
-/// A whole number member. Throws `BadBody` if it is missing and there is no
+/// A whole number member. Throws `InvalidBody` if it is missing and there is no
 /// `Otherwise`, or is something else.
 std::uint64_t readNumber(const boost::json::object &From,
                          std::string_view Name);
@@ -40,7 +40,7 @@
 bool readBool(const boost::json::object &From, std::string_view Name,
               bool Otherwise);
 
-/// A number from a query's text; empty gives `Otherwise`. Throws `BadBody`.
+/// A number from a query's text; empty gives `Otherwise`. Throws `InvalidBody`.
 std::uint64_t readQuery(const std::string &Text, std::string_view Name,
                         std::uint64_t Otherwise);
 
--- a/StandIns/LogRole.cpp
+++ b/StandIns/LogRole.cpp
@@ -59,7 +59,7 @@
   boost::json::value truth() const override;
   boost::asio::awaitable<void> answer(const http::Request &Ask,
                                       const Answer &To) override;
-  void faultsChanged() override;
+  void onFaultsChanged() override;
 
 private:
   boost::asio::awaitable<void> append(Stream &Into, const http::Request &Ask,
@@ -104,7 +104,7 @@
   co_await read(Streams[*name], Ask, To);
 }
 
-void LogRole::faultsChanged() {
+void LogRole::onFaultsChanged() {
   for (std::pair<const std::string, Stream> &it : Streams)
     trim(it.second);
   Changed.notify();
@@ -119,7 +119,7 @@
   boost::json::error_code ec;
   boost::json::parse(Ask.Body, ec);
   if (ec)
-    throw BadBody("the record is not JSON: " + ec.message());
+    throw InvalidBody("the record is not JSON: " + ec.message());
   if (!takeAllowance()) {
     co_await sendError(To, TooManyRequests, "too many appends", 1);
     co_return;
--- a/StandIns/Main.cpp
+++ b/StandIns/Main.cpp
@@ -77,23 +77,23 @@
   settings.ChecksFences = FLAGS_checks_fences;
   settings.Store = Store;
   settings.LoadTime = Millis(FLAGS_load_ms);
-  settings.LoadLag = Millis(FLAGS_load_lag_ms);
+  settings.LoadReportDelay = Millis(FLAGS_load_lag_ms);
   settings.Seed = FLAGS_seed;
   return settings;
 }
 
 TrainerSettings trainerSettings(const Address &Store) {
   TrainerSettings settings;
-  settings.Book.Name = FLAGS_name;
-  settings.Book.Model = FLAGS_model;
-  settings.Book.Groups = FLAGS_groups;
-  settings.Book.GroupSize = FLAGS_group_size;
-  settings.Book.MaxTokens = FLAGS_max_tokens;
-  settings.Book.StalenessBound = FLAGS_staleness_bound;
-  settings.Book.ChecksFences = FLAGS_checks_fences;
-  settings.Book.Version = FLAGS_weights_version;
-  settings.Book.Seed = FLAGS_seed;
-  settings.TrainTime = Millis(FLAGS_train_ms);
+  settings.Simulator.Name = FLAGS_name;
+  settings.Simulator.Model = FLAGS_model;
+  settings.Simulator.Groups = FLAGS_groups;
+  settings.Simulator.GroupSize = FLAGS_group_size;
+  settings.Simulator.MaxTokens = FLAGS_max_tokens;
+  settings.Simulator.StalenessBound = FLAGS_staleness_bound;
+  settings.Simulator.ChecksFences = FLAGS_checks_fences;
+  settings.Simulator.Version = FLAGS_weights_version;
+  settings.Simulator.Seed = FLAGS_seed;
+  settings.TrainingTime = Millis(FLAGS_train_ms);
   settings.Steps = FLAGS_steps;
   settings.Store = Store;
   return settings;
--- a/StandIns/PrefixCache.cpp
+++ b/StandIns/PrefixCache.cpp
@@ -48,9 +48,9 @@
   std::uint64_t sequence = Next++;
   // A lost event leaves a gap in the numbers.
   std::uniform_real_distribution<double> share(0, Percent);
-  if (share(Random) < Limits.LossPercent)
+  if (share(Random) < Limits.EventLossPercent)
     return;
-  Events.push_back(CacheEvent{sequence, Name, Stored, Now + Limits.EventLag});
+  Events.push_back(CacheEvent{sequence, Name, Stored, Now + Limits.EventDelay});
   if (Events.size() > MaxEvents)
     Events.pop_front();
 }
--- a/StandIns/PrefixCache.h
+++ b/StandIns/PrefixCache.h
@@ -31,9 +31,9 @@
     /// Prompts held.
     std::size_t Entries = 256;
     /// How late an event is published.
-    Millis EventLag{200};
+    Millis EventDelay{200};
     /// Share of events that are never published.
-    double LossPercent = 5;
+    double EventLossPercent = 5;
     std::uint64_t Seed = 1;
   };
 
--- a/StandIns/ProxyLink.cpp
+++ b/StandIns/ProxyLink.cpp
@@ -81,13 +81,13 @@
   std::array<char, ReadBytes> buf{};
   bool fromUpstream = &Way == &Down;
   while (!Closed) {
-    co_await awaitRoom(Way);
+    co_await waitForQueueSpace(Way);
     auto [ec, n] =
         co_await Way.From.async_read_some(boost::asio::buffer(buf), Awaited);
     if (Closed)
       co_return;
-    if (swallows(Way)) {
-      Swallowed = true;
+    if (dropsBytes(Way)) {
+      HasDroppedBytes = true;
       if (ec)
         co_return;
       continue;
@@ -96,7 +96,7 @@
       push(Way, {}, true);
       co_return;
     }
-    if (ec || (fromUpstream && Faults.LoseAnswer())) {
+    if (ec || (fromUpstream && Faults.DropResponse())) {
       cut();
       co_return;
     }
@@ -104,11 +104,11 @@
   }
 }
 
-bool ProxyLink::swallows(const Flow &Way) const {
+bool ProxyLink::dropsBytes(const Flow &Way) const {
   return Faults.HalfOpen() || (&Way == &Down && Faults.OneWay());
 }
 
-boost::asio::awaitable<void> ProxyLink::awaitRoom(Flow &Way) {
+boost::asio::awaitable<void> ProxyLink::waitForQueueSpace(Flow &Way) {
   while (Way.Queued > MaxQueued && !Closed)
     co_await Way.Changed.wait();
 }
@@ -136,8 +136,8 @@
     Way.Queue.pop_front();
     Way.Queued -= piece.Bytes.size();
     Way.Changed.notify();
-    if (swallows(Way)) {
-      Swallowed = true;
+    if (dropsBytes(Way)) {
+      HasDroppedBytes = true;
       continue;
     }
     if (!piece.Last) {
@@ -170,7 +170,7 @@
       portion = std::min(portion, most);
       co_await pause(Micros(portion * MicrosPerSecond / rate));
     }
-    std::uint64_t last = Faults.CutAfter();
+    std::uint64_t last = Faults.CutAfterBytes();
     if (last > 0)
       portion = std::min(portion, last - std::min(last, Counted));
     auto [ec, n] = co_await boost::asio::async_write(
--- a/StandIns/ProxyLink.h
+++ b/StandIns/ProxyLink.h
@@ -24,13 +24,13 @@
   /// Bytes a second and direction; 0: no limit.
   std::function<std::uint64_t()> Rate;
   /// Bytes after which the connection is cut; 0: never.
-  std::function<std::uint64_t()> CutAfter;
+  std::function<std::uint64_t()> CutAfterBytes;
   /// Whether bytes and ends are swallowed.
   std::function<bool()> HalfOpen;
   /// Whether only what comes from the upstream is swallowed.
   std::function<bool()> OneWay;
   /// Whether the upstream's answer that begins now is to be lost.
-  std::function<bool()> LoseAnswer;
+  std::function<bool()> DropResponse;
 };
 
 /// Used on the executor's thread only.
@@ -45,10 +45,10 @@
   boost::asio::awaitable<void> run(Address Upstream);
   /// Resets both sides.
   void cut();
-  /// Counts `CutAfter` from now on.
-  void restartCount() { Counted = 0; }
+  /// Counts `CutAfterBytes` from now on.
+  void resetByteCount() { Counted = 0; }
   /// Whether bytes have been swallowed, so that what follows makes no sense.
-  bool broken() const { return Swallowed; }
+  bool broken() const { return HasDroppedBytes; }
   bool closed() const { return Closed; }
   std::uint64_t bytesUp() const { return Up.Carried; }
   std::uint64_t bytesDown() const { return Down.Carried; }
@@ -74,10 +74,10 @@
   };
 
   boost::asio::awaitable<void> readFrom(Flow &Way);
-  boost::asio::awaitable<void> awaitRoom(Flow &Way);
+  boost::asio::awaitable<void> waitForQueueSpace(Flow &Way);
   boost::asio::awaitable<void> writeTo(Flow &Way);
   boost::asio::awaitable<bool> deliver(Flow &Way, std::string Bytes);
-  bool swallows(const Flow &Way) const;
+  bool dropsBytes(const Flow &Way) const;
   void push(Flow &Way, std::string Bytes, bool Last);
   void spawn(boost::asio::awaitable<void> (ProxyLink::*Body)(Flow &),
              Flow &Way);
@@ -88,7 +88,7 @@
   Flow Up;
   Flow Down;
   std::uint64_t Counted = 0;
-  bool Swallowed = false;
+  bool HasDroppedBytes = false;
   bool Closed = false;
 };
 
--- a/StandIns/RoleServer.cpp
+++ b/StandIns/RoleServer.cpp
@@ -10,7 +10,7 @@
 answerFaults(Role &Subject, const http::Request &Ask, const Answer &To) {
   if (Ask.Method == "POST") {
     Subject.Told.merge(readObject(Ask.Body));
-    Subject.faultsChanged();
+    Subject.onFaultsChanged();
   }
   co_await sendJson(To, Ok, Subject.Told.values());
 }
@@ -80,7 +80,7 @@
   co_await To->send(std::move(response));
 }
 
-boost::asio::awaitable<void> awaitGone(const Answer &To) {
+boost::asio::awaitable<void> waitForDisconnect(const Answer &To) {
   boost::asio::any_io_executor executor =
       co_await boost::asio::this_coro::executor;
   std::shared_ptr<Signal> left = std::make_shared<Signal>(executor);
--- a/StandIns/RoleServer.h
+++ b/StandIns/RoleServer.h
@@ -27,12 +27,12 @@
 
   /// Its record of the truth.
   virtual boost::json::value truth() const = 0;
-  /// Answers what is neither `/faults` nor `/truth`; may throw `BadBody`
+  /// Answers what is neither `/faults` nor `/truth`; may throw `InvalidBody`
   /// before it has begun to answer.
   virtual boost::asio::awaitable<void> answer(const http::Request &Ask,
                                               const Answer &To) = 0;
   /// Called after the faults have changed.
-  virtual void faultsChanged() {}
+  virtual void onFaultsChanged() {}
 
   Faults Told;
 };
@@ -52,7 +52,7 @@
                                        unsigned RetryAfter = 0);
 
 /// Waits until the peer has left.
-boost::asio::awaitable<void> awaitGone(const Answer &To);
+boost::asio::awaitable<void> waitForDisconnect(const Answer &To);
 
 /// Status codes that the roles use.
 enum Status : unsigned {
--- a/StandIns/ScorerRole.cpp
+++ b/StandIns/ScorerRole.cpp
@@ -28,7 +28,7 @@
     }
     boost::json::object body = readObject(Ask.Body);
     std::string slot = readText(body, "slot");
-    double score = scoreOf(readText(body, "text"));
+    double score = computeScore(readText(body, "text"));
     if (Told.takeOne("fail_next")) {
       co_await sendError(To, InternalError, "told to fail");
       co_return;
@@ -48,7 +48,7 @@
 
 } // namespace
 
-double scoreOf(std::string_view Text) {
+double computeScore(std::string_view Text) {
   constexpr int DroppedBits = 11;
   constexpr double Two53 = 9007199254740992.0;
   std::uint64_t hash = XXH64(Text.data(), Text.size(), 0);
--- a/StandIns/ScorerRole.h
+++ b/StandIns/ScorerRole.h
@@ -11,7 +11,7 @@
 std::shared_ptr<Role> createScorerRole();
 
 /// The score of a text, from 0 to below 1. Thread-safe.
-double scoreOf(std::string_view Text);
+double computeScore(std::string_view Text);
 
 } // namespace wasabi::standins
 
--- a/StandIns/ServiceRole.cpp
+++ b/StandIns/ServiceRole.cpp
@@ -78,7 +78,7 @@
 boost::asio::awaitable<void> ServiceRole::answer(const http::Request &Ask,
                                                  const Answer &To) {
   if (Told.isOn("hang")) {
-    co_await awaitGone(To);
+    co_await waitForDisconnect(To);
     co_return;
   }
   To->onGone([this] { Freed.notify(); });
--- a/StandIns/TokenText.h
+++ b/StandIns/TokenText.h
@@ -87,8 +87,8 @@
 }
 
 /// Whether the spans follow each other from 0 to `Tokens`. Thread-safe.
-inline bool areWhole(const std::vector<VersionSpan> &Spans,
-                     std::uint64_t Tokens) {
+inline bool areContiguous(const std::vector<VersionSpan> &Spans,
+                          std::uint64_t Tokens) {
   std::uint64_t next = 0;
   for (const VersionSpan &it : Spans) {
     if (it.From != next || it.To <= it.From)
--- a/StandIns/TrainerRole.cpp
+++ b/StandIns/TrainerRole.cpp
@@ -18,10 +18,10 @@
   std::vector<VersionSpan> spans;
   const boost::json::value *all = Sample.if_contains("spans");
   if (all == nullptr || !all->is_array())
-    throw BadBody("'spans' is not a list");
+    throw InvalidBody("'spans' is not a list");
   for (const boost::json::value &it : all->get_array()) {
     if (!it.is_object())
-      throw BadBody("'spans' has a member that is not an object");
+      throw InvalidBody("'spans' has a member that is not an object");
     const boost::json::object &span = it.get_object();
     spans.push_back(VersionSpan{readNumber(span, "from"),
                                 readNumber(span, "to"),
@@ -32,7 +32,7 @@
 
 TrainerSample readSample(const boost::json::value &Given) {
   if (!Given.is_object())
-    throw BadBody("'samples' has a member that is not an object");
+    throw InvalidBody("'samples' has a member that is not an object");
   const boost::json::object &from = Given.get_object();
   return TrainerSample{readText(from, "slot"), readText(from, "text"),
                        readNumber(from, "tokens"), readSpans(from),
@@ -42,7 +42,7 @@
 std::vector<TrainerSample> readSamples(const boost::json::object &Body) {
   const boost::json::value *all = Body.if_contains("samples");
   if (all == nullptr || !all->is_array())
-    throw BadBody("'samples' is not a list");
+    throw InvalidBody("'samples' is not a list");
   std::vector<TrainerSample> samples;
   samples.reserve(all->get_array().size());
   for (const boost::json::value &it : all->get_array())
@@ -67,7 +67,7 @@
   sample["spans"] = toJson(What.Spans);
   sample["newest_at_arrival"] = What.NewestAtArrival;
   sample["tokens"] = What.Tokens;
-  sample["text_ok"] = What.TextOk;
+  sample["text_ok"] = What.TextMatches;
   sample["taken"] = What.Taken;
   sample["fault"] = toText(What.Fault).data();
   return sample;
@@ -79,7 +79,7 @@
   TrainerRole(const boost::asio::any_io_executor &Executor,
               const TrainerSettings &Settings)
       : Role({{"slow_ms", 0}, {"lose_answers", 0}, {"outage", false}}),
-        Executor(Executor), Settings(Settings), Book(Settings.Book),
+        Executor(Executor), Settings(Settings), Simulator(Settings.Simulator),
         Store(http::Client::create(Executor, http::Client::Settings{})),
         Opened(Executor), Whole(Executor) {}
 
@@ -102,7 +102,7 @@
 
   const boost::asio::any_io_executor Executor;
   const TrainerSettings Settings;
-  TrainerBook Book;
+  TrainerSimulator Simulator;
   std::shared_ptr<http::Client> Store;
   Signal Opened;
   Signal Whole;
@@ -111,27 +111,27 @@
 };
 
 void TrainerRole::start() {
-  Book.openStep(wallMicros());
+  Simulator.openStep(wallMicros());
   boost::asio::co_spawn(
       Executor, [self = shared_from_this()] { return self->train(); },
       boost::asio::detached);
 }
 
 bool TrainerRole::hasEnded() const {
-  return Settings.Steps > 0 && Book.steps().size() >= Settings.Steps &&
-         Book.steps().back().TrainedUs > 0;
+  return Settings.Steps > 0 && Simulator.steps().size() >= Settings.Steps &&
+         Simulator.steps().back().TrainedUs > 0;
 }
 
 boost::asio::awaitable<void> TrainerRole::train() {
-  co_await publish(Book.newest());
+  co_await publish(Simulator.newest());
   while (!hasEnded()) {
-    while (!Book.whole())
+    while (!Simulator.whole())
       co_await Whole.wait();
-    co_await pause(Settings.TrainTime);
-    co_await publish(Book.newest() + 1);
-    Book.publish(wallMicros());
+    co_await pause(Settings.TrainingTime);
+    co_await publish(Simulator.newest() + 1);
+    Simulator.publish(wallMicros());
     if (!hasEnded())
-      Book.openStep(wallMicros());
+      Simulator.openStep(wallMicros());
     Opened.notify();
   }
 }
@@ -141,7 +141,7 @@
   while (!published) {
     http::Request ask;
     ask.Method = "POST";
-    ask.Target = "/v1/models/" + Settings.Book.Model + "/versions";
+    ask.Target = "/v1/models/" + Settings.Simulator.Model + "/versions";
     ask.Body = "{\"version\":" + std::to_string(Version) + "}";
     Outcome<http::Response> answer =
         co_await Store->call(Settings.Store, std::move(ask), StoreTimeout);
@@ -157,23 +157,23 @@
   boost::json::object now;
   bool ended = hasEnded();
   if (!ended) {
-    for (const TrainerGroup &it : Book.groups()) {
+    for (const TrainerGroup &it : Simulator.groups()) {
       groups.push_back({{"group", it.Group},
                         {"prompt", it.Prompt},
                         {"samples", it.Samples},
                         {"max_tokens", it.MaxTokens},
                         {"seed", it.Seed}});
     }
-    have = boost::json::array(Book.held().begin(), Book.held().end());
+    have = boost::json::array(Simulator.held().begin(), Simulator.held().end());
   }
-  now["step"] = Book.step() + (ended ? 1 : 0);
-  now["model"] = Settings.Book.Model;
-  now["opened_us"] =
-      ended ? Book.steps().back().TrainedUs : Book.steps().back().OpenedUs;
-  now["newest"] = Book.newest();
+  now["step"] = Simulator.step() + (ended ? 1 : 0);
+  now["model"] = Settings.Simulator.Model;
+  now["opened_us"] = ended ? Simulator.steps().back().TrainedUs
+                           : Simulator.steps().back().OpenedUs;
+  now["newest"] = Simulator.newest();
   now["groups"] = std::move(groups);
   now["have"] = std::move(have);
-  now["fence"] = Book.fence();
+  now["fence"] = Simulator.fence();
   now["finished"] = ended;
   return now;
 }
@@ -183,8 +183,8 @@
   std::uint64_t after = readQuery(Ask.query("after"), "after", 0);
   std::uint64_t wait = readQuery(Ask.query("wait_ms"), "wait_ms", 0);
   TimePoint deadline = monotonicNow() + Millis(wait);
-  while (Book.step() <= after && !hasEnded() && monotonicNow() < deadline &&
-         !To->gone())
+  while (Simulator.step() <= after && !hasEnded() &&
+         monotonicNow() < deadline && !To->gone())
     co_await Opened.wait(deadline);
   if (Told.isOn("outage")) {
     To->abort();
@@ -201,7 +201,8 @@
   boost::json::array taken;
   boost::json::array refused;
   for (const TrainerSample &it : samples) {
-    DeliveredSample record = Book.deliver(delivery, fence, it, wallMicros());
+    DeliveredSample record =
+        Simulator.deliver(delivery, fence, it, wallMicros());
     if (record.Taken) {
       taken.emplace_back(it.Slot);
     } else {
@@ -210,13 +211,13 @@
     }
     remember(std::move(record));
   }
-  if (Book.whole())
+  if (Simulator.whole())
     Whole.notify();
   boost::json::object answer;
-  answer["newest"] = Book.newest();
+  answer["newest"] = Simulator.newest();
   answer["taken"] = std::move(taken);
   answer["refused"] = std::move(refused);
-  answer["step_whole"] = Book.whole();
+  answer["step_whole"] = Simulator.whole();
   return answer;
 }
 
@@ -224,9 +225,9 @@
                                                        const Answer &To) {
   boost::json::object body = readObject(Ask.Body);
   readSamples(body);
-  if (Book.refusesFence(readNumber(body, "fence"))) {
+  if (Simulator.rejectsFencingToken(readNumber(body, "fence"))) {
     boost::json::object refusal;
-    refusal["fence"] = Book.fence();
+    refusal["fence"] = Simulator.fence();
     co_await sendJson(To, Conflict, std::move(refusal));
     co_return;
   }
@@ -259,30 +260,30 @@
 boost::json::value TrainerRole::truth() const {
   std::uint64_t now = wallMicros();
   boost::json::array steps;
-  for (const TrainerStep &it : Book.steps()) {
+  for (const TrainerStep &it : Simulator.steps()) {
     steps.push_back({{"step", it.Step},
                      {"opened_us", it.OpenedUs},
-                     {"whole_us", it.WholeUs},
+                     {"whole_us", it.CompletedUs},
                      {"trained_us", it.TrainedUs}});
   }
   boost::json::array deliveries;
   for (const DeliveredSample &it : Records)
     deliveries.push_back(toJson(it));
   boost::json::object refused;
-  for (const std::pair<const Refusal, std::uint64_t> &it : Book.refused())
+  for (const std::pair<const Refusal, std::uint64_t> &it : Simulator.refused())
     refused[toText(it.first).data()] = it.second;
   boost::json::object all;
-  all["idle_us"] = Book.idleUs(now);
-  all["training_us"] = Book.trainingUs(now);
+  all["idle_us"] = Simulator.idleUs(now);
+  all["training_us"] = Simulator.trainingUs(now);
   all["steps"] = std::move(steps);
   all["deliveries"] = std::move(deliveries);
   all["dropped"] = Dropped;
-  all["duplicates"] = Book.counts().Duplicates;
-  all["stale"] = Book.counts().Stale;
-  all["mislabelled"] = Book.counts().Mislabelled;
-  all["unknown"] = Book.counts().Unknown;
+  all["duplicates"] = Simulator.counts().Duplicates;
+  all["stale"] = Simulator.counts().Stale;
+  all["mislabelled"] = Simulator.counts().Mislabelled;
+  all["unknown"] = Simulator.counts().Unknown;
   all["refused"] = std::move(refused);
-  all["newest"] = Book.newest();
+  all["newest"] = Simulator.newest();
   all["finished"] = hasEnded();
   return all;
 }
--- a/StandIns/TrainerRole.h
+++ b/StandIns/TrainerRole.h
@@ -4,14 +4,14 @@
 #define WASABI_STANDINS_TRAINERROLE_H
 
 #include "StandIns/RoleServer.h"
-#include "StandIns/TrainerBook.h"
+#include "StandIns/TrainerSimulator.h"
 
 namespace wasabi::standins {
 
 struct TrainerSettings {
-  TrainerBook::Settings Book;
+  TrainerSimulator::Settings Simulator;
   /// How long training on a whole step takes.
-  Millis TrainTime{1000};
+  Millis TrainingTime{1000};
   /// Steps in all; 0: no end.
   std::uint64_t Steps = 0;
   /// The weight store; empty: it publishes nowhere.
--- a/StandIns/TrainerBook.cpp
+++ b/StandIns/TrainerSimulator.cpp
@@ -1,4 +1,4 @@
-#include "StandIns/TrainerBook.h"
+#include "StandIns/TrainerSimulator.h"
 
 #include <algorithm>
 #include <charconv>
@@ -23,7 +23,7 @@
 
 /// Groups of one step share the first part of their prompts, as those of a few
 /// examples before the question do.
-std::string promptOf(const TrainerBook::Settings &What, std::uint64_t Step,
+std::string promptOf(const TrainerSimulator::Settings &What, std::uint64_t Step,
                      std::uint64_t Group) {
   std::string prompt = "You are " + What.Name + ", trained as " + What.Model +
                        ". Answer briefly, say what you do not know, and keep "
@@ -34,7 +34,7 @@
 }
 
 /// Fits any JSON reader's integers.
-std::uint64_t seedOf(const TrainerBook::Settings &What, std::uint64_t Step,
+std::uint64_t seedOf(const TrainerSimulator::Settings &What, std::uint64_t Step,
                      std::uint64_t Group) {
   constexpr std::uint64_t Mask = 0x7fffffff;
   std::string key = std::to_string(What.Seed) + "/" + std::to_string(Step) +
@@ -64,7 +64,7 @@
          std::to_string(Index);
 }
 
-void TrainerBook::openStep(std::uint64_t NowUs) {
+void TrainerSimulator::openStep(std::uint64_t NowUs) {
   std::uint64_t step = Steps.empty() ? FirstStep : Steps.back().Step + 1;
   Steps.push_back(TrainerStep{step, NowUs, 0, 0});
   Wanted.clear();
@@ -79,17 +79,17 @@
   }
 }
 
-bool TrainerBook::refusesFence(std::uint64_t Token) {
+bool TrainerSimulator::rejectsFencingToken(std::uint64_t Token) {
   if (What.ChecksFences && Token < Fence)
     return true;
   Fence = std::max(Fence, Token);
   return false;
 }
 
-DeliveredSample TrainerBook::deliver(std::string_view Delivery,
-                                     std::uint64_t Fence,
-                                     const TrainerSample &Sample,
-                                     std::uint64_t NowUs) {
+DeliveredSample TrainerSimulator::deliver(std::string_view Delivery,
+                                          std::uint64_t Fence,
+                                          const TrainerSample &Sample,
+                                          std::uint64_t NowUs) {
   DeliveredSample record;
   record.Delivery = std::string(Delivery);
   record.Fence = Fence;
@@ -97,7 +97,7 @@
   record.Spans = Sample.Spans;
   record.NewestAtArrival = Newest;
   record.Tokens = Sample.Tokens;
-  record.TextOk = textOk(Sample);
+  record.TextMatches = matchesGeneratedText(Sample);
   record.Fault = judge(Sample);
   record.Taken = record.Fault == Refusal::None || !What.ChecksFences;
   if (!record.Taken) {
@@ -108,15 +108,15 @@
   Counts.Duplicates += record.Fault == Refusal::Duplicate ? 1 : 0;
   Counts.Stale += record.Fault == Refusal::Stale ? 1 : 0;
   Counts.Unknown += record.Fault == Refusal::Unknown ? 1 : 0;
-  Counts.Mislabelled += record.TextOk ? 0 : 1;
+  Counts.Mislabelled += record.TextMatches ? 0 : 1;
   if (Slots.contains(Sample.Slot))
     Held.insert(Sample.Slot);
-  if (whole() && Steps.back().WholeUs == 0)
-    Steps.back().WholeUs = NowUs;
+  if (whole() && Steps.back().CompletedUs == 0)
+    Steps.back().CompletedUs = NowUs;
   return record;
 }
 
-Refusal TrainerBook::judge(const TrainerSample &Sample) const {
+Refusal TrainerSimulator::judge(const TrainerSample &Sample) const {
   if (!Slots.contains(Sample.Slot)) {
     // An earlier step was trained on whole, so each of its slots was held.
     std::optional<std::uint64_t> at = stepOf(Sample.Slot);
@@ -132,46 +132,46 @@
   return Refusal::None;
 }
 
-bool TrainerBook::textOk(const TrainerSample &Sample) const {
-  const TrainerGroup *group = groupOf(Sample.Slot);
+bool TrainerSimulator::matchesGeneratedText(const TrainerSample &Sample) const {
+  const TrainerGroup *group = findGroup(Sample.Slot);
   // The prompts of earlier steps are not kept.
   if (group == nullptr)
     return false;
   std::uint64_t length =
       sampleLength(group->Prompt, Sample.Seed, group->MaxTokens);
   // The bound comes first: spans may name any number of tokens.
-  return Sample.Tokens == length && areWhole(Sample.Spans, length) &&
+  return Sample.Tokens == length && areContiguous(Sample.Spans, length) &&
          Sample.Text == spansText(group->Prompt, Sample.Seed, Sample.Spans);
 }
 
-const TrainerGroup *TrainerBook::groupOf(std::string_view Slot) const {
+const TrainerGroup *TrainerSimulator::findGroup(std::string_view Slot) const {
   const std::map<std::string, std::size_t, std::less<>>::const_iterator it =
       Slots.find(Slot);
   return it == Slots.end() ? nullptr : &Wanted[it->second];
 }
 
-void TrainerBook::publish(std::uint64_t NowUs) {
+void TrainerSimulator::publish(std::uint64_t NowUs) {
   ++Newest;
   if (!Steps.empty())
     Steps.back().TrainedUs = NowUs;
 }
 
-bool TrainerBook::whole() const {
+bool TrainerSimulator::whole() const {
   return !Slots.empty() && Held.size() == Slots.size();
 }
 
-std::uint64_t TrainerBook::idleUs(std::uint64_t NowUs) const {
+std::uint64_t TrainerSimulator::idleUs(std::uint64_t NowUs) const {
   std::uint64_t total = 0;
   for (const TrainerStep &it : Steps)
-    total += (it.WholeUs == 0 ? NowUs : it.WholeUs) - it.OpenedUs;
+    total += (it.CompletedUs == 0 ? NowUs : it.CompletedUs) - it.OpenedUs;
   return total;
 }
 
-std::uint64_t TrainerBook::trainingUs(std::uint64_t NowUs) const {
+std::uint64_t TrainerSimulator::trainingUs(std::uint64_t NowUs) const {
   std::uint64_t total = 0;
   for (const TrainerStep &it : Steps) {
-    if (it.WholeUs > 0)
-      total += (it.TrainedUs == 0 ? NowUs : it.TrainedUs) - it.WholeUs;
+    if (it.CompletedUs > 0)
+      total += (it.TrainedUs == 0 ? NowUs : it.TrainedUs) - it.CompletedUs;
   }
   return total;
 }
--- a/StandIns/TrainerBook.h
+++ b/StandIns/TrainerSimulator.h
@@ -1,8 +1,8 @@
 /// \file
 /// What a trainer wants, holds and refuses, and how it judges what it is given:
 /// a function of the deliveries and the times passed in.
-#ifndef WASABI_STANDINS_TRAINERBOOK_H
-#define WASABI_STANDINS_TRAINERBOOK_H
+#ifndef WASABI_STANDINS_TRAINERSIMULATOR_H
+#define WASABI_STANDINS_TRAINERSIMULATOR_H
 
 #include "StandIns/TokenText.h"
 
@@ -50,7 +50,7 @@
   std::uint64_t NewestAtArrival = 0;
   std::uint64_t Tokens = 0;
   /// Whether the text is what the engines generate for the spans.
-  bool TextOk = false;
+  bool TextMatches = false;
   /// What is wrong with the sample, whether or not it was taken.
   Refusal Fault = Refusal::None;
   bool Taken = false;
@@ -60,7 +60,7 @@
 struct TrainerStep {
   std::uint64_t Step = 0;
   std::uint64_t OpenedUs = 0;
-  std::uint64_t WholeUs = 0;
+  std::uint64_t CompletedUs = 0;
   std::uint64_t TrainedUs = 0;
 };
 
@@ -75,7 +75,7 @@
 };
 
 /// Not thread-safe.
-class TrainerBook {
+class TrainerSimulator {
 public:
   struct Settings {
     std::string Name = "trainer";
@@ -93,13 +93,13 @@
     std::uint64_t Seed = 1;
   };
 
-  explicit TrainerBook(Settings What)
+  explicit TrainerSimulator(Settings What)
       : What(std::move(What)), Newest(this->What.Version) {}
 
   /// Opens the next step. Precondition: none is open.
   void openStep(std::uint64_t NowUs);
   /// Whether the authority is too old; notes a newer one.
-  bool refusesFence(std::uint64_t Token);
+  bool rejectsFencingToken(std::uint64_t Token);
   /// Judges one sample, and takes it unless it is refused.
   DeliveredSample deliver(std::string_view Delivery, std::uint64_t Fence,
                           const TrainerSample &Sample, std::uint64_t NowUs);
@@ -125,8 +125,8 @@
 
 private:
   Refusal judge(const TrainerSample &Sample) const;
-  bool textOk(const TrainerSample &Sample) const;
-  const TrainerGroup *groupOf(std::string_view Slot) const;
+  bool matchesGeneratedText(const TrainerSample &Sample) const;
+  const TrainerGroup *findGroup(std::string_view Slot) const;
 
   const Settings What;
   std::uint64_t Newest;
@@ -146,4 +146,4 @@
 
 } // namespace wasabi::standins
 
-#endif // WASABI_STANDINS_TRAINERBOOK_H
+#endif // WASABI_STANDINS_TRAINERSIMULATOR_H
--- a/UnitTests/Adapters/Frames/RequestFramesTest.cpp
+++ b/UnitTests/Adapters/Frames/RequestFramesTest.cpp
@@ -92,7 +92,7 @@
 
 /// Answers with the request's own body.
 asio::awaitable<void> echo(RequestAttempt Attempt,
-                           std::shared_ptr<AnswerSink> Sink) {
+                           std::shared_ptr<ResponseSink> Sink) {
   Sink->begin(http::Response{201, {{"X-Kind", "echo"}}, ""},
               ServerName("server-1"));
   Outcome<Done> written = co_await Sink->write(Attempt.Http.Body);
@@ -148,7 +148,7 @@
     std::shared_ptr<RequestClient> client =
         RequestClient::create(context.get_executor(), clientSetup());
     RequestAttempt attempt = makeAttempt("r");
-    Outcome<std::unique_ptr<AnswerStream>> opened =
+    Outcome<std::unique_ptr<DaemonResponseStream>> opened =
         co_await client->open(peer.address(), attempt);
     if (!opened) {
       read.emplace(opened.failure());
@@ -169,7 +169,7 @@
   std::shared_ptr<RequestServer> server = makeServer(
       context, {},
       [&](RequestAttempt Attempt,
-          std::shared_ptr<AnswerSink> Sink) -> asio::awaitable<void> {
+          std::shared_ptr<ResponseSink> Sink) -> asio::awaitable<void> {
         seen = Attempt;
         return echo(std::move(Attempt), std::move(Sink));
       });
@@ -179,7 +179,7 @@
     RequestAttempt sent = makeAttempt("r-1");
     // Larger than the credit and the largest chunk.
     sent.Http.Body = std::string(3u << 20, 'x');
-    Outcome<std::unique_ptr<AnswerStream>> opened =
+    Outcome<std::unique_ptr<DaemonResponseStream>> opened =
         co_await client->open(server->address(), sent);
     REQUIRE(opened);
     CHECK((*opened)->head().Status == 201);
@@ -279,13 +279,13 @@
     std::shared_ptr<RequestClient> client =
         RequestClient::create(context.get_executor(), clientSetup());
     RequestAttempt attempt = makeAttempt("r");
-    Outcome<std::unique_ptr<AnswerStream>> opened =
+    Outcome<std::unique_ptr<DaemonResponseStream>> opened =
         co_await client->open(nobody, attempt);
     REQUIRE_FALSE(opened);
     CHECK(opened.failure().Run == Verdict::NotRun);
     CHECK(opened.failure().Code == FailureCode::Unreachable);
     // While it backs off, a further attempt fails at once.
-    Outcome<std::unique_ptr<AnswerStream>> again =
+    Outcome<std::unique_ptr<DaemonResponseStream>> again =
         co_await client->open(nobody, attempt);
     REQUIRE_FALSE(again);
     CHECK(again.failure().Run == Verdict::NotRun);
@@ -305,11 +305,11 @@
         asio::detached);
     RequestClient::Settings setup = clientSetup();
     setup.SilenceLimit = Millis(50);
-    setup.HeartbeatPeriod = Millis(10);
+    setup.HeartbeatInterval = Millis(10);
     std::shared_ptr<RequestClient> client =
         RequestClient::create(context.get_executor(), setup);
     RequestAttempt attempt = makeAttempt("r");
-    Outcome<std::unique_ptr<AnswerStream>> opened =
+    Outcome<std::unique_ptr<DaemonResponseStream>> opened =
         co_await client->open(peer.address(), attempt);
     REQUIRE_FALSE(opened);
     CHECK(opened.failure().Run == Verdict::MayHaveRun);
@@ -323,7 +323,7 @@
   std::shared_ptr<RequestServer> server = makeServer(
       context, {},
       [&](RequestAttempt Attempt,
-          std::shared_ptr<AnswerSink> Sink) -> asio::awaitable<void> {
+          std::shared_ptr<ResponseSink> Sink) -> asio::awaitable<void> {
         ++runs;
         return echo(std::move(Attempt), std::move(Sink));
       });
@@ -349,11 +349,11 @@
 TEST_CASE("An asker that leaves cancels the work", "[frames]") {
   asio::io_context context;
   bool gone = false;
-  std::shared_ptr<AnswerSink> kept;
+  std::shared_ptr<ResponseSink> kept;
   std::shared_ptr<RequestServer> server = makeServer(
       context, {},
       [&](RequestAttempt,
-          std::shared_ptr<AnswerSink> Sink) -> asio::awaitable<void> {
+          std::shared_ptr<ResponseSink> Sink) -> asio::awaitable<void> {
         kept = Sink;
         Sink->onGone([&gone] { gone = true; });
         Sink->begin(PlainHead, ServerName("s"));
@@ -367,7 +367,7 @@
         RequestClient::create(context.get_executor(), clientSetup());
     RequestAttempt attempt = makeAttempt("r");
     {
-      Outcome<std::unique_ptr<AnswerStream>> opened =
+      Outcome<std::unique_ptr<DaemonResponseStream>> opened =
           co_await client->open(server->address(), attempt);
       REQUIRE(opened);
     }
@@ -384,7 +384,7 @@
   std::shared_ptr<RequestServer> server = makeServer(
       context, {},
       [&](RequestAttempt,
-          std::shared_ptr<AnswerSink> Sink) -> asio::awaitable<void> {
+          std::shared_ptr<ResponseSink> Sink) -> asio::awaitable<void> {
         Sink->onGone([&gone] { gone = true; });
         co_await eventually(context, [&] { return gone; });
       });
@@ -401,7 +401,7 @@
         },
         asio::detached);
     RequestAttempt attempt = makeAttempt("r");
-    Outcome<std::unique_ptr<AnswerStream>> opened =
+    Outcome<std::unique_ptr<DaemonResponseStream>> opened =
         co_await client->open(server->address(), attempt);
     REQUIRE_FALSE(opened);
     CHECK(opened.failure().Code == FailureCode::Cancelled);
@@ -415,7 +415,7 @@
   std::shared_ptr<RequestServer> server = makeServer(
       context, {},
       [&](RequestAttempt Attempt,
-          std::shared_ptr<AnswerSink> Sink) -> asio::awaitable<void> {
+          std::shared_ptr<ResponseSink> Sink) -> asio::awaitable<void> {
         if (Attempt.Request == "quick") {
           co_await echo(std::move(Attempt), std::move(Sink));
           co_return;
@@ -435,13 +435,13 @@
     std::shared_ptr<RequestClient> client =
         RequestClient::create(context.get_executor(), setup);
     RequestAttempt attempt = makeAttempt("slow");
-    Outcome<std::unique_ptr<AnswerStream>> slow =
+    Outcome<std::unique_ptr<DaemonResponseStream>> slow =
         co_await client->open(server->address(), attempt);
     REQUIRE(slow);
     CHECK(co_await eventually(context, [&] { return written == 4096; }));
 
     RequestAttempt other = makeAttempt("quick");
-    Outcome<std::unique_ptr<AnswerStream>> quick =
+    Outcome<std::unique_ptr<DaemonResponseStream>> quick =
         co_await client->open(server->address(), other);
     REQUIRE(quick);
     Outcome<http::Response> whole =
@@ -464,14 +464,14 @@
     std::shared_ptr<RequestClient> client =
         RequestClient::create(context.get_executor(), clientSetup());
     bool leaving = false;
-    client->onLoad([&](const Address &, const std::vector<LoadSeen> &,
+    client->onLoad([&](const Address &, const std::vector<ReportedLoad> &,
                        bool Leaving) { leaving = Leaving; });
     client->prepare(server->address());
     server->drain();
     server->setLoads({}, true);
     CHECK(co_await eventually(context, [&] { return leaving; }));
     RequestAttempt attempt = makeAttempt("r");
-    Outcome<std::unique_ptr<AnswerStream>> opened =
+    Outcome<std::unique_ptr<DaemonResponseStream>> opened =
         co_await client->open(server->address(), attempt);
     REQUIRE_FALSE(opened);
     CHECK(opened.failure().Run == Verdict::NotRun);
@@ -482,19 +482,19 @@
 TEST_CASE("Loads reach each asker", "[frames]") {
   asio::io_context context;
   RequestServer::Settings setup;
-  setup.LoadPeriod = Millis(5);
+  setup.LoadReportInterval = Millis(5);
   std::shared_ptr<RequestServer> server = makeServer(context, setup, echo);
-  LoadSeen load{ServerName("s"), ServiceName("v"), 3, 4, 5, 6, true};
+  ReportedLoad load{ServerName("s"), ServiceName("v"), 3, 4, 5, 6, true};
   runUntilDone(context, [&]() -> asio::awaitable<void> {
     std::shared_ptr<RequestClient> client =
         RequestClient::create(context.get_executor(), clientSetup());
-    std::vector<LoadSeen> seen;
-    client->onLoad([&](const Address &, const std::vector<LoadSeen> &Loads,
+    std::vector<ReportedLoad> seen;
+    client->onLoad([&](const Address &, const std::vector<ReportedLoad> &Loads,
                        bool) { seen = Loads; });
     client->prepare(server->address());
     server->setLoads({load}, false);
     CHECK(co_await eventually(context, [&] { return !seen.empty(); }));
-    CHECK(seen == std::vector<LoadSeen>{load});
+    CHECK(seen == std::vector<ReportedLoad>{load});
   });
 }
 
@@ -502,38 +502,39 @@
   asio::io_context context;
   RequestServer::Settings setup;
   // Only an answer can bring one in the time of the test.
-  setup.LoadPeriod = Millis(3600000);
-  setup.LoadGap = Millis(0);
+  setup.LoadReportInterval = Millis(3600000);
+  setup.MinLoadReportInterval = Millis(0);
   std::shared_ptr<RequestServer> server = makeServer(context, setup, echo);
-  LoadSeen load{ServerName("s"), ServiceName("v"), 3, 4, 5, 6, true};
-  server->reportFrom([&] { return std::vector<LoadSeen>{load}; });
+  ReportedLoad load{ServerName("s"), ServiceName("v"), 3, 4, 5, 6, true};
+  server->setLoadSource([&] { return std::vector<ReportedLoad>{load}; });
   runUntilDone(context, [&]() -> asio::awaitable<void> {
     std::shared_ptr<RequestClient> client =
         RequestClient::create(context.get_executor(), clientSetup());
-    std::vector<LoadSeen> seen;
-    client->onLoad([&](const Address &, const std::vector<LoadSeen> &Loads,
+    std::vector<ReportedLoad> seen;
+    client->onLoad([&](const Address &, const std::vector<ReportedLoad> &Loads,
                        bool) { seen = Loads; });
-    Outcome<std::unique_ptr<AnswerStream>> opened =
+    Outcome<std::unique_ptr<DaemonResponseStream>> opened =
         co_await client->open(server->address(), makeAttempt("r"));
     REQUIRE(opened);
     CHECK(co_await eventually(context, [&] { return !seen.empty(); }));
-    CHECK(seen == std::vector<LoadSeen>{load});
+    CHECK(seen == std::vector<ReportedLoad>{load});
   });
 }
 
 TEST_CASE("A handler that gives no answer is a truthful failure", "[frames]") {
   asio::io_context context;
-  std::shared_ptr<RequestServer> server = makeServer(
-      context, {},
-      [](RequestAttempt, std::shared_ptr<AnswerSink>) -> asio::awaitable<void> {
-        throw std::runtime_error("handler broke");
-        co_return;
-      });
+  std::shared_ptr<RequestServer> server =
+      makeServer(context, {},
+                 [](RequestAttempt,
+                    std::shared_ptr<ResponseSink>) -> asio::awaitable<void> {
+                   throw std::runtime_error("handler broke");
+                   co_return;
+                 });
   runUntilDone(context, [&]() -> asio::awaitable<void> {
     std::shared_ptr<RequestClient> client =
         RequestClient::create(context.get_executor(), clientSetup());
     RequestAttempt attempt = makeAttempt("r");
-    Outcome<std::unique_ptr<AnswerStream>> opened =
+    Outcome<std::unique_ptr<DaemonResponseStream>> opened =
         co_await client->open(server->address(), attempt);
     REQUIRE_FALSE(opened);
     CHECK(opened.failure().Run == Verdict::MayHaveRun);
--- a/UnitTests/Adapters/Http/HttpClientTests.cpp
+++ b/UnitTests/Adapters/Http/HttpClientTests.cpp
@@ -54,9 +54,9 @@
     // The second one has an open connection to go out on.
     for (Millis left : {Millis(-1), Millis(5000), Millis(0)}) {
       Request ask = post("x");
-      ask.SendBefore = monotonicNow() + left;
+      ask.SendDeadline = monotonicNow() + left;
       Outcome<Response> answer =
-          co_await fixture.Calling->call(where, std::move(ask), Patience);
+          co_await fixture.TestClient->call(where, std::move(ask), Patience);
       CHECK(bool(answer) == (left > Millis(0)));
       if (!answer) {
         CHECK(answer.failure().Run == Verdict::NotRun);
@@ -74,7 +74,7 @@
     Address where = fixture.Serving->address();
     for (std::string body : {"one", "two", "three"}) {
       Outcome<Response> answer =
-          co_await fixture.Calling->call(where, post(body), Patience);
+          co_await fixture.TestClient->call(where, post(body), Patience);
       REQUIRE(answer);
       CHECK(answer->Body == body);
       CHECK(fixture.Serving->connections() == 1);
@@ -82,12 +82,12 @@
     // The server goes and another takes its address: the idle connection is
     // dead, and the request goes out on a fresh one.
     fixture.Serving->stop();
-    co_await fixture.untilClosed();
+    co_await fixture.waitUntilAllClosed();
     Server::Settings same;
     same.Listen = where;
     fixture.serve(echo, same);
     Outcome<Response> answer =
-        co_await fixture.Calling->call(where, post("four"), Patience);
+        co_await fixture.TestClient->call(where, post("four"), Patience);
     REQUIRE(answer);
     CHECK(answer->Body == "four");
   });
@@ -109,8 +109,8 @@
       });
   fixture.run([&]() -> boost::asio::awaitable<void> {
     Outcome<std::unique_ptr<ResponseStream>> stream =
-        co_await fixture.Calling->open(fixture.Serving->address(), post(""),
-                                       Patience);
+        co_await fixture.TestClient->open(fixture.Serving->address(), post(""),
+                                          Patience);
     REQUIRE(stream);
     CHECK((*stream)->head().Status == 200);
     Outcome<std::optional<std::string>> piece =
@@ -136,7 +136,7 @@
   fixture.run([&]() -> boost::asio::awaitable<void> {
     spawn(fixture.Context, [&] { return peer.answer(text); });
     Outcome<std::unique_ptr<ResponseStream>> stream =
-        co_await fixture.Calling->open(peer.address(), post(""), Patience);
+        co_await fixture.TestClient->open(peer.address(), post(""), Patience);
     REQUIRE(stream);
     Outcome<std::optional<std::string>> piece =
         co_await (*stream)->next(Patience);
@@ -149,7 +149,7 @@
 
     spawn(fixture.Context, [&] { return peer.answer(text); });
     Outcome<Response> whole =
-        co_await fixture.Calling->call(peer.address(), post(""), Patience);
+        co_await fixture.TestClient->call(peer.address(), post(""), Patience);
     REQUIRE_FALSE(whole);
     CHECK(whole.failure().Code == FailureCode::ConnectionLost);
     CHECK(whole.failure().Run == Verdict::MayHaveRun);
@@ -162,14 +162,14 @@
   fixture.run([&]() -> boost::asio::awaitable<void> {
     spawn(fixture.Context, [&] { return peer.answer(""); });
     Outcome<Response> lost =
-        co_await fixture.Calling->call(peer.address(), post(""), Patience);
+        co_await fixture.TestClient->call(peer.address(), post(""), Patience);
     REQUIRE_FALSE(lost);
     CHECK(lost.failure().Code == FailureCode::ConnectionLost);
     CHECK(lost.failure().Run == Verdict::MayHaveRun);
 
     // Connected by the kernel, but nobody answers.
     Outcome<Response> late =
-        co_await fixture.Calling->call(peer.address(), post(""), Millis(20));
+        co_await fixture.TestClient->call(peer.address(), post(""), Millis(20));
     REQUIRE_FALSE(late);
     CHECK(late.failure().Code == FailureCode::TimedOut);
     CHECK(late.failure().Run == Verdict::MayHaveRun);
@@ -177,7 +177,7 @@
     Address where = peer.address();
     peer.Acceptor.close();
     Outcome<Response> none =
-        co_await fixture.Calling->call(where, post(""), Patience);
+        co_await fixture.TestClient->call(where, post(""), Patience);
     REQUIRE_FALSE(none);
     CHECK(none.failure().Code == FailureCode::Unreachable);
     CHECK(none.failure().Run == Verdict::NotRun);
@@ -199,15 +199,15 @@
       });
   fixture.run([&]() -> boost::asio::awaitable<void> {
     Outcome<std::unique_ptr<ResponseStream>> stream =
-        co_await fixture.Calling->open(fixture.Serving->address(), post(""),
-                                       Patience);
+        co_await fixture.TestClient->open(fixture.Serving->address(), post(""),
+                                          Patience);
     REQUIRE(stream);
     boost::asio::post(fixture.Context, [&] { (*stream)->cancel(); });
     Outcome<std::optional<std::string>> piece =
         co_await (*stream)->next(Patience);
     REQUIRE_FALSE(piece);
     CHECK(piece.failure().Code == FailureCode::Cancelled);
-    co_await fixture.untilClosed();
+    co_await fixture.waitUntilAllClosed();
   });
   CHECK(noticed);
 }
--- a/UnitTests/Adapters/Http/HttpFixture.h
+++ b/UnitTests/Adapters/Http/HttpFixture.h
@@ -45,7 +45,7 @@
 struct HttpFixture {
   boost::asio::io_context Context;
   std::shared_ptr<Server> Serving;
-  std::shared_ptr<Client> Calling =
+  std::shared_ptr<Client> TestClient =
       Client::create(Context.get_executor(), Client::Settings{});
 
   void serve(Handler Handle, Server::Settings Limits = {}) {
@@ -81,7 +81,7 @@
   }
 
   /// Waits until the server has let go of all connections.
-  boost::asio::awaitable<void> untilClosed() {
+  boost::asio::awaitable<void> waitUntilAllClosed() {
     BootTimer turn(Context);
     while (Serving->connections() > 0) {
       turn.expires_after(Millis(1));
--- a/UnitTests/Adapters/Http/HttpServerTests.cpp
+++ b/UnitTests/Adapters/Http/HttpServerTests.cpp
@@ -102,7 +102,7 @@
     co_await began.wait();
     raw.close();
     // The server has let go of the connection once the handler has ended.
-    co_await fixture.untilClosed();
+    co_await fixture.waitUntilAllClosed();
   });
   CHECK(told == 1);
 }
@@ -147,7 +147,7 @@
   Event release(fixture.Context);
   Event began(fixture.Context);
   Server::Settings limits;
-  limits.DrainGrace = Millis(50);
+  limits.DrainGracePeriod = Millis(50);
   // One place only: the second client stays in the kernel's queue.
   limits.MaxConnections = 1;
   fixture.serve(
@@ -194,7 +194,7 @@
     "[http]") {
   HttpFixture fixture;
   Server::Settings limits;
-  limits.DrainGrace = Millis(20);
+  limits.DrainGracePeriod = Millis(20);
   fixture.serve(echo, limits);
   fixture.run([&]() -> boost::asio::awaitable<void> {
     RawSocket raw = co_await fixture.connect();
@@ -214,13 +214,13 @@
     boost::asio::write(raw, boost::asio::buffer(std::string(
                                 "POST /2 HTTP/1.1\r\nContent-Length: 3\r\n"
                                 "\r\ntwo")));
-    std::this_thread::sleep_for(limits.DrainGrace * 2);
+    std::this_thread::sleep_for(limits.DrainGracePeriod * 2);
 
     boost::system::error_code ended;
     std::string second = co_await HttpFixture::readAll(raw, ended);
     CHECK_THAT(second, StartsWith("HTTP/1.1 200 "));
     CHECK_THAT(second, Contains("two"));
-    co_await fixture.untilClosed();
+    co_await fixture.waitUntilAllClosed();
   });
 }
 
--- a/UnitTests/Adapters/PlatformLog/CommitTests.cpp
+++ b/UnitTests/Adapters/PlatformLog/CommitTests.cpp
@@ -5,19 +5,19 @@
 
 #include <catch2/catch.hpp>
 
-using wasabi::CommitKind;
 using wasabi::CommitResult;
 using wasabi::CommitSettings;
+using wasabi::CommitStatus;
 using wasabi::ConfigChange;
 using wasabi::FoldState;
 using wasabi::Millis;
 using wasabi::Outcome;
 using wasabi::Record;
 using wasabi::RecordId;
-using wasabi::foldtest::Folded;
+using wasabi::foldtest::FoldedLog;
 using wasabi::foldtest::limit;
 using wasabi::logtest::FakeLog;
-using wasabi::logtest::runToEnd;
+using wasabi::logtest::runUntilComplete;
 
 namespace {
 
@@ -34,15 +34,16 @@
 
 CommitResult commit(FakeLog &Log, FoldState &State, const Record &What,
                     CommitSettings Limits) {
-  return runToEnd(wasabi::commitRecord(Log.port(), State, What, Limits));
+  return runUntilComplete(
+      wasabi::commitRecord(Log.port(), State, What, Limits));
 }
 
 Outcome<FoldState> recover(FakeLog &Log,
                            std::optional<wasabi::Offset> Until = {}) {
-  return runToEnd(wasabi::recoverFromLog(Log.port(), Until));
+  return runUntilComplete(wasabi::recoverFromLog(Log.port(), Until));
 }
 
-FakeLog copyOf(const Folded &Log) {
+FakeLog copyOf(const FoldedLog &Log) {
   FakeLog out;
   out.Entries = Log.Log;
   return out;
@@ -55,9 +56,9 @@
   FoldState anna;
   FoldState bo;
   CHECK(commit(log, anna, change(Mine, 1), patient()) ==
-        CommitResult{CommitKind::Accepted, 0, ""});
+        CommitResult{CommitStatus::Accepted, 0, ""});
   CommitResult lost = commit(log, bo, change({"bo-1", 1, 1}, 2), patient());
-  CHECK(lost.Kind == CommitKind::Refused);
+  CHECK(lost.Kind == CommitStatus::Refused);
   CHECK(lost.At == 1);
   CHECK_THAT(lost.Reason,
              Catch::Contains("limit/a was changed at offset 0 by anna"));
@@ -66,14 +67,14 @@
 TEST_CASE("A lost answer is repeated with the same id and counts once") {
   FakeLog log;
   log.LoseAnswers = 2;
-  log.RefuseAppends = 1;
-  log.StaleReads = 3;
+  log.AppendsToRefuse = 1;
+  log.StaleReadsLeft = 3;
   FoldState state;
   CommitResult end = commit(log, state, change(Mine, 1), patient());
-  CHECK(end == CommitResult{CommitKind::Accepted, 0, ""});
+  CHECK(end == CommitResult{CommitStatus::Accepted, 0, ""});
   CHECK(log.Appends >= 2);
   // Whatever was appended again is taken by nobody.
-  runToEnd(wasabi::followLog(log.port(), state, Millis(0)));
+  runUntilComplete(wasabi::readAndApplyRange(log.port(), state, Millis(0)));
   CHECK(state.History.size() == 1);
 }
 
@@ -82,11 +83,11 @@
   log.Outage = true;
   FoldState state;
   CHECK(commit(log, state, change(Mine, 1), hasty()).Kind ==
-        CommitKind::NotSent);
+        CommitStatus::NotAppended);
   log.Outage = false;
-  log.StaleReads = 1 << 30;
+  log.StaleReadsLeft = 1 << 30;
   CHECK(commit(log, state, change(Mine, 1), hasty()).Kind ==
-        CommitKind::Unknown);
+        CommitStatus::Unknown);
 }
 
 TEST_CASE("An unknown id is settled by reading, or taken for good") {
@@ -94,19 +95,20 @@
   FoldState first;
   commit(log, first, change(Mine, 1), patient());
   FoldState reader;
-  CommitResult end =
-      runToEnd(wasabi::settleRecord(log.port(), reader, Mine, patient()));
-  CHECK(end == CommitResult{CommitKind::Accepted, 0, ""});
+  CommitResult end = runUntilComplete(
+      wasabi::settleRecord(log.port(), reader, Mine, patient()));
+  CHECK(end == CommitResult{CommitStatus::Accepted, 0, ""});
 
   const RecordId late{"bo-1", 1, 1};
-  end = runToEnd(wasabi::settleRecord(log.port(), reader, late, patient()));
-  CHECK(end.Kind == CommitKind::Refused);
+  end = runUntilComplete(
+      wasabi::settleRecord(log.port(), reader, late, patient()));
+  CHECK(end.Kind == CommitStatus::Refused);
   CHECK_THAT(end.Reason, Catch::Contains("never"));
   // The record arrives after all.
   Record record = change(late, 5);
   std::get<ConfigChange>(record.Body).Base = reader.Next;
   log.append(encodeRecord(record));
-  runToEnd(wasabi::followLog(log.port(), reader, Millis(0)));
+  runUntilComplete(wasabi::readAndApplyRange(log.port(), reader, Millis(0)));
   CHECK(reader.Config->Limits.at("a").Burst == 1);
 }
 
@@ -114,15 +116,15 @@
   FakeLog log;
   log.append(R"({"schema":2})");
   FoldState state;
-  runToEnd(wasabi::followLog(log.port(), state, Millis(0)));
+  runUntilComplete(wasabi::readAndApplyRange(log.port(), state, Millis(0)));
   CHECK(commit(log, state, change(Mine, 1), patient()).Kind ==
-        CommitKind::NotSent);
+        CommitStatus::NotAppended);
   CHECK(log.Appends == 1);
 }
 
 TEST_CASE("A state is recovered from the log's beginning or a snapshot") {
-  Folded written;
-  written.by("d1", wasabi::ClaimTake{"snapshots", 0, Millis(10), 0});
+  FoldedLog written;
+  written.by("d1", wasabi::ClaimAcquire{"snapshots", 0, Millis(10), 0});
   for (int i = 0; i < 700; ++i)
     written.change("anna", written.State.Next, {limit("a", i + 1)});
   FakeLog log = copyOf(written);
@@ -134,7 +136,8 @@
   REQUIRE_FALSE(recover(log));
   CHECK(recover(log).failure().Code == wasabi::FailureCode::Unavailable);
   FoldState behind;
-  CHECK_FALSE(runToEnd(wasabi::followLog(log.port(), behind, Millis(0))));
+  CHECK_FALSE(runUntilComplete(
+      wasabi::readAndApplyRange(log.port(), behind, Millis(0))));
 
   written.by("d1", makeSnapshot(written.State, 1));
   for (int i = 0; i < 700; ++i)
--- a/UnitTests/Adapters/PlatformLog/FakeLog.h
+++ b/UnitTests/Adapters/PlatformLog/FakeLog.h
@@ -21,9 +21,9 @@
   /// The next appends take effect, and their answers are lost.
   int LoseAnswers = 0;
   /// The next appends are refused without an effect.
-  int RefuseAppends = 0;
+  int AppendsToRefuse = 0;
   /// The next reads hide the newest record.
-  int StaleReads = 0;
+  int StaleReadsLeft = 0;
   bool Outage = false;
   int Appends = 0;
 
@@ -32,8 +32,8 @@
     if (Outage)
       return Failure{
           Verdict::NotRun, FailureCode::Unreachable, "log", "down", {}};
-    if (RefuseAppends > 0) {
-      --RefuseAppends;
+    if (AppendsToRefuse > 0) {
+      --AppendsToRefuse;
       return Failure{Verdict::NotRun, FailureCode::Overloaded, "log", "busy",
                      Millis(1)};
     }
@@ -57,8 +57,8 @@
     LogRange out;
     out.First = First;
     out.End = First + Entries.size();
-    if (StaleReads > 0 && out.End > out.First) {
-      --StaleReads;
+    if (StaleReadsLeft > 0 && out.End > out.First) {
+      --StaleReadsLeft;
       --out.End;
     }
     for (Offset at = From; at >= First && at < out.End; ++at)
@@ -91,16 +91,16 @@
 
 /// Keeps what a coroutine gives.
 template <typename T>
-boost::asio::awaitable<void> keepIn(std::optional<T> &Out,
-                                    boost::asio::awaitable<T> Body) {
+boost::asio::awaitable<void> storeResult(std::optional<T> &Out,
+                                         boost::asio::awaitable<T> Body) {
   Out = co_await std::move(Body);
 }
 
 /// Runs a coroutine to its end.
-template <typename T> T runToEnd(boost::asio::awaitable<T> Body) {
+template <typename T> T runUntilComplete(boost::asio::awaitable<T> Body) {
   boost::asio::io_context context;
   std::optional<T> out;
-  boost::asio::co_spawn(context, keepIn(out, std::move(Body)),
+  boost::asio::co_spawn(context, storeResult(out, std::move(Body)),
                         boost::asio::detached);
   context.run();
   return std::move(*out);
--- a/UnitTests/Adapters/PlatformLog/HttpLogTests.cpp
+++ b/UnitTests/Adapters/PlatformLog/HttpLogTests.cpp
@@ -18,9 +18,10 @@
 namespace http = wasabi::http;
 
 /// A service that gives one answer and keeps what it was asked.
-class OneAnswer {
+class SingleResponseServer {
 public:
-  explicit OneAnswer(http::Response Answer) : Answer(std::move(Answer)) {}
+  explicit SingleResponseServer(http::Response Answer)
+      : Answer(std::move(Answer)) {}
 
   template <typename T>
   T ask(const std::function<asio::awaitable<T>(const LogPort &)> &What) {
@@ -41,8 +42,8 @@
     std::optional<T> out;
     asio::co_spawn(
         context,
-        wasabi::logtest::keepIn(
-            out, What(wasabi::httpLog(client, (*server)->address()))),
+        wasabi::logtest::storeResult(
+            out, What(wasabi::makeHttpLog(client, (*server)->address()))),
         [&](const std::exception_ptr &) {
           (*server)->stop();
           context.stop();
@@ -71,7 +72,8 @@
 } // namespace
 
 TEST_CASE("An append posts the record and gives its offset") {
-  OneAnswer log(http::jsonResponse(201, R"({"offset":12,"more":true})"));
+  SingleResponseServer log(
+      http::jsonResponse(201, R"({"offset":12,"more":true})"));
   Outcome<Offset> at = log.append();
   REQUIRE(at);
   CHECK(*at == 12);
@@ -83,22 +85,28 @@
 TEST_CASE("A failed append says whether it may have run") {
   http::Response busy = http::jsonResponse(429, "{}");
   busy.Headers.push_back({"Retry-After", "3"});
-  Outcome<Offset> at = OneAnswer(busy).append();
+  Outcome<Offset> at = SingleResponseServer(busy).append();
   REQUIRE_FALSE(at);
   CHECK(at.failure().Run == Verdict::NotRun);
   CHECK(at.failure().Code == FailureCode::Overloaded);
   CHECK(at.failure().RetryAfter == Millis(3000));
 
-  CHECK(OneAnswer(http::jsonResponse(413, "{}")).append().failure().Run ==
-        Verdict::NotRun);
-  CHECK(OneAnswer(http::jsonResponse(500, "{}")).append().failure().Run ==
-        Verdict::MayHaveRun);
-  CHECK(OneAnswer(http::jsonResponse(201, "{}")).append().failure().Run ==
-        Verdict::MayHaveRun);
+  CHECK(SingleResponseServer(http::jsonResponse(413, "{}"))
+            .append()
+            .failure()
+            .Run == Verdict::NotRun);
+  CHECK(SingleResponseServer(http::jsonResponse(500, "{}"))
+            .append()
+            .failure()
+            .Run == Verdict::MayHaveRun);
+  CHECK(SingleResponseServer(http::jsonResponse(201, "{}"))
+            .append()
+            .failure()
+            .Run == Verdict::MayHaveRun);
 }
 
 TEST_CASE("A read gives contiguous entries, or says what has expired") {
-  OneAnswer log(http::jsonResponse(
+  SingleResponseServer log(http::jsonResponse(
       200, R"({"first":1,"end":9,"records":[{"offset":4,"body":"x"},)"
            R"({"offset":5,"body":"y"}]})"));
   Outcome<LogRange> range = log.read(4);
@@ -110,10 +118,12 @@
         "/v1/streams/control/records?from=4&max=10&wait_ms=7");
   CHECK_FALSE(log.read(3));
 
-  range = OneAnswer(http::jsonResponse(410, R"({"first":5,"end":9})")).read(2);
+  range =
+      SingleResponseServer(http::jsonResponse(410, R"({"first":5,"end":9})"))
+          .read(2);
   REQUIRE(range);
   CHECK(range->First == 5);
   CHECK(range->Entries.empty());
-  CHECK_FALSE(OneAnswer(http::jsonResponse(200, "[]")).read(2));
-  CHECK_FALSE(OneAnswer(http::jsonResponse(503, "{}")).read(2));
+  CHECK_FALSE(SingleResponseServer(http::jsonResponse(200, "[]")).read(2));
+  CHECK_FALSE(SingleResponseServer(http::jsonResponse(503, "{}")).read(2));
 }
--- a/UnitTests/Adapters/Proxy/OrderTest.cpp
+++ b/UnitTests/Adapters/Proxy/OrderTest.cpp
@@ -21,7 +21,12 @@
 constexpr asio::as_tuple_t<asio::use_awaitable_t<>> Awaited;
 
 /// What the engine does with the next order.
-enum class EngineMood { Obeys, LandsElsewhere, Fails, LosesAnswer };
+enum class FakeEngineBehavior {
+  LoadsOrdered,
+  LoadsOtherVersion,
+  Fails,
+  DropsConnection
+};
 
 /// An engine that ignores fencing tokens, and a daemon before it.
 class OrderWorld {
@@ -51,11 +56,12 @@
     setup.Instance = InstanceName("d");
     setup.Upstreams = {
         {ServerName("e"), ServiceName("llm"), Engine->address()}};
-    setup.StatePeriod = Millis(5);
-    setup.TickPeriod = Millis(5);
+    setup.StatePollInterval = Millis(5);
+    setup.TickInterval = Millis(5);
     Proxy = DaemonProxy::create(Context, setup, Events, Counts);
     Proxy->attach(
-        ControlSource{[this] { return State; }, [this] { return Members; }, {}},
+        ControlPlaneReader{
+            [this] { return State; }, [this] { return Members; }, {}},
         [this](std::vector<ServerStatus> Now) { Told = std::move(Now); });
     REQUIRE(runUntil([this] { return !Told.empty() && Told[0].Version == 1; }));
   }
@@ -100,7 +106,7 @@
     REQUIRE(runUntil([this] { return SampleRuns; }));
   }
 
-  struct RecordingSink final : AnswerSink {
+  struct RecordingSink final : ResponseSink {
     void begin(http::Response, ServerName) override {}
     asio::awaitable<Outcome<Done>> write(std::string) override {
       co_return Done{};
@@ -114,7 +120,7 @@
   };
 
   asio::io_context Context;
-  EngineMood Mood = EngineMood::Obeys;
+  FakeEngineBehavior Behavior = FakeEngineBehavior::LoadsOrdered;
   WeightVersion Version = 1;
   int Orders = 0;
   bool SampleRuns = false;
@@ -140,10 +146,11 @@
     }
     if (Ask.path() == "/v1/orders") {
       ++Orders;
-      Version = Mood == EngineMood::LandsElsewhere ? 99 : Version + 1;
-      if (Mood == EngineMood::Fails)
+      Version =
+          Behavior == FakeEngineBehavior::LoadsOtherVersion ? 99 : Version + 1;
+      if (Behavior == FakeEngineBehavior::Fails)
         answer = http::jsonResponse(500, "{}");
-      if (Mood == EngineMood::LosesAnswer) {
+      if (Behavior == FakeEngineBehavior::DropsConnection) {
         Out->abort();
         co_return;
       }
@@ -165,11 +172,11 @@
           "[order]") {
   OrderWorld world(VersionChange::Resume);
   CHECK(world.order(10, 2)->Version == 2);
-  world.Mood = EngineMood::Fails;
+  world.Behavior = FakeEngineBehavior::Fails;
   CHECK(world.order(10, 3)->Version == 3);
-  world.Mood = EngineMood::LosesAnswer;
+  world.Behavior = FakeEngineBehavior::DropsConnection;
   CHECK(world.order(10, 4)->Version == 4);
-  world.Mood = EngineMood::LandsElsewhere;
+  world.Behavior = FakeEngineBehavior::LoadsOtherVersion;
   CHECK(world.order(10, 5)->Version == 99);
   CHECK(world.runUntil([&] { return world.Told[0].Version == 99; }));
 }
--- a/UnitTests/Adapters/Telemetry/DecisionLogTest.cpp
+++ b/UnitTests/Adapters/Telemetry/DecisionLogTest.cpp
@@ -72,7 +72,7 @@
   DecisionLog::Settings limits;
   limits.LinesPerSecond = 1e9;
   limits.Burst = 1e9;
-  limits.MaxPending = 4096;
+  limits.MaxPendingBytes = 4096;
   PipedLog piped(limits);
   std::string text(1000, 'x');
   for (int i = 0; i < 500; ++i) {
--- a/UnitTests/Adapters/Telemetry/LogTests.cpp
+++ b/UnitTests/Adapters/Telemetry/LogTests.cpp
@@ -6,9 +6,9 @@
 using wasabi::Outcome;
 
 TEST_CASE("A log line is one JSON object with time, level and instance") {
-  std::string line =
-      wasabi::logLine(1'700'000'000'000'042, LogLevel::Warning, "lulea-1",
-                      "say \"hi\"\n", {{"request", "r1"}, {"offset", "7"}});
+  std::string line = wasabi::formatLogLine(
+      1'700'000'000'000'042, LogLevel::Warning, "lulea-1", "say \"hi\"\n",
+      {{"request", "r1"}, {"offset", "7"}});
   CHECK(line == "{\"time\":\"2023-11-14T22:13:20.000042Z\","
                 "\"level\":\"warning\",\"instance\":\"lulea-1\","
                 "\"message\":\"say \\\"hi\\\"\\n\",\"request\":\"r1\","
@@ -19,12 +19,12 @@
   for (const char *key : {"Authorization", "client_secret", "db-password",
                           "X-Api-Key", "Cookie"}) {
     std::string line =
-        wasabi::logLine(0, LogLevel::Info, "i", "m", {{key, "hunter2"}});
+        wasabi::formatLogLine(0, LogLevel::Info, "i", "m", {{key, "hunter2"}});
     CHECK(line.find("hunter2") == std::string::npos);
   }
   // A fencing token is no secret.
   std::string line =
-      wasabi::logLine(0, LogLevel::Info, "i", "m", {{"fence", "12"}});
+      wasabi::formatLogLine(0, LogLevel::Info, "i", "m", {{"fence", "12"}});
   CHECK_THAT(line, Catch::Contains("\"fence\":\"12\""));
 }
 
--- a/UnitTests/Adapters/Telemetry/TimelineJsonTests.cpp
+++ b/UnitTests/Adapters/Telemetry/TimelineJsonTests.cpp
@@ -23,13 +23,13 @@
   line.record("request.admit", {{"request", "r\"1"}, {"reason", "a\nb"}});
   line.record("claim.taken", {});
   line.record("request.done", {{"request", "r2"}});
-  TimelinePage page = wasabi::timelinePage(line, 0);
+  TimelinePage page = wasabi::makeTimelinePage(line, 0);
   CHECK(page.Dropped == 1);
   CHECK(page.Events.size() == 2);
   Outcome<TimelinePage> back = decode(wasabi::encodeTimelinePage(page));
   REQUIRE(back);
   CHECK(*back == page);
-  CHECK(wasabi::timelinePage(line, 2).Events.size() == 1);
+  CHECK(wasabi::makeTimelinePage(line, 2).Events.size() == 1);
 }
 
 TEST_CASE("A line of the time line is what replay reads") {
--- a/UnitTests/Batch/BatchFixture.h
+++ b/UnitTests/Batch/BatchFixture.h
@@ -43,19 +43,19 @@
 inline ItemResult makeResult(const BatchJob &Job, std::size_t Index,
                              const std::string &Text) {
   return ItemResult{
-      Job.Items[Index].Id, ItemEnd::Completed, Text, {1, 2}, "signed"};
+      Job.Items[Index].Id, ItemStatus::Completed, Text, {1, 2}, "signed"};
 }
 
 /// A context, a store, and processes that follow it.
-struct BatchWorld {
+struct BatchTestFixture {
   boost::asio::io_context Context;
   /// Lets the context run on while nothing is to be done.
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
       Rest = boost::asio::make_work_guard(Context);
   FakeStore Store{Context};
-  std::shared_ptr<DecisionLog> Decisions = quietLog();
+  std::shared_ptr<DecisionLog> Decisions = makeDiscardingLog();
 
-  std::shared_ptr<DecisionLog> quietLog() {
+  std::shared_ptr<DecisionLog> makeDiscardingLog() {
     DecisionLog::Settings limits;
     limits.Descriptor = -1;
     return DecisionLog::create(Context, limits);
--- a/UnitTests/Batch/BatchRecordTest.cpp
+++ b/UnitTests/Batch/BatchRecordTest.cpp
@@ -13,20 +13,21 @@
 
 TEST_CASE("Each batch record reads as it was written", "[batch]") {
   BatchJob job = makeJob("a", 3);
-  job.Items[1].Score = ScoreCall{"s", "h", "/p", std::string("\0x", 2)};
+  job.Items[1].Score = ScoreRequest{"s", "h", "/p", std::string("\0x", 2)};
   std::string odd = "line\nquote\" \xff raw";
   ResultRecord stored{job.Id, makeResult(job, 1, "")};
-  stored.Result.OutputAt = {{7, 9000}, {8, 12}};
-  std::vector<BatchRecord> all{JobPart{job, 0, 1},
-                               ResultRecord{job.Id, makeResult(job, 2, odd)},
-                               stored,
-                               JobEnd{job.Id},
-                               TextRecord{job.Id, job.Items[0].Id, 5, 0,
-                                          PartialText{odd, 4, {3, 9}, true}},
-                               LeaseClaim{{InstanceName("edge"), 77}},
-                               LeaseClaim{{InstanceName("edge"), 77}, 41},
-                               LeaseRenewal{12, {InstanceName("edge"), 77}},
-                               LeaseRelease{12}};
+  stored.Result.OutputLocation = {{7, 9000}, {8, 12}};
+  std::vector<BatchRecord> all{
+      JobPart{job, 0, 1},
+      ResultRecord{job.Id, makeResult(job, 2, odd)},
+      stored,
+      JobEnd{job.Id},
+      PartialTextRecord{job.Id, job.Items[0].Id, 5, 0,
+                        PartialText{odd, 4, {3, 9}, true}},
+      LeaseClaim{{InstanceName("edge"), 77}},
+      LeaseClaim{{InstanceName("edge"), 77}, 41},
+      LeaseRenewal{12, {InstanceName("edge"), 77}},
+      LeaseRelease{12}};
   for (const BatchRecord &it : all) {
     Outcome<BatchRecord> again = decoded(encodeRecord(it));
     REQUIRE(again);
@@ -40,11 +41,11 @@
   JobId named("a", CustomerName("anna"));
   BatchJob job = makeJob("a", 1);
   job.Id = named;
-  std::vector<BatchRecord> all{JobPart{job, 0, 1},
-                               ResultRecord{named, makeResult(job, 0, "x")},
-                               JobEnd{named},
-                               TextRecord{named, job.Items[0].Id, 5, 0,
-                                          PartialText{"x", 1, {1}, false}}};
+  std::vector<BatchRecord> all{
+      JobPart{job, 0, 1}, ResultRecord{named, makeResult(job, 0, "x")},
+      JobEnd{named},
+      PartialTextRecord{named, job.Items[0].Id, 5, 0,
+                        PartialText{"x", 1, {1}, false}}};
   for (const BatchRecord &it : all) {
     std::string text = encodeRecord(it);
     CHECK(text.find('3') != std::string::npos);
@@ -60,10 +61,10 @@
   // A step of 112 items on the largest deployment known, names as there.
   const std::string id = "7c41e09b52d6a3f8";
   ResultRecord result{JobId(id), {}};
-  result.Result = {ItemId(id), ItemEnd::Completed,         "",
+  result.Result = {ItemId(id), ItemStatus::Completed,      "",
                    {106, 107}, "3e1b.07.5a2.600.c9f2a4d1", {{123456, 38000}}};
   CHECK(encodeRecord(result).size() <= 125);
-  TextRecord text{
+  PartialTextRecord text{
       JobId(id),       ItemId(id), 4000000000, 64, {"", 72, {106}, false},
       {{123456, 8000}}};
   CHECK(encodeRecord(text).size() <= 110);
@@ -107,12 +108,12 @@
   BatchJob job = makeJob("large", 60);
   std::vector<JobPart> parts = splitJob(job, Limit);
   CHECK(parts.size() > 3);
-  BatchFold fold;
+  BatchState fold;
   std::vector<std::string> payloads;
   for (std::size_t i = 0; i < parts.size(); ++i) {
     payloads.push_back(encodeItems(parts[i].Job.Items));
     CHECK(payloads.back().size() <= Limit);
-    parts[i].ItemsAt = {{100 + i, payloads.back().size()}};
+    parts[i].ItemsLocation = {{100 + i, payloads.back().size()}};
     std::string record = encodeRecord(parts[i]);
     CHECK(record.size() <= Limit);
     CHECK(record.find("X-Any") == std::string::npos);
@@ -127,7 +128,7 @@
   for (std::size_t i = 0; i < job.Items.size(); ++i) {
     CHECK(known->Job.Items[i].Id == job.Items[i].Id);
     CHECK(known->Job.Items[i].Group == job.Items[i].Group);
-    const ItemPlace &place = known->Places[i];
+    const ItemLocation &place = known->Places[i];
     REQUIRE(place.Items.size() == 1);
     Outcome<std::vector<BatchItem>> items = toOutcome<std::vector<BatchItem>>(
         [&] { return decodeItems(payloads.at(place.Items[0].At - 100), "p"); });
--- a/UnitTests/Batch/BatchDeskTest.cpp
+++ b/UnitTests/Batch/BatchServiceTest.cpp
@@ -1,4 +1,4 @@
-#include "Wasabi/Batch/BatchDesk.h"
+#include "Wasabi/Batch/BatchService.h"
 #include "UnitTests/Batch/BatchFixture.h"
 #include "Wasabi/Core/BootTimer.h"
 
@@ -9,39 +9,39 @@
 namespace asio = boost::asio;
 
 /// Two processes over one store.
-struct DeskWorld : BatchWorld {
-  Millis ResultTime{0};
+struct DeskWorld : BatchTestFixture {
+  Millis ResultTimeout{0};
   std::shared_ptr<bool> Cut = std::make_shared<bool>(false);
   std::shared_ptr<RolloutLog> Log = follow(Store.port(Cut));
   std::shared_ptr<RolloutLog> OtherLog = follow(Store.port());
-  std::shared_ptr<BatchDesk> Desk = makeDesk(Log);
-  std::shared_ptr<BatchDesk> Other = makeDesk(OtherLog);
+  std::shared_ptr<BatchService> Desk = makeDesk(Log);
+  std::shared_ptr<BatchService> Other = makeDesk(OtherLog);
 
   DeskWorld() {
     REQUIRE(
         runUntil([this] { return Log->caughtUp() && OtherLog->caughtUp(); }));
   }
 
-  std::shared_ptr<BatchDesk> makeDesk(std::shared_ptr<RolloutLog> Of) {
-    BatchDesk::Settings limits;
-    limits.StaleAfter = Millis(30);
-    return BatchDesk::create(
+  std::shared_ptr<BatchService> makeDesk(std::shared_ptr<RolloutLog> Of) {
+    BatchService::Settings limits;
+    limits.MaxStateAge = Millis(30);
+    return BatchService::create(
         {std::move(Of), PayloadStore::create(Store.port(Cut), {}), Decisions,
-         [this](const BatchJob &) { return ResultTime; }},
+         [this](const BatchJob &) { return ResultTimeout; }},
         limits);
   }
 
-  DeskVerdict submit(BatchDesk &At, const BatchJob &Job) {
-    DeskVerdict verdict = DeskVerdict::Unknown;
+  JobRequestStatus submit(BatchService &At, const BatchJob &Job) {
+    JobRequestStatus verdict = JobRequestStatus::Unknown;
     run([&]() -> asio::awaitable<void> { verdict = co_await At.submit(Job); });
     return verdict;
   }
-  DeskVerdict end(BatchDesk &At, const BatchJob &Job) {
-    DeskVerdict verdict = DeskVerdict::Unknown;
+  JobRequestStatus end(BatchService &At, const BatchJob &Job) {
+    JobRequestStatus verdict = JobRequestStatus::Unknown;
     run([&]() -> asio::awaitable<void> { verdict = co_await At.end(Job.Id); });
     return verdict;
   }
-  Outcome<ResultPage> read(BatchDesk &At, const BatchJob &Job,
+  Outcome<ResultPage> read(BatchService &At, const BatchJob &Job,
                            std::size_t After, Millis Wait = Millis(0)) {
     std::optional<Outcome<ResultPage>> page;
     run([&]() -> asio::awaitable<void> {
@@ -61,29 +61,30 @@
           "[batch]") {
   DeskWorld world;
   BatchJob job = makeJob("a", 2);
-  CHECK(world.submit(*world.Desk, job) == DeskVerdict::Taken);
+  CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
   Outcome<ResultPage> page = world.read(*world.Other, job, 0);
   REQUIRE(page);
   CHECK(page->Total == 2);
-  CHECK(world.submit(*world.Other, job) == DeskVerdict::Taken);
+  CHECK(world.submit(*world.Other, job) == JobRequestStatus::Taken);
 }
 
 TEST_CASE("A submission whose items are not stored is refused, truly",
           "[batch]") {
   DeskWorld world;
   BatchJob job = makeJob("a", 1);
-  world.Store.PayloadFates = {AppendFate::AnswerLost, AppendFate::Lost};
-  CHECK(world.submit(*world.Desk, job) == DeskVerdict::Refused);
+  world.Store.PayloadAppendFaults = {AppendFault::AnswerLost,
+                                     AppendFault::Lost};
+  CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Refused);
   CHECK(world.Store.Topics["rollout"].empty());
-  world.Store.PayloadFates = {AppendFate::AnswerLost};
-  CHECK(world.submit(*world.Desk, job) == DeskVerdict::Taken);
+  world.Store.PayloadAppendFaults = {AppendFault::AnswerLost};
+  CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
 }
 
 TEST_CASE("Bodies of items come from where they lie", "[batch]") {
   DeskWorld world;
   BatchJob job = makeJob("a", 3);
-  REQUIRE(world.submit(*world.Desk, job) == DeskVerdict::Taken);
-  auto body = [&](BatchDesk &At) {
+  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
+  auto body = [&](BatchService &At) {
     std::optional<Outcome<std::string>> got;
     world.run([&]() -> asio::awaitable<void> {
       got.emplace(co_await At.body(job.Id, job.Items[2].Id));
@@ -103,11 +104,12 @@
           "[batch]") {
   DeskWorld world;
   BatchJob job = makeJob("a", 2);
-  REQUIRE(world.submit(*world.Desk, job) == DeskVerdict::Taken);
+  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
   std::string longText(3000, 'x');
   world.Store.append("payload", longText);
   ResultRecord record{job.Id, makeResult(job, 0, "")};
-  record.Result.OutputAt = {{world.Store.Topics["payload"].size() - 1, 3000}};
+  record.Result.OutputLocation = {
+      {world.Store.Topics["payload"].size() - 1, 3000}};
   world.Store.append("rollout", encodeRecord(record));
   world.list(job, 1, "short");
   REQUIRE(world.runUntil([&] {
@@ -138,12 +140,12 @@
   std::shared_ptr<bool> cut = std::make_shared<bool>(false);
   blind.Read = world.Store.port(cut).Read;
   std::shared_ptr<RolloutLog> log = world.follow(blind);
-  std::shared_ptr<BatchDesk> desk = world.makeDesk(log);
+  std::shared_ptr<BatchService> desk = world.makeDesk(log);
   REQUIRE(world.runUntil([&] { return log->caughtUp(); }));
   *cut = true;
-  REQUIRE(world.submit(*world.Other, job) == DeskVerdict::Taken);
+  REQUIRE(world.submit(*world.Other, job) == JobRequestStatus::Taken);
   CHECK(findJob(log->fold(), job.Id) == nullptr);
-  CHECK(world.end(*desk, job) == DeskVerdict::Taken);
+  CHECK(world.end(*desk, job) == JobRequestStatus::Taken);
   CHECK(world.runUntil(
       [&] { return findJob(world.OtherLog->fold(), job.Id)->Ended; }));
 }
@@ -151,8 +153,8 @@
 TEST_CASE("A refused submission is not in the topic", "[batch]") {
   DeskWorld world;
   BatchJob job = makeJob("a", 1);
-  world.Store.Fates = {AppendFate::Refused};
-  CHECK(world.submit(*world.Desk, job) == DeskVerdict::Refused);
+  world.Store.Fates = {AppendFault::Refused};
+  CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Refused);
   CHECK(world.Store.Topics["rollout"].empty());
 }
 
@@ -160,8 +162,8 @@
           "[batch]") {
   DeskWorld world;
   BatchJob job = makeJob("a", 1);
-  world.Store.Fates = {AppendFate::AnswerLost};
-  CHECK(world.submit(*world.Desk, job) == DeskVerdict::Taken);
+  world.Store.Fates = {AppendFault::AnswerLost};
+  CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
 }
 
 TEST_CASE("A submission of which nobody can say is never called refused",
@@ -169,8 +171,8 @@
   DeskWorld world;
   BatchJob job = makeJob("a", 1);
   // It may still be carried out later, so "not run" would be a lie.
-  world.Store.Fates = {AppendFate::Lost};
-  CHECK(world.submit(*world.Desk, job) == DeskVerdict::Unknown);
+  world.Store.Fates = {AppendFault::Lost};
+  CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Unknown);
 }
 
 TEST_CASE("A process out of reach of the store refuses without sending",
@@ -179,8 +181,8 @@
   *world.Cut = true;
   REQUIRE(world.runUntil([&] { return world.Log->contact().Lost; }));
   BatchJob job = makeJob("a", 1);
-  world.Store.Fates = {AppendFate::AnswerLost};
-  CHECK(world.submit(*world.Desk, job) == DeskVerdict::Refused);
+  world.Store.Fates = {AppendFault::AnswerLost};
+  CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Refused);
   CHECK(world.Store.Fates.size() == 1);
   CHECK(world.Store.Topics["rollout"].empty());
 }
@@ -201,7 +203,7 @@
 TEST_CASE("A process without news does not call a position empty", "[batch]") {
   DeskWorld world;
   BatchJob job = makeJob("a", 2);
-  REQUIRE(world.submit(*world.Desk, job) == DeskVerdict::Taken);
+  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
   world.list(job, 0, "x");
   REQUIRE(world.runUntil([&] {
     std::shared_ptr<JobState> known = findJob(world.Log->fold(), job.Id);
@@ -210,7 +212,7 @@
   *world.Cut = true;
   world.list(job, 1, "y");
   REQUIRE(world.runUntil([&] {
-    return lostFor(world.Log->contact(), Millis(40), monotonicNow());
+    return unreachableFor(world.Log->contact(), Millis(40), monotonicNow());
   }));
   // What it has read it may give; what it has not, it cannot speak of.
   Outcome<ResultPage> first = world.read(*world.Desk, job, 0);
@@ -232,7 +234,7 @@
   // stands at its positions.
   world.Store.MaxEntries = 1;
   std::shared_ptr<RolloutLog> log = world.follow(world.Store.port());
-  std::shared_ptr<BatchDesk> desk = world.makeDesk(log);
+  std::shared_ptr<BatchService> desk = world.makeDesk(log);
   REQUIRE(
       world.runUntil([&] { return findJob(log->fold(), job.Id) != nullptr; }));
   Outcome<ResultPage> page = world.read(*desk, job, 0);
@@ -244,7 +246,7 @@
           "[batch]") {
   DeskWorld world;
   BatchJob job = makeJob("a", 4);
-  REQUIRE(world.submit(*world.Desk, job) == DeskVerdict::Taken);
+  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
   REQUIRE(world.runUntil(
       [&] { return findJob(world.Log->fold(), job.Id) != nullptr; }));
   *world.Cut = true;
@@ -262,7 +264,7 @@
 TEST_CASE("A reader waits for a result and gets it when it comes", "[batch]") {
   DeskWorld world;
   BatchJob job = makeJob("a", 2);
-  REQUIRE(world.submit(*world.Desk, job) == DeskVerdict::Taken);
+  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
   BootTimer timer(world.Context, Millis(40));
   timer.async_wait([&](boost::system::error_code) { world.list(job, 1, "x"); });
   Outcome<ResultPage> page = world.read(*world.Other, job, 0, Millis(5000));
@@ -307,7 +309,7 @@
   BatchJob job = makeJob("a", 4);
   job.TargetGroups = 2;
   DeskWorld world;
-  REQUIRE(world.submit(*world.Desk, job) == DeskVerdict::Taken);
+  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
   auto [count, took] = readWhile(
       world, job,
       {{Millis(20), 0}, {Millis(60), 1}, {Millis(90), 2}, {Millis(120), 3}},
@@ -322,7 +324,7 @@
   BatchJob job = makeJob("a", 4);
   job.TargetGroups = 2;
   DeskWorld world;
-  REQUIRE(world.submit(*world.Desk, job) == DeskVerdict::Taken);
+  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
   auto [count, took] =
       readWhile(world, job, {{Millis(20), 0}, {Millis(250), 1}}, Millis(400));
   CHECK(count == 2);
@@ -342,8 +344,8 @@
   BatchJob job = makeJob("a", 4);
   job.TargetGroups = 2;
   DeskWorld world;
-  world.ResultTime = Millis(1);
-  REQUIRE(world.submit(*world.Desk, job) == DeskVerdict::Taken);
+  world.ResultTimeout = Millis(1);
+  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
   world.Context.run_for(Millis(750));
   auto [count, took] =
       readWhile(world, job, {{Millis(20), 0}, {Millis(700), 1}}, Millis(1000));
@@ -358,7 +360,7 @@
           "[batch]") {
   BatchJob job = makeJob("a", 4);
   DeskWorld world;
-  REQUIRE(world.submit(*world.Desk, job) == DeskVerdict::Taken);
+  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
   auto [count, took] =
       readWhile(world, job, {{Millis(20), 0}, {Millis(500), 1}}, Millis(1000));
   CHECK(count == 1);
@@ -369,7 +371,7 @@
   CHECK(world.read(*world.Desk, job, 0, Millis(1000))->Results.size() == 1);
   CHECK(monotonicNow() - begin < Millis(100));
   DeskWorld other;
-  REQUIRE(other.submit(*other.Desk, job) == DeskVerdict::Taken);
+  REQUIRE(other.submit(*other.Desk, job) == JobRequestStatus::Taken);
   CHECK(readWhile(other, job, {{Millis(20), 0}}, Millis(100)).second <
         Millis(200));
 }
@@ -377,16 +379,16 @@
 TEST_CASE("An end is taken again when it is repeated", "[batch]") {
   DeskWorld world;
   BatchJob job = makeJob("a", 1);
-  CHECK(world.end(*world.Desk, job) == DeskVerdict::NoJob);
-  REQUIRE(world.submit(*world.Desk, job) == DeskVerdict::Taken);
-  CHECK(world.end(*world.Other, job) == DeskVerdict::Taken);
-  CHECK(world.end(*world.Desk, job) == DeskVerdict::Taken);
-  CHECK(world.end(*world.Desk, job) == DeskVerdict::Taken);
+  CHECK(world.end(*world.Desk, job) == JobRequestStatus::JobNotFound);
+  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
+  CHECK(world.end(*world.Other, job) == JobRequestStatus::Taken);
+  CHECK(world.end(*world.Desk, job) == JobRequestStatus::Taken);
+  CHECK(world.end(*world.Desk, job) == JobRequestStatus::Taken);
 }
 
 TEST_CASE("A topic whose first records have expired is read on from there",
           "[batch]") {
-  BatchWorld world;
+  BatchTestFixture world;
   BatchJob old = makeJob("old", 1);
   BatchJob job = makeJob("new", 1);
   world.Store.append("rollout", encodeRecord(JobPart{old, 0, 1}));
@@ -399,7 +401,7 @@
 }
 
 TEST_CASE("A record that nobody can read does not stop the others", "[batch]") {
-  BatchWorld world;
+  BatchTestFixture world;
   BatchJob job = makeJob("a", 1);
   world.Store.append("rollout", "no record");
   world.Store.append("rollout", encodeRecord(JobPart{job, 0, 1}));
--- a/UnitTests/Batch/BatchFoldTest.cpp
+++ b/UnitTests/Batch/BatchStateTest.cpp
@@ -1,4 +1,4 @@
-#include "Wasabi/Batch/BatchFold.h"
+#include "Wasabi/Batch/BatchState.h"
 #include "UnitTests/Batch/BatchFixture.h"
 #include "UnitTests/Core/Property.h"
 
@@ -12,7 +12,7 @@
 
 using test::holds;
 
-std::vector<ItemResult> resultsOf(const BatchFold &Fold, const JobId &Id) {
+std::vector<ItemResult> resultsOf(const BatchState &Fold, const JobId &Id) {
   std::shared_ptr<JobState> job = findJob(Fold, Id);
   return job ? job->Results : std::vector<ItemResult>();
 }
@@ -35,8 +35,8 @@
           ResultRecord{job.Id, makeResult(job, index, std::to_string(i))});
       break;
     case 3:
-      topic.emplace_back(
-          TextRecord{job.Id, job.Items[index].Id, 1, 0, {"t", 1, {1}, false}});
+      topic.emplace_back(PartialTextRecord{
+          job.Id, job.Items[index].Id, 1, 0, {"t", 1, {1}, false}});
       break;
     default:
       topic.emplace_back(JobEnd{job.Id});
@@ -45,8 +45,8 @@
   return topic;
 }
 
-BatchFold folded(const std::vector<BatchRecord> &Topic, std::size_t Count) {
-  BatchFold fold;
+BatchState folded(const std::vector<BatchRecord> &Topic, std::size_t Count) {
+  BatchState fold;
   for (std::size_t i = 0; i < Count; ++i)
     apply(fold, i, Topic[i], TimePoint());
   return fold;
@@ -56,31 +56,31 @@
 
 TEST_CASE("A step is whole when as many groups are as its trainer waits for",
           "[batch]") {
-  BatchFold fold;
+  BatchState fold;
   BatchJob job = makeJob("a", 6);
   job.TargetGroups = 2;
   apply(fold, 0, JobPart{job, 0, 1}, TimePoint());
   const JobState &state = *findJob(fold, job.Id);
   Offset at = 1;
   for (std::size_t index : {0, 2, 4, 1}) {
-    CHECK_FALSE(isStepWhole(state));
+    CHECK_FALSE(isStepComplete(state));
     apply(fold, at++, ResultRecord{job.Id, makeResult(job, index, "t")},
           TimePoint());
   }
-  CHECK_FALSE(isStepWhole(state));
+  CHECK_FALSE(isStepComplete(state));
   apply(fold, at++, ResultRecord{job.Id, makeResult(job, 5, "t")}, TimePoint());
-  CHECK(isStepWhole(state));
+  CHECK(isStepComplete(state));
   // A trainer that names no number waits for all.
   BatchJob all = makeJob("b", 2);
   apply(fold, at++, JobPart{all, 0, 1}, TimePoint());
   apply(fold, at++, ResultRecord{all.Id, makeResult(all, 0, "t")}, TimePoint());
-  CHECK_FALSE(isStepWhole(*findJob(fold, all.Id)));
+  CHECK_FALSE(isStepComplete(*findJob(fold, all.Id)));
   apply(fold, at++, ResultRecord{all.Id, makeResult(all, 1, "t")}, TimePoint());
-  CHECK(isStepWhole(*findJob(fold, all.Id)));
+  CHECK(isStepComplete(*findJob(fold, all.Id)));
 }
 
 TEST_CASE("Jobs of two customers are two, whatever their names", "[batch]") {
-  BatchFold fold;
+  BatchState fold;
   BatchJob anna = makeJob("a", 2);
   BatchJob bert = makeJob("a", 3);
   anna.Id.Customer = CustomerName("anna");
@@ -100,18 +100,18 @@
 }
 
 TEST_CASE("The first submission of a job counts", "[batch]") {
-  BatchFold fold;
+  BatchState fold;
   BatchJob job = makeJob("a", 2);
   BatchJob other = makeJob("a", 3);
   CHECK(apply(fold, 0, JobPart{job, 0, 1}, TimePoint()).What ==
-        FoldChange::Kind::Accepted);
+        BatchStateChange::Kind::Accepted);
   CHECK(apply(fold, 1, JobPart{other, 0, 1}, TimePoint()).What ==
-        FoldChange::Kind::Nothing);
+        BatchStateChange::Kind::Nothing);
   CHECK(findJob(fold, job.Id)->Job == job);
 }
 
 TEST_CASE("The first result of an item counts, whoever found it", "[batch]") {
-  BatchFold fold;
+  BatchState fold;
   BatchJob job = makeJob("a", 2);
   apply(fold, 0, JobPart{job, 0, 1}, TimePoint());
   apply(fold, 1, ResultRecord{job.Id, makeResult(job, 1, "x")}, TimePoint());
@@ -125,7 +125,7 @@
 
 TEST_CASE("A result of an item that the job has not is passed over",
           "[batch]") {
-  BatchFold fold;
+  BatchState fold;
   BatchJob job = makeJob("a", 1);
   BatchJob other = makeJob("b", 1);
   apply(fold, 0, JobPart{job, 0, 1}, TimePoint());
@@ -135,7 +135,7 @@
 
 TEST_CASE("A submission whose last part is missing is not accepted",
           "[batch]") {
-  BatchFold fold;
+  BatchState fold;
   BatchJob job = makeJob("a", 2);
   BatchJob next = makeJob("b", 1);
   apply(fold, 0, JobPart{job, 0, 2}, TimePoint());
@@ -150,10 +150,10 @@
   holds([] {
     std::vector<BatchRecord> topic = anyTopic();
     std::size_t cut = *rc::gen::inRange<std::size_t>(0, topic.size() + 1);
-    BatchFold early = folded(topic, cut);
-    BatchFold whole = folded(topic, topic.size());
+    BatchState early = folded(topic, cut);
+    BatchState whole = folded(topic, topic.size());
     // A process that reads some stretch twice folds the same.
-    BatchFold twice = folded(topic, cut);
+    BatchState twice = folded(topic, cut);
     for (std::size_t i = 0; i < topic.size(); ++i)
       apply(twice, i, topic[i], TimePoint());
     for (const char *name : {"0", "1", "2"}) {
@@ -171,14 +171,15 @@
 }
 
 TEST_CASE("A saved text goes on only from its own dispatcher's", "[batch]") {
-  BatchFold fold;
+  BatchState fold;
   BatchJob job = makeJob("a", 1);
   ItemId item = job.Items[0].Id;
   apply(fold, 0, JobPart{job, 0, 1}, TimePoint());
   auto save = [&](Offset At, std::uint64_t Source, std::uint64_t After,
                   const std::string &Text, std::uint64_t Events) {
     PartialText text{Text, Events, {1}, false};
-    apply(fold, At, TextRecord{job.Id, item, Source, After, text}, TimePoint());
+    apply(fold, At, PartialTextRecord{job.Id, item, Source, After, text},
+          TimePoint());
     PartialText saved = findJob(fold, job.Id)->Texts.at(0).Text;
     CHECK(saved.Output.empty());
     for (const TextPiece &it : findJob(fold, job.Id)->Texts.at(0).Pieces)
@@ -198,7 +199,7 @@
 }
 
 TEST_CASE("A renewal under an old term does not hold the lease", "[batch]") {
-  BatchFold fold;
+  BatchState fold;
   TimePoint start = TimePoint() + Millis(1000);
   LeaseHolder a{InstanceName("a"), 1};
   LeaseHolder b{InstanceName("b"), 2};
@@ -215,7 +216,7 @@
 }
 
 TEST_CASE("Of claims at once the first one in the topic counts", "[batch]") {
-  BatchFold fold;
+  BatchState fold;
   TimePoint now = TimePoint() + Millis(1000);
   LeaseHolder a{InstanceName("a"), 1};
   LeaseHolder b{InstanceName("b"), 2};
@@ -250,24 +251,24 @@
       LeaseRenewal{1, b}, LeaseClaim{a, 0}, LeaseRenewal{0, a},
       LeaseRenewal{1, b}, LeaseClaim{a, 3}, LeaseRenewal{1, b}};
   for (std::size_t from = 0; from < topic.size() - 1; ++from) {
-    BatchFold fold;
+    BatchState fold;
     fold.Next = from;
     for (std::size_t i = from; i < topic.size(); ++i)
       apply(fold, i, topic[i], now);
     INFO("from " << from);
     CHECK(fold.Lease.Holder == b);
     CHECK(fold.Lease.Term == 1);
-    CHECK(fold.Lease.LastAt == 8);
+    CHECK(fold.Lease.LastRecordOffset == 8);
   }
 }
 
 TEST_CASE("A job is forgotten after nobody may read it any more", "[batch]") {
-  BatchFold fold;
+  BatchState fold;
   BatchJob job = makeJob("a", 1);
   apply(fold, 0, JobPart{job, 0, 1}, TimePoint());
-  expire(fold, TimePoint() + fold.Limits.KeepJob);
+  expire(fold, TimePoint() + fold.Limits.JobRetention);
   CHECK(findJob(fold, job.Id) != nullptr);
-  expire(fold, TimePoint() + fold.Limits.KeepJob + Millis(1));
+  expire(fold, TimePoint() + fold.Limits.JobRetention + Millis(1));
   CHECK(findJob(fold, job.Id) == nullptr);
 }
 
--- a/UnitTests/Batch/FakeStore.cpp
+++ b/UnitTests/Batch/FakeStore.cpp
@@ -65,15 +65,16 @@
     co_await hang();
     co_return unreachable();
   }
-  AppendFate fate = AppendFate::Taken;
-  std::deque<AppendFate> &fates = Topic == "payload" ? PayloadFates : Fates;
+  AppendFault fate = AppendFault::Taken;
+  std::deque<AppendFault> &fates =
+      Topic == "payload" ? PayloadAppendFaults : Fates;
   if (!fates.empty()) {
     fate = fates.front();
     fates.pop_front();
   }
-  if (Down || *Cut || fate == AppendFate::Lost)
+  if (Down || *Cut || fate == AppendFault::Lost)
     co_return unreachable();
-  if (fate == AppendFate::Refused)
+  if (fate == AppendFault::Refused)
     co_return failure(Verdict::NotRun, FailureCode::Overloaded);
   std::vector<std::string> &all = Topics[Topic];
   if (At && *At != all.size())
@@ -82,7 +83,7 @@
   for (std::string &it : Records)
     all.push_back(std::move(it));
   Grown.notify();
-  if (fate == AppendFate::AnswerLost)
+  if (fate == AppendFault::AnswerLost)
     co_return unreachable();
   co_return first;
 }
@@ -96,7 +97,7 @@
                                                    std::string Topic,
                                                    Offset From, Millis Wait) {
   if (Silent) {
-    co_await pauseFor(Context.get_executor(), SilentTime);
+    co_await pauseFor(Context.get_executor(), SilentReadTimeout);
     co_return unreachable();
   }
   TimePoint until = monotonicNow() + Wait;
--- a/UnitTests/Batch/FakeStore.h
+++ b/UnitTests/Batch/FakeStore.h
@@ -16,7 +16,7 @@
 namespace wasabi::batchtest {
 
 /// What happens to an append.
-enum class AppendFate : std::uint8_t {
+enum class AppendFault : std::uint8_t {
   Taken,
   /// Refused, with nothing done.
   Refused,
@@ -45,14 +45,14 @@
   /// The oldest offset kept of each topic.
   std::map<std::string, Offset> First;
   /// Fates of the next appends; `Taken` when there are none.
-  std::deque<AppendFate> Fates;
+  std::deque<AppendFault> Fates;
   /// The same for the topic of payloads.
-  std::deque<AppendFate> PayloadFates;
+  std::deque<AppendFault> PayloadAppendFaults;
   bool Down = false;
   /// Connections are taken and nothing is answered: appends hang for good,
-  /// reads until their time limit, `SilentTime`.
+  /// reads until their time limit, `SilentReadTimeout`.
   bool Silent = false;
-  Millis SilentTime{30};
+  Millis SilentReadTimeout{30};
   /// Most records of one read.
   std::size_t MaxEntries = 1000;
 
--- a/UnitTests/Batch/PayloadStoreTest.cpp
+++ b/UnitTests/Batch/PayloadStoreTest.cpp
@@ -8,23 +8,23 @@
 namespace asio = boost::asio;
 
 /// One process that stores payloads, with small limits.
-struct PayloadWorld : BatchWorld {
+struct PayloadWorld : BatchTestFixture {
   std::shared_ptr<bool> Cut = std::make_shared<bool>(false);
   std::shared_ptr<PayloadStore> Payloads = PayloadStore::create(
       Store.port(Cut),
       PayloadStore::Settings{"payload", Millis(100), 10, 30, 1000, 40});
 
-  std::vector<PayloadPlace> put(std::vector<std::string> What) {
-    std::vector<PayloadPlace> places;
+  std::vector<PayloadLocation> put(std::vector<std::string> What) {
+    std::vector<PayloadLocation> places;
     run([&]() -> asio::awaitable<void> {
-      Outcome<std::vector<PayloadPlace>> got =
+      Outcome<std::vector<PayloadLocation>> got =
           co_await Payloads->put(std::move(What));
       REQUIRE(got);
       places = *got;
     });
     return places;
   }
-  Outcome<std::string> get(const PayloadPlace &Place) {
+  Outcome<std::string> get(const PayloadLocation &Place) {
     std::optional<Outcome<std::string>> got;
     run([&]() -> asio::awaitable<void> {
       got.emplace(co_await Payloads->get(Place));
@@ -39,7 +39,7 @@
   PayloadWorld world;
   std::vector<std::string> all{"short", "", std::string(95, 'y'),
                                std::string("\0\xff!", 3), std::string(10, 'z')};
-  std::vector<PayloadPlace> places = world.put(all);
+  std::vector<PayloadLocation> places = world.put(all);
   REQUIRE(places.size() == all.size());
   CHECK(places[1].empty());
   CHECK(places[2].size() == 10);
@@ -57,7 +57,7 @@
 
 TEST_CASE("A payload that the store has no more is told so", "[batch]") {
   PayloadWorld world;
-  std::vector<PayloadPlace> places = world.put({"one", "two"});
+  std::vector<PayloadLocation> places = world.put({"one", "two"});
   world.Store.First["payload"] = 1;
   Outcome<std::string> gone = world.get(places[0]);
   REQUIRE_FALSE(gone);
@@ -67,10 +67,10 @@
 
 TEST_CASE("A payload whose append fails has not run", "[batch]") {
   PayloadWorld world;
-  world.Store.PayloadFates = {AppendFate::AnswerLost};
+  world.Store.PayloadAppendFaults = {AppendFault::AnswerLost};
   world.run([&]() -> asio::awaitable<void> {
     std::vector<std::string> one{"one"};
-    Outcome<std::vector<PayloadPlace>> got =
+    Outcome<std::vector<PayloadLocation>> got =
         co_await world.Payloads->put(std::move(one));
     REQUIRE_FALSE(got);
     CHECK(got.failure().Run == Verdict::NotRun);
--- a/UnitTests/Batch/RolloutLogTest.cpp
+++ b/UnitTests/Batch/RolloutLogTest.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-std::shared_ptr<RolloutLog> startLog(BatchWorld &World, Millis Delay) {
+std::shared_ptr<RolloutLog> startLog(BatchTestFixture &World, Millis Delay) {
   RolloutLog::Settings limits;
   limits.Wait = Millis(50);
   limits.Pace = Millis(1);
@@ -19,7 +19,7 @@
   return log;
 }
 
-void fill(BatchWorld &World, int Records) {
+void fill(BatchTestFixture &World, int Records) {
   for (int i = 0; i < Records; ++i)
     World.Store.append("rollout", encodeRecord(JobEnd{JobId("none")}));
 }
@@ -27,7 +27,7 @@
 } // namespace
 
 TEST_CASE("Strong instances read a long topic first", "[batch]") {
-  BatchWorld world;
+  BatchTestFixture world;
   world.Store.MaxEntries = 10;
   fill(world, 100);
   // As long as the strong one needs and much longer.
@@ -40,7 +40,7 @@
 }
 
 TEST_CASE("The pause of a weak instance ends, and is made once", "[batch]") {
-  BatchWorld world;
+  BatchTestFixture world;
   world.Store.MaxEntries = 10;
   fill(world, 100);
   std::shared_ptr<RolloutLog> weak = startLog(world, Millis(20));
@@ -48,7 +48,7 @@
 }
 
 TEST_CASE("Nobody waits with a topic that is short", "[batch]") {
-  BatchWorld world;
+  BatchTestFixture world;
   world.Store.MaxEntries = 10;
   fill(world, 15);
   std::shared_ptr<RolloutLog> weak = startLog(world, Millis(60000));
--- a/UnitTests/Batch/StepReadTest.cpp
+++ b/UnitTests/Batch/StepReadTest.cpp
@@ -98,7 +98,8 @@
   double held = meanDelay(steps, [](const StepResults &Of) {
     return [&Of](TimePoint Came, std::size_t Known) {
       bool results = listedBy(Of, Came) > Known;
-      return holdUntil({Came, Allowed, results, std::nullopt}, Limits);
+      return computeAnswerDeadline({Came, Allowed, results, std::nullopt},
+                                   Limits);
     };
   });
   double first = meanDelay(steps, [](const StepResults &Of) {
@@ -120,13 +121,14 @@
 TEST_CASE("A reader is held no longer than it allows and has use for",
           "[batch]") {
   TimePoint came = TimePoint() + Millis(5000);
-  CHECK(holdUntil({came, Allowed, false, std::nullopt}, Limits) ==
+  CHECK(computeAnswerDeadline({came, Allowed, false, std::nullopt}, Limits) ==
         came + Allowed);
-  CHECK(holdUntil({came, Allowed, true, std::nullopt}, Limits) ==
+  CHECK(computeAnswerDeadline({came, Allowed, true, std::nullopt}, Limits) ==
         came + Limits.Pace);
-  CHECK(holdUntil({came, Millis(200), true, std::nullopt}, Limits) ==
-        came + Millis(200));
-  CHECK(holdUntil({came, Millis(0), false, std::nullopt}, Limits) == came);
+  CHECK(computeAnswerDeadline({came, Millis(200), true, std::nullopt},
+                              Limits) == came + Millis(200));
+  CHECK(computeAnswerDeadline({came, Millis(0), false, std::nullopt}, Limits) ==
+        came);
 }
 
 TEST_CASE("What is in time is read in time", "[batch]") {
@@ -136,12 +138,12 @@
   for (Millis at(6000); due - Limits.Delivery > TimePoint() + at;
        at += Millis(10)) {
     TimePoint until =
-        holdUntil({TimePoint() + at, Allowed, false, due}, Limits);
+        computeAnswerDeadline({TimePoint() + at, Allowed, false, due}, Limits);
     CHECK(until + Limits.Delivery <= inTime);
   }
   // A step that is late holds nobody.
   TimePoint late = inTime + Millis(50);
-  CHECK(holdUntil({late, Allowed, true, due}, Limits) == late);
+  CHECK(computeAnswerDeadline({late, Allowed, true, due}, Limits) == late);
 }
 
 } // namespace wasabi
--- a/UnitTests/Core/BootTimerTest.cpp
+++ b/UnitTests/Core/BootTimerTest.cpp
@@ -53,8 +53,9 @@
 
 TEST_CASE("A timer that came due while the machine was suspended fires soon",
           "[core]") {
-  using Timer = boost::asio::basic_waitable_timer<SuspendedClock,
-                                                  BoundedWait<SuspendedClock>>;
+  using Timer =
+      boost::asio::basic_waitable_timer<SuspendedClock,
+                                        BoundedWaitTraits<SuspendedClock>>;
   constexpr Millis Wait{60000};
   boost::asio::io_context context;
   Timer timer(context, Wait);
@@ -64,12 +65,12 @@
   CHECK_FALSE(fired);
   SuspendedClock::Suspended = Wait;
   // The patience is for a busy machine.
-  context.run_for(10 * BoundedWait<SuspendedClock>::Longest);
+  context.run_for(10 * BoundedWaitTraits<SuspendedClock>::Longest);
   CHECK(fired);
 }
 
 TEST_CASE("A bounded wait is no longer than what is asked for", "[core]") {
-  using Wait = BoundedWait<BootClock>;
+  using Wait = BoundedWaitTraits<BootClock>;
   CHECK(Wait::to_wait_duration(Millis(7)) == Millis(7));
   CHECK(Wait::to_wait_duration(Millis(70000)) == Wait::Longest);
   CHECK(Wait::to_wait_duration(BootClock::now() - Millis(5)) < Millis(0));
--- a/UnitTests/Customers/AccessTest.cpp
+++ b/UnitTests/Customers/AccessTest.cpp
@@ -22,7 +22,7 @@
     noteAnswer(Contact, Now);
   }
   Access decide(const std::string &Key, bool Public) const {
-    AccessAsk ask;
+    AccessRequest ask;
     if (!Key.empty())
       ask.Key = Keys.digest(Key);
     ask.Public = Public;
@@ -77,10 +77,10 @@
           "without the store",
           "[customers]") {
   AccessCase it;
-  it.Limits.StrictRevoke = true;
-  it.loseStore(it.Limits.RevokeTime - Millis(1));
+  it.Limits.StrictRevocation = true;
+  it.loseStore(it.Limits.MaxRevocationDelay - Millis(1));
   CHECK(it.decide("known", false).Verdict == AccessVerdict::Granted);
-  it.loseStore(it.Limits.RevokeTime + Millis(1));
+  it.loseStore(it.Limits.MaxRevocationDelay + Millis(1));
   CHECK(it.decide("known", false).Verdict == AccessVerdict::Unsure);
   Access open = it.decide("known", true);
   CHECK(open.Verdict == AccessVerdict::Granted);
--- a/UnitTests/Customers/CustomerTableTest.cpp
+++ b/UnitTests/Customers/CustomerTableTest.cpp
@@ -75,7 +75,7 @@
   for (const char *key : {"k1", "k2", "k3"})
     CHECK(holder(table, key).empty());
   CHECK(holder(table, "k4") == "anna");
-  CHECK(table.unusable() == 3);
+  CHECK(table.rejectedCustomers() == 3);
 }
 
 TEST_CASE("Digests of one key are equal in one process only", "[customers]") {
--- a/UnitTests/Dispatch/DispatcherTest.cpp
+++ b/UnitTests/Dispatch/DispatcherTest.cpp
@@ -34,7 +34,7 @@
 }
 
 /// One dispatching process, two engines and a scoring server.
-struct DispatchWorld : BatchWorld {
+struct DispatcherFixture : BatchTestFixture {
   FakeEngines Engines{Context};
   FleetView View;
   Metrics Counts;
@@ -44,11 +44,11 @@
   std::shared_ptr<Dispatcher> Dispatch;
 
   /// \param Stall silence after which a run has lost its engine.
-  /// \param StepArrival how long a named version's step is expected.
-  /// \param SaveEvery how often texts in progress are saved.
-  explicit DispatchWorld(Millis Stall = Millis(80),
-                         Millis StepArrival = Millis(0),
-                         Millis SaveEvery = Millis(10)) {
+  /// \param StepArrivalTimeout how long a named version's step is expected.
+  /// \param SaveInterval how often texts in progress are saved.
+  explicit DispatcherFixture(Millis Stall = Millis(80),
+                             Millis StepArrivalTimeout = Millis(0),
+                             Millis SaveInterval = Millis(10)) {
     View.Routes = makeRoutes();
     noteAnswer(View.Contact, monotonicNow());
     addServer("e1", Llm);
@@ -63,28 +63,28 @@
                            crashes, Decisions, Counts},
                           Forwarder::Settings());
     Dispatcher::Settings limits;
-    limits.LookEvery = Millis(10);
-    limits.StallTime = Stall;
-    limits.EventLimit = std::max(limits.EventLimit, Stall);
-    limits.FirstEventTime = Millis(120);
-    limits.LoadStallTime = Millis(3000);
+    limits.PollInterval = Millis(10);
+    limits.RunStallTimeout = Stall;
+    limits.EventTimeout = std::max(limits.EventTimeout, Stall);
+    limits.FirstEventTimeout = Millis(120);
+    limits.LoadStallTimeout = Millis(3000);
     limits.RetryPause = Millis(2);
-    limits.SwapLimit = Millis(150);
-    limits.SaveEvery = SaveEvery;
-    limits.SaveEvents = 4;
-    limits.StepArrival = StepArrival;
+    limits.SwapTimeout = Millis(150);
+    limits.SaveInterval = SaveInterval;
+    limits.MinSaveEvents = 4;
+    limits.StepArrivalTimeout = StepArrivalTimeout;
     Dispatch = Dispatcher::create({Context.get_executor(), View, Log, Payloads,
                                    Store.port(), Engines.port(), scores,
                                    crashes, Decisions, Counts},
                                   limits);
     Log->onChange(
-        [this](const FoldChange &Change) { Dispatch->onChange(Change); });
+        [this](const BatchStateChange &Change) { Dispatch->onChange(Change); });
     Dispatch->start();
     Dispatch->activate();
   }
 
   void addServer(const std::string &Id, const ServiceName &Service) {
-    UpstreamEntry entry;
+    UpstreamRegistration entry;
     entry.Id = ServerName(Id);
     entry.Service = Service;
     entry.Slots = 4;
@@ -107,7 +107,7 @@
     std::vector<ItemResult> all = known->Results;
     for (ItemResult &it : all) {
       run([&]() -> boost::asio::awaitable<void> {
-        Outcome<std::string> text = co_await Payloads->get(it.OutputAt);
+        Outcome<std::string> text = co_await Payloads->get(it.OutputLocation);
         it.Output += text ? *text : "(its text is not there)";
       });
     }
@@ -125,7 +125,7 @@
   BatchJob job = makeJob(Id, Items);
   for (BatchItem &it : job.Items)
     it.Score =
-        ScoreCall{"score-" + it.Id.Text, "host.example", "/score/x", "body"};
+        ScoreRequest{"score-" + it.Id.Text, "host.example", "/score/x", "body"};
   return job;
 }
 
@@ -139,12 +139,12 @@
 } // namespace
 
 TEST_CASE("Items are generated, scored and listed whole", "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   BatchJob job = scoredJob("a", 6);
   world.submit(job);
   REQUIRE(world.finishes(job));
   for (const ItemResult &it : world.results(job)) {
-    CHECK(it.End == ItemEnd::Completed);
+    CHECK(it.End == ItemStatus::Completed);
     CHECK(it.Output == wholeText(it.Item.Text, 5));
     CHECK(it.Versions == std::vector<WeightVersion>{1});
     CHECK(it.Score == "sig-score-" + it.Item.Text);
@@ -153,20 +153,20 @@
 
 TEST_CASE("An item that the store has no more does not hold up the others",
           "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   BatchJob job = makeJob("a", 5);
   JobPart part{job, 0, 3};
   part.Job.Items = {job.Items[0], job.Items[1]};
-  part.ItemsAt = {{0, 10}};
+  part.ItemsLocation = {{0, 10}};
   JobPart few{job, 1, 3};
   few.Job.Items = {job.Items[2]};
-  few.ItemsAt = {{1, 10}};
+  few.ItemsLocation = {{1, 10}};
   JobPart rest{job, 2, 3};
   rest.Job.Items = {job.Items[3], job.Items[4]};
   world.Store.append("payload", "no items");
   world.Store.append("payload", encodeItems({}));
   world.Store.append("payload", encodeItems(rest.Job.Items));
-  rest.ItemsAt = {{2, 10}};
+  rest.ItemsLocation = {{2, 10}};
   for (const JobPart &it : {part, few, rest})
     world.Store.append("rollout", encodeRecord(it));
   REQUIRE(world.runUntil([&] { return world.results(job).size() == 2; }));
@@ -175,8 +175,8 @@
 }
 
 TEST_CASE("A text that breaks off goes on after its last event", "[dispatch]") {
-  DispatchWorld world;
-  world.server("e1").BreakAfter = 2;
+  DispatcherFixture world;
+  world.server("e1").BreakAfterEvents = 2;
   BatchJob job = makeJob("a", 4);
   world.submit(job);
   REQUIRE(world.finishes(job));
@@ -186,7 +186,7 @@
 }
 
 TEST_CASE("A text that goes on under other weights names both", "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   world.Engines.Length = 40;
   BatchJob job = makeJob("a", 1);
   world.submit(job);
@@ -202,23 +202,24 @@
 
 TEST_CASE("An engine whose weights are too old generates nothing",
           "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   BatchJob job = makeJob("a", 2);
   job.MinVersion = 2;
   // The registration says so, and the engine has fallen back.
   for (const char *id : {"e1", "e2"}) {
-    UpstreamEntry entry = world.View.Servers.Servers[ServerName(id)]->Entry;
+    UpstreamRegistration entry =
+        world.View.Servers.Servers[ServerName(id)]->Entry;
     entry.Models = {{Model, 2}};
     registerServer(world.View.Servers, entry);
   }
-  world.Dispatch->onView();
+  world.Dispatch->onFleetChange();
   world.submit(job);
   world.Context.run_for(Millis(100));
   CHECK(world.results(job).empty());
   for (const char *id : {"e1", "e2"}) {
     world.server(id).Version = 2;
     HeldWeights now{{{Model, 2}}, false};
-    world.Dispatch->onHeld(ServerName(id), now);
+    world.Dispatch->onHeldWeights(ServerName(id), now);
   }
   REQUIRE(world.finishes(job));
   CHECK(world.results(job)[0].Versions == std::vector<WeightVersion>{2});
@@ -226,7 +227,7 @@
 
 TEST_CASE("An engine that refuses connections does not draw the items",
           "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   world.server("e1").Refuses = true;
   world.server("e2").Pace = Millis(5);
   BatchJob job = makeJob("a", 30);
@@ -237,7 +238,7 @@
 }
 
 TEST_CASE("Items of a silent engine are run by another", "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   world.server("e1").Dark = true;
   BatchJob job = makeJob("a", 6);
   world.submit(job);
@@ -248,7 +249,7 @@
 
 TEST_CASE("A text that turns out long goes on at a faster engine",
           "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   world.Engines.Length = 300;
   world.server("e1").Pace = Millis(15);
   world.server("e2").Pace = Millis(10);
@@ -264,7 +265,7 @@
 
 TEST_CASE("A run without a first event does not wait as long as a load takes",
           "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   world.server("e1").Dark = true;
   world.server("e2").Dark = true;
   BatchJob job = makeJob("a", 1);
@@ -280,60 +281,61 @@
 
 TEST_CASE("A score that does not come is soon asked for again, then awaited",
           "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   world.addServer("j2", Judge);
   world.server("j1").Dark = true;
   world.server("j2").Dark = true;
   BatchJob job = scoredJob("a", 1);
   world.submit(job);
-  REQUIRE(world.runUntil([&] { return world.Engines.ScoreTimes.size() >= 2; }));
+  REQUIRE(
+      world.runUntil([&] { return world.Engines.ScoreDeadlines.size() >= 2; }));
   world.server("j1").Dark = false;
   world.server("j2").Dark = false;
   REQUIRE(world.finishes(job));
-  CHECK(world.results(job)[0].End == ItemEnd::Completed);
-  CHECK(world.Engines.ScoreTimes[0] <= Millis(450));
-  CHECK(world.Engines.ScoreTimes[1] > Millis(1000));
+  CHECK(world.results(job)[0].End == ItemStatus::Completed);
+  CHECK(world.Engines.ScoreDeadlines[0] <= Millis(450));
+  CHECK(world.Engines.ScoreDeadlines[1] > Millis(1000));
 }
 
 TEST_CASE("An item that fails at every attempt is terminated", "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   world.server("e1").Status = 500;
   world.server("e2").Status = 500;
   BatchJob job = makeJob("a", 1);
   world.submit(job);
   REQUIRE(world.finishes(job));
-  CHECK(world.results(job)[0].End == ItemEnd::Terminated);
+  CHECK(world.results(job)[0].End == ItemStatus::Terminated);
   CHECK(world.server("e1").Runs.size() + world.server("e2").Runs.size() == 3);
 }
 
 TEST_CASE("An item that can never be done is sent once", "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   world.server("e1").Status = 422;
   world.server("e2").Status = 422;
   BatchJob job = makeJob("a", 1);
   world.submit(job);
   REQUIRE(world.finishes(job));
-  CHECK(world.results(job)[0].End == ItemEnd::Terminated);
+  CHECK(world.results(job)[0].End == ItemStatus::Terminated);
   CHECK(world.server("e1").Runs.size() + world.server("e2").Runs.size() == 1);
 }
 
 TEST_CASE("A score is asked for again after a failure, up to the limit",
           "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   world.Engines.ScoreStatuses = {500};
   BatchJob job = scoredJob("a", 1);
   world.submit(job);
   REQUIRE(world.finishes(job));
-  CHECK(world.results(job)[0].End == ItemEnd::Completed);
+  CHECK(world.results(job)[0].End == ItemStatus::Completed);
   world.Engines.ScoreStatuses = {500, 500};
   BatchJob next = scoredJob("b", 1);
   world.submit(next);
   REQUIRE(world.finishes(next));
-  CHECK(world.results(next)[0].End == ItemEnd::Terminated);
+  CHECK(world.results(next)[0].End == ItemStatus::Terminated);
 }
 
 TEST_CASE("An ended job's items go to no engine any more", "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   world.Engines.Length = 1000;
   BatchJob job = makeJob("a", 20);
   world.submit(job);
@@ -348,7 +350,7 @@
 }
 
 TEST_CASE("A carried-over item goes on from its text", "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   world.Engines.Length = 30;
   BatchJob job = makeJob("a", 1);
   world.submit(job);
@@ -369,7 +371,7 @@
 TEST_CASE("The jobs of a more urgent customer run first, whatever their route "
           "says",
           "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   std::shared_ptr<RouteTable> routes =
       std::make_shared<RouteTable>(*world.View.Routes);
   routes->Customers =
@@ -396,7 +398,7 @@
 
 TEST_CASE("A text is carried over to jobs of its own customer only",
           "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   world.Engines.Length = 30;
   BatchJob job = makeJob("a", 1);
   job.Id.Customer = CustomerName("anna");
@@ -415,7 +417,7 @@
 
 TEST_CASE("A carried-over text that lacks only its score is not run again",
           "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   world.server("j1").Dark = true;
   BatchJob job = scoredJob("a", 1);
   world.submit(job);
@@ -437,7 +439,7 @@
 
 TEST_CASE("A text under weights that are too old for the next job is dropped",
           "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   world.Engines.Length = 30;
   BatchJob job = makeJob("a", 1);
   world.submit(job);
@@ -447,7 +449,7 @@
   for (const char *id : {"e1", "e2"}) {
     world.server(id).Version = 2;
     HeldWeights now{{{Model, 2}}, false};
-    world.Dispatch->onHeld(ServerName(id), now);
+    world.Dispatch->onHeldWeights(ServerName(id), now);
   }
   BatchJob next = job;
   next.Id = JobId("b");
@@ -459,14 +461,14 @@
 }
 
 TEST_CASE("Work that is handed back is taken up where it was", "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   world.Engines.Length = 30;
   BatchJob job = makeJob("a", 2);
   world.submit(job);
   world.Context.run_for(Millis(40));
   std::vector<std::string> texts;
   world.run([&]() -> boost::asio::awaitable<void> {
-    texts = co_await world.Dispatch->handBack();
+    texts = co_await world.Dispatch->handOverTexts();
   });
   CHECK(texts.size() == 2);
   for (const std::string &it : texts)
@@ -480,9 +482,9 @@
 }
 
 TEST_CASE("A result whose append is lost is appended again", "[dispatch]") {
-  DispatchWorld world;
-  world.Store.Fates = {AppendFate::Lost, AppendFate::AnswerLost,
-                       AppendFate::Refused};
+  DispatcherFixture world;
+  world.Store.Fates = {AppendFault::Lost, AppendFault::AnswerLost,
+                       AppendFault::Refused};
   BatchJob job = makeJob("a", 3);
   world.submit(job);
   REQUIRE(world.finishes(job));
@@ -491,11 +493,11 @@
 
 TEST_CASE("Engines are wanted at the named version, few enough at a time",
           "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   world.addServer("e3", Llm);
   world.addServer("e4", Llm);
   world.View.Named[Model] = 2;
-  world.Dispatch->onView();
+  world.Dispatch->onFleetChange();
   auto wanted = [&] { return world.Store.Topics[WantedTopic].size(); };
   REQUIRE(world.runUntil([&] { return wanted() == 2; }));
   world.Context.run_for(Millis(60));
@@ -503,18 +505,18 @@
   for (const std::string &it :
        std::vector<std::string>(world.Store.Topics[WantedTopic])) {
     HeldWeights now{{{Model, 2}}, false};
-    world.Dispatch->onHeld(ServerName(it.substr(0, it.find('|'))), now);
+    world.Dispatch->onHeldWeights(ServerName(it.substr(0, it.find('|'))), now);
   }
   CHECK(world.runUntil([&] { return wanted() == 4; }));
 }
 
 TEST_CASE("A step that follows its version finds engines with places",
           "[dispatch]") {
-  DispatchWorld world(Millis(80), Millis(5000));
+  DispatcherFixture world(Millis(80), Millis(5000));
   world.Engines.Length = 12;
   for (const char *id : {"e1", "e2"}) {
     world.server(id).Version = 2;
-    world.Dispatch->onHeld(ServerName(id), {{{Model, 2}}, false});
+    world.Dispatch->onHeldWeights(ServerName(id), {{{Model, 2}}, false});
   }
   world.View.Named[Model] = 2;
   BatchJob before = makeJob("a", 2);
@@ -523,7 +525,7 @@
   REQUIRE(world.finishes(before));
   auto wanted = [&] { return world.Store.Topics[WantedTopic].size(); };
   world.View.Named[Model] = 3;
-  world.Dispatch->onView();
+  world.Dispatch->onFleetChange();
   world.Context.run_for(Millis(60));
   CHECK(wanted() == 0);
   // The step is more than the engines have places for: they load when all of it
@@ -540,26 +542,28 @@
 
 TEST_CASE("What an engine held before it started again does not count",
           "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   for (const char *id : {"e1", "e2"}) {
-    UpstreamEntry entry = world.View.Servers.Servers[ServerName(id)]->Entry;
+    UpstreamRegistration entry =
+        world.View.Servers.Servers[ServerName(id)]->Entry;
     entry.Start = 1000;
     registerServer(world.View.Servers, entry);
     HeldWeights now{{{Model, 2}}, false, 1000};
-    world.Dispatch->onHeld(ServerName(id), now);
+    world.Dispatch->onHeldWeights(ServerName(id), now);
   }
   world.View.Named[Model] = 2;
-  world.Dispatch->onView();
+  world.Dispatch->onFleetChange();
   world.Context.run_for(Millis(60));
   auto wanted = [&] { return world.Store.Topics[WantedTopic]; };
   REQUIRE(wanted().empty());
   // It starts again with older weights, and then the record of the start
   // before is read once more.
-  UpstreamEntry entry = world.View.Servers.Servers[ServerName("e1")]->Entry;
+  UpstreamRegistration entry =
+      world.View.Servers.Servers[ServerName("e1")]->Entry;
   entry.Start = 2000;
   registerServer(world.View.Servers, entry);
-  world.Dispatch->onHeld(ServerName("e1"), {{{Model, 2}}, false, 1000});
-  world.Dispatch->onView();
+  world.Dispatch->onHeldWeights(ServerName("e1"), {{{Model, 2}}, false, 1000});
+  world.Dispatch->onFleetChange();
   // Long before its registration would count against what it told.
   constexpr Millis Soon{1500};
   TimePoint end = monotonicNow() + Soon;
@@ -576,7 +580,7 @@
 TEST_CASE("Runs of an engine that starts again go on at another",
           "[dispatch]") {
   constexpr Millis Never{60000};
-  DispatchWorld world(Never);
+  DispatcherFixture world(Never);
   world.Engines.Length = 40;
   BatchJob job = makeJob("a", 4);
   world.submit(job);
@@ -586,10 +590,11 @@
   world.Context.run_for(Millis(20));
   // The crash is seen by nobody: connections stay open and silent.
   world.server("e1").Dark = true;
-  UpstreamEntry entry = world.View.Servers.Servers[ServerName("e1")]->Entry;
+  UpstreamRegistration entry =
+      world.View.Servers.Servers[ServerName("e1")]->Entry;
   entry.Start = 2000;
   registerServer(world.View.Servers, entry);
-  world.Dispatch->onView();
+  world.Dispatch->onFleetChange();
   REQUIRE(world.runUntil([&] { return !world.Engines.Resumed.empty(); }));
   world.server("e1").Dark = false;
   REQUIRE(world.finishes(job));
@@ -597,7 +602,7 @@
 
 TEST_CASE("What was saved of a long text is not generated again",
           "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   world.Engines.Length = 60;
   BatchJob job = makeJob("a", 2);
   world.submit(job);
@@ -623,7 +628,7 @@
 TEST_CASE("At a takeover the longest texts run again first", "[dispatch]") {
   constexpr std::size_t Items = 20;
   constexpr std::size_t Places = 8;
-  DispatchWorld world;
+  DispatcherFixture world;
   world.Engines.Length = Items + 5;
   world.server("e1").Pace = Millis(20);
   world.server("e2").Pace = Millis(20);
@@ -640,12 +645,12 @@
       world.Store.append("payload", text);
       Offset at = world.Store.Topics["payload"].size() - 1;
       world.Store.append("rollout",
-                         encodeRecord(TextRecord{job.Id,
-                                                 item,
-                                                 1,
-                                                 event - 1,
-                                                 {"", event, {1}, false},
-                                                 {{at, text.size()}}}));
+                         encodeRecord(PartialTextRecord{job.Id,
+                                                        item,
+                                                        1,
+                                                        event - 1,
+                                                        {"", event, {1}, false},
+                                                        {{at, text.size()}}}));
     }
   }
   Offset end = world.Store.Topics["rollout"].size();
@@ -665,15 +670,15 @@
 }
 
 TEST_CASE("Saves whose outcome is unknown do not spoil a text", "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   world.Engines.Length = 60;
   BatchJob job = makeJob("a", 2);
   world.submit(job);
   REQUIRE(world.runUntil(
       [&] { return findJob(world.Log->fold(), job.Id) != nullptr; }));
-  world.Store.Fates = {AppendFate::AnswerLost, AppendFate::Lost,
-                       AppendFate::AnswerLost, AppendFate::Refused,
-                       AppendFate::AnswerLost};
+  world.Store.Fates = {AppendFault::AnswerLost, AppendFault::Lost,
+                       AppendFault::AnswerLost, AppendFault::Refused,
+                       AppendFault::AnswerLost};
   REQUIRE(world.runUntil([&] { return world.Store.Fates.empty(); }));
   world.Dispatch->deactivate();
   world.Context.run_for(Millis(20));
@@ -687,7 +692,7 @@
           "[dispatch]") {
   // Processes are killed in the half second after an outage, and the longest
   // texts have generated seconds meanwhile.
-  DispatchWorld world(Millis(80), Millis(0), Millis(300));
+  DispatcherFixture world(Millis(80), Millis(0), Millis(300));
   world.Engines.Length = 200;
   world.server("e1").Pace = Millis(10);
   world.server("e2").Pace = Millis(10);
@@ -698,7 +703,7 @@
   };
   REQUIRE(world.runUntil(running));
   TimePoint begun = monotonicNow();
-  world.Store.Fates = {AppendFate::Refused, AppendFate::Refused};
+  world.Store.Fates = {AppendFault::Refused, AppendFault::Refused};
   auto saved = [&] {
     std::shared_ptr<JobState> known = findJob(world.Log->fold(), job.Id);
     return known && known->Texts.size() == 3;
@@ -709,7 +714,7 @@
 
 TEST_CASE("Where one version is allowed a text of two begins anew",
           "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   RouteTable table = *world.View.Routes;
   table.Routes[0].SingleVersion = true;
   world.View.Routes = std::make_shared<const RouteTable>(table);
@@ -729,9 +734,9 @@
 
 TEST_CASE("An engine that takes no weights does not hold up the others",
           "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   world.View.Named[Model] = 2;
-  world.Dispatch->onView();
+  world.Dispatch->onFleetChange();
   // Nobody is beside either engine, so each is wanted in turn.
   std::set<std::string> asked;
   CHECK(world.runUntil([&] {
@@ -743,14 +748,14 @@
 
 TEST_CASE("An item that ends its engines is let be, others finish",
           "[dispatch]") {
-  DispatchWorld world;
+  DispatcherFixture world;
   for (const char *id : {"e3", "e4", "e5", "e6", "e7", "e8"})
     world.addServer(id, Llm);
   BatchJob job = scoredJob("a", 4);
   world.Engines.Length = 12;
   world.Engines.CrashOn = job.Items[1].Id.Text;
   // At once, or each time a little further on.
-  world.Engines.CrashAfter = GENERATE(0U, 2U);
+  world.Engines.CrashAfterEvents = GENERATE(0U, 2U);
   world.submit(job);
   auto listed = [&] {
     std::shared_ptr<JobState> known = findJob(world.Log->fold(), job.Id);
--- a/UnitTests/Dispatch/EnginePoolTest.cpp
+++ b/UnitTests/Dispatch/EnginePoolTest.cpp
@@ -27,8 +27,9 @@
 }
 
 std::shared_ptr<EngineState> choose(const EngineList &Engines,
-                                    const EngineNeed &Need) {
-  return chooseEngine(Engines, Need, paceScale(Engines, EnginePoolSettings()),
+                                    const EngineRequirements &Need) {
+  return chooseEngine(Engines, Need,
+                      computePaceBaseline(Engines, EnginePoolSettings()),
                       EnginePoolSettings(), TimePoint() + Millis(1000));
 }
 
@@ -107,7 +108,7 @@
   engines[0]->Model = Red;
   engines[1]->Model = Red;
   engines[1]->Running = 3;
-  EngineNeed need;
+  EngineRequirements need;
   need.Model = Red;
   need.MinVersion = 3;
   CHECK(choose(engines, need) == engines[1]);
@@ -123,7 +124,7 @@
   engines[1]->Server->Replaced = true;
   CHECK(choose(engines, need) == nullptr);
   need.MinVersion = 0;
-  need.Exactly = 3;
+  need.ExactVersion = 3;
   CHECK(choose(engines, need) == nullptr);
 }
 
@@ -134,11 +135,11 @@
   for (const std::shared_ptr<EngineState> &it : engines) {
     it->Model = Red;
     for (int i = 0; i < 60; ++i)
-      notePause(it->Pace, ms, TimePoint(), EnginePaceSettings());
+      recordEventInterval(it->Pace, ms, TimePoint(), EnginePaceSettings());
     ms = 76;
   }
   engines[1]->Running = 3;
-  EngineNeed need;
+  EngineRequirements need;
   need.Model = Red;
   need.Preferred = {ServerName("near"), 0};
   CHECK(choose(engines, need) == engines[0]);
@@ -159,7 +160,7 @@
   engines[0]->Pace.RecentMs = 140;
   engines[1]->Server->SuspectUntil = TimePoint() + Millis(2000);
   engines[3]->Running = 2;
-  EngineNeed need;
+  EngineRequirements need;
   need.Model = Red;
   need.Preferred = {ServerName("near"), 0};
   CHECK(choose(engines, need) == engines[3]);
--- a/UnitTests/Dispatch/FakeEngines.cpp
+++ b/UnitTests/Dispatch/FakeEngines.cpp
@@ -36,14 +36,14 @@
     if (!Cancelled && server.Dark)
       co_await Wake.wait(monotonicNow() + Timeout);
     server.Ended =
-        server.Ended || (Item == All.CrashOn && Made >= All.CrashAfter);
+        server.Ended || (Item == All.CrashOn && Made >= All.CrashAfterEvents);
     if (server.Ended)
       co_return lost(FailureCode::ConnectionLost);
     if (Cancelled || server.Dark)
       co_return lost(FailureCode::Cancelled);
     if (Next >= All.Length)
       co_return std::optional<EngineEvent>();
-    if (server.BreakAfter > 0 && ++Sent > server.BreakAfter)
+    if (server.BreakAfterEvents > 0 && ++Sent > server.BreakAfterEvents)
       co_return lost(FailureCode::ConnectionLost);
     EngineEvent event;
     event.Id = ++Next;
@@ -72,29 +72,29 @@
 
 EnginePort FakeEngines::port() {
   EnginePort port;
-  port.Open = [this](UpstreamEntry Server, const http::Request &,
+  port.Open = [this](UpstreamRegistration Server, const http::Request &,
                      SendOptions Options, Millis) {
     return open(std::move(Server), std::move(Options));
   };
-  port.Call = [this](UpstreamEntry Server, const http::Request &,
+  port.Call = [this](UpstreamRegistration Server, const http::Request &,
                      SendOptions Options, Millis) {
     return call(std::move(Server), std::move(Options));
   };
-  port.Probe = [this](UpstreamEntry Server, Millis) {
+  port.Probe = [this](UpstreamRegistration Server, Millis) {
     return probe(std::move(Server));
   };
   return port;
 }
 
-asio::awaitable<Outcome<ServerPresence>>
-FakeEngines::probe(UpstreamEntry Server) {
+asio::awaitable<Outcome<ServerProbeResult>>
+FakeEngines::probe(UpstreamRegistration Server) {
   co_await pauseFor(Context.get_executor(), Millis(1));
-  co_return Servers[Server.Id].Ended ? ServerPresence::Refuses
-                                     : ServerPresence::Listens;
+  co_return Servers[Server.Id].Ended ? ServerProbeResult::Refuses
+                                     : ServerProbeResult::Listens;
 }
 
 asio::awaitable<Outcome<std::unique_ptr<EngineStream>>>
-FakeEngines::open(UpstreamEntry Server, SendOptions Options) {
+FakeEngines::open(UpstreamRegistration Server, SendOptions Options) {
   co_await pauseFor(Context.get_executor(), Millis(1));
   FakeServer &server = Servers[Server.Id];
   server.Runs.push_back(Options.RequestId);
@@ -116,13 +116,13 @@
   co_return stream;
 }
 
-asio::awaitable<Outcome<UpstreamAnswer>>
-FakeEngines::call(UpstreamEntry Server, SendOptions Options) {
+asio::awaitable<Outcome<UpstreamResponse>>
+FakeEngines::call(UpstreamRegistration Server, SendOptions Options) {
   co_await pauseFor(Context.get_executor(), Millis(1));
-  ScoreTimes.push_back(Options.Deadline.value_or(Millis(0)));
+  ScoreDeadlines.push_back(Options.Deadline.value_or(Millis(0)));
   if (Servers[Server.Id].Dark)
     co_return lost(FailureCode::TimedOut);
-  UpstreamAnswer answer;
+  UpstreamResponse answer;
   answer.Proof = AnswerProof::Ran;
   answer.Response.Status = Ok;
   if (!ScoreStatuses.empty()) {
--- a/UnitTests/Dispatch/FakeEngines.h
+++ b/UnitTests/Dispatch/FakeEngines.h
@@ -23,7 +23,7 @@
   /// Pause before each event.
   Millis Pace{2};
   /// A run breaks off after so many events; 0 for never.
-  std::uint64_t BreakAfter = 0;
+  std::uint64_t BreakAfterEvents = 0;
   /// Refuses connections.
   bool Refuses = false;
   /// Its process has ended: it refuses connections.
@@ -45,7 +45,7 @@
   /// The item that ends each server which begins to run it; empty for none.
   std::string CrashOn;
   /// Events that each run of it makes before.
-  std::uint64_t CrashAfter = 0;
+  std::uint64_t CrashAfterEvents = 0;
   /// Events of each text.
   std::uint64_t Length = 5;
   /// Statuses of the next scoring calls; 200 when there are none.
@@ -53,7 +53,7 @@
   /// Scoring calls, by the scored text's item.
   std::vector<std::string> Scored;
   /// Time that each scoring call was given.
-  std::vector<Millis> ScoreTimes;
+  std::vector<Millis> ScoreDeadlines;
   /// Resumptions, by the event that they went on after.
   std::vector<std::uint64_t> Resumed;
   /// Customers that runs were told to be for.
@@ -61,10 +61,11 @@
 
 private:
   boost::asio::awaitable<Outcome<std::unique_ptr<EngineStream>>>
-  open(UpstreamEntry Server, SendOptions Options);
-  boost::asio::awaitable<Outcome<ServerPresence>> probe(UpstreamEntry Server);
-  boost::asio::awaitable<Outcome<UpstreamAnswer>> call(UpstreamEntry Server,
-                                                       SendOptions Options);
+  open(UpstreamRegistration Server, SendOptions Options);
+  boost::asio::awaitable<Outcome<ServerProbeResult>>
+  probe(UpstreamRegistration Server);
+  boost::asio::awaitable<Outcome<UpstreamResponse>>
+  call(UpstreamRegistration Server, SendOptions Options);
 };
 
 } // namespace wasabi::batchtest
--- a/UnitTests/Dispatch/DutyKeeperTest.cpp
+++ b/UnitTests/Dispatch/LeaseManagerTest.cpp
@@ -1,4 +1,4 @@
-#include "Wasabi/Dispatch/DutyKeeper.h"
+#include "Wasabi/Dispatch/LeaseManager.h"
 #include "UnitTests/Batch/BatchFixture.h"
 
 namespace wasabi::batchtest {
@@ -9,20 +9,21 @@
 struct DutyProcess {
   std::shared_ptr<bool> Cut = std::make_shared<bool>(false);
   std::shared_ptr<RolloutLog> Log;
-  std::shared_ptr<DutyKeeper> Duty;
+  std::shared_ptr<LeaseManager> Duty;
   int Gained = 0;
   int Lost = 0;
 
-  DutyProcess(BatchWorld &World, const std::string &Name, Incarnation Life) {
+  DutyProcess(BatchTestFixture &World, const std::string &Name,
+              Incarnation Life) {
     Log = World.follow(World.Store.port(Cut));
-    DutySettings limits;
+    LeaseSettings limits;
     limits.Self = LeaseHolder{InstanceName(Name), Life};
-    limits.HoldTime = Millis(120);
-    limits.RenewEvery = Millis(20);
-    limits.ClaimSpread = Millis(10);
-    Duty =
-        DutyKeeper::create(World.Context.get_executor(), Log, World.Decisions,
-                           limits, {[this] { ++Gained; }, [this] { ++Lost; }});
+    limits.LeaseTimeout = Millis(120);
+    limits.RenewInterval = Millis(20);
+    limits.MaxClaimJitter = Millis(10);
+    Duty = LeaseManager::create(World.Context.get_executor(), Log,
+                                World.Decisions, limits,
+                                {[this] { ++Gained; }, [this] { ++Lost; }});
     Duty->start();
   }
 };
@@ -30,7 +31,7 @@
 } // namespace
 
 TEST_CASE("One of two processes takes the duty", "[dispatch]") {
-  BatchWorld world;
+  BatchTestFixture world;
   DutyProcess one(world, "one", 1);
   DutyProcess two(world, "two", 2);
   REQUIRE(world.runUntil([&] { return one.Gained + two.Gained > 0; }));
@@ -42,7 +43,7 @@
 TEST_CASE("A holder that is cut off is followed by another, and yields when "
           "it is back",
           "[dispatch]") {
-  BatchWorld world;
+  BatchTestFixture world;
   DutyProcess one(world, "one", 1);
   REQUIRE(world.runUntil([&] { return one.Duty->held(); }));
   DutyProcess two(world, "two", 2);
@@ -58,13 +59,13 @@
 }
 
 TEST_CASE("A released duty is taken at once", "[dispatch]") {
-  BatchWorld world;
+  BatchTestFixture world;
   DutyProcess one(world, "one", 1);
   REQUIRE(world.runUntil([&] { return one.Duty->held(); }));
   DutyProcess two(world, "two", 2);
   REQUIRE(world.runUntil([&] { return two.Log->caughtUp(); }));
   std::vector<std::string> texts{encodeRecord(
-      TextRecord{JobId("a"), ItemId("b"), 1, 0, {"t", 1, {1}, false}})};
+      PartialTextRecord{JobId("a"), ItemId("b"), 1, 0, {"t", 1, {1}, false}})};
   world.run([&]() -> boost::asio::awaitable<void> {
     co_await one.Duty->release(texts);
   });
@@ -73,12 +74,12 @@
 }
 
 TEST_CASE("A duty that was given back is not taken up again", "[dispatch]") {
-  BatchWorld world;
+  BatchTestFixture world;
   DutyProcess one(world, "one", 1);
   REQUIRE(world.runUntil([&] { return one.Duty->held(); }));
   // The topic says for a while that the lease is held, or for ever when the
   // release is lost.
-  world.Store.Fates = {AppendFate::Lost};
+  world.Store.Fates = {AppendFault::Lost};
   world.run([&]() -> boost::asio::awaitable<void> {
     std::vector<std::string> none;
     co_await one.Duty->release(std::move(none));
@@ -89,7 +90,7 @@
 }
 
 TEST_CASE("An outage of the store costs the holder nothing", "[dispatch]") {
-  BatchWorld world;
+  BatchTestFixture world;
   DutyProcess one(world, "one", 1);
   REQUIRE(world.runUntil([&] { return one.Duty->held(); }));
   DutyProcess two(world, "two", 2);
@@ -109,13 +110,13 @@
   lease.Seen = TimePoint() + Millis(5000);
   StoreContact contact;
   contact.Lost = false;
-  DutySettings self;
+  LeaseSettings self;
   self.Self = LeaseHolder{InstanceName("one"), 2};
   TimePoint now = lease.Seen + Millis(1);
-  CHECK(leaseFree(lease, contact, self, Millis(0), now));
+  CHECK(isLeaseFree(lease, contact, self, Millis(0), now));
   self.Self.Instance = InstanceName("two");
-  CHECK_FALSE(leaseFree(lease, contact, self, Millis(0), now));
-  CHECK(leaseFree(lease, contact, self, Millis(0), now + self.HoldTime));
+  CHECK_FALSE(isLeaseFree(lease, contact, self, Millis(0), now));
+  CHECK(isLeaseFree(lease, contact, self, Millis(0), now + self.LeaseTimeout));
 }
 
 } // namespace wasabi::batchtest
--- a/UnitTests/Dispatch/DutyPermitTest.cpp
+++ b/UnitTests/Dispatch/LeasePermitTest.cpp
@@ -1,9 +1,9 @@
 /// \file
 /// Histories of holders that freeze, are cut off, lose answers and read late:
 /// no call under a permit may break the order that the platform relies on.
-#include "Wasabi/Dispatch/DutyPermit.h"
+#include "Wasabi/Dispatch/LeasePermit.h"
 #include "UnitTests/Core/Property.h"
-#include "Wasabi/Dispatch/DutyKeeper.h"
+#include "Wasabi/Dispatch/LeaseManager.h"
 
 #include <algorithm>
 #include <set>
@@ -67,11 +67,11 @@
 /// One process, whose parts are the product's own.
 struct ModelProcess {
   LeaseHolder Self;
-  BatchFold Fold;
+  BatchState Fold;
   StoreContact Contact;
   bool Held = false;
-  DutyProof Proof;
-  bool Succeeds = true;
+  LeaseProof Proof;
+  bool HasPredecessor = true;
   TimePoint LastSent;
 };
 
@@ -162,16 +162,17 @@
       Of.Held = false;
     if (!Of.Held && mine) {
       Of.Held = true;
-      Of.Proof = beginProof(lease.Term, Of.Succeeds, Now);
+      Of.Proof = makeLeaseProof(lease.Term, Of.HasPredecessor, Now);
     }
     if (Of.Held)
-      prove(Of.Proof, lease);
+      confirmRenewals(Of.Proof, lease);
   }
 
   void call(const ModelProcess &Of, std::size_t Who, TimePoint Now) {
     if (!Of.Held)
       return;
-    std::optional<DutyPermit> permit = permitOf(Of.Proof, PermitSettings());
+    std::optional<LeasePermit> permit =
+        computePermit(Of.Proof, PermitSettings());
     bool may = permit && permit->From <= Now && Now < permit->Until;
     if (How == Way::NoPause)
       may = permit && Now < permit->Until;
@@ -183,9 +184,9 @@
   }
 
   void keep(ModelProcess &Of, std::size_t Who, int At, TimePoint Now) {
-    DutySettings limits;
+    LeaseSettings limits;
     limits.Self = Of.Self;
-    if (Now - Of.LastSent < limits.RenewEvery)
+    if (Now - Of.LastSent < limits.RenewInterval)
       return;
     if (Of.Held) {
       Of.LastSent = Now;
@@ -194,13 +195,13 @@
       if (taken)
         noteRenewal(Of.Proof, *taken, Now);
       if (taken && How == Way::AnswerProves)
-        Of.Proof.Proven = Now;
-    } else if (leaseFree(Of.Fold.Lease, Of.Contact, limits, Millis(0), Now)) {
+        Of.Proof.LastConfirmed = Now;
+    } else if (isLeaseFree(Of.Fold.Lease, Of.Contact, limits, Millis(0), Now)) {
       Of.LastSent = Now;
       LeaseClaim claim{Of.Self};
-      Of.Succeeds = Of.Fold.Lease.Holder.has_value();
-      if (Of.Succeeds)
-        claim.After = Of.Fold.Lease.LastAt;
+      Of.HasPredecessor = Of.Fold.Lease.Holder.has_value();
+      if (Of.HasPredecessor)
+        claim.After = Of.Fold.Lease.LastRecordOffset;
       append(Who, At, Now, claim);
     }
   }
@@ -314,24 +315,24 @@
 TEST_CASE("A renewal that was answered and is not read proves nothing",
           "[dispatch]") {
   TimePoint sent(Millis(1000));
-  DutyProof proof = beginProof(7, false, TimePoint(Millis(500)));
-  CHECK_FALSE(permitOf(proof, {}));
+  LeaseProof proof = makeLeaseProof(7, false, TimePoint(Millis(500)));
+  CHECK_FALSE(computePermit(proof, {}));
   noteRenewal(proof, 9, sent);
-  CHECK_FALSE(permitOf(proof, {}));
+  CHECK_FALSE(computePermit(proof, {}));
   LeaseState lease{LeaseHolder{InstanceName("a"), 1}, 7, 8, sent, false};
-  prove(proof, lease);
-  CHECK_FALSE(permitOf(proof, {}));
-  lease.LastAt = 9;
-  prove(proof, lease);
-  std::optional<DutyPermit> permit = permitOf(proof, {});
+  confirmRenewals(proof, lease);
+  CHECK_FALSE(computePermit(proof, {}));
+  lease.LastRecordOffset = 9;
+  confirmRenewals(proof, lease);
+  std::optional<LeasePermit> permit = computePermit(proof, {});
   REQUIRE(permit);
   CHECK(permit->Token == 8);
-  CHECK(permit->Until == sent + PermitSettings().HoldTime);
+  CHECK(permit->Until == sent + PermitSettings().LeaseTimeout);
   // A lease of another term shows nothing.
-  DutyProof other = beginProof(10, true, TimePoint(Millis(500)));
+  LeaseProof other = makeLeaseProof(10, true, TimePoint(Millis(500)));
   noteRenewal(other, 9, sent);
-  prove(other, lease);
-  CHECK_FALSE(permitOf(other, {}));
+  confirmRenewals(other, lease);
+  CHECK_FALSE(computePermit(other, {}));
 }
 
 } // namespace wasabi
--- a/UnitTests/Dispatch/OrderKeeperTest.cpp
+++ b/UnitTests/Dispatch/WeightReconcilerTest.cpp
@@ -1,4 +1,4 @@
-#include "Wasabi/Dispatch/OrderKeeper.h"
+#include "Wasabi/Dispatch/WeightReconciler.h"
 #include "UnitTests/Batch/BatchFixture.h"
 
 namespace wasabi::batchtest {
@@ -14,7 +14,7 @@
 
   boost::asio::io_context &Context;
   EngineReport Now{0, {{Red, 1}}, false, 0, 0, 0};
-  std::vector<VersionOrder> Orders;
+  std::vector<WeightLoadRequest> Orders;
   /// Orders that are accepted without an answer, and carried out later.
   int Late = 0;
   bool Dark = false;
@@ -22,8 +22,11 @@
 
   EnginePort port() {
     EnginePort port;
-    port.Report = [this](const UpstreamEntry &, Millis) { return report(); };
-    port.Order = [this](UpstreamEntry Server, VersionOrder What, Millis) {
+    port.Report = [this](const UpstreamRegistration &, Millis) {
+      return report();
+    };
+    port.Order = [this](UpstreamRegistration Server, WeightLoadRequest What,
+                        Millis) {
       return order(std::move(Server), std::move(What));
     };
     return port;
@@ -34,21 +37,21 @@
       co_return silence();
     co_return Now;
   }
-  boost::asio::awaitable<Outcome<OrderOutcome>> order(UpstreamEntry Server,
-                                                      VersionOrder What) {
+  boost::asio::awaitable<Outcome<WeightLoadOutcome>>
+  order(UpstreamRegistration Server, WeightLoadRequest What) {
     co_await pauseFor(Context.get_executor(), Millis(1));
     Orders.push_back(What);
     if (Server.Id != Name)
-      co_return OrderOutcome::OtherServer;
+      co_return WeightLoadOutcome::WrongServer;
     if (Late > 0) {
       --Late;
       co_return silence();
     }
     if (What.Accepted != Now.Accepted)
-      co_return OrderOutcome::Busy;
+      co_return WeightLoadOutcome::Busy;
     ++Now.Accepted;
     Now.Models[What.Model] = What.Version;
-    co_return OrderOutcome::Begun;
+    co_return WeightLoadOutcome::Begun;
   }
   static Failure silence() {
     return Failure{
@@ -56,22 +59,22 @@
   }
 };
 
-struct OrderWorld : BatchWorld {
+struct OrderWorld : BatchTestFixture {
   FakeEngine Engine{Context};
   std::shared_ptr<bool> Cut = std::make_shared<bool>(false);
-  std::shared_ptr<OrderKeeper> Keeper = makeKeeper();
+  std::shared_ptr<WeightReconciler> Keeper = makeKeeper();
 
-  std::shared_ptr<OrderKeeper> makeKeeper() {
-    OrderKeeper::Settings limits;
+  std::shared_ptr<WeightReconciler> makeKeeper() {
+    WeightReconciler::Settings limits;
     limits.Holder = "side-1";
-    limits.LookEvery = Millis(2);
-    limits.RestEvery = Millis(5);
-    std::shared_ptr<OrderKeeper> keeper =
-        OrderKeeper::create(Context.get_executor(), Store.port(Cut),
-                            Engine.port(), Decisions, limits);
-    UpstreamEntry entry;
+    limits.PollInterval = Millis(2);
+    limits.IdlePollInterval = Millis(5);
+    std::shared_ptr<WeightReconciler> keeper =
+        WeightReconciler::create(Context.get_executor(), Store.port(Cut),
+                                 Engine.port(), Decisions, limits);
+    UpstreamRegistration entry;
     entry.Id = Server;
-    keeper->setEngines({entry});
+    keeper->setRegistrations({entry});
     keeper->start();
     return keeper;
   }
@@ -141,7 +144,7 @@
   world.Keeper->setWanted(Server, {Red, 2, SwapMode::Continue}, 0);
   REQUIRE(world.comesTo(2));
   // Whichever of them is carried out, the others no longer fit the count.
-  for (const VersionOrder &it : world.Engine.Orders)
+  for (const WeightLoadRequest &it : world.Engine.Orders)
     CHECK(it.Accepted == 0u);
 }
 
@@ -149,11 +152,11 @@
           "its weights",
           "[dispatch]") {
   OrderWorld world;
-  UpstreamEntry old;
+  UpstreamRegistration old;
   old.Id = ServerName("i-0");
-  UpstreamEntry now;
+  UpstreamRegistration now;
   now.Id = Server;
-  world.Keeper->setEngines({old, now});
+  world.Keeper->setRegistrations({old, now});
   world.Keeper->setWanted(old.Id, {Red, 2, SwapMode::Continue}, 0);
   world.Keeper->setWanted(Server, {Red, 2, SwapMode::Continue}, 1);
   CHECK(world.comesTo(2));
@@ -183,7 +186,7 @@
   world.Engine.Now.Start = 1000;
   world.Keeper->setWanted(Server, {Red, 2, SwapMode::Continue, 1000}, 0);
   REQUIRE(world.comesTo(2));
-  auto told = [&](ServerStart Start) {
+  auto told = [&](ServerStartTime Start) {
     std::optional<HeldWeights> held = world.lastHeld();
     return held && held->Models.at(Red) == 2 && held->Start == Start;
   };
@@ -205,16 +208,16 @@
 TEST_CASE("An engine whose address another had is ordered when it is back",
           "[dispatch]") {
   OrderWorld world;
-  UpstreamEntry now;
+  UpstreamRegistration now;
   now.Id = Server;
   now.Start = 1000;
   world.Engine.Name = ServerName("another");
-  world.Keeper->setEngines({now});
+  world.Keeper->setRegistrations({now});
   world.Keeper->setWanted(Server, {Red, 2, SwapMode::Continue}, 0);
   REQUIRE(world.runUntil([&] { return !world.Engine.Orders.empty(); }));
   world.Engine.Name = Server;
   now.Start = 2000;
-  world.Keeper->setEngines({now});
+  world.Keeper->setRegistrations({now});
   CHECK(world.comesTo(2));
 }
 
--- a/UnitTests/Fuzz/ControlMutationTest.cpp
+++ b/UnitTests/Fuzz/ControlMutationTest.cpp
@@ -15,7 +15,7 @@
 
 std::vector<ControlMessage> goodMessages() {
   Gossip gossip;
-  MemberNews news;
+  MemberUpdate news;
   news.About.Instance = InstanceName("lulea-1");
   news.About.Control = Address{"127.0.0.1", 2};
   news.About.Servers.push_back(
--- a/UnitTests/Fuzz/SocketMutationTest.cpp
+++ b/UnitTests/Fuzz/SocketMutationTest.cpp
@@ -121,7 +121,7 @@
   Runner runner;
   const RequestServer::Handler answer =
       [](RequestAttempt,
-         std::shared_ptr<AnswerSink> to) -> asio::awaitable<void> {
+         std::shared_ptr<ResponseSink> to) -> asio::awaitable<void> {
     to->begin(http::jsonResponse(200, ""), ServerName("server-one"));
     to->end();
     co_return;
--- a/UnitTests/Fuzz/TextMutationTest.cpp
+++ b/UnitTests/Fuzz/TextMutationTest.cpp
@@ -3,8 +3,8 @@
 /// refused with a place and a reason; none harms the process.
 #include "UnitTests/Fuzz/Mutation.h"
 #include "Wasabi/Config/Configuration.h"
-#include "Wasabi/Replay/Outcomes.h"
 #include "Wasabi/Replay/Trace.h"
+#include "Wasabi/Replay/TraceExpectations.h"
 #include "Wasabi/State/Fold.h"
 #include "Wasabi/State/Record.h"
 
@@ -33,7 +33,7 @@
                               {{"preset/ordinary", preset}},
                               "anna",
                               "first"}},
-      Record{id, ClaimTake{"trainer/drafting", 0, Millis(10000)}},
+      Record{id, ClaimAcquire{"trainer/drafting", 0, Millis(10000)}},
       Record{id, ClaimRenew{"trainer/drafting", 4}},
       Record{id, ClaimRelease{"trainer/drafting", 4}},
       Record{id, SnapshotRecord{4, std::string(32, 'a'), 9, "{}", 2}},
@@ -55,14 +55,14 @@
     if (!read)
       checkRefusal(read.failure());
     const Offset at = left.Next;
-    if (left.BlockedAt)
+    if (left.BlockedOffset)
       break;
-    const Applied first = apply(left, at, text);
-    const Applied second = apply(right, at, text);
-    REQUIRE(first.Fate == second.Fate);
+    const ControlStateChange first = apply(left, at, text);
+    const ControlStateChange second = apply(right, at, text);
+    REQUIRE(first.ApplyStatus == second.ApplyStatus);
     if (!read)
-      CHECK((first.Fate == RecordFate::Malformed ||
-             first.Fate == RecordFate::Newer));
+      CHECK((first.ApplyStatus == RecordStatus::Malformed ||
+             first.ApplyStatus == RecordStatus::Newer));
   }
   CHECK(hashState(left) == hashState(right));
 }
@@ -120,8 +120,9 @@
     if (!read)
       checkRefusal(read.failure());
     const std::string against = fuzz::mutate(outcomes, engine);
-    const Outcome<replay::Outcomes> stated = toOutcome<replay::Outcomes>(
-        [&] { return replay::readOutcomes("o", against); });
+    const Outcome<replay::TraceExpectations> stated =
+        toOutcome<replay::TraceExpectations>(
+            [&] { return replay::readExpectations("o", against); });
     if (!stated)
       checkRefusal(stated.failure());
   }
--- a/UnitTests/Membership/SwimTest.cpp
+++ b/UnitTests/Membership/SwimTest.cpp
@@ -24,27 +24,27 @@
   return who;
 }
 
-MemberNews alive(const std::string &Name, Incarnation Life = 1,
-                 std::uint64_t Stamp = 1) {
+MemberUpdate alive(const std::string &Name, Incarnation Life = 1,
+                   std::uint64_t Stamp = 1) {
   Member who = named(Name, Life);
   who.Stamp = Stamp;
-  return MemberNews{who, {}};
+  return MemberUpdate{who, {}};
 }
 
-MemberNews told(const std::string &Name, Health State, std::uint64_t Stamp,
-                const std::string &Accuser = "") {
+MemberUpdate told(const std::string &Name, Health State, std::uint64_t Stamp,
+                  const std::string &Accuser = "") {
   Member who;
   who.Instance = InstanceName(Name);
   who.Life = 1;
   who.State = State;
   who.Stamp = Stamp;
-  return MemberNews{who, InstanceName(Accuser)};
+  return MemberUpdate{who, InstanceName(Accuser)};
 }
 
 /// The state of `self` that knows these others.
 SwimState knowing(const std::vector<std::string> &Names) {
   SwimState state = startSwim(SwimSettings(), named("self"), 7, Start);
-  NewsHeard heard;
+  UpdatesReceived heard;
   for (const std::string &it : Names)
     heard.News.push_back(alive(it));
   decide(state, heard, Start);
@@ -55,9 +55,9 @@
   return State.Members.at(InstanceName(Name)).Who.State;
 }
 
-SwimEffects hear(SwimState &State, MemberNews News, TimePoint At = Start,
+SwimEffects hear(SwimState &State, MemberUpdate News, TimePoint At = Start,
                  const std::string &From = "b") {
-  NewsHeard heard;
+  UpdatesReceived heard;
   heard.From = InstanceName(From);
   heard.News.push_back(std::move(News));
   return decide(State, heard, At);
@@ -142,8 +142,8 @@
     hear(state, told("self", said, before, "a"));
     CHECK(healthOf(state, "self") == Health::Alive);
     CHECK(state.Members.at(state.Self).Who.Stamp > before);
-    std::vector<MemberNews> news = newsFor(state, InstanceName("a"));
-    CHECK(std::any_of(news.begin(), news.end(), [&](const MemberNews &it) {
+    std::vector<MemberUpdate> news = takeUpdatesFor(state, InstanceName("a"));
+    CHECK(std::any_of(news.begin(), news.end(), [&](const MemberUpdate &it) {
       return it.About.Instance == state.Self && it.About.Stamp > before;
     }));
   }
@@ -225,7 +225,7 @@
 
   // A list that lacks this process too is no witness of removals.
   did = decide(state, ListRead{{}}, Start);
-  CHECK(did.SelfUnlisted);
+  CHECK(did.SelfMissingFromList);
   CHECK(did.Probes.empty());
 }
 
@@ -234,7 +234,7 @@
   SwimState state = knowing(Five);
   for (const char *it : {"a", "b", "c"})
     probed(state, it, false);
-  CHECK(viewOf(state).SelfDoubt);
+  CHECK(viewOf(state).MayBeIsolated);
   TimePoint now = pass(state, Start, Millis(60000));
   for (const char *it : {"a", "b", "c"})
     CHECK(healthOf(state, it) == Health::Suspect);
@@ -244,7 +244,7 @@
   hear(state, alive("c", 1, 2), now);
   for (const char *it : {"b", "c", "d", "e"})
     probed(state, it, true, now);
-  CHECK(!viewOf(state).SelfDoubt);
+  CHECK(!viewOf(state).MayBeIsolated);
   decide(state, TimePassed(), now);
   CHECK(healthOf(state, "a") == Health::Suspect);
   pass(state, now, Millis(20000));
@@ -280,27 +280,27 @@
   probed(state, "a", false);
   hear(state, told("a", Health::Dead, 1));
   REQUIRE(healthOf(state, "a") == Health::Dead);
-  decide(state, TimePassed(), Start + state.Limits.ForgetDead);
+  decide(state, TimePassed(), Start + state.Limits.DeadMemberRetention);
   CHECK(!state.Members.contains(InstanceName("a")));
 }
 
 TEST_CASE("News is carried a bounded number of times, few in a frame",
           "[membership][swim]") {
   SwimState state = knowing({});
-  NewsHeard heard;
+  UpdatesReceived heard;
   for (int n = 0; n < 100; ++n)
     heard.News.push_back(alive("m" + std::to_string(n)));
   decide(state, heard, Start);
   std::map<InstanceName, int> times;
   std::size_t frames = 0;
-  std::vector<MemberNews> news = newsFor(state, InstanceName("peer"));
+  std::vector<MemberUpdate> news = takeUpdatesFor(state, InstanceName("peer"));
   while (!news.empty()) {
-    REQUIRE(news.size() <= state.Limits.MaxNews);
-    for (const MemberNews &it : news)
+    REQUIRE(news.size() <= state.Limits.MaxUpdatesPerFrame);
+    for (const MemberUpdate &it : news)
       ++times[it.About.Instance];
     ++frames;
     REQUIRE(frames < 10000);
-    news = newsFor(state, InstanceName("peer"));
+    news = takeUpdatesFor(state, InstanceName("peer"));
   }
   for (const auto &[name, count] : times)
     CHECK(count <= 3 * 5);
@@ -309,20 +309,20 @@
 TEST_CASE("An update without addresses keeps those that are known",
           "[membership][swim]") {
   SwimState sender = knowing({});
-  while (!newsFor(sender, InstanceName("peer")).empty()) {
+  while (!takeUpdatesFor(sender, InstanceName("peer")).empty()) {
   }
   decide(sender,
          ServersChanged{{ServerStatus{ServerName("s"), ServiceName("x"), 3}}},
          Start);
-  std::vector<MemberNews> news = newsFor(sender, InstanceName("peer"));
+  std::vector<MemberUpdate> news = takeUpdatesFor(sender, InstanceName("peer"));
   REQUIRE(news.size() == 1);
   CHECK(news.front().About.Control.empty());
 
   SwimState stranger = startSwim(SwimSettings(), named("peer"), 3, Start);
-  decide(stranger, NewsHeard{sender.Self, news}, Start);
+  decide(stranger, UpdatesReceived{sender.Self, news}, Start);
   CHECK(!stranger.Members.contains(sender.Self));
   hear(stranger, alive("self"));
-  decide(stranger, NewsHeard{sender.Self, news}, Start);
+  decide(stranger, UpdatesReceived{sender.Self, news}, Start);
   const Member &known = stranger.Members.at(sender.Self).Who;
   CHECK(!known.Control.empty());
   REQUIRE(known.Servers.size() == 1);
@@ -346,11 +346,12 @@
           "[membership][swim]") {
   SwimState left = knowing({"a", "b", "c"});
   SwimState right = knowing({"a", "b"});
-  std::vector<MemberNews> news = newsBeyond(left, digestsOf(right));
+  std::vector<MemberUpdate> news =
+      findMissingUpdates(left, computeDigests(right));
   REQUIRE(news.size() == 1);
   CHECK(news.front().About.Instance == InstanceName("c"));
-  decide(right, NewsHeard{InstanceName("left"), news}, Start);
-  CHECK(digestsOf(right) == digestsOf(left));
+  decide(right, UpdatesReceived{InstanceName("left"), news}, Start);
+  CHECK(computeDigests(right) == computeDigests(left));
 }
 
 namespace {
@@ -391,8 +392,8 @@
     bool reached = !Crashed.contains(To) && !isCut(From.Self, To);
     if (reached) {
       SwimState &other = States.at(To);
-      decide(other, NewsHeard{From.Self, newsFor(From, To)}, Now);
-      decide(From, NewsHeard{To, newsFor(other, From.Self)}, Now);
+      decide(other, UpdatesReceived{From.Self, takeUpdatesFor(From, To)}, Now);
+      decide(From, UpdatesReceived{To, takeUpdatesFor(other, From.Self)}, Now);
     }
     decide(From, ProbeEnded{To, 1, reached, true}, Now);
   }
@@ -437,7 +438,7 @@
   CHECK(all.seen(lesser, Health::Dead) == Count - Lesser);
   CHECK(all.seen(greater, Health::Dead) == 0);
   for (const InstanceName &it : all.CutOff)
-    CHECK(all.States.at(it).SelfDoubt);
+    CHECK(all.States.at(it).MayBeIsolated);
 
   all.CutOff.clear();
   int rounds = 0;
@@ -454,7 +455,7 @@
   }
   CHECK(rounds < 120);
   for (const auto &[name, state] : all.States)
-    CHECK(!state.SelfDoubt);
+    CHECK(!state.MayBeIsolated);
 }
 
 TEST_CASE("A change and a crash become known to all by probes alone",
--- a/UnitTests/Node/ControlMessageTest.cpp
+++ b/UnitTests/Node/ControlMessageTest.cpp
@@ -20,7 +20,7 @@
 }
 
 Gossip someGossip() {
-  MemberNews news;
+  MemberUpdate news;
   news.About.Instance = InstanceName("daemon-1");
   news.About.Domain = DomainName("pasig-a");
   news.About.Life = 77;
@@ -30,7 +30,7 @@
   news.About.Stamp = 5;
   news.About.Servers.push_back(ServerStatus{
       ServerName("inspect-1"), ServiceName("inspect-llm"), 9, 4, false});
-  MemberNews suspect;
+  MemberUpdate suspect;
   suspect.About.Instance = InstanceName("daemon-2");
   suspect.About.State = Health::Suspect;
   suspect.Accuser = InstanceName("daemon-3");
@@ -39,7 +39,7 @@
   carried.Digests = {1, 2, 3};
   carried.Full = true;
   carried.Next = 42;
-  carried.LogAge = Millis(150);
+  carried.CaughtUpAge = Millis(150);
   carried.At = HybridTime{1000, 2};
   return carried;
 }
@@ -58,13 +58,13 @@
   CHECK(roundTrip(answer) == answer);
   LogPushMessage push{9, "a", {LogEntry{7, "text"}}, 8, 1, Millis(20)};
   CHECK(roundTrip(push) == push);
-  LogAskMessage ask{5, "a", 7};
+  LogRequestMessage ask{5, "a", 7};
   CHECK(roundTrip(ask) == ask);
-  StateAskMessage state{6, "a"};
+  StateRequestMessage state{6, "a"};
   CHECK(roundTrip(state) == state);
-  StateGiveMessage give{6, 8, "hash", "{}"};
+  StateResponseMessage give{6, 8, "hash", "{}"};
   CHECK(roundTrip(give) == give);
-  OrderAskMessage order{
+  OrderRequestMessage order{
       7, "a", Order{ServerName("s"), "weights/m", 3, ModelName("m"), 4}};
   CHECK(roundTrip(order) == order);
 }
@@ -72,10 +72,10 @@
 TEST_CASE("An order's failure keeps its verdict", "[node][frames]") {
   Failure why{Verdict::NotRun, FailureCode::StaleFence, "server s",
               "token 3 is older than 4", Millis(0)};
-  OrderDoneMessage done;
+  OrderResponseMessage done;
   done.Sequence = 7;
   done.Answer = why;
-  OrderDoneMessage read = roundTrip(done);
+  OrderResponseMessage read = roundTrip(done);
   CHECK(read.Sequence == 7);
   REQUIRE(!read.Answer);
   CHECK(read.Answer.failure() == why);
--- a/UnitTests/Node/ControlPlaneTest.cpp
+++ b/UnitTests/Node/ControlPlaneTest.cpp
@@ -51,8 +51,8 @@
     setup.ProbePeriod = Millis(100);
     setup.ProbeTimeout = Millis(300);
     setup.ClaimTerm = Millis(1000);
-    setup.ClaimSettle = Millis(200);
-    setup.ListPeriod = Millis(100);
+    setup.ClaimSettleDelay = Millis(200);
+    setup.MinListReadInterval = Millis(100);
     setup.ListBytesPerSecond = 1000000;
     setup.ReadersPerDomain = 1;
     setup.Seed = 100 + Index;
@@ -127,13 +127,15 @@
   return change;
 }
 
-Outcome<Applied> appendAndWait(ControlPlane &Plane, RecordBody Body) {
-  std::shared_ptr<std::promise<Outcome<Applied>>> promise =
-      std::make_shared<std::promise<Outcome<Applied>>>();
-  std::future<Outcome<Applied>> done = promise->get_future();
-  Plane.append(std::move(Body), [promise](const Outcome<Applied> &Did) {
-    promise->set_value(Did);
-  });
+Outcome<ControlStateChange> appendAndWait(ControlPlane &Plane,
+                                          RecordBody Body) {
+  std::shared_ptr<std::promise<Outcome<ControlStateChange>>> promise =
+      std::make_shared<std::promise<Outcome<ControlStateChange>>>();
+  std::future<Outcome<ControlStateChange>> done = promise->get_future();
+  Plane.append(std::move(Body),
+               [promise](const Outcome<ControlStateChange> &Did) {
+                 promise->set_value(Did);
+               });
   REQUIRE(done.wait_for(Deadline) == std::future_status::ready);
   return done.get();
 }
@@ -149,10 +151,10 @@
   Cluster cluster;
   cluster.start(6);
   ControlPlane &author = *cluster.Nodes.front()->Plane;
-  Outcome<Applied> did =
+  Outcome<ControlStateChange> did =
       appendAndWait(author, limitChange(author.state()->Next, "crew"));
   REQUIRE(did);
-  CHECK(did->Fate == RecordFate::Accepted);
+  CHECK(did->ApplyStatus == RecordStatus::Accepted);
   CHECK(eventually([&]() {
     return std::all_of(
         cluster.Nodes.begin(), cluster.Nodes.end(),
@@ -166,10 +168,10 @@
   cluster.start(1);
   ControlPlane &author = *cluster.Nodes.front()->Plane;
   cluster.Platform.LoseAnswers = 2;
-  Outcome<Applied> did =
+  Outcome<ControlStateChange> did =
       appendAndWait(author, limitChange(author.state()->Next, "planner"));
   REQUIRE(did);
-  CHECK(did->Fate == RecordFate::Accepted);
+  CHECK(did->ApplyStatus == RecordStatus::Accepted);
   CHECK(inForce(author, "planner"));
 }
 
@@ -278,7 +280,7 @@
                           limitChange(first.Plane->state()->Next, name)));
   }
   // The oldest records expire; the claim's holder writes a snapshot by itself.
-  cluster.Platform.keepOnly(20);
+  cluster.Platform.retainNewest(20);
   REQUIRE(
       eventually([&]() { return first.Plane->state()->SnapshotRevision > 0; }));
   cluster.end(&first);
--- a/UnitTests/Node/DutyRulesTest.cpp
+++ b/UnitTests/Node/DutyRulesTest.cpp
@@ -18,8 +18,8 @@
 }
 
 /// Another's claim, read at `Start`, wanted long since.
-ClaimSituation successor() {
-  ClaimSituation now;
+ClaimDecisionInput successor() {
+  ClaimDecisionInput now;
   now.Current = claimOf("other");
   now.Wanted = true;
   now.ReadAt = Start;
@@ -27,7 +27,7 @@
   return now;
 }
 
-ClaimStep at(const ClaimSituation &Now, Millis Later) {
+ClaimAction at(const ClaimDecisionInput &Now, Millis Later) {
   return decideClaim(Now, ClaimSettings(), Start + Later);
 }
 
@@ -35,65 +35,65 @@
 
 TEST_CASE("A successor waits a full term from when it read the renewal",
           "[node][claims]") {
-  CHECK(at(successor(), Millis(9999)) == ClaimStep::Wait);
-  CHECK(at(successor(), Millis(10000)) == ClaimStep::Take);
+  CHECK(at(successor(), Millis(9999)) == ClaimAction::Wait);
+  CHECK(at(successor(), Millis(10000)) == ClaimAction::Take);
 }
 
 TEST_CASE("Those that rank later wait longer", "[node][claims]") {
-  ClaimSituation now = successor();
+  ClaimDecisionInput now = successor();
   now.Rank = 2;
-  CHECK(at(now, Millis(10900)) == ClaimStep::Wait);
-  CHECK(at(now, Millis(11000)) == ClaimStep::Take);
+  CHECK(at(now, Millis(10900)) == ClaimAction::Wait);
+  CHECK(at(now, Millis(11000)) == ClaimAction::Take);
   now.Rank = 300;
-  CHECK(at(now, Millis(15000)) == ClaimStep::Take);
+  CHECK(at(now, Millis(15000)) == ClaimAction::Take);
 }
 
 TEST_CASE("A released claim is free at once", "[node][claims]") {
-  ClaimSituation now = successor();
+  ClaimDecisionInput now = successor();
   now.Current->Released = true;
-  CHECK(at(now, Millis(0)) == ClaimStep::Take);
+  CHECK(at(now, Millis(0)) == ClaimAction::Take);
 }
 
 TEST_CASE("Who may not decide, or waits for an answer, takes nothing",
           "[node][claims]") {
-  ClaimSituation now = successor();
-  now.MayTake = false;
-  CHECK(at(now, Millis(60000)) == ClaimStep::Wait);
+  ClaimDecisionInput now = successor();
+  now.MayAcquire = false;
+  CHECK(at(now, Millis(60000)) == ClaimAction::Wait);
   now = successor();
   now.Busy = true;
-  CHECK(at(now, Millis(60000)) == ClaimStep::Wait);
+  CHECK(at(now, Millis(60000)) == ClaimAction::Wait);
   now = successor();
   now.Wanted = false;
-  CHECK(at(now, Millis(60000)) == ClaimStep::Wait);
+  CHECK(at(now, Millis(60000)) == ClaimAction::Wait);
 }
 
 TEST_CASE("A claim nobody has is taken once the view has filled",
           "[node][claims]") {
-  ClaimSituation now;
+  ClaimDecisionInput now;
   now.Wanted = true;
   now.WantedAt = Start;
-  CHECK(at(now, Millis(1400)) == ClaimStep::Wait);
-  CHECK(at(now, Millis(1500)) == ClaimStep::Take);
+  CHECK(at(now, Millis(1400)) == ClaimAction::Wait);
+  CHECK(at(now, Millis(1500)) == ClaimAction::Take);
 }
 
 TEST_CASE("A holder renews at a third of the term, and gives up what it does "
           "not want",
           "[node][claims]") {
-  ClaimSituation now;
+  ClaimDecisionInput now;
   now.Current = claimOf("self");
   now.Mine = true;
   now.Wanted = true;
   now.SentAt = Start;
-  CHECK(at(now, Millis(3300)) == ClaimStep::Wait);
-  CHECK(at(now, Millis(3400)) == ClaimStep::Renew);
+  CHECK(at(now, Millis(3300)) == ClaimAction::Wait);
+  CHECK(at(now, Millis(3400)) == ClaimAction::Renew);
   now.Wanted = false;
-  CHECK(at(now, Millis(0)) == ClaimStep::Release);
+  CHECK(at(now, Millis(0)) == ClaimAction::Release);
 }
 
 TEST_CASE("Snapshots are written well before what they stand for expires",
           "[node][snapshot]") {
   SnapshotSettings limits;
-  SnapshotSituation now;
+  SnapshotDecisionInput now;
   CHECK(!snapshotDue(now, limits));
   now.Next = 999;
   CHECK(!snapshotDue(now, limits));
@@ -106,7 +106,7 @@
   CHECK(snapshotDue(now, limits));
 
   // A log that keeps 300 records gets one for each 100.
-  now = SnapshotSituation{1099, 1000, 799, Millis(0)};
+  now = SnapshotDecisionInput{1099, 1000, 799, Millis(0)};
   CHECK(!snapshotDue(now, limits));
   now.Next = 1100;
   now.LogFirst = 800;
--- a/UnitTests/Node/FakePlatform.cpp
+++ b/UnitTests/Node/FakePlatform.cpp
@@ -62,7 +62,7 @@
   return First;
 }
 
-void FakePlatform::keepOnly(std::size_t Count) {
+void FakePlatform::retainNewest(std::size_t Count) {
   std::lock_guard<std::mutex> lock(Guard);
   if (Records.size() > Count)
     First = std::max<Offset>(First, Records.size() - Count);
--- a/UnitTests/Node/FakePlatform.h
+++ b/UnitTests/Node/FakePlatform.h
@@ -31,7 +31,7 @@
   std::vector<std::string> records() const;
   Offset first() const;
   /// Drops the oldest records but `Count`.
-  void keepOnly(std::size_t Count);
+  void retainNewest(std::size_t Count);
   /// Drops an instance from the list.
   void unlist(const std::string &Name);
   /// Requests for records so far.
--- a/UnitTests/Platform/DecodingMutationTest.cpp
+++ b/UnitTests/Platform/DecodingMutationTest.cpp
@@ -38,8 +38,8 @@
     const std::string text = fuzz::mutate(Registration, engine);
     const std::string id = n % 4 == 0 ? fuzz::mutate("i-7f3a91c2", engine)
                                       : std::string("i-7f3a91c2");
-    Outcome<UpstreamEntry> got = toOutcome<UpstreamEntry>(
-        [&] { return decodeServer(id, text, "registration"); });
+    Outcome<UpstreamRegistration> got = toOutcome<UpstreamRegistration>(
+        [&] { return decodeRegistration(id, text, "registration"); });
     if (!got) {
       ++refused;
       checkRefusal(got.failure());
@@ -61,8 +61,9 @@
 TEST_CASE("Damaged reports are read or refused", "[platform]") {
   std::mt19937_64 engine(Seed);
   for (int n = 0; n < Rounds; ++n) {
-    Outcome<EngineReport> got = toOutcome<EngineReport>(
-        [&] { return decodeReport(fuzz::mutate(Report, engine), "report"); });
+    Outcome<EngineReport> got = toOutcome<EngineReport>([&] {
+      return decodeEngineReport(fuzz::mutate(Report, engine), "report");
+    });
     if (!got)
       checkRefusal(got.failure());
   }
--- a/UnitTests/Platform/FrontTest.cpp
+++ b/UnitTests/Platform/FrontendTest.cpp
@@ -1,4 +1,4 @@
-#include "platform/Front.h"
+#include "platform/Frontend.h"
 
 #include "UnitTests/Adapters/Http/HttpFixture.h"
 
@@ -13,15 +13,15 @@
   FleetView view;
   AccessSettings access;
   Metrics counts;
-  fixture.serve(
-      makeFront({view, nullptr, nullptr, [] { return false; },
-                 KeyDigester::create().value(), access, nullptr, counts}));
+  fixture.serve(makeFrontendHandler(
+      {view, nullptr, nullptr, [] { return false; },
+       KeyDigester::create().value(), access, nullptr, counts}));
   fixture.run([&]() -> boost::asio::awaitable<void> {
     http::Request ask;
     ask.Method = "GET";
     ask.Target = "/any/";
     ask.Headers.push_back({"Host", "host.example"});
-    Outcome<http::Response> got = co_await fixture.Calling->call(
+    Outcome<http::Response> got = co_await fixture.TestClient->call(
         fixture.Serving->address(), std::move(ask), Millis(5000));
     REQUIRE(got);
     CHECK(got->Status == 503);
--- a/UnitTests/Platform/TranslationTest.cpp
+++ b/UnitTests/Platform/TranslationTest.cpp
@@ -90,7 +90,7 @@
   CHECK(got->Callers == Address{"10.1.0.35", 8144});
   CHECK(got->Store == Address{"10.200.1.7", 8142});
   CHECK(got->RecordBytes == 4096);
-  CHECK(got->StopGrace == Millis(6000));
+  CHECK(got->StopGracePeriod == Millis(6000));
   CHECK_FALSE(got->Engine.has_value());
 }
 
@@ -131,9 +131,9 @@
 TEST_CASE("Equal reports have equal bytes", "[platform]") {
   UsageDecision what{353445120,
                      {{CustomerName("seje681"), 3}, {CustomerName("cuka"), 1}}};
-  CHECK(encodeReport(what) ==
+  CHECK(encodeUsageReport(what) ==
         R"({"window":353445120,"counts":{"cuka":1,"seje681":3}})");
-  CHECK(encodeReport({7, {}}) == R"({"window":7,"counts":{}})");
+  CHECK(encodeUsageReport({7, {}}) == R"({"window":7,"counts":{}})");
 }
 
 TEST_CASE("A settings file that is wrong is named with its member",
@@ -229,7 +229,7 @@
   text.replace(text.find(R"("X":"y")"), 7,
                R"("X":"y","wasabisail-key":"k","WASABISAIL-TENANT":"bert")");
   Outcome<BatchJob> got = outcomeOf<BatchJob>(
-      [&] { return decodeJob(submission(text), CustomerName("anna")); });
+      [&] { return decodeBatchJob(submission(text), CustomerName("anna")); });
   REQUIRE(got);
   CHECK(got->Id == JobId("job-1", CustomerName("anna")));
   CHECK(got->Items[0].Headers.size() == 2);
@@ -240,14 +240,14 @@
       R"({"service":"s","address":"10.128.0.9:8080","zone":"z","version":"v1",
       "slots":8,"state":"draining","cold_remaining_ms":0,"stage":"both",
       "models":[{"name":"m0","version":3,"adapters":[]}],"sequence":4})";
-  Outcome<UpstreamEntry> got = outcomeOf<UpstreamEntry>(
-      [&] { return decodeServer("i-1", text, "servers/i-1"); });
+  Outcome<UpstreamRegistration> got = outcomeOf<UpstreamRegistration>(
+      [&] { return decodeRegistration("i-1", text, "servers/i-1"); });
   REQUIRE(got);
   CHECK(got->Draining);
   CHECK(got->Models.at(ModelName("m0")) == 3);
   CHECK(got->Where == Address{"10.128.0.9", 8080});
-  CHECK_FALSE(outcomeOf<UpstreamEntry>(
-      [&] { return decodeServer("i-1", R"({"service":"s"})", "x"); }));
+  CHECK_FALSE(outcomeOf<UpstreamRegistration>(
+      [&] { return decodeRegistration("i-1", R"({"service":"s"})", "x"); }));
 }
 
 namespace {
@@ -265,26 +265,27 @@
   return text;
 }
 
-Outcome<UpstreamEntry> decoded(const std::string &Id, const std::string &Text) {
-  return outcomeOf<UpstreamEntry>(
-      [&] { return decodeServer(Id, Text, "registration"); });
+Outcome<UpstreamRegistration> decoded(const std::string &Id,
+                                      const std::string &Text) {
+  return outcomeOf<UpstreamRegistration>(
+      [&] { return decodeRegistration(Id, Text, "registration"); });
 }
 
 } // namespace
 
 TEST_CASE("A server says when it started, in what it registers and reports",
           "[platform]") {
-  Outcome<UpstreamEntry> entry = decoded("i-1", registration());
+  Outcome<UpstreamRegistration> entry = decoded("i-1", registration());
   REQUIRE(entry);
   CHECK(entry->incarnation() ==
         ServerIncarnation{ServerName("i-1"), 1764000000123});
   Outcome<EngineReport> report = outcomeOf<EngineReport>([&] {
-    return decodeReport(R"({"models":[],"sequence":0,"born":1764000000123})",
-                        "report");
+    return decodeEngineReport(
+        R"({"models":[],"sequence":0,"born":1764000000123})", "report");
   });
   REQUIRE(report);
   CHECK(report->Start == 1764000000123);
-  Outcome<UpstreamEntry> without =
+  Outcome<UpstreamRegistration> without =
       decoded("i-1", registration(R"(,"born":1764000000123)", ""));
   REQUIRE(without);
   CHECK(without->Start == 0);
@@ -344,7 +345,7 @@
 
 TEST_CASE("A batch job is decoded with its expected lengths", "[platform]") {
   Outcome<BatchJob> got = outcomeOf<BatchJob>(
-      [] { return decodeJob(submission(Job), CustomerName()); });
+      [] { return decodeBatchJob(submission(Job), CustomerName()); });
   REQUIRE(got);
   CHECK(got->Id.Text == "job-1");
   CHECK(got->MinVersion == 6);
@@ -362,7 +363,7 @@
   broken.replace(broken.find("q83v"), 4, "q*3v");
   for (const std::string &it : {std::string("{"), std::string("{}"), broken}) {
     Outcome<BatchJob> got = outcomeOf<BatchJob>(
-        [&] { return decodeJob(submission(it), CustomerName()); });
+        [&] { return decodeBatchJob(submission(it), CustomerName()); });
     REQUIRE_FALSE(got);
     CHECK(got.failure().Run == Verdict::NotRun);
   }
@@ -372,9 +373,9 @@
   ResultPage page;
   page.Total = 3;
   page.Next = 2;
-  page.Results = {{ItemId("a"), ItemEnd::Completed, "x\ny", {6, 7}, "sig"},
-                  {ItemId("b"), ItemEnd::Terminated, "", {}, ""}};
-  boost::json::value got = boost::json::parse(encodePage(page));
+  page.Results = {{ItemId("a"), ItemStatus::Completed, "x\ny", {6, 7}, "sig"},
+                  {ItemId("b"), ItemStatus::Terminated, "", {}, ""}};
+  boost::json::value got = boost::json::parse(encodeResultPage(page));
   CHECK(got.at("total") == 3);
   CHECK(got.at("next") == 2);
   const boost::json::array &results = got.at("results").as_array();
@@ -416,13 +417,15 @@
   http::Header id{"Wasabisail-Request-Id", "r1"};
   http::Header stamp{"Wasabisail-Server-Stamp", "sig"};
   http::Header unrun{"Wasabisail-Not-Executed", "1"};
-  CHECK(proofOf(answer(200, {id, stamp}), "r1") == AnswerProof::Ran);
-  CHECK(proofOf(answer(200, {id}), "r1") == AnswerProof::Nothing);
-  CHECK(proofOf(answer(200, {id, stamp}), "r2") == AnswerProof::Nothing);
-  CHECK(proofOf(answer(503, {id, unrun}), "r1") == AnswerProof::NotRun);
-  CHECK(proofOf(answer(503, {id}), "r1") == AnswerProof::Ran);
-  CHECK(proofOf(answer(421, {id}), "r1") == AnswerProof::NotRun);
-  CHECK(proofOf(answer(500, {id, stamp}), "r1") == AnswerProof::Ran);
+  CHECK(computeAnswerProof(answer(200, {id, stamp}), "r1") == AnswerProof::Ran);
+  CHECK(computeAnswerProof(answer(200, {id}), "r1") == AnswerProof::Nothing);
+  CHECK(computeAnswerProof(answer(200, {id, stamp}), "r2") ==
+        AnswerProof::Nothing);
+  CHECK(computeAnswerProof(answer(503, {id, unrun}), "r1") ==
+        AnswerProof::NotRun);
+  CHECK(computeAnswerProof(answer(503, {id}), "r1") == AnswerProof::Ran);
+  CHECK(computeAnswerProof(answer(421, {id}), "r1") == AnswerProof::NotRun);
+  CHECK(computeAnswerProof(answer(500, {id, stamp}), "r1") == AnswerProof::Ran);
 }
 
 } // namespace wasabi::platform
--- a/UnitTests/Replay/ExampleTracesTest.cpp
+++ b/UnitTests/Replay/ExampleTracesTest.cpp
@@ -33,10 +33,10 @@
   return *read;
 }
 
-Outcomes outcomesOf(const std::string &name) {
-  const Outcome<Outcomes> read = toOutcome<Outcomes>([&] {
-    return readOutcomes(name,
-                        textOf(tracesFolder() / (name + ".outcomes.json")));
+TraceExpectations outcomesOf(const std::string &name) {
+  const Outcome<TraceExpectations> read = toOutcome<TraceExpectations>([&] {
+    return readExpectations(name,
+                            textOf(tracesFolder() / (name + ".outcomes.json")));
   });
   REQUIRE(read);
   return *read;
@@ -83,10 +83,10 @@
 
 void requireBroken(const std::string &name, const Trace &doctored,
                    const std::string &rule) {
-  const std::optional<BrokenOutcome> broken =
+  const std::optional<TraceViolation> broken =
       check(makeTrace(doctored.Events), outcomesOf(name));
   REQUIRE(broken);
-  INFO(describeBroken(doctored, *broken));
+  INFO(describeViolation(doctored, *broken));
   CHECK(broken->Rule == rule);
   CHECK_FALSE(broken->What.Events.empty());
   CHECK_FALSE(broken->What.Reason.empty());
@@ -102,8 +102,8 @@
       continue;
     const std::string name = it.path().stem().string();
     const Trace trace = traceOf(name);
-    const std::optional<BrokenOutcome> broken = check(trace, outcomesOf(name));
-    INFO(name << ": " << (broken ? describeBroken(trace, *broken) : ""));
+    const std::optional<TraceViolation> broken = check(trace, outcomesOf(name));
+    INFO(name << ": " << (broken ? describeViolation(trace, *broken) : ""));
     CHECK_FALSE(broken);
     ++found;
   }
@@ -116,13 +116,13 @@
       lastOf(trace, is("sample.deliver", "slot", "3/0/1"));
   setField(appendCopy(trace, first, Micros(10)), "delivery", "30-9");
   requireBroken("samples", trace, "sample-once");
-  const std::optional<BrokenOutcome> broken =
+  const std::optional<TraceViolation> broken =
       check(trace, outcomesOf("samples"));
   REQUIRE(broken);
   CHECK(broken->What.Events ==
         std::vector<std::size_t>{first, trace.Events.size() - 1});
   // Dispatch, generation and commit of the slot lead to it.
-  CHECK(broken->Causes.size() == 3);
+  CHECK(broken->RelatedEvents.size() == 3);
 }
 
 TEST_CASE("A doctored label is caught") {
@@ -267,12 +267,12 @@
 }
 
 TEST_CASE("Too much idle time and an absent choice are caught") {
-  Outcomes against = outcomesOf("idle");
+  TraceExpectations against = outcomesOf("idle");
   against.Limits.IdleShare = 0.2;
-  std::optional<BrokenOutcome> broken = check(traceOf("idle"), against);
+  std::optional<TraceViolation> broken = check(traceOf("idle"), against);
   REQUIRE(broken);
   CHECK(broken->Rule == "idle-share");
-  against = Outcomes{{}, {}, {{"step.whole", {{"step", "9"}}, 1}}};
+  against = TraceExpectations{{}, {}, {{"step.whole", {{"step", "9"}}, 1}}};
   broken = check(traceOf("idle"), against);
   REQUIRE(broken);
   CHECK(broken->Rule == "expect");
--- a/UnitTests/Replay/TraceTest.cpp
+++ b/UnitTests/Replay/TraceTest.cpp
@@ -2,7 +2,7 @@
 /// Reading traces and outcomes: what is malformed is named by its place.
 #include "Wasabi/Replay/Trace.h"
 #include "Wasabi/Replay/LabelReader.h"
-#include "Wasabi/Replay/Outcomes.h"
+#include "Wasabi/Replay/TraceExpectations.h"
 
 #include <catch2/catch.hpp>
 
@@ -22,8 +22,8 @@
 }
 
 Failure outcomesFailure(const std::string &text) {
-  const Outcome<Outcomes> read =
-      toOutcome<Outcomes>([&] { return readOutcomes("o.json", text); });
+  const Outcome<TraceExpectations> read = toOutcome<TraceExpectations>(
+      [&] { return readExpectations("o.json", text); });
   REQUIRE_FALSE(read);
   return read.failure();
 }
--- a/UnitTests/Rollout/DeathTableTest.cpp
+++ b/UnitTests/Rollout/DeathTableTest.cpp
@@ -3,7 +3,7 @@
 /// sample's way, one row each, for both kinds of trainer. Whatever dies, the
 /// step becomes whole with each sample taken once, fresh and truthfully
 /// labelled.
-#include "UnitTests/Rollout/OwnerWorld.h"
+#include "UnitTests/Rollout/OwnerSimulation.h"
 
 #include <catch2/catch.hpp>
 
@@ -72,7 +72,7 @@
      {0, 0, 0, 0, 0, 0, 0, 100},
      [](const World &of) {
        return anySlot(of, [](const SlotState &it) {
-         return it.Phase == SlotPhase::Scoring && !it.ScoreAsked;
+         return it.Phase == SlotPhase::Scoring && !it.ScoreRequested;
        });
      }},
     {"a sample is scored, its commit was not appended", Kind::Plain, NoFaults,
--- a/UnitTests/Rollout/DeliveryTest.cpp
+++ b/UnitTests/Rollout/DeliveryTest.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Exactly once, fresh and truthfully labelled, whatever dies between two
 /// steps.
-#include "UnitTests/Rollout/OwnerWorld.h"
+#include "UnitTests/Rollout/OwnerSimulation.h"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck.h>
--- a/UnitTests/Rollout/DispatchingTest.cpp
+++ b/UnitTests/Rollout/DispatchingTest.cpp
@@ -10,9 +10,9 @@
 
 constexpr TimePoint Start{Micros(1000000)};
 
-EngineSeen engine(const std::string &Name, WeightVersion Version,
-                  std::uint32_t Slots = 2) {
-  EngineSeen one;
+ReportedEngine engine(const std::string &Name, WeightVersion Version,
+                      std::uint32_t Slots = 2) {
+  ReportedEngine one;
   one.Name = ServerName(Name);
   one.Version = Version;
   one.Slots = Slots;
@@ -37,12 +37,12 @@
   return wanted;
 }
 
-StepState withStep(std::vector<EngineSeen> All, const RolloutPolicy &Policy,
+StepState withStep(std::vector<ReportedEngine> All, const RolloutPolicy &Policy,
                    StepEffects &Out, std::uint32_t Samples = 2) {
   StepState state;
-  decide(state, PolicySeen{Policy}, Start);
-  decide(state, EnginesSeen{std::move(All)}, Start);
-  Out = decide(state, StepSeen{wantedStep(Samples, 5), false}, Start);
+  decide(state, PolicyChanged{Policy}, Start);
+  decide(state, EnginesUpdated{std::move(All)}, Start);
+  Out = decide(state, StepReceived{wantedStep(Samples, 5), false}, Start);
   return state;
 }
 
@@ -74,16 +74,15 @@
   StepState state = withStep({engine("a", 5)}, policy, out);
   REQUIRE(only<DispatchAttempt>(out).size() == 2);
   policy.AdmitRollouts = false;
-  CHECK(decide(state, PolicySeen{policy}, Start).empty());
-  decide(state, ChunkSeen{1, Chunk{0, 1, "x", 5}}, Start);
+  CHECK(decide(state, PolicyChanged{policy}, Start).empty());
+  decide(state, ChunkReceived{1, Chunk{0, 1, "x", 5}}, Start);
   StepEffects ended = decide(state, AttemptEnded{1, 1}, Start);
   CHECK(only<ScoreSample>(ended).size() == 1);
   CHECK(only<DispatchAttempt>(ended).empty());
   // Switching back goes on where it was.
   policy.AdmitRollouts = true;
-  CHECK(
-      only<DispatchAttempt>(decide(state, PolicySeen{policy}, Start)).size() ==
-      1);
+  CHECK(only<DispatchAttempt>(decide(state, PolicyChanged{policy}, Start))
+            .size() == 1);
 }
 
 TEST_CASE("beyond its share a trainer leaves what others wait for",
@@ -98,7 +97,7 @@
   at.Own = 4;
   CHECK(freeSlots(at, half, Start) == 4);
   at.Seen.Running = 7;
-  at.OwnAtReport = 4;
+  at.OwnAttemptsAtReport = 4;
   CHECK(freeSlots(at, half, Start) == 1);
   at.Seen.Queued = 1;
   CHECK(freeSlots(at, half, Start) == 0);
@@ -111,34 +110,35 @@
 TEST_CASE("an old load report does not hide a slot that became free",
           "[dispatch]") {
   StepEffects out;
-  EngineSeen seen = engine("a", 5, 2);
+  ReportedEngine seen = engine("a", 5, 2);
   RolloutPolicy half;
   half.Part = EngineShare{1, 2, 100};
   StepState state = withStep({seen}, half, out);
   REQUIRE(only<DispatchAttempt>(out).size() == 2);
   seen.Running = 2;
   seen.Report = 1;
-  decide(state, EnginesSeen{{seen}}, Start);
-  decide(state, ChunkSeen{1, Chunk{0, 1, "x", 5}}, Start);
-  decide(state, ChunkSeen{2, Chunk{0, 1, "x", 5}}, Start);
+  decide(state, EnginesUpdated{{seen}}, Start);
+  decide(state, ChunkReceived{1, Chunk{0, 1, "x", 5}}, Start);
+  decide(state, ChunkReceived{2, Chunk{0, 1, "x", 5}}, Start);
   // Nothing may begin for the moment, so both slots become free.
   RolloutPolicy none = half;
   none.AdmitRollouts = false;
-  decide(state, PolicySeen{none}, Start);
+  decide(state, PolicyChanged{none}, Start);
   decide(state, AttemptEnded{1, 1}, Start);
   decide(state, AttemptEnded{2, 1}, Start);
   // The same report is looked at again.
-  decide(state, EnginesSeen{{seen}}, Start);
-  CHECK(only<DispatchAttempt>(decide(state, PolicySeen{half}, Start)).size() ==
-        2);
+  decide(state, EnginesUpdated{{seen}}, Start);
+  CHECK(
+      only<DispatchAttempt>(decide(state, PolicyChanged{half}, Start)).size() ==
+      2);
 }
 
 TEST_CASE("the longest expected go first", "[dispatch]") {
   StepState state;
-  decide(state, EnginesSeen{{engine("a", 5, 1)}}, Start);
+  decide(state, EnginesUpdated{{engine("a", 5, 1)}}, Start);
   observe(state.Lengths, "short", 10);
   observe(state.Lengths, "long", 90);
-  StepEffects out = decide(state, StepSeen{wantedStep(2, 5), false}, Start);
+  StepEffects out = decide(state, StepReceived{wantedStep(2, 5), false}, Start);
   std::vector<DispatchAttempt> begun = only<DispatchAttempt>(out);
   REQUIRE(begun.size() == 1);
   CHECK(begun[0].Place.Group == 1);
@@ -151,11 +151,11 @@
   std::vector<DispatchAttempt> begun = only<DispatchAttempt>(out);
   REQUIRE(begun.size() == 2);
   AttemptId id = begun[0].Attempt;
-  decide(state, ChunkSeen{id, Chunk{0, 2, "xy", 5}}, Start);
+  decide(state, ChunkReceived{id, Chunk{0, 2, "xy", 5}}, Start);
   decide(state, AttemptFailed{id, Failure()}, Start);
   // Its engine rests; the other one goes on from there when it has room.
   AttemptId other = begun[1].Attempt;
-  decide(state, ChunkSeen{other, Chunk{0, 1, "z", 4}}, Start);
+  decide(state, ChunkReceived{other, Chunk{0, 1, "z", 4}}, Start);
   StepEffects next = decide(state, AttemptEnded{other, 1}, Start);
   std::vector<DispatchAttempt> again = only<DispatchAttempt>(next);
   REQUIRE(again.size() == 1);
@@ -170,9 +170,9 @@
   StepState state = withStep(
       {engine("a", 5, 1), engine("b", 5, 1), engine("c", 5, 1)}, {}, out, 1);
   REQUIRE(only<DispatchAttempt>(out).size() == 2);
-  decide(state, ChunkSeen{1, Chunk{0, 3, "abc", 5}}, Start);
+  decide(state, ChunkReceived{1, Chunk{0, 3, "abc", 5}}, Start);
   TimePoint later = Start + state.Setup.StallTimeout + Millis(1);
-  decide(state, ChunkSeen{2, Chunk{0, 3, "abc", 5}}, later);
+  decide(state, ChunkReceived{2, Chunk{0, 3, "abc", 5}}, later);
   std::vector<DispatchAttempt> hedge =
       only<DispatchAttempt>(decide(state, Tick(), later));
   REQUIRE(hedge.size() == 1);
@@ -197,7 +197,7 @@
   TimePoint later = Start + Millis(1000);
   for (const DispatchAttempt &it : begun) {
     std::uint32_t tokens = it.On.Name == slow ? 1 : 50;
-    decide(state, ChunkSeen{it.Attempt, Chunk{0, tokens, "x", 5}}, later);
+    decide(state, ChunkReceived{it.Attempt, Chunk{0, tokens, "x", 5}}, later);
   }
   for (const DispatchAttempt &it : begun)
     decide(state, AttemptEnded{it.Attempt, it.On.Name == slow ? 1U : 50U},
@@ -207,7 +207,7 @@
   next.Step = 2;
   std::size_t onSlow = 0;
   for (const DispatchAttempt &it :
-       only<DispatchAttempt>(decide(state, StepSeen{next, false}, later)))
+       only<DispatchAttempt>(decide(state, StepReceived{next, false}, later)))
     onSlow += it.On.Name == slow ? 1 : 0;
   CHECK(onSlow == 1);
 }
@@ -219,12 +219,12 @@
   std::vector<DispatchAttempt> begun = only<DispatchAttempt>(out);
   REQUIRE(begun.size() == 2);
   TimePoint later = Start + state.Setup.StallTimeout + Millis(1);
-  decide(state, ChunkSeen{2, Chunk{0, 3, "abc", 5}}, later);
+  decide(state, ChunkReceived{2, Chunk{0, 3, "abc", 5}}, later);
   std::vector<DispatchAttempt> hedge =
       only<DispatchAttempt>(decide(state, Tick(), later));
   REQUIRE(hedge.size() == 1);
   AttemptId copy = hedge[0].Attempt;
-  decide(state, ChunkSeen{copy, Chunk{0, 3, "abc", 5}}, later);
+  decide(state, ChunkReceived{copy, Chunk{0, 3, "abc", 5}}, later);
   decide(state, AttemptEnded{copy, 3}, later);
   CHECK(state.Servers.at(begun[0].On.Name).NotBefore > later);
 }
@@ -234,7 +234,7 @@
   RolloutPolicy policy;
   policy.HedgeTail = false;
   StepState state = withStep({engine("a", 5, 4)}, policy, out, 1);
-  decide(state, EnginesSeen{{engine("a", 5, 4), engine("b", 5, 4)}}, Start);
+  decide(state, EnginesUpdated{{engine("a", 5, 4), engine("b", 5, 4)}}, Start);
   TimePoint later = Start + state.Setup.StallTimeout + Millis(1);
   CHECK(decide(state, Tick(), later).empty());
 }
@@ -244,15 +244,15 @@
   RolloutPolicy policy;
   policy.OnVersionChange = VersionChange::Restart;
   StepState restart = withStep({engine("a", 5)}, policy, out);
-  decide(restart, ChunkSeen{1, Chunk{0, 1, "x", 5}}, Start);
+  decide(restart, ChunkReceived{1, Chunk{0, 1, "x", 5}}, Start);
   StepEffects swapped =
-      decide(restart, ChunkSeen{1, Chunk{1, 1, "y", 6}}, Start);
+      decide(restart, ChunkReceived{1, Chunk{1, 1, "y", 6}}, Start);
   REQUIRE(only<CancelAttempt>(swapped).size() == 1);
   CHECK(only<DispatchAttempt>(swapped).at(0).From.Tokens == 0);
 
   StepState resume = withStep({engine("a", 5)}, {}, out);
-  decide(resume, ChunkSeen{1, Chunk{0, 1, "x", 5}}, Start);
-  CHECK(decide(resume, ChunkSeen{1, Chunk{1, 1, "y", 6}}, Start).empty());
+  decide(resume, ChunkReceived{1, Chunk{0, 1, "x", 5}}, Start);
+  CHECK(decide(resume, ChunkReceived{1, Chunk{1, 1, "y", 6}}, Start).empty());
 
   policy.OnVersionChange = VersionChange::Finish;
   withStep({engine("old", 4), engine("new", 5)}, policy, out);
--- a/UnitTests/Rollout/LabelTest.cpp
+++ b/UnitTests/Rollout/LabelTest.cpp
@@ -10,9 +10,9 @@
 
 TEST_CASE("chunks of one version join into one span", "[label]") {
   Draft draft;
-  CHECK(append(draft, Chunk{0, 2, "ab", 3}) == ChunkFate::Taken);
-  CHECK(append(draft, Chunk{2, 1, "c", 3}) == ChunkFate::Taken);
-  CHECK(append(draft, Chunk{3, 2, "de", 4}) == ChunkFate::Taken);
+  CHECK(append(draft, Chunk{0, 2, "ab", 3}) == ChunkStatus::Taken);
+  CHECK(append(draft, Chunk{2, 1, "c", 3}) == ChunkStatus::Taken);
+  CHECK(append(draft, Chunk{3, 2, "de", 4}) == ChunkStatus::Taken);
   CHECK(draft.Text == "abcde");
   CHECK(toText(draft.Spans) == "0-3@3,3-5@4");
   CHECK(covers(draft.Spans, 5));
@@ -23,12 +23,12 @@
 TEST_CASE("a chunk out of place or without a version changes nothing",
           "[label]") {
   Draft draft;
-  CHECK(append(draft, Chunk{0, 2, "ab", 3}) == ChunkFate::Taken);
+  CHECK(append(draft, Chunk{0, 2, "ab", 3}) == ChunkStatus::Taken);
   Draft before = draft;
-  CHECK(append(draft, Chunk{3, 1, "x", 3}) == ChunkFate::OutOfPlace);
-  CHECK(append(draft, Chunk{1, 1, "x", 3}) == ChunkFate::OutOfPlace);
+  CHECK(append(draft, Chunk{3, 1, "x", 3}) == ChunkStatus::UnexpectedPosition);
+  CHECK(append(draft, Chunk{1, 1, "x", 3}) == ChunkStatus::UnexpectedPosition);
   CHECK(append(draft, Chunk{2, 1, "x", std::nullopt}) ==
-        ChunkFate::NotAttested);
+        ChunkStatus::MissingVersion);
   CHECK(draft == before);
 }
 
--- a/UnitTests/Rollout/LoadReportsTest.cpp
+++ b/UnitTests/Rollout/LoadReportsTest.cpp
@@ -13,17 +13,17 @@
   CHECK(reports.find(server, begin) == nullptr);
 
   // The last word of a daemon that is replaced: it leaves, on an old version.
-  LoadSeen last;
+  ReportedLoad last;
   last.Server = server;
   last.Version = 12;
   last.Serving = false;
   reports.take(last, begin);
-  REQUIRE(reports.find(server, begin + LoadReportLife) != nullptr);
-  CHECK(*reports.find(server, begin + LoadReportLife) == last);
-  CHECK(reports.find(server, begin + LoadReportLife + Micros(1)) == nullptr);
+  REQUIRE(reports.find(server, begin + LoadReportTimeout) != nullptr);
+  CHECK(*reports.find(server, begin + LoadReportTimeout) == last);
+  CHECK(reports.find(server, begin + LoadReportTimeout + Micros(1)) == nullptr);
 
   // Its successor reports again.
-  LoadSeen next = last;
+  ReportedLoad next = last;
   next.Version = 14;
   next.Serving = true;
   reports.take(next, begin + Millis(5000));
--- a/UnitTests/Rollout/OwnerWorld.cpp
+++ b/UnitTests/Rollout/OwnerSimulation.cpp
@@ -1,4 +1,4 @@
-#include "UnitTests/Rollout/OwnerWorld.h"
+#include "UnitTests/Rollout/OwnerSimulation.h"
 
 namespace wasabi::test {
 
@@ -54,11 +54,11 @@
   return now;
 }
 
-std::optional<DeliveryAnswer> FakeTrainer::take(const Delivery &What) {
+std::optional<DeliveryResponse> FakeTrainer::take(const Delivery &What) {
   if (Checks && What.Fence < Fence)
     return std::nullopt;
   Fence = std::max(Fence, What.Fence);
-  DeliveryAnswer answer;
+  DeliveryResponse answer;
   for (const Sample &it : What.Samples) {
     if (it.Place.Step != Wanted.Step) {
       answer.Refused.push_back({it.Place, RefusalReason::Unknown});
@@ -81,7 +81,7 @@
     answer.Taken.push_back(it.Place);
   }
   if (Have.size() == Groups * GroupSize) {
-    answer.StepWhole = true;
+    answer.StepComplete = true;
     ++StepsDone;
     ++Newest;
     openStep(Wanted.Step + 1);
@@ -119,9 +119,9 @@
 }
 
 void World::showEngines(FakeOwner &Who) {
-  EnginesSeen seen;
+  EnginesUpdated seen;
   for (const auto &it : EngineVersions) {
-    EngineSeen one;
+    ReportedEngine one;
     one.Name = it.first;
     one.Version = it.second;
     one.Slots = 2;
@@ -146,12 +146,12 @@
   policy.ChecksFences = Trainer.Checks;
   policy.StalenessBound = Trainer.Bound;
   policy.OnVersionChange = Policy;
-  feed(*owner, PolicySeen{policy});
+  feed(*owner, PolicyChanged{policy});
   Log.push_back(encodeTrainerRecord(TrainerRecord{
       RecordId{owner->Name, 1, ++owner->Sequence}, fence, OwnerStart{1}}));
   readLog(*owner);
   feed(*owner, LogRecovered{owner->Fold});
-  feed(*owner, StepSeen{Trainer.wanted(), true});
+  feed(*owner, StepReceived{Trainer.wanted(), true});
   showEngines(*owner);
   Owners.push_back(std::move(owner));
 }
@@ -160,13 +160,13 @@
   while (Who.Fold.Next < Log.size()) {
     Offset at = Who.Fold.Next;
     const std::string &text = Log[at];
-    TrainerApplied did = apply(Who.Fold, at, text);
+    TrainerApplyResult did = apply(Who.Fold, at, text);
     Outcome<TrainerRecord> record =
         toOutcome<TrainerRecord>([&] { return decodeTrainerRecord(text); });
     bool own = record && record->Id.Author == Who.Name &&
                std::holds_alternative<SampleCommit>(record->Body);
-    if (own && did.Fate == RecordFate::Accepted)
-      feed(Who, CommitRead{at, did.Filled, did.Dropped});
+    if (own && did.ApplyStatus == RecordStatus::Accepted)
+      feed(Who, CommitConfirmed{at, did.Filled, did.Dropped});
   }
 }
 
@@ -187,7 +187,7 @@
     feed(Who, DeliveryFailed{What.Id, failure(Verdict::NotRun)});
     return;
   }
-  std::optional<DeliveryAnswer> answer = Trainer.take(What);
+  std::optional<DeliveryResponse> answer = Trainer.take(What);
   if (!answer) {
     feed(Who, DeliveryFailed{
                   What.Id, failure(Verdict::NotRun, FailureCode::StaleFence)});
@@ -198,8 +198,8 @@
     return;
   }
   feed(Who, DeliveryAnswered{What.Id, *answer});
-  if (answer->StepWhole)
-    feed(Who, StepSeen{Trainer.wanted(), false});
+  if (answer->StepComplete)
+    feed(Who, StepReceived{Trainer.wanted(), false});
 }
 
 void World::perform(FakeOwner &Who) {
@@ -220,8 +220,8 @@
       feed(Who, SampleScored{score->Place, 0.5});
   } else if (const auto *delivery = std::get_if<DeliverSamples>(&effect)) {
     deliver(Who, delivery->What);
-  } else if (std::holds_alternative<AskTrainer>(effect)) {
-    feed(Who, StepSeen{Trainer.wanted(), true});
+  } else if (std::holds_alternative<QueryTrainer>(effect)) {
+    feed(Who, StepReceived{Trainer.wanted(), true});
   }
 }
 
@@ -246,9 +246,9 @@
   Chunk chunk{stream.At, 1, tokenText(stream.Seed, stream.At, version),
               version};
   ++stream.At;
-  if (chance(Rates.Unattested))
+  if (chance(Rates.UnversionedChunk))
     chunk.Version.reset();
-  feed(Who, ChunkSeen{id, chunk});
+  feed(Who, ChunkReceived{id, chunk});
 }
 
 void World::step() {
@@ -257,7 +257,7 @@
   FakeOwner &who =
       *Owners[Owners.size() == 1 || chance(90) ? Owners.size() - 1
                                                : Random() % Owners.size()];
-  if (chance(Rates.Death)) {
+  if (chance(Rates.OwnerCrash)) {
     takeOver();
     return;
   }
@@ -283,7 +283,7 @@
   case 2:
     // A poll; only the newest owner is awake enough for one.
     if (&who == Owners.back().get())
-      feed(who, StepSeen{Trainer.wanted(), false});
+      feed(who, StepReceived{Trainer.wanted(), false});
     break;
   case 3:
     perform(who);
--- a/UnitTests/Rollout/OwnerWorld.h
+++ b/UnitTests/Rollout/OwnerSimulation.h
@@ -1,8 +1,8 @@
 /// \file
 /// A trainer, a log, engines and a row of owners in one thread, with faults at
 /// every step between them: what the properties of delivery are checked on.
-#ifndef WASABI_UNITTESTS_ROLLOUT_OWNERWORLD_H
-#define WASABI_UNITTESTS_ROLLOUT_OWNERWORLD_H
+#ifndef WASABI_UNITTESTS_ROLLOUT_OWNERSIMULATION_H
+#define WASABI_UNITTESTS_ROLLOUT_OWNERSIMULATION_H
 
 #include "Wasabi/Rollout/StepState.h"
 
@@ -32,7 +32,7 @@
   void openStep(std::uint64_t Step);
   WantedStep wanted() const;
   /// Takes a delivery; empty when its token is too old.
-  std::optional<DeliveryAnswer> take(const Delivery &What);
+  std::optional<DeliveryResponse> take(const Delivery &What);
 };
 
 /// The text of one token, so that labels can be checked against texts.
@@ -62,12 +62,12 @@
 
 /// How often things go wrong, in percent of the steps.
 struct Faults {
-  std::uint32_t Death = 2;
+  std::uint32_t OwnerCrash = 2;
   std::uint32_t LostAnswer = 10;
   std::uint32_t LostRequest = 5;
   std::uint32_t RepeatedAppend = 10;
   std::uint32_t StreamFailure = 5;
-  std::uint32_t Unattested = 2;
+  std::uint32_t UnversionedChunk = 2;
   std::uint32_t Publication = 1;
   std::uint32_t ScoreFailure = 5;
 };
@@ -109,4 +109,4 @@
 
 } // namespace wasabi::test
 
-#endif // WASABI_UNITTESTS_ROLLOUT_OWNERWORLD_H
+#endif // WASABI_UNITTESTS_ROLLOUT_OWNERSIMULATION_H
--- a/UnitTests/Rollout/TrainerFoldTest.cpp
+++ b/UnitTests/Rollout/TrainerFoldTest.cpp
@@ -17,13 +17,13 @@
   TrainerState State;
   std::map<std::string, std::uint64_t> Sequences;
 
-  TrainerApplied add(const std::string &Author, FencingToken Fence,
-                     TrainerBody Body) {
+  TrainerApplyResult add(const std::string &Author, FencingToken Fence,
+                         TrainerBody Body) {
     TrainerRecord record{RecordId{Author, 1, ++Sequences[Author]}, Fence,
                          std::move(Body)};
     return repeat(record);
   }
-  TrainerApplied repeat(const TrainerRecord &Record) {
+  TrainerApplyResult repeat(const TrainerRecord &Record) {
     return apply(State, State.Next, encodeTrainerRecord(Record));
   }
 };
@@ -58,9 +58,9 @@
 TEST_CASE("the first valid commit has the slot", "[trainer-fold]") {
   Stream stream = opened();
   Slot slot{7, 0, 0};
-  TrainerApplied first =
+  TrainerApplyResult first =
       stream.add("a", 5, SampleCommit{{sampleOf(slot, 3, "one")}});
-  TrainerApplied second =
+  TrainerApplyResult second =
       stream.add("a", 5, SampleCommit{{sampleOf(slot, 3, "two")}});
   CHECK(first.Filled == std::vector<Slot>{slot});
   CHECK(second.Dropped == std::vector<Slot>{slot});
@@ -70,19 +70,19 @@
 TEST_CASE("an older owner's records are void", "[trainer-fold]") {
   Stream stream = opened();
   stream.add("b", 8, OwnerStart{1});
-  TrainerApplied late =
+  TrainerApplyResult late =
       stream.add("a", 5, SampleCommit{{sampleOf({7, 0, 0}, 3)}});
-  CHECK(late.Fate == RecordFate::Refused);
+  CHECK(late.ApplyStatus == RecordStatus::Refused);
   CHECK(stream.State.Committed.empty());
-  CHECK(stream.add("c", 9, StepOpened{8}).Fate == RecordFate::Refused);
+  CHECK(stream.add("c", 9, StepOpened{8}).ApplyStatus == RecordStatus::Refused);
 }
 
 TEST_CASE("a record id is taken once", "[trainer-fold]") {
   Stream stream = opened();
   TrainerRecord record{RecordId{"a", 1, 4}, 5,
                        SampleCommit{{sampleOf({7, 0, 0}, 3)}}};
-  CHECK(stream.repeat(record).Fate == RecordFate::Accepted);
-  CHECK(stream.repeat(record).Fate == RecordFate::Repeated);
+  CHECK(stream.repeat(record).ApplyStatus == RecordStatus::Accepted);
+  CHECK(stream.repeat(record).ApplyStatus == RecordStatus::Repeated);
 }
 
 TEST_CASE("a commit is judged by the version before it in the log",
@@ -110,11 +110,12 @@
           "[trainer-fold]") {
   Stream stream = opened();
   stream.add("a", 5, SampleCommit{{sampleOf({7, 0, 0}, 3)}});
-  CHECK(stream.add("a", 5, StepOpened{7}).Fate == RecordFate::Accepted);
+  CHECK(stream.add("a", 5, StepOpened{7}).ApplyStatus ==
+        RecordStatus::Accepted);
   CHECK(stream.State.Committed.size() == 1);
   stream.add("a", 5, StepOpened{8});
   CHECK(stream.State.Committed.empty());
-  CHECK(stream.add("a", 5, StepOpened{7}).Fate == RecordFate::Refused);
+  CHECK(stream.add("a", 5, StepOpened{7}).ApplyStatus == RecordStatus::Refused);
 }
 
 TEST_CASE("malformed and newer records are skipped, not applied",
@@ -125,10 +126,10 @@
       RecordId{"a", 1, 4}, 5, SampleCommit{{sampleOf({7, 0, 0}, 3)}}});
   gap.replace(gap.find("\"to\":1"), 6, "\"to\":2");
   for (const std::string &bad : {std::string("{"), std::string("[]"), gap})
-    CHECK(apply(stream.State, stream.State.Next, bad).Fate ==
-          RecordFate::Malformed);
+    CHECK(apply(stream.State, stream.State.Next, bad).ApplyStatus ==
+          RecordStatus::Malformed);
   CHECK(apply(stream.State, stream.State.Next, "{\"schema\":99,\"kind\":\"x\"}")
-            .Fate == RecordFate::Newer);
+            .ApplyStatus == RecordStatus::Newer);
   before.Next = stream.State.Next;
   CHECK(stream.State == before);
 }
