--- a/UnitTests/Rollout/TrainerInputsTest.cpp
+++ b/UnitTests/Rollout/TrainerInputsTest.cpp
@@ -46,7 +46,7 @@
   CHECK_FALSE(policy->AdmitRollouts);
   CHECK(policy->OnVersionChange == VersionChange::Finish);
   CHECK(policy->Part == EngineShare{3, 4, 50});
-  CHECK(servicesOf(config, TrainerName("a")) ==
+  CHECK(findAttachedServices(config, TrainerName("a")) ==
         std::vector<ServiceName>{ServiceName("llm")});
   CHECK_FALSE(policyOf(config, TrainerName("c")));
 }
@@ -73,7 +73,7 @@
   attempt.MaxTokens = 9;
   attempt.Seed = 11;
   SampleOrigin from{TrainerName("t"), 42, ModelName("m"), -5};
-  RequestAttempt fresh = sampleRequest(attempt, from);
+  RequestAttempt fresh = makeSampleRequest(attempt, from);
   CHECK(fresh.Request == "t:42:7");
   CHECK(fresh.Slot == "2/1/3");
   CHECK(fresh.Http.header("X-Request-Id") == fresh.Request);
@@ -81,7 +81,7 @@
   CHECK(fresh.Http.Body.find(R"("prompt":"say \"x\"")") != std::string::npos);
   CHECK(fresh.Http.Body.find(R"("priority":-5)") != std::string::npos);
   attempt.From = Draft{" a b", 2, {{0, 2, 5}}};
-  CHECK(sampleRequest(attempt, from)
+  CHECK(makeSampleRequest(attempt, from)
             .Http.Body.find(R"("resume":{"position":2,"text":" a b"})") !=
         std::string::npos);
 }
--- a/UnitTests/Routing/AdmissionTest.cpp
+++ b/UnitTests/Routing/AdmissionTest.cpp
@@ -15,22 +15,22 @@
   Admission::Settings setup;
   setup.Concurrency.Start = Limit;
   setup.Concurrency.Most = Limit;
-  setup.Concurrency.ByLatency = false;
-  setup.UnknownService = Service;
+  setup.Concurrency.AdaptToLatency = false;
+  setup.DefaultServiceTime = Service;
   return setup;
 }
 
-AdmissionAsk ask(std::uint64_t Id, std::string Flow = "caller/x") {
-  AdmissionAsk made;
+AdmissionRequest ask(std::uint64_t Id, std::string Flow = "caller/x") {
+  AdmissionRequest made;
   made.Id = Id;
   made.Flow = std::move(Flow);
   made.Until = Start + Millis(60000);
   return made;
 }
 
-AdmissionAsk sample(std::uint64_t Id, const std::string &Trainer,
-                    std::uint32_t Share) {
-  AdmissionAsk made = ask(Id, "trainer/" + Trainer);
+AdmissionRequest sample(std::uint64_t Id, const std::string &Trainer,
+                        std::uint32_t Share) {
+  AdmissionRequest made = ask(Id, "trainer/" + Trainer);
   made.Rollout = true;
   made.Share = Share;
   return made;
@@ -58,7 +58,7 @@
   for (std::uint64_t n = 2; n < 7; ++n)
     gate.offer(ask(n), Start);
   // Five wait for 10 ms each.
-  AdmissionAsk hurried = ask(7);
+  AdmissionRequest hurried = ask(7);
   hurried.Until = Start + Millis(30);
   AdmissionChange change = gate.offer(hurried, Start);
   REQUIRE(change.Refused.size() == 1);
@@ -69,7 +69,7 @@
 
 TEST_CASE("A full queue refuses, the lowest priority first", "[admission]") {
   Admission::Settings setup = fixedLimit(1);
-  setup.LeastQueue = 2;
+  setup.MinQueueCapacity = 2;
   setup.QueueFactor = 0;
   Admission gate("a", setup, Start);
   gate.offer(ask(1), Start);
@@ -78,7 +78,7 @@
   AdmissionChange full = gate.offer(ask(4), Start);
   REQUIRE(full.Refused.size() == 1);
   CHECK(full.Refused[0].Id == 4);
-  AdmissionAsk urgent = ask(5);
+  AdmissionRequest urgent = ask(5);
   urgent.Priority = 10;
   AdmissionChange displaced = gate.offer(urgent, Start);
   REQUIRE(displaced.Refused.size() == 1);
@@ -91,7 +91,7 @@
 TEST_CASE("A full queue keeps a place for who holds less of it",
           "[admission]") {
   Admission::Settings setup = fixedLimit(1);
-  setup.LeastQueue = 4;
+  setup.MinQueueCapacity = 4;
   setup.QueueFactor = 0;
   Admission gate("a", setup, Start);
   for (std::uint64_t n = 1; n <= 5; ++n)
@@ -111,7 +111,7 @@
   }
   CHECK(gate.queued() == 4);
   // A weight counts as that many.
-  AdmissionAsk heavy = ask(21, "caller/heavy");
+  AdmissionRequest heavy = ask(21, "caller/heavy");
   heavy.Share = 4;
   CHECK(gate.offer(heavy, Start).Refused.size() == 1);
   CHECK(gate.queued() == 4);
@@ -120,7 +120,7 @@
 TEST_CASE("One that waited too long is refused as not run", "[admission]") {
   Admission gate("a", fixedLimit(1), Start);
   gate.offer(ask(1), Start);
-  AdmissionAsk hurried = ask(2);
+  AdmissionRequest hurried = ask(2);
   hurried.Until = Start + Millis(15);
   CHECK(gate.offer(hurried, Start) == AdmissionChange{});
   CHECK(gate.tick(Start + Millis(14)) == AdmissionChange{});
@@ -152,7 +152,7 @@
 
 TEST_CASE("Trainers share a server by their weights", "[admission]") {
   Admission::Settings setup = fixedLimit(4);
-  setup.LeastQueue = 100;
+  setup.MinQueueCapacity = 100;
   Admission gate("a", setup, Start);
   std::map<std::uint64_t, std::string> owner;
   std::map<std::string, int> done;
@@ -160,7 +160,7 @@
   std::uint64_t next = 0;
   TimePoint now = Start;
   auto offerOne = [&](const std::string &Trainer, std::uint32_t Share) {
-    AdmissionAsk made = sample(++next, Trainer, Share);
+    AdmissionRequest made = sample(++next, Trainer, Share);
     made.Until = now + Millis(3600000);
     owner[made.Id] = Trainer;
     for (std::uint64_t it : gate.offer(made, now).Started)
@@ -190,7 +190,7 @@
           "[admission]") {
   ConcurrencyLimit::Settings settings;
   settings.Start = 8;
-  settings.FirstProbe = Millis(3600000);
+  settings.FirstProbeDelay = Millis(3600000);
   ConcurrencyLimit limit = makeConcurrencyLimit(settings, Start);
   TimePoint now = Start;
   // A window with so many at the server all the time, and answers that keep
--- a/UnitTests/Routing/CompletionStreamTest.cpp
+++ b/UnitTests/Routing/CompletionStreamTest.cpp
@@ -28,7 +28,7 @@
 Outcome<CompletionProgress> follow(const std::vector<std::string> &Events) {
   CompletionProgress progress;
   for (const std::string &it : Events) {
-    Outcome<CompletionProgress> next = followEvent(progress, it);
+    Outcome<CompletionProgress> next = applyStreamEvent(progress, it);
     if (!next)
       return next.failure();
     progress = *next;
@@ -62,17 +62,17 @@
           "[stream]") {
   std::string body = R"({"model":"m","prompt":"p","seed":7,"stream":true,)"
                      R"("resume":{"position":2,"text":"xy"}})";
-  Outcome<CompletionProgress> start = startOf(body);
+  Outcome<CompletionProgress> start = parseInitialProgress(body);
   REQUIRE(start);
   CHECK(start->Position == 2);
-  Outcome<CompletionProgress> next = followEvent(*start, chunk(2, 1, "z"));
+  Outcome<CompletionProgress> next = applyStreamEvent(*start, chunk(2, 1, "z"));
   REQUIRE(next);
-  boost::json::value resumed = boost::json::parse(resumeBody(body, *next));
+  boost::json::value resumed = boost::json::parse(makeResumeBody(body, *next));
   CHECK(resumed.at("seed").as_int64() == 7);
   CHECK(resumed.at("resume").at("position").as_int64() == 3);
   CHECK(resumed.at("resume").at("text").as_string() == "xyz");
-  CHECK_FALSE(startOf("[]"));
-  CHECK_FALSE(startOf(R"({"resume":3})"));
+  CHECK_FALSE(parseInitialProgress("[]"));
+  CHECK_FALSE(parseInitialProgress(R"({"resume":3})"));
 }
 
 TEST_CASE("Events are cut the same however their bytes arrive", "[stream]") {
@@ -89,7 +89,7 @@
       left.remove_prefix(std::min(size, left.size()));
     }
     RC_ASSERT(events.size() == 4u);
-    RC_ASSERT(!splitter.partial());
+    RC_ASSERT(!splitter.hasPartialEvent());
     RC_ASSERT(static_cast<bool>(follow(events)));
   });
 }
--- a/UnitTests/Routing/IdempotencyKeysTest.cpp
+++ b/UnitTests/Routing/IdempotencyKeysTest.cpp
@@ -18,7 +18,7 @@
   IdempotencyKeys::Settings made;
   made.Self = Self;
   made.Capacity = 3;
-  made.MaxAnswer = 10;
+  made.MaxSingleAnswerBytes = 10;
   made.Span = Millis(1000);
   return made;
 }
@@ -38,12 +38,12 @@
 
 TEST_CASE("A repeat waits, then gets the first one's answer", "[keys]") {
   IdempotencyKeys keys(settings());
-  CHECK(keys.begin("k", 7, Start).Step == KeyStep::Run);
-  CHECK(keys.begin("k", 7, Start).Step == KeyStep::Wait);
+  CHECK(keys.begin("k", 7, Start).Step == KeyAction::Run);
+  CHECK(keys.begin("k", 7, Start).Step == KeyAction::Wait);
   http::Response answer{201, {}, "done"};
   keys.answered("k", answer);
   KeyDecision again = keys.begin("k", 7, Start);
-  CHECK(again.Step == KeyStep::Answer);
+  CHECK(again.Step == KeyAction::Answer);
   CHECK(again.Answer.Status == answer.Status);
   CHECK(again.Answer.Body == answer.Body);
 }
@@ -53,7 +53,7 @@
   keys.begin("k", 7, Start);
   SECTION("another request with the same key did not run") {
     KeyDecision decision = keys.begin("k", 8, Start);
-    CHECK(decision.Step == KeyStep::Refuse);
+    CHECK(decision.Step == KeyAction::Refuse);
     CHECK(decision.Why.Run == Verdict::NotRun);
     CHECK(decision.Why.Code == FailureCode::Conflict);
   }
@@ -65,12 +65,12 @@
   SECTION("a first one that did not run frees its key") {
     keys.broken("k",
                 Failure{Verdict::NotRun, FailureCode::Unreachable, "", "", {}});
-    CHECK(keys.begin("k", 7, Start).Step == KeyStep::Run);
+    CHECK(keys.begin("k", 7, Start).Step == KeyAction::Run);
   }
   SECTION("an answer too large to keep is told as run") {
     keys.answered("k", http::Response{200, {}, std::string(11, 'x')});
     KeyDecision decision = keys.begin("k", 7, Start);
-    CHECK(decision.Step == KeyStep::Refuse);
+    CHECK(decision.Step == KeyAction::Refuse);
     CHECK(decision.Why.Run == Verdict::Ran);
   }
 }
@@ -78,20 +78,20 @@
 TEST_CASE("The table is bounded and forgets with time only", "[keys]") {
   IdempotencyKeys keys(settings());
   for (const char *it : {"a", "b", "c"}) {
-    CHECK(keys.begin(it, 1, Start).Step == KeyStep::Run);
+    CHECK(keys.begin(it, 1, Start).Step == KeyAction::Run);
     keys.answered(it, http::Response{});
   }
   KeyDecision full = keys.begin("d", 1, Start + Millis(1000));
-  CHECK(full.Step == KeyStep::Refuse);
+  CHECK(full.Step == KeyAction::Refuse);
   CHECK(full.Why.Run == Verdict::NotRun);
-  CHECK(keys.begin("d", 1, Start + Millis(1001)).Step == KeyStep::Run);
+  CHECK(keys.begin("d", 1, Start + Millis(1001)).Step == KeyAction::Run);
   CHECK(keys.size() == 1);
 }
 
 TEST_CASE("A running key outlives its span", "[keys]") {
   IdempotencyKeys keys(settings());
   keys.begin("a", 1, Start);
-  CHECK(keys.begin("a", 1, Start + Millis(5000)).Step == KeyStep::Wait);
+  CHECK(keys.begin("a", 1, Start + Millis(5000)).Step == KeyAction::Wait);
 }
 
 TEST_CASE("A witness lets the same runner ask again and no other", "[keys]") {
@@ -139,7 +139,7 @@
         auto names = [&](const std::set<int> &Of) {
           std::set<std::string> found;
           for (const Member &it :
-               witnessesOf(Key, viewOf(Of), InstanceName("nobody")))
+               findWitnesses(Key, viewOf(Of), InstanceName("nobody")))
             found.insert(it.Instance.Text);
           return found;
         };
@@ -154,16 +154,16 @@
 TEST_CASE("Who leaves stays a witness, and the next one is one too", "[keys]") {
   View view = viewOf({1, 2, 3, 4, 5});
   InstanceName nobody("nobody");
-  std::vector<Member> before = witnessesOf("k", view, nobody);
+  std::vector<Member> before = findWitnesses("k", view, nobody);
   REQUIRE(before.size() == 2);
   view.Members[before[0].Instance].State = Health::Leaving;
-  std::vector<Member> now = witnessesOf("k", view, nobody);
+  std::vector<Member> now = findWitnesses("k", view, nobody);
   REQUIRE(now.size() == 3);
   CHECK(now[0].Instance == before[0].Instance);
   CHECK(now[1].Instance == before[1].Instance);
   // Once it is gone the others are the witnesses, and have been told.
   view.Members[before[0].Instance].State = Health::Dead;
-  std::vector<Member> after = witnessesOf("k", view, nobody);
+  std::vector<Member> after = findWitnesses("k", view, nobody);
   REQUIRE(after.size() == 2);
   CHECK(after[0].Instance == now[1].Instance);
   CHECK(after[1].Instance == now[2].Instance);
@@ -186,13 +186,13 @@
 
 TEST_CASE("Without a look-up nobody says that a key did not run", "[keys]") {
   Failure why{Verdict::NotRun, FailureCode::Unreachable, "d", "gone", {}};
-  Failure told = withoutKeyProof(why);
+  Failure told = downgradeUnprovenFailure(why);
   CHECK(told.Run == Verdict::MayHaveRun);
   CHECK(told.RetryAfter > Millis(0));
   why.Code = FailureCode::BadInput;
-  CHECK(withoutKeyProof(why) == why);
+  CHECK(downgradeUnprovenFailure(why) == why);
   why.Code = FailureCode::Conflict;
-  CHECK(withoutKeyProof(why) == why);
+  CHECK(downgradeUnprovenFailure(why) == why);
 }
 
 TEST_CASE("A key has one home, which moves only when it is lost", "[keys]") {
@@ -203,7 +203,7 @@
                          ServerName("s" + std::to_string(n))};
     all.push_back(made);
   }
-  std::optional<Candidate> home = homeOf("key", all);
+  std::optional<Candidate> home = findHomeCandidate("key", all);
   REQUIRE(home);
   std::vector<Candidate> fewer;
   for (const Candidate &it : all) {
@@ -211,8 +211,8 @@
       fewer.push_back(it);
   }
   fewer.push_back(*home);
-  CHECK(homeOf("key", fewer) == home);
-  CHECK_FALSE(homeOf("key", {}));
+  CHECK(findHomeCandidate("key", fewer) == home);
+  CHECK_FALSE(findHomeCandidate("key", {}));
 }
 
 } // namespace wasabi
--- a/UnitTests/Routing/ChoiceTest.cpp
+++ b/UnitTests/Routing/LoadBalancingTest.cpp
@@ -1,6 +1,6 @@
 /// \file
 /// The choice of an upstream server.
-#include "Wasabi/Routing/Choice.h"
+#include "Wasabi/Routing/LoadBalancing.h"
 #include "Wasabi/Routing/PrefixHints.h"
 #include "Wasabi/Routing/RetryBudget.h"
 
@@ -22,10 +22,10 @@
   return made;
 }
 
-ChoiceState makeState(const std::vector<Candidate> &Known) {
-  ChoiceState state;
+BalancerState makeState(const std::vector<Candidate> &Known) {
+  BalancerState state;
   state.Own = DomainName("lulea-hall");
-  retain(state, {{ServiceName("s"), Known}}, Start - Millis(3600000));
+  retainServers(state, {{ServiceName("s"), Known}}, Start - Millis(3600000));
   return state;
 }
 
@@ -35,7 +35,7 @@
 }
 
 /// How often each server is chosen out of 1,000, each answered at once.
-std::map<std::string, int> tally(const ChoiceState &State,
+std::map<std::string, int> tally(const BalancerState &State,
                                  const std::vector<Candidate> &Of,
                                  TimePoint Now) {
   std::mt19937_64 random(7);
@@ -53,7 +53,7 @@
 
 TEST_CASE("A slow server gets little of the work", "[choice]") {
   std::vector<Candidate> all = {candidate("a"), candidate("b"), candidate("c")};
-  ChoiceState state = makeState(all);
+  BalancerState state = makeState(all);
   for (const Candidate &it : all) {
     noteStart(state, it, Start);
     noteSuccess(state, it, Micros(it.Key.Server.Text == "a" ? 50000 : 5000),
@@ -67,7 +67,7 @@
 
 TEST_CASE("A slow server is tried again later, and believed soon", "[choice]") {
   std::vector<Candidate> all = {candidate("a"), candidate("b")};
-  ChoiceState state = makeState(all);
+  BalancerState state = makeState(all);
   TimePoint now = Start;
   auto answer = [&](const Candidate &Who, Micros Took) {
     noteStart(state, Who, now);
@@ -92,14 +92,14 @@
 TEST_CASE("Own open attempts count at once, late loads without them twice",
           "[choice]") {
   std::vector<Candidate> all = {candidate("a"), candidate("b")};
-  ChoiceState state = makeState(all);
+  BalancerState state = makeState(all);
   for (int n = 0; n < 4; ++n)
     noteStart(state, all[0], Start);
   CHECK(expectedWait(state, all[0], Start) >
         expectedWait(state, all[1], Start));
   // A report that holds the own four changes nothing.
   double before = expectedWait(state, all[0], Start);
-  LoadSeen load{ServerName("a"), ServiceName("s"), 4, 0, 8, 0, true};
+  ReportedLoad load{ServerName("a"), ServiceName("s"), 4, 0, 8, 0, true};
   noteLoad(state, all[0].Key, load);
   CHECK(expectedWait(state, all[0], Start) == Approx(before));
   // Once they ended, the old report stands for others' work only.
@@ -112,7 +112,7 @@
 TEST_CASE("The own failure domain is preferred until it costs", "[choice]") {
   std::vector<Candidate> all = {candidate("near"),
                                 candidate("far", "umea-hall")};
-  ChoiceState state = makeState(all);
+  BalancerState state = makeState(all);
   for (const Candidate &it : all) {
     noteStart(state, it, Start);
     noteSuccess(state, it, Micros(8000), Start);
@@ -126,7 +126,7 @@
 TEST_CASE("A retry goes to another failure domain first", "[choice]") {
   std::vector<Candidate> all = {candidate("a"), candidate("b"),
                                 candidate("c", "umea-hall")};
-  ChoiceState state = makeState(all);
+  BalancerState state = makeState(all);
   std::mt19937_64 random(1);
   std::optional<Candidate> second =
       choose(state, all, {all[0]}, std::nullopt, Start, random);
@@ -142,7 +142,7 @@
 TEST_CASE("Ejection of outliers is bounded and ends", "[choice]") {
   std::vector<Candidate> all = {candidate("a"), candidate("b"), candidate("c"),
                                 candidate("d")};
-  ChoiceState state = makeState(all);
+  BalancerState state = makeState(all);
   for (const Candidate &it : all) {
     for (int n = 0; n < 5; ++n) {
       noteStart(state, it, Start);
@@ -153,14 +153,14 @@
   // Two of four may be out at once, though all four failed.
   CHECK(counts["a"] + counts["b"] == 0);
   CHECK(counts["c"] + counts["d"] == 1000);
-  CHECK(untilAvailable(state, all, Start) == Millis(1000));
+  CHECK(timeUntilAvailable(state, all, Start) == Millis(1000));
   std::map<std::string, int> later = tally(state, all, Start + Millis(1000));
   CHECK(later["a"] > 0);
 }
 
 TEST_CASE("Refusals for overload do not count against a server", "[choice]") {
   std::vector<Candidate> all = {candidate("a"), candidate("b")};
-  ChoiceState state = makeState(all);
+  BalancerState state = makeState(all);
   Failure full{Verdict::NotRun, FailureCode::Overloaded, "a", "full",
                Millis(60000)};
   for (int n = 0; n < 20; ++n) {
@@ -173,22 +173,22 @@
 
 TEST_CASE("A server full for one caller is asked for another", "[choice]") {
   std::vector<Candidate> all = {candidate("a")};
-  ChoiceState state = makeState(all);
+  BalancerState state = makeState(all);
   Failure full{Verdict::NotRun, FailureCode::Overloaded, "a", "full",
                Millis(60000)};
   noteStart(state, all[0], Start);
   noteFailure(state, all[0], full, all, Start, "greedy");
   std::mt19937_64 random(1);
   CHECK_FALSE(choose(state, all, {}, std::nullopt, Start, random, "greedy"));
-  CHECK(untilAvailable(state, all, Start, "greedy") == Millis(20));
+  CHECK(timeUntilAvailable(state, all, Start, "greedy") == Millis(20));
   CHECK(choose(state, all, {}, std::nullopt, Start, random, "modest"));
-  CHECK(untilAvailable(state, all, Start, "modest") == Millis(0));
+  CHECK(timeUntilAvailable(state, all, Start, "modest") == Millis(0));
   // Beyond a bound it is full for everyone, and forgotten later.
   for (int n = 0; n < 100; ++n) {
     noteStart(state, all[0], Start);
     noteFailure(state, all[0], full, all, Start, std::to_string(n));
   }
-  CHECK(state.Servers[all[0].Key].FullFor.size() <= 64);
+  CHECK(state.Servers[all[0].Key].OverloadedUntil.size() <= 64);
   CHECK_FALSE(choose(state, all, {}, std::nullopt, Start, random, "modest"));
   CHECK(choose(state, all, {}, std::nullopt, Start + Millis(21), random,
                "greedy"));
@@ -198,7 +198,7 @@
   std::vector<Candidate> all = {candidate("slow"), candidate("near"),
                                 candidate("far", "umea-hall"),
                                 candidate("full", "umea-hall")};
-  ChoiceState state = makeState(all);
+  BalancerState state = makeState(all);
   for (const Candidate &it : all) {
     noteStart(state, it, Start);
     bool slow = it.Key.Server.Text == "slow";
@@ -213,18 +213,18 @@
 
 TEST_CASE("A leaving daemon gets nothing new, its successor does", "[choice]") {
   std::vector<Candidate> all = {candidate("a"), candidate("b")};
-  ChoiceState state = makeState(all);
+  BalancerState state = makeState(all);
   noteLeaving(state, InstanceName("i-a"));
   CHECK(tally(state, all, Start)["a"] == 0);
   all[0].Life = 2;
-  retain(state, {{ServiceName("s"), all}}, Start);
+  retainServers(state, {{ServiceName("s"), all}}, Start);
   CHECK(tally(state, all, Start + Millis(60000))["a"] > 0);
 }
 
 TEST_CASE("A fresh server starts slowly", "[choice]") {
   std::vector<Candidate> all = {candidate("old"), candidate("new")};
-  ChoiceState state = makeState({all[0]});
-  retain(state, {{ServiceName("s"), all}}, Start);
+  BalancerState state = makeState({all[0]});
+  retainServers(state, {{ServiceName("s"), all}}, Start);
   double fresh = expectedWait(state, all[1], Start);
   double warm = expectedWait(state, all[1], Start + Millis(10000));
   CHECK(fresh == Approx(10 * warm));
@@ -233,7 +233,7 @@
 
 TEST_CASE("A cached prefix draws work until its server is busy", "[choice]") {
   std::vector<Candidate> all = {candidate("a"), candidate("b"), candidate("c")};
-  ChoiceState state = makeState(all);
+  BalancerState state = makeState(all);
   std::mt19937_64 random(3);
   for (int n = 0; n < 100; ++n)
     CHECK(choose(state, all, {}, all[1].Key, Start, random)->Key == all[1].Key);
@@ -256,7 +256,7 @@
     member.State = health;
     view.Members[member.Instance] = member;
     bool takes = health == Health::Alive || health == Health::Suspect;
-    CHECK(candidatesOf(view)[ServiceName("s")].size() == (takes ? 1u : 0u));
+    CHECK(findCandidates(view)[ServiceName("s")].size() == (takes ? 1u : 0u));
   }
 }
 
@@ -267,7 +267,7 @@
   service.Placements = {{DomainName("d"), 1}};
   declared.Services[service.Name] = service;
   View view;
-  CHECK_FALSE(knowsServers(declared, view));
+  CHECK_FALSE(hasAllCandidates(declared, view));
 
   Member member;
   member.Instance = InstanceName("daemon-1");
@@ -277,16 +277,16 @@
   server.Service = ServiceName("s");
   member.Servers = {server};
   view.Members[member.Instance] = member;
-  CHECK(knowsServers(declared, view));
+  CHECK(hasAllCandidates(declared, view));
 
   // A service that is to have no servers is not waited for.
   service.Name = ServiceName("later");
   service.Placements.clear();
   declared.Services[service.Name] = service;
-  CHECK(knowsServers(declared, view));
+  CHECK(hasAllCandidates(declared, view));
   service.Placements = {{DomainName("d"), 1}};
   declared.Services[service.Name] = service;
-  CHECK_FALSE(knowsServers(declared, view));
+  CHECK_FALSE(hasAllCandidates(declared, view));
 }
 
 TEST_CASE("Prefix hints are bounded and decay", "[choice]") {
@@ -303,8 +303,8 @@
   CHECK(hints.find(1, Start + Millis(2)) == a);
   CHECK_FALSE(hints.find(2, Start + Millis(2)));
   CHECK_FALSE(hints.find(1, Start + Millis(102)));
-  CHECK(prefixOf(std::string(64, 'x') + "a") ==
-        prefixOf(std::string(64, 'x') + "b"));
+  CHECK(hashPromptPrefix(std::string(64, 'x') + "a") ==
+        hashPromptPrefix(std::string(64, 'x') + "b"));
 }
 
 TEST_CASE("Retries are a share of the successes", "[choice]") {
--- a/UnitTests/StandIns/EngineBatchTests.cpp
+++ b/UnitTests/StandIns/EngineBatchTests.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 EngineBatch::Job jobOf(std::uint64_t Seed, std::int64_t Priority) {
-  EngineAsk ask;
+  EngineRequest ask;
   ask.Prompt = "prompt";
   ask.Seed = Seed;
   ask.MaxTokens = 64;
@@ -28,7 +28,7 @@
   batch.advance(Micros(1000000), 1000, 8);
   CHECK(job->Ended);
   CHECK(job->Position == job->Length);
-  CHECK(areWhole(job->Spans, job->Length));
+  CHECK(areContiguous(job->Spans, job->Length));
   CHECK(batch.running() == 0);
 }
 
--- a/UnitTests/StandIns/FaultProxyTests.cpp
+++ b/UnitTests/StandIns/FaultProxyTests.cpp
@@ -28,13 +28,13 @@
 
   void tell(const boost::json::object &Faults) {
     Proxy->Told.merge(Faults);
-    Proxy->faultsChanged();
+    Proxy->onFaultsChanged();
   }
 
   boost::asio::awaitable<Outcome<http::Response>> ask(Millis Timeout) {
     http::Request post{"POST", "/", {}, "body"};
-    co_return co_await Calling->call(Proxy->address(), std::move(post),
-                                     Timeout);
+    co_return co_await TestClient->call(Proxy->address(), std::move(post),
+                                        Timeout);
   }
 };
 
@@ -111,9 +111,9 @@
 
 TEST_CASE("Unknown and unfit faults change nothing", "[standins]") {
   Faults told({{"slow_ms", 0}, {"outage", false}, {"slow_factor", 1.0}});
-  CHECK_THROWS_AS(told.merge({{"slow_ms", 5}, {"typo", 1}}), BadBody);
-  CHECK_THROWS_AS(told.merge({{"slow_ms", 5}, {"outage", 1}}), BadBody);
-  CHECK_THROWS_AS(told.merge({{"slow_ms", -1}}), BadBody);
+  CHECK_THROWS_AS(told.merge({{"slow_ms", 5}, {"typo", 1}}), InvalidBody);
+  CHECK_THROWS_AS(told.merge({{"slow_ms", 5}, {"outage", 1}}), InvalidBody);
+  CHECK_THROWS_AS(told.merge({{"slow_ms", -1}}), InvalidBody);
   CHECK(told.number("slow_ms") == 0);
   told.merge({{"slow_factor", 3}});
   CHECK(told.real("slow_factor") == 3.0);
--- a/UnitTests/StandIns/TrainerBookTests.cpp
+++ b/UnitTests/StandIns/TrainerSimulatorTests.cpp
@@ -1,4 +1,4 @@
-#include "StandIns/TrainerBook.h"
+#include "StandIns/TrainerSimulator.h"
 
 #include <catch2/catch.hpp>
 
@@ -7,32 +7,33 @@
 namespace {
 
 /// A right sample for a slot of group `Group`, all of it made on `Version`.
-TrainerSample sampleFor(const TrainerBook &Book, std::size_t Group,
+TrainerSample sampleFor(const TrainerSimulator &Simulator, std::size_t Group,
                         std::uint64_t Index, std::uint64_t Version) {
-  const TrainerGroup &group = Book.groups().at(Group);
+  const TrainerGroup &group = Simulator.groups().at(Group);
   std::uint64_t seed = group.Seed + Index;
   std::uint64_t length = sampleLength(group.Prompt, seed, group.MaxTokens);
   std::vector<VersionSpan> spans{VersionSpan{0, length, Version}};
-  return TrainerSample{slotName(Book.step(), group.Group, Index),
+  return TrainerSample{slotName(Simulator.step(), group.Group, Index),
                        spansText(group.Prompt, seed, spans), length, spans,
                        seed};
 }
 
-TrainerBook bookOf(bool Checks) {
-  TrainerBook::Settings settings;
+TrainerSimulator bookOf(bool Checks) {
+  TrainerSimulator::Settings settings;
   settings.Groups = 2;
   settings.GroupSize = 2;
   settings.StalenessBound = 1;
   settings.ChecksFences = Checks;
-  TrainerBook book(settings);
+  TrainerSimulator book(settings);
   book.openStep(100);
   return book;
 }
 
-void fill(TrainerBook &Book, std::uint64_t Version, std::uint64_t NowUs) {
-  for (std::size_t group = 0; group < Book.groups().size(); ++group) {
-    for (std::uint64_t i = 0; i < Book.groups()[group].Samples; ++i)
-      Book.deliver("d", 1, sampleFor(Book, group, i, Version), NowUs);
+void fill(TrainerSimulator &Simulator, std::uint64_t Version,
+          std::uint64_t NowUs) {
+  for (std::size_t group = 0; group < Simulator.groups().size(); ++group) {
+    for (std::uint64_t i = 0; i < Simulator.groups()[group].Samples; ++i)
+      Simulator.deliver("d", 1, sampleFor(Simulator, group, i, Version), NowUs);
   }
 }
 
@@ -40,7 +41,7 @@
 
 TEST_CASE("A trainer takes each slot once, and is idle until whole",
           "[standins]") {
-  TrainerBook book = bookOf(true);
+  TrainerSimulator book = bookOf(true);
   CHECK(book.idleUs(130) == 30);
   fill(book, 1, 150);
   CHECK(book.whole());
@@ -66,7 +67,7 @@
 }
 
 TEST_CASE("A sample is as old as its oldest span", "[standins]") {
-  TrainerBook book = bookOf(true);
+  TrainerSimulator book = bookOf(true);
   book.publish(0);
   book.publish(0);
   CHECK(book.newest() == 3);
@@ -77,35 +78,35 @@
 }
 
 TEST_CASE("A label that does not give the text is counted", "[standins]") {
-  TrainerBook book = bookOf(true);
+  TrainerSimulator book = bookOf(true);
   TrainerSample right = sampleFor(book, 0, 0, 1);
   TrainerSample wrong = right;
   // The version is not the one that made the text.
   wrong.Spans[0].Version = 2;
-  CHECK_FALSE(book.deliver("d", 1, wrong, 1).TextOk);
+  CHECK_FALSE(book.deliver("d", 1, wrong, 1).TextMatches);
   // Cut short, with a label that fits what is there.
   wrong = sampleFor(book, 0, 1, 1);
   wrong.Tokens -= 1;
   wrong.Spans[0].To -= 1;
   wrong.Text.resize(wrong.Text.size() - TokenBytes);
-  CHECK_FALSE(book.deliver("d", 1, wrong, 1).TextOk);
+  CHECK_FALSE(book.deliver("d", 1, wrong, 1).TextMatches);
   // A gap between the spans.
   wrong = sampleFor(book, 1, 0, 1);
   wrong.Spans[0].From = 1;
-  CHECK_FALSE(book.deliver("d", 1, wrong, 1).TextOk);
+  CHECK_FALSE(book.deliver("d", 1, wrong, 1).TextMatches);
   // Another prompt's answer.
   wrong = sampleFor(book, 0, 1, 1);
   wrong.Slot = slotName(1, 1, 1);
-  CHECK_FALSE(book.deliver("d", 1, wrong, 1).TextOk);
+  CHECK_FALSE(book.deliver("d", 1, wrong, 1).TextMatches);
   CHECK(book.counts().Mislabelled == 4);
 
-  TrainerBook other = bookOf(true);
-  CHECK(other.deliver("d", 1, right, 1).TextOk);
+  TrainerSimulator other = bookOf(true);
+  CHECK(other.deliver("d", 1, right, 1).TextMatches);
   CHECK(other.counts().Mislabelled == 0);
 }
 
 TEST_CASE("A trainer that does not check takes all and counts", "[standins]") {
-  TrainerBook book = bookOf(false);
+  TrainerSimulator book = bookOf(false);
   book.publish(0);
   book.publish(0);
   TrainerSample old = sampleFor(book, 0, 0, 1);
@@ -113,15 +114,15 @@
   CHECK(book.deliver("d", 1, old, 1).Taken);
   CHECK(book.counts().Stale == 1);
   CHECK(book.counts().Duplicates == 1);
-  CHECK_FALSE(book.refusesFence(5));
-  CHECK_FALSE(book.refusesFence(4));
+  CHECK_FALSE(book.rejectsFencingToken(5));
+  CHECK_FALSE(book.rejectsFencingToken(4));
 }
 
 TEST_CASE("A trainer that checks refuses an older authority", "[standins]") {
-  TrainerBook book = bookOf(true);
-  CHECK_FALSE(book.refusesFence(5));
-  CHECK(book.refusesFence(4));
-  CHECK_FALSE(book.refusesFence(5));
+  TrainerSimulator book = bookOf(true);
+  CHECK_FALSE(book.rejectsFencingToken(5));
+  CHECK(book.rejectsFencingToken(4));
+  CHECK_FALSE(book.rejectsFencingToken(5));
   CHECK(book.fence() == 5);
 }
 
--- a/UnitTests/State/ChangePlanTests.cpp
+++ b/UnitTests/State/ChangePlanTests.cpp
@@ -8,15 +8,15 @@
 using wasabi::ObjectTexts;
 using wasabi::Outcome;
 using wasabi::PresetName;
-using wasabi::RecordFate;
-using wasabi::foldtest::Folded;
+using wasabi::RecordStatus;
+using wasabi::foldtest::FoldedLog;
 using wasabi::foldtest::limit;
 using wasabi::foldtest::limitText;
 
 namespace {
 
-Folded withLimits() {
-  Folded log;
+FoldedLog makeLogWithLimits() {
+  FoldedLog log;
   log.change("anna", 0, {limit("a", 1), limit("b", 2)});
   return log;
 }
@@ -24,24 +24,25 @@
 } // namespace
 
 TEST_CASE("A plan holds what differs, and removes only when asked to") {
-  Folded log = withLimits();
+  FoldedLog log = makeLogWithLimits();
   const ObjectTexts wanted = {{"limit/a", limitText("a", 5)},
                               {"limit/c", limitText("c", 3)}};
   ChangePlan plan = planApply(log.State, wanted, false);
-  CHECK(plan.LeftAlone == std::vector<std::string>{"limit/b"});
+  CHECK(plan.UnmanagedKeys == std::vector<std::string>{"limit/b"});
   CHECK(describePlan(plan) == "~ limit/a\n    /burst: 1 -> 5\n"
                               "+ limit/c " +
                                   limitText("c", 3) + "\n");
   plan = planApply(log.State, wanted, true);
   CHECK(plan.Writes.size() == 3);
   CHECK_THAT(describePlan(plan), Catch::Contains("- limit/b\n"));
-  CHECK(log.by("bo", makeChange(plan, "bo", "")).Fate == RecordFate::Accepted);
+  CHECK(log.by("bo", makeChange(plan, "bo", "")).ApplyStatus ==
+        RecordStatus::Accepted);
   CHECK(describePlan(planApply(log.State, wanted, true)) ==
         "nothing to change\n");
 }
 
 TEST_CASE("A preset is planned when declared, and depends on it") {
-  Folded log;
+  FoldedLog log;
   REQUIRE_FALSE(wasabi::toOutcome<ChangePlan>(
       [&] { return planPreset(log.State, PresetName("peak")); }));
   log.change("anna", 0,
@@ -61,7 +62,7 @@
 }
 
 TEST_CASE("A rollback is a new change that brings all objects back") {
-  Folded log = withLimits();
+  FoldedLog log = makeLogWithLimits();
   FoldState then = log.State;
   log.change("bo", 1, {limit("a", 9), limit("c", 9)});
   log.change("bo", 2, {{"limit/b", std::nullopt}});
@@ -73,7 +74,7 @@
 }
 
 TEST_CASE("A plan is checked as the fold would") {
-  Folded log;
+  FoldedLog log;
   log.change("anna", 0,
              {{"preset/peak", R"({"kind":"preset","name":"peak"})"},
               {"switch/preset",
--- a/UnitTests/State/FoldFixture.h
+++ b/UnitTests/State/FoldFixture.h
@@ -23,29 +23,29 @@
 }
 
 /// A log with the fold that follows it.
-struct Folded {
+struct FoldedLog {
   std::vector<LogEntry> Log;
   FoldState State;
-  std::vector<Applied> Fates;
+  std::vector<ControlStateChange> Fates;
   std::uint64_t Sequence = 0;
 
-  const Applied &addText(const std::string &Text) {
+  const ControlStateChange &appendText(const std::string &Text) {
     Offset at = Log.size();
     Log.push_back({at, Text});
     Fates.push_back(apply(State, at, Text));
     return Fates.back();
   }
-  const Applied &add(const RecordId &Id, RecordBody Body) {
-    return addText(encodeRecord({Id, std::move(Body)}));
+  const ControlStateChange &add(const RecordId &Id, RecordBody Body) {
+    return appendText(encodeRecord({Id, std::move(Body)}));
   }
   /// By an author with the next number.
-  const Applied &by(const std::string &Author, RecordBody Body,
-                    Incarnation Life = 1) {
+  const ControlStateChange &by(const std::string &Author, RecordBody Body,
+                               Incarnation Life = 1) {
     return add({Author, Life, ++Sequence}, std::move(Body));
   }
-  const Applied &change(const std::string &Author, Offset Base,
-                        std::vector<ObjectWrite> Writes,
-                        std::vector<std::string> Reads = {}) {
+  const ControlStateChange &change(const std::string &Author, Offset Base,
+                                   std::vector<ObjectWrite> Writes,
+                                   std::vector<std::string> Reads = {}) {
     return by(Author, ConfigChange{Base, std::move(Reads), std::move(Writes),
                                    Author, "a test"});
   }
@@ -56,7 +56,7 @@
 };
 
 /// Decodes a state that must be sound.
-inline FoldState reloaded(const FoldState &State) {
+inline FoldState reloadState(const FoldState &State) {
   return *toOutcome<FoldState>([&] { return decodeState(encodeState(State)); });
 }
 
--- a/UnitTests/State/FoldPropertyTests.cpp
+++ b/UnitTests/State/FoldPropertyTests.cpp
@@ -6,18 +6,18 @@
 
 #include <set>
 
-using wasabi::Applied;
-using wasabi::ClaimTake;
+using wasabi::ClaimAcquire;
 using wasabi::ConfigChange;
+using wasabi::ControlStateChange;
 using wasabi::FoldState;
 using wasabi::LogEntry;
 using wasabi::Millis;
 using wasabi::ObjectWrite;
 using wasabi::Offset;
 using wasabi::Record;
-using wasabi::RecordFate;
 using wasabi::RecordId;
-using wasabi::foldtest::Folded;
+using wasabi::RecordStatus;
+using wasabi::foldtest::FoldedLog;
 using wasabi::foldtest::limit;
 using wasabi::test::holds;
 
@@ -60,7 +60,7 @@
       act(it);
   }
 
-  Folded Log;
+  FoldedLog Log;
 
 private:
   std::vector<Author> Authors;
@@ -70,7 +70,7 @@
   void append(Author &Who, wasabi::RecordBody Body) {
     ++Who.Id.Sequence;
     Who.Last = wasabi::encodeRecord({Who.Id, std::move(Body)});
-    Log.addText(Who.Last);
+    Log.appendText(Who.Last);
   }
 
   void act(const Action &What) {
@@ -117,7 +117,7 @@
       break;
     case 6:
       if (!who.Last.empty())
-        Log.addText(who.Last);
+        Log.appendText(who.Last);
       break;
     case 7:
       who.Id.Life += 1;
@@ -134,7 +134,7 @@
       append(who, makeSnapshot(Log.State, token()));
       break;
     default:
-      Log.addText(who.Last.substr(0, who.Last.size() / 2));
+      Log.appendText(who.Last.substr(0, who.Last.size() / 2));
     }
   }
 
@@ -148,10 +148,10 @@
 struct Judged {
   Offset At = 0;
   Record What;
-  Applied Done;
+  ControlStateChange Done;
 };
 
-std::vector<Judged> judgedChanges(const Folded &Log) {
+std::vector<Judged> judgedChanges(const FoldedLog &Log) {
   std::vector<Judged> out;
   for (const LogEntry &it : Log.Log) {
     wasabi::Outcome<Record> what = wasabi::toOutcome<Record>(
@@ -174,7 +174,7 @@
   std::set<std::string> keys = writtenKeys(Change);
   keys.insert(Change.Reads.begin(), Change.Reads.end());
   for (const Judged &it : Before) {
-    if (it.At < Change.Base || it.Done.Fate != RecordFate::Accepted)
+    if (it.At < Change.Base || it.Done.ApplyStatus != RecordStatus::Accepted)
       continue;
     for (const std::string &key :
          writtenKeys(std::get<ConfigChange>(it.What.Body)))
@@ -189,14 +189,14 @@
 TEST_CASE("Property: any restart point gives the same state and verdicts") {
   holds([] {
     Interleaving history(drawActions());
-    const Folded &log = history.Log;
+    const FoldedLog &log = history.Log;
     Offset cut = *rc::gen::inRange<Offset>(0, log.Log.size() + 1);
     FoldState state;
     for (Offset at = 0; at < log.Log.size(); ++at) {
       if (at == cut)
-        state = wasabi::foldtest::reloaded(state);
-      Applied done = apply(state, at, log.Log[at].Text);
-      RC_ASSERT(done.Fate == log.Fates[at].Fate);
+        state = wasabi::foldtest::reloadState(state);
+      ControlStateChange done = apply(state, at, log.Log[at].Text);
+      RC_ASSERT(done.ApplyStatus == log.Fates[at].ApplyStatus);
       RC_ASSERT(done.Reason == log.Fates[at].Reason);
       RC_ASSERT(!done.Diverged);
     }
@@ -208,7 +208,7 @@
 TEST_CASE("Property: any tail that holds a snapshot recovers the same state") {
   holds([] {
     Interleaving history(drawActions());
-    const Folded &log = history.Log;
+    const FoldedLog &log = history.Log;
     Offset first = *rc::gen::inRange<Offset>(0, log.Log.size() + 1);
     std::vector<LogEntry> kept(
         log.Log.begin() + static_cast<std::ptrdiff_t>(first), log.Log.end());
@@ -224,10 +224,10 @@
     std::vector<Judged> before;
     for (const Judged &it : judgedChanges(history.Log)) {
       const ConfigChange &change = std::get<ConfigChange>(it.What.Body);
-      if (it.Done.Fate != RecordFate::Repeated) {
+      if (it.Done.ApplyStatus != RecordStatus::Repeated) {
         bool conflict = conflicts(before, change);
         RC_ASSERT(conflict == it.Done.Reason.starts_with("conflict: "));
-        if (!conflict && it.Done.Fate == RecordFate::Refused)
+        if (!conflict && it.Done.ApplyStatus == RecordStatus::Refused)
           RC_ASSERT(it.Done.Reason.starts_with("invalid: "));
       }
       before.push_back(it);
@@ -241,7 +241,7 @@
     std::map<std::string, std::string> objects;
     std::set<RecordId> accepted;
     for (const Judged &it : judgedChanges(history.Log)) {
-      if (it.Done.Fate != RecordFate::Accepted)
+      if (it.Done.ApplyStatus != RecordStatus::Accepted)
         continue;
       RC_ASSERT(accepted.insert(it.What.Id).second);
       for (const ObjectWrite &write :
@@ -269,13 +269,13 @@
     Interleaving history(drawActions());
     wasabi::FencingToken last = 0;
     for (const LogEntry &it : history.Log.Log) {
-      const Applied &done = history.Log.Fates[it.At];
-      if (done.ClaimChanged.empty())
+      const ControlStateChange &done = history.Log.Fates[it.At];
+      if (done.ChangedClaimResource.empty())
         continue;
       Record what = *wasabi::toOutcome<Record>(
           [&] { return wasabi::decodeRecord(it.Text); });
-      if (const ClaimTake *take = std::get_if<ClaimTake>(&what.Body)) {
-        RC_ASSERT(take->Replaces == last);
+      if (const ClaimAcquire *take = std::get_if<ClaimAcquire>(&what.Body)) {
+        RC_ASSERT(take->ReplacedToken == last);
         RC_ASSERT(it.At + 1 > last);
         last = it.At + 1;
       } else if (const wasabi::ClaimRenew *renew =
--- a/UnitTests/State/FoldTests.cpp
+++ b/UnitTests/State/FoldTests.cpp
@@ -3,29 +3,32 @@
 #include <catch2/catch.hpp>
 
 using Catch::Contains;
-using wasabi::Applied;
+using wasabi::ClaimAcquire;
 using wasabi::ClaimRelease;
 using wasabi::ClaimRenew;
-using wasabi::ClaimTake;
+using wasabi::ControlStateChange;
 using wasabi::FencingToken;
 using wasabi::FoldState;
 using wasabi::Millis;
 using wasabi::Offset;
 using wasabi::Outcome;
-using wasabi::RecordFate;
+using wasabi::RecordStatus;
 using wasabi::TimePoint;
-using wasabi::foldtest::Folded;
+using wasabi::foldtest::FoldedLog;
 using wasabi::foldtest::limit;
 
 TEST_CASE("Of two racing operators exactly the conflicting one is refused") {
-  Folded log;
-  CHECK(log.change("anna", 0, {limit("a", 1), limit("b", 1)}).Fate ==
-        RecordFate::Accepted);
+  FoldedLog log;
+  CHECK(log.change("anna", 0, {limit("a", 1), limit("b", 1)}).ApplyStatus ==
+        RecordStatus::Accepted);
   // All three had read the first change only.
-  CHECK(log.change("bo", 1, {limit("a", 2)}).Fate == RecordFate::Accepted);
-  CHECK(log.change("carl", 1, {limit("b", 3)}).Fate == RecordFate::Accepted);
-  Applied lost = log.change("dora", 1, {limit("c", 4), limit("a", 4)});
-  CHECK(lost.Fate == RecordFate::Refused);
+  CHECK(log.change("bo", 1, {limit("a", 2)}).ApplyStatus ==
+        RecordStatus::Accepted);
+  CHECK(log.change("carl", 1, {limit("b", 3)}).ApplyStatus ==
+        RecordStatus::Accepted);
+  ControlStateChange lost =
+      log.change("dora", 1, {limit("c", 4), limit("a", 4)});
+  CHECK(lost.ApplyStatus == RecordStatus::Refused);
   CHECK(lost.Reason == "conflict: limit/a was changed at offset 1 by bo");
   CHECK_FALSE(lost.ConfigChanged);
   CHECK(log.State.Config->Limits.at("a").Burst == 2);
@@ -36,13 +39,13 @@
 }
 
 TEST_CASE("A change conflicts by what it read, and with removals") {
-  Folded log;
+  FoldedLog log;
   log.change("anna", 0, {limit("a", 1)});
   log.change("anna", 1, {{"limit/a", std::nullopt}});
   CHECK_THAT(log.change("bo", 1, {limit("b", 1)}, {"limit/a"}).Reason,
              Contains("limit/a was removed at offset 1 by anna"));
-  CHECK(log.change("bo", 2, {limit("b", 1)}, {"limit/a"}).Fate ==
-        RecordFate::Accepted);
+  CHECK(log.change("bo", 2, {limit("b", 1)}, {"limit/a"}).ApplyStatus ==
+        RecordStatus::Accepted);
   CHECK_THAT(log.change("bo", 4, {{"limit/a", std::nullopt}}).Reason,
              Contains("no such object"));
   CHECK_THAT(log.change("bo", 99, {limit("d", 1)}).Reason,
@@ -50,15 +53,15 @@
 }
 
 TEST_CASE("A change that breaks the whole is refused and leaves nothing") {
-  Folded log;
+  FoldedLog log;
   const std::string preset = R"({"kind":"preset","name":"peak"})";
   const std::string inForce =
       R"({"kind":"switch","name":"preset","preset":"peak"})";
   log.change("anna", 0, {{"preset/peak", preset}, {"switch/preset", inForce}});
   FoldState before = log.State;
-  Applied lost =
+  ControlStateChange lost =
       log.change("bo", 1, {limit("a", 1), {"preset/peak", std::nullopt}});
-  CHECK(lost.Fate == RecordFate::Refused);
+  CHECK(lost.ApplyStatus == RecordStatus::Refused);
   CHECK_THAT(lost.Reason, Contains("no preset/peak"));
   CHECK(log.State.Objects == before.Objects);
   CHECK(log.State.Removed.empty());
@@ -69,68 +72,71 @@
 }
 
 TEST_CASE("Each id is taken once, and its first fate stands") {
-  Folded log;
+  FoldedLog log;
   wasabi::ConfigChange change{0, {}, {limit("a", 1)}, "anna", ""};
-  CHECK(log.add({"ctl", 5, 1}, change).Fate == RecordFate::Accepted);
-  Applied again = log.add({"ctl", 5, 1}, change);
-  CHECK(again.Fate == RecordFate::Repeated);
-  CHECK(again.SameId);
-  CHECK(again.FirstAt == 0);
-  CHECK(again.FirstFate == RecordFate::Accepted);
+  CHECK(log.add({"ctl", 5, 1}, change).ApplyStatus == RecordStatus::Accepted);
+  ControlStateChange again = log.add({"ctl", 5, 1}, change);
+  CHECK(again.ApplyStatus == RecordStatus::Repeated);
+  CHECK(again.IsSameId);
+  CHECK(again.PriorOffset == 0);
+  CHECK(again.PriorStatus == RecordStatus::Accepted);
 
   change.Writes = {limit("a", 2)};
-  CHECK(log.add({"ctl", 5, 2}, change).Fate == RecordFate::Refused);
-  CHECK(log.add({"ctl", 5, 2}, change).FirstFate == RecordFate::Refused);
-  CHECK_FALSE(log.add({"ctl", 5, 1}, change).SameId);
+  CHECK(log.add({"ctl", 5, 2}, change).ApplyStatus == RecordStatus::Refused);
+  CHECK(log.add({"ctl", 5, 2}, change).PriorStatus == RecordStatus::Refused);
+  CHECK_FALSE(log.add({"ctl", 5, 1}, change).IsSameId);
   change.Base = 5;
-  CHECK(log.add({"ctl", 4, 9}, change).Fate == RecordFate::Repeated);
-  CHECK(log.add({"ctl", 6, 0}, change).Fate == RecordFate::Accepted);
+  CHECK(log.add({"ctl", 4, 9}, change).ApplyStatus == RecordStatus::Repeated);
+  CHECK(log.add({"ctl", 6, 0}, change).ApplyStatus == RecordStatus::Accepted);
 }
 
 TEST_CASE("The first take wins, and only the holder renews and releases") {
-  Folded log;
-  log.addText("not a record");
-  CHECK(log.by("d1", ClaimTake{"trainer/t", 0, Millis(10), 0}).ClaimChanged ==
-        "trainer/t");
-  CHECK_THAT(log.by("d2", ClaimTake{"trainer/t", 0, Millis(10), 0}).Reason,
+  FoldedLog log;
+  log.appendText("not a record");
+  CHECK(log.by("d1", ClaimAcquire{"trainer/t", 0, Millis(10), 0})
+            .ChangedClaimResource == "trainer/t");
+  CHECK_THAT(log.by("d2", ClaimAcquire{"trainer/t", 0, Millis(10), 0}).Reason,
              Contains("held by d1 since token 2"));
-  CHECK(log.by("d2", ClaimRenew{"trainer/t", 2}).Fate == RecordFate::Refused);
-  CHECK(log.by("d1", ClaimRenew{"trainer/t", 2}, 7).Fate ==
-        RecordFate::Refused);
-  CHECK(log.by("d1", ClaimRenew{"trainer/t", 2}, 7).Fate ==
-        RecordFate::Refused);
+  CHECK(log.by("d2", ClaimRenew{"trainer/t", 2}).ApplyStatus ==
+        RecordStatus::Refused);
+  CHECK(log.by("d1", ClaimRenew{"trainer/t", 2}, 7).ApplyStatus ==
+        RecordStatus::Refused);
+  CHECK(log.by("d1", ClaimRenew{"trainer/t", 2}, 7).ApplyStatus ==
+        RecordStatus::Refused);
   REQUIRE(log.claim("trainer/t"));
   CHECK(log.claim("trainer/t")->Token == 2);
-  CHECK(log.claim("trainer/t")->RenewedAt == 1);
+  CHECK(log.claim("trainer/t")->RenewalOffset == 1);
 }
 
 TEST_CASE("A take is refused while its author has missed a renewal") {
-  Folded log;
-  log.by("d1", ClaimTake{"trainer/t", 0, Millis(10), 0});
-  ClaimTake late =
+  FoldedLog log;
+  log.by("d1", ClaimAcquire{"trainer/t", 0, Millis(10), 0});
+  ClaimAcquire late =
       wasabi::takeOver("trainer/t", log.claim("trainer/t"), Millis(10));
   log.by("d1", ClaimRenew{"trainer/t", 1});
   CHECK_THAT(log.by("d2", late).Reason,
              Contains("renewed by d1 since token 1"));
   CHECK(log.by("d2", wasabi::takeOver("trainer/t", log.claim("trainer/t"),
                                       Millis(10)))
-            .Fate == RecordFate::Accepted);
+            .ApplyStatus == RecordStatus::Accepted);
   CHECK(log.claim("trainer/t")->Token == 4);
   CHECK(log.claim("trainer/t")->Holder.Text == "d2");
-  CHECK(log.by("d1", ClaimRenew{"trainer/t", 1}).Fate == RecordFate::Refused);
-  CHECK(log.by("d2", ClaimRelease{"trainer/t", 4}).Fate ==
-        RecordFate::Accepted);
-  CHECK(log.by("d2", ClaimRenew{"trainer/t", 4}).Fate == RecordFate::Refused);
-  CHECK(log.by("d3", ClaimTake{"trainer/t", 4, Millis(10), 0}).Fate ==
-        RecordFate::Accepted);
+  CHECK(log.by("d1", ClaimRenew{"trainer/t", 1}).ApplyStatus ==
+        RecordStatus::Refused);
+  CHECK(log.by("d2", ClaimRelease{"trainer/t", 4}).ApplyStatus ==
+        RecordStatus::Accepted);
+  CHECK(log.by("d2", ClaimRenew{"trainer/t", 4}).ApplyStatus ==
+        RecordStatus::Refused);
+  CHECK(log.by("d3", ClaimAcquire{"trainer/t", 4, Millis(10), 0}).ApplyStatus ==
+        RecordStatus::Accepted);
 }
 
 TEST_CASE("A claim at offset 0 has a token that is not none") {
-  Folded log;
-  log.by("d1", ClaimTake{"snapshots", 0, Millis(10), 0});
+  FoldedLog log;
+  log.by("d1", ClaimAcquire{"snapshots", 0, Millis(10), 0});
   CHECK(log.claim("snapshots")->Token == 1);
-  CHECK(log.by("d2", ClaimTake{"snapshots", 0, Millis(10), 0}).Fate ==
-        RecordFate::Refused);
+  CHECK(log.by("d2", ClaimAcquire{"snapshots", 0, Millis(10), 0}).ApplyStatus ==
+        RecordStatus::Refused);
 }
 
 TEST_CASE("A holder's authority ends before a successor's wait does") {
@@ -138,31 +144,31 @@
   const Millis term(10000);
   wasabi::Claim claim{wasabi::InstanceName("d1"), 1, 1, term, 0, false};
   // The successor reads the record when it is sent at the soonest.
-  CHECK_FALSE(mayTake(&claim, sent, wasabi::authorityUntil(sent, term)));
-  CHECK_FALSE(mayTake(&claim, sent, sent + term - Millis(1)));
-  CHECK(mayTake(&claim, sent, sent + term));
-  CHECK(wasabi::mayTake(nullptr, sent, sent));
+  CHECK_FALSE(canAcquireClaim(&claim, sent, wasabi::authorityEnd(sent, term)));
+  CHECK_FALSE(canAcquireClaim(&claim, sent, sent + term - Millis(1)));
+  CHECK(canAcquireClaim(&claim, sent, sent + term));
+  CHECK(wasabi::canAcquireClaim(nullptr, sent, sent));
   claim.Released = true;
-  CHECK(mayTake(&claim, sent, sent));
+  CHECK(canAcquireClaim(&claim, sent, sent));
 }
 
 TEST_CASE("The fold stops before a newer record and applies nothing after") {
-  Folded log;
+  FoldedLog log;
   log.change("anna", 0, {limit("a", 1)});
   std::string before = encodeState(log.State);
-  CHECK(log.addText(R"({"schema":2})").Fate == RecordFate::Newer);
-  CHECK(log.State.BlockedAt == Offset(1));
-  CHECK(apply(log.State, 1, "").Fate == RecordFate::Newer);
+  CHECK(log.appendText(R"({"schema":2})").ApplyStatus == RecordStatus::Newer);
+  CHECK(log.State.BlockedOffset == Offset(1));
+  CHECK(apply(log.State, 1, "").ApplyStatus == RecordStatus::Newer);
   CHECK(encodeState(log.State) == before);
   CHECK(log.State.Next == 1);
 }
 
 TEST_CASE("A state comes back whole from its text") {
-  Folded log;
+  FoldedLog log;
   log.change("anna", 0, {limit("a", 1), limit("b", 1)});
   log.change("anna", 1, {{"limit/a", std::nullopt}});
-  log.by("d1", ClaimTake{"weights/m", 0, Millis(10), 0});
-  FoldState back = wasabi::foldtest::reloaded(log.State);
+  log.by("d1", ClaimAcquire{"weights/m", 0, Millis(10), 0});
+  FoldState back = wasabi::foldtest::reloadState(log.State);
   CHECK(encodeState(back) == encodeState(log.State));
   CHECK(*back.Config == *log.State.Config);
   CHECK(back.Objects == log.State.Objects);
@@ -176,60 +182,62 @@
 }
 
 TEST_CASE("A snapshot that differs from the own state is noticed") {
-  Folded log;
-  log.by("d1", ClaimTake{"snapshots", 0, Millis(10), 0});
+  FoldedLog log;
+  log.by("d1", ClaimAcquire{"snapshots", 0, Millis(10), 0});
   wasabi::SnapshotRecord good = makeSnapshot(log.State, 1);
   log.change("anna", 0, {limit("a", 1)});
   // Records came between: the chain tells.
   CHECK_FALSE(log.by("d1", good).Diverged);
   CHECK(log.State.SnapshotRevision == 3);
   wasabi::SnapshotRecord other = makeSnapshot(log.State, 1);
-  other.Chain += 1;
+  other.ChainHash += 1;
   CHECK(log.by("d1", other).Diverged);
 
   // None came between: the whole text tells, even where the chain agrees.
   FoldState forged = log.State;
   forged.Objects["limit/a"].Text = wasabi::foldtest::limitText("a", 9);
   CHECK(log.by("d1", makeSnapshot(forged, 1)).Diverged);
-  Applied same = log.by("d1", makeSnapshot(log.State, 1));
-  CHECK(same.Fate == RecordFate::Accepted);
+  ControlStateChange same = log.by("d1", makeSnapshot(log.State, 1));
+  CHECK(same.ApplyStatus == RecordStatus::Accepted);
   CHECK_FALSE(same.Diverged);
 }
 
 TEST_CASE("A snapshot at an offset where old entries go is no divergence") {
-  Folded log;
-  log.by("d1", ClaimTake{"snapshots", 0, Millis(10), 0});
+  FoldedLog log;
+  log.by("d1", ClaimAcquire{"snapshots", 0, Millis(10), 0});
   log.change("anna", 1, {limit("a", 1)});
   log.change("anna", 2, {{"limit/a", std::nullopt}});
   const Offset sweptAt =
-      (wasabi::MemoryWindow / wasabi::SweepPeriod + 1) * wasabi::SweepPeriod;
+      (wasabi::RetentionWindow / wasabi::EvictionInterval + 1) *
+      wasabi::EvictionInterval;
   while (log.State.Next < sweptAt)
     apply(log.State, log.State.Next, "");
   REQUIRE_FALSE(log.State.Removed.empty());
   std::string text =
       wasabi::encodeRecord({{"d1", 1, 99}, makeSnapshot(log.State, 1)});
-  Applied done = apply(log.State, sweptAt, text);
-  CHECK(done.Fate == RecordFate::Accepted);
+  ControlStateChange done = apply(log.State, sweptAt, text);
+  CHECK(done.ApplyStatus == RecordStatus::Accepted);
   CHECK_FALSE(done.Diverged);
   CHECK(log.State.Removed.empty());
 }
 
 TEST_CASE("A snapshot by another, or with a wrong hash, is refused by all") {
-  Folded log;
-  log.by("d1", ClaimTake{"snapshots", 0, Millis(10), 0});
-  CHECK(log.by("d2", makeSnapshot(log.State, 1)).Fate == RecordFate::Refused);
+  FoldedLog log;
+  log.by("d1", ClaimAcquire{"snapshots", 0, Millis(10), 0});
+  CHECK(log.by("d2", makeSnapshot(log.State, 1)).ApplyStatus ==
+        RecordStatus::Refused);
   wasabi::SnapshotRecord bad = makeSnapshot(log.State, 1);
   bad.Hash = std::string(32, '0');
   CHECK_THAT(log.by("d1", bad).Reason, Contains("hash"));
   bad = makeSnapshot(log.State, 1);
   bad.Before = 1000;
-  CHECK(log.by("d1", bad).Fate == RecordFate::Refused);
+  CHECK(log.by("d1", bad).ApplyStatus == RecordStatus::Refused);
   CHECK(log.State.SnapshotRevision == 0);
 }
 
 TEST_CASE("Recovery takes the newest sound snapshot, else an older one") {
-  Folded log;
-  log.by("d1", ClaimTake{"snapshots", 0, Millis(10), 0});
+  FoldedLog log;
+  log.by("d1", ClaimAcquire{"snapshots", 0, Millis(10), 0});
   log.by("d1", makeSnapshot(log.State, 1));
   log.change("anna", 2, {limit("a", 1)});
   wasabi::SnapshotRecord bad = makeSnapshot(log.State, 1);
@@ -250,19 +258,19 @@
 }
 
 TEST_CASE("What is old is forgotten at the same offset everywhere") {
-  Folded log;
+  FoldedLog log;
   log.change("anna", 0, {limit("a", 1)});
   log.change("anna", 1, {{"limit/a", std::nullopt}});
-  log.by("d1", ClaimTake{"trainer/t", 0, Millis(10), 0});
+  log.by("d1", ClaimAcquire{"trainer/t", 0, Millis(10), 0});
   log.by("d1", ClaimRelease{"trainer/t", 3});
-  FoldState restarted = wasabi::foldtest::reloaded(log.State);
+  FoldState restarted = wasabi::foldtest::reloadState(log.State);
   auto skip = [](FoldState &State, Offset Until) {
     while (State.Next < Until)
       apply(State, State.Next, "");
   };
-  const Offset sweptAt =
-      wasabi::MemoryWindow / wasabi::SweepPeriod * wasabi::SweepPeriod +
-      wasabi::SweepPeriod;
+  const Offset sweptAt = wasabi::RetentionWindow / wasabi::EvictionInterval *
+                             wasabi::EvictionInterval +
+                         wasabi::EvictionInterval;
   skip(log.State, sweptAt);
   CHECK(log.State.Removed.contains("limit/a"));
   CHECK_THAT(
@@ -275,7 +283,7 @@
   CHECK(log.State.Removed.empty());
   CHECK(log.State.Claims.empty());
   CHECK(log.State.Authors.size() == 1);
-  CHECK(log.State.RecentChains.size() == wasabi::MaxRecentChains);
+  CHECK(log.State.RecentChainHashes.size() == wasabi::MaxRecentChainHashes);
 
   skip(restarted, sweptAt);
   apply(restarted, sweptAt,
--- a/UnitTests/Upstream/ForwarderTest.cpp
+++ b/UnitTests/Upstream/ForwarderTest.cpp
@@ -21,7 +21,7 @@
   Misdirected
 };
 
-struct ForwardWorld : BatchWorld {
+struct ForwardWorld : BatchTestFixture {
   FleetView View;
   Metrics Counts;
   std::map<ServerName, Answering> Servers;
@@ -46,11 +46,11 @@
     Route.MaxAttempts = 2;
     Route.Services = {{Desk, 1}};
     EnginePort port;
-    port.Call = [this](UpstreamEntry Server, const http::Request &,
+    port.Call = [this](UpstreamRegistration Server, const http::Request &,
                        SendOptions Options, Millis) {
       return call(std::move(Server), std::move(Options));
     };
-    port.Probe = [this](UpstreamEntry Server, Millis) {
+    port.Probe = [this](UpstreamRegistration Server, Millis) {
       return probe(std::move(Server));
     };
     Port = port;
@@ -64,7 +64,7 @@
     UsageMeter::Settings counting;
     counting.Self = {InstanceName("edge"), 1};
     counting.Pace = Millis(1);
-    counting.PaceFactor = 0;
+    counting.AppendIntervalFactor = 0;
     Usage = UsageMeter::create({Context.get_executor(), Store.port(), Decisions,
                                 Counts, WallClock::create(), View.Contact},
                                counting);
@@ -88,9 +88,9 @@
   }
   /// What one more process knows of requests that end servers.
   std::shared_ptr<Quarantine> quarantine(RecordStore At) {
-    FeedParts feed{Context.get_executor(), std::move(At), Decisions, View};
+    FeedContext feed{Context.get_executor(), std::move(At), Decisions, View};
     Quarantine::Settings limits;
-    limits.WatchEvery = Millis(5);
+    limits.CrashWatchInterval = Millis(5);
     limits.RetryPause = Millis(5);
     std::shared_ptr<Quarantine> crashes =
         Quarantine::create(feed, Port, Counts, limits);
@@ -107,21 +107,21 @@
     return ask;
   }
   void add(const std::string &Id, Answering How) {
-    UpstreamEntry entry;
+    UpstreamRegistration entry;
     entry.Id = ServerName(Id);
     entry.Service = Desk;
     registerServer(View.Servers, entry);
     Servers[entry.Id] = How;
   }
-  asio::awaitable<Outcome<UpstreamAnswer>> call(UpstreamEntry Server,
-                                                SendOptions Options) {
+  asio::awaitable<Outcome<UpstreamResponse>> call(UpstreamRegistration Server,
+                                                  SendOptions Options) {
     co_await pauseFor(Context.get_executor(), Millis(5));
     Answering how = Servers[Server.Id];
     if (how != Answering::Unreachable)
       Asked.push_back(Server.Id.Text);
     Deadlines.push_back(*Options.Deadline);
     Customers.insert(Options.Customer.Text);
-    UpstreamAnswer answer;
+    UpstreamResponse answer;
     answer.Proof = AnswerProof::Ran;
     answer.Response.Status = how == Answering::Fails ? 500 : 200;
     answer.Signature = Server.Id.Text;
@@ -136,18 +136,19 @@
     co_return answer;
   }
   /// A server whose answers are lost takes connections still.
-  asio::awaitable<Outcome<ServerPresence>> probe(UpstreamEntry Server) {
+  asio::awaitable<Outcome<ServerProbeResult>>
+  probe(UpstreamRegistration Server) {
     ++Probes;
     co_await pauseFor(Context.get_executor(), ProbeTime);
     Answering how = Servers[Server.Id];
     bool refuses = how == Answering::Crashes || how == Answering::Unreachable;
-    co_return refuses ? ServerPresence::Refuses : ServerPresence::Listens;
+    co_return refuses ? ServerProbeResult::Refuses : ServerProbeResult::Listens;
   }
   static Failure failure(Verdict Run) {
     return Failure{Run, FailureCode::ConnectionLost, "server", "as told", {}};
   }
-  Outcome<UpstreamAnswer> ask(Millis Patience = Millis(1500)) {
-    std::optional<Outcome<UpstreamAnswer>> got;
+  Outcome<UpstreamResponse> ask(Millis Patience = Millis(1500)) {
+    std::optional<Outcome<UpstreamResponse>> got;
     asio::cancellation_signal stop;
     run([&]() -> asio::awaitable<void> {
       ForwardRequest what;
@@ -156,7 +157,7 @@
       what.Arrived = monotonicNow();
       what.Patience = Patience;
       what.By = By;
-      Outcome<UpstreamAnswer> answer =
+      Outcome<UpstreamResponse> answer =
           co_await Forward->answer(std::move(what), Route, stop);
       got.emplace(std::move(answer));
     });
@@ -170,7 +171,7 @@
   ForwardWorld world;
   world.add("a", Answering::Full);
   world.add("b", Answering::Whole);
-  Outcome<UpstreamAnswer> got = world.ask();
+  Outcome<UpstreamResponse> got = world.ask();
   REQUIRE(got);
   CHECK(got->Signature == "b");
 }
@@ -220,9 +221,9 @@
   CHECK(world.ask());
   world.Asked.clear();
   world.View.Servers.Servers[ServerName("a")]->SuspectUntil = TimePoint();
-  world.View.Servers.Servers[ServerName("a")]->AnswerMs = 1;
+  world.View.Servers.Servers[ServerName("a")]->SmoothedLatencyMs = 1;
   world.Route.Kind = RouteKind::NonIdempotent;
-  Outcome<UpstreamAnswer> got = world.ask();
+  Outcome<UpstreamResponse> got = world.ask();
   REQUIRE_FALSE(got);
   CHECK(got.failure().Run == Verdict::MayHaveRun);
   CHECK(world.Asked == std::vector<std::string>{"a"});
@@ -243,7 +244,7 @@
   ForwardWorld world;
   for (const char *id : {"a", "b", "c", "d"})
     world.add(id, Answering::Lost);
-  Outcome<UpstreamAnswer> got = world.ask();
+  Outcome<UpstreamResponse> got = world.ask();
   REQUIRE_FALSE(got);
   CHECK(got.failure().Run == Verdict::MayHaveRun);
   CHECK(world.Asked.size() == 2);
@@ -254,7 +255,7 @@
   ForwardWorld world;
   world.add("a", Answering::Full);
   world.add("b", Answering::Unreachable);
-  Outcome<UpstreamAnswer> got = world.ask();
+  Outcome<UpstreamResponse> got = world.ask();
   REQUIRE_FALSE(got);
   CHECK(got.failure().Run == Verdict::NotRun);
   ForwardWorld empty;
@@ -268,7 +269,7 @@
   ForwardWorld world;
   world.add("a", Answering::Fails);
   world.add("b", Answering::Fails);
-  Outcome<UpstreamAnswer> got = world.ask();
+  Outcome<UpstreamResponse> got = world.ask();
   REQUIRE(got);
   CHECK(got->Response.Status == 500);
 }
@@ -297,7 +298,7 @@
   ForwardWorld world;
   for (const char *id : {"a", "b", "c", "d", "e", "f"})
     world.add(id, Answering::Crashes);
-  Outcome<UpstreamAnswer> got = world.ask();
+  Outcome<UpstreamResponse> got = world.ask();
   REQUIRE_FALSE(got);
   CHECK(world.Asked.size() == 2);
   // Its second attempt ends one more, and that one may have run it.
@@ -330,22 +331,22 @@
   world.ask();
   world.ask();
   world.Store.Down = false;
-  world.Store.Fates = {AppendFate::Lost, AppendFate::Refused};
+  world.Store.Fates = {AppendFault::Lost, AppendFault::Refused};
   std::shared_ptr<Quarantine> other = world.quarantine(world.Store.port());
   RequestDigest digest = digestOf(world.request());
   CHECK(world.runUntil(
-      [&] { return other->standing(digest) == CrashStanding::Quarantined; }));
+      [&] { return other->crashStatus(digest) == CrashStatus::Quarantined; }));
   // One that starts later, when the topic's records are gone but for the newest
   // of each key.
   std::shared_ptr<Quarantine> later = world.quarantine(world.Store.port());
   CHECK(world.runUntil(
-      [&] { return later->standing(digest) == CrashStanding::Quarantined; }));
+      [&] { return later->crashStatus(digest) == CrashStatus::Quarantined; }));
   // A server's answer, at any of them, takes it back at all.
   GuardedRequest guard{digest, "r"};
   other->answered(guard);
   CHECK(world.runUntil([&] {
-    return later->standing(digest) == CrashStanding::Clean &&
-           world.Crashes->standing(digest) == CrashStanding::Clean;
+    return later->crashStatus(digest) == CrashStatus::Clean &&
+           world.Crashes->crashStatus(digest) == CrashStatus::Clean;
   }));
 }
 
@@ -358,13 +359,13 @@
   std::shared_ptr<GuardedRequest> guard = std::make_shared<GuardedRequest>(
       GuardedRequest{digestOf(world.request()), "r"});
   world.run([&]() -> asio::awaitable<void> {
-    co_await world.Crashes->connectionLost(guard, world.server("a"));
-    co_await other->connectionLost(guard, world.server("b"));
-    co_await world.Crashes->connectionLost(guard, world.server("c"));
+    co_await world.Crashes->onConnectionLost(guard, world.server("a"));
+    co_await other->onConnectionLost(guard, world.server("b"));
+    co_await world.Crashes->onConnectionLost(guard, world.server("c"));
   });
   std::shared_ptr<Quarantine> third = world.quarantine(world.Store.port());
   CHECK(world.runUntil([&] {
-    return third->standing(guard->Digest) == CrashStanding::Quarantined;
+    return third->crashStatus(guard->Digest) == CrashStatus::Quarantined;
   }));
 }
 
@@ -375,14 +376,14 @@
   world.add("b", Answering::Whole);
   world.ProbeTime = Millis(60000);
   asio::cancellation_signal stop;
-  std::optional<Outcome<UpstreamAnswer>> got;
+  std::optional<Outcome<UpstreamResponse>> got;
   asio::co_spawn(
       world.Context,
       [&]() -> asio::awaitable<void> {
         ForwardRequest what;
         what.Arrived = monotonicNow();
         what.Ask = world.request();
-        Outcome<UpstreamAnswer> answer =
+        Outcome<UpstreamResponse> answer =
             co_await world.Forward->answer(std::move(what), world.Route, stop);
         got.emplace(std::move(answer));
       },
@@ -403,8 +404,8 @@
   for (int i = 0; i < 4; ++i)
     world.ask();
   CHECK(world.Asked.size() == 8);
-  CHECK(world.Crashes->standing(digestOf(world.request())) ==
-        CrashStanding::Clean);
+  CHECK(world.Crashes->crashStatus(digestOf(world.request())) ==
+        CrashStatus::Clean);
 }
 
 TEST_CASE("A server whose end shows by its registration only has ended",
@@ -415,12 +416,12 @@
       GuardedRequest{digestOf(world.request()), "r"});
   std::shared_ptr<UpstreamServer> server = world.server("a");
   world.run([&]() -> asio::awaitable<void> {
-    co_await world.Crashes->connectionLost(guard, server);
+    co_await world.Crashes->onConnectionLost(guard, server);
   });
-  CHECK(world.Crashes->standing(guard->Digest) == CrashStanding::Clean);
-  server->Vanished = monotonicNow();
+  CHECK(world.Crashes->crashStatus(guard->Digest) == CrashStatus::Clean);
+  server->UnregisteredAt = monotonicNow();
   CHECK(world.runUntil([&] {
-    return world.Crashes->standing(guard->Digest) == CrashStanding::Suspect;
+    return world.Crashes->crashStatus(guard->Digest) == CrashStatus::Suspect;
   }));
 }
 
@@ -431,14 +432,15 @@
   world.add("b", Answering::Whole);
   std::shared_ptr<GuardedRequest> guard = std::make_shared<GuardedRequest>(
       GuardedRequest{RequestDigest("suspect"), "s"});
-  CHECK_FALSE(world.Crashes->beginRun(guard->Digest, {ServerName("a"), 0}));
+  CHECK_FALSE(
+      world.Crashes->trackSuspectRun(guard->Digest, {ServerName("a"), 0}));
   world.add("gone", Answering::Crashes);
   world.run([&]() -> asio::awaitable<void> {
-    co_await world.Crashes->connectionLost(guard, world.server("gone"));
+    co_await world.Crashes->onConnectionLost(guard, world.server("gone"));
   });
   world.View.Servers.Servers.erase(ServerName("gone"));
   std::unique_ptr<Quarantine::SuspectRun> at =
-      world.Crashes->beginRun(guard->Digest, {ServerName("a"), 0});
+      world.Crashes->trackSuspectRun(guard->Digest, {ServerName("a"), 0});
   REQUIRE(at);
   for (int i = 0; i < 3; ++i)
     CHECK(world.ask());
@@ -447,7 +449,7 @@
   world.View.Servers.Servers.erase(ServerName("b"));
   CHECK(world.ask());
   at.reset();
-  CHECK(world.Crashes->suspectsAt().empty());
+  CHECK(world.Crashes->suspectServers().empty());
 }
 
 TEST_CASE("A refusal tells when to come back", "[upstream]") {
--- a/UnitTests/Upstream/OverloadTest.cpp
+++ b/UnitTests/Upstream/OverloadTest.cpp
@@ -31,7 +31,7 @@
 };
 
 /// Servers that refuse what is beyond their slots.
-struct OverloadWorld : BatchWorld {
+struct OverloadWorld : BatchTestFixture {
   FleetView View;
   Metrics Counts;
   std::map<ServerName, std::uint32_t> Running;
@@ -47,17 +47,17 @@
     Route.MaxAttempts = 3;
     Route.Services = {{Desk, 1}};
     for (std::size_t i = 0; i < Servers; ++i) {
-      UpstreamEntry entry;
+      UpstreamRegistration entry;
       entry.Id = ServerName(std::to_string(i));
       entry.Service = Desk;
       entry.Slots = Slots;
       registerServer(View.Servers, entry);
     }
     EnginePort port;
-    port.Call = [this](UpstreamEntry Server, const http::Request &,
+    port.Call = [this](UpstreamRegistration Server, const http::Request &,
                        const SendOptions &,
                        Millis) { return call(std::move(Server)); };
-    FeedParts feed{Context.get_executor(), Store.port(), Decisions, View};
+    FeedContext feed{Context.get_executor(), Store.port(), Decisions, View};
     for (std::size_t i = 0; i < HowMany; ++i)
       Processes.push_back(Forwarder::create(
           {Context.get_executor(), View, port,
@@ -66,8 +66,8 @@
           Forwarder::Settings()));
   }
 
-  asio::awaitable<Outcome<UpstreamAnswer>> call(UpstreamEntry Server) {
-    UpstreamAnswer answer;
+  asio::awaitable<Outcome<UpstreamResponse>> call(UpstreamRegistration Server) {
+    UpstreamResponse answer;
     answer.Proof = AnswerProof::NotRun;
     answer.Response.Status = 503;
     std::uint32_t &running = Running[Server.Id];
@@ -92,7 +92,7 @@
     what.Patience = Millis(600);
     TimePoint began = what.Arrived;
     ++Open;
-    Outcome<UpstreamAnswer> got =
+    Outcome<UpstreamResponse> got =
         co_await Processes[Process]->answer(std::move(what), Route, stop);
     --Open;
     if (!got) {
--- a/UnitTests/Upstream/StoreRecoveryTest.cpp
+++ b/UnitTests/Upstream/StoreRecoveryTest.cpp
@@ -6,19 +6,19 @@
 
 namespace {
 
-struct RecoveryWorld : BatchWorld {
+struct RecoveryWorld : BatchTestFixture {
   StoreRecoverySettings limits() const {
     StoreRecoverySettings limits;
-    limits.ProbeEvery = Millis(5);
-    limits.LeastOutage = Millis(40);
+    limits.ProbeInterval = Millis(5);
+    limits.MinOutage = Millis(40);
     limits.AnswerTime = Millis(10);
     limits.Contact.Patience = Millis(20);
     return limits;
   }
 
   RecordStore port() {
-    return withRecovery(Context.get_executor(), Store.port(), Decisions,
-                        limits());
+    return makeRecoveringStore(Context.get_executor(), Store.port(), Decisions,
+                               limits());
   }
 };
 
@@ -63,7 +63,7 @@
   world.run([&]() -> boost::asio::awaitable<void> {
     co_await pauseFor(world.Context.get_executor(), Millis(3));
     world.Store.Silent = false;
-    world.Store.Fates = {AppendFate::AnswerLost};
+    world.Store.Fates = {AppendFault::AnswerLost};
     std::vector<std::string> records{"other"};
     Outcome<Offset> lost = co_await store.Append("topic", std::move(records),
                                                  std::nullopt, Millis(1000));
@@ -78,12 +78,12 @@
           "[recovery]") {
   RecoveryWorld world;
   // Its reads alone would not see the return for a long time.
-  world.Store.SilentTime = Millis(60);
+  world.Store.SilentReadTimeout = Millis(60);
   std::shared_ptr<RolloutLog> log = world.follow(world.port());
   REQUIRE(world.runUntil([&] { return log->caughtUp(); }));
   world.Store.Silent = true;
   REQUIRE(world.runUntil([&] { return log->contact().Lost; }));
-  world.Store.SilentTime = Millis(60000);
+  world.Store.SilentReadTimeout = Millis(60000);
   world.run([&]() -> boost::asio::awaitable<void> {
     co_await pauseFor(world.Context.get_executor(), Millis(100));
   });
--- a/UnitTests/Upstream/UpstreamTest.cpp
+++ b/UnitTests/Upstream/UpstreamTest.cpp
@@ -11,8 +11,8 @@
 const ServiceName Desk("desk");
 const TimePoint Start = TimePoint() + Millis(100000);
 
-UpstreamEntry entry(const std::string &Id, ServerStart Born = 0) {
-  UpstreamEntry made;
+UpstreamRegistration entry(const std::string &Id, ServerStartTime Born = 0) {
+  UpstreamRegistration made;
   made.Id = ServerName(Id);
   made.Start = Born;
   made.Service = Desk;
@@ -67,12 +67,12 @@
   registerServer(table, entry("a"));
   registerServer(table, entry("b"));
   StoreContact contact = contactSince(Start - Millis(60000));
-  CHECK(serversOf(table, Desk, contact, Start).size() == 2);
-  UpstreamEntry leaving = entry("a");
+  CHECK(findUsableServers(table, Desk, contact, Start).size() == 2);
+  UpstreamRegistration leaving = entry("a");
   leaving.Draining = true;
-  CHECK(registerServer(table, leaving) == RegistrationNews::Changed);
+  CHECK(registerServer(table, leaving) == RegistrationChange::Changed);
   unregisterServer(table, ServerName("b"), Start);
-  CHECK(serversOf(table, Desk, contact, Start).empty());
+  CHECK(findUsableServers(table, Desk, contact, Start).empty());
   sweep(table, contact, Start);
   CHECK(table.Servers.size() == 1);
 }
@@ -84,15 +84,17 @@
   registerServer(table, entry("a"));
   StoreContact contact = contactSince(Start);
   unregisterServer(table, ServerName("a"), Start + Millis(20));
-  CHECK(serversOf(table, Desk, contact, Start + Millis(1000)).size() == 1);
+  CHECK(findUsableServers(table, Desk, contact, Start + Millis(1000)).size() ==
+        1);
   sweep(table, contact, Start + Millis(1000));
   CHECK(table.Servers.size() == 1);
-  CHECK(serversOf(table, Desk, contact, Start + Millis(2300)).empty());
-  CHECK(registerServer(table, entry("a")) == RegistrationNews::Changed);
-  CHECK(serversOf(table, Desk, contact, Start + Millis(2300)).size() == 1);
+  CHECK(findUsableServers(table, Desk, contact, Start + Millis(2300)).empty());
+  CHECK(registerServer(table, entry("a")) == RegistrationChange::Changed);
+  CHECK(findUsableServers(table, Desk, contact, Start + Millis(2300)).size() ==
+        1);
   // One that leaves while all is well is gone at once.
   unregisterServer(table, ServerName("a"), Start + Millis(5000));
-  CHECK(serversOf(table, Desk, contact, Start + Millis(5000)).empty());
+  CHECK(findUsableServers(table, Desk, contact, Start + Millis(5000)).empty());
 }
 
 TEST_CASE("The choice passes over what was tried and what fails",
@@ -119,18 +121,18 @@
           "[upstream]") {
   UpstreamTable table;
   CHECK(registerServer(table, entry("a", 1000)) ==
-        RegistrationNews::Registered);
+        RegistrationChange::Registered);
   std::shared_ptr<UpstreamServer> before = table.Servers[ServerName("a")];
   noteFailure(table, *before, Start);
   before->InFlight = 4;
-  before->AnswerMs = 900;
+  before->SmoothedLatencyMs = 900;
   before->Replaced = true;
   CHECK(registerServer(table, entry("a", 2000), 7) ==
-        RegistrationNews::Restarted);
+        RegistrationChange::Restarted);
   std::shared_ptr<UpstreamServer> after = table.Servers[ServerName("a")];
   CHECK(after != before);
   CHECK(after->InFlight == 0);
-  CHECK(after->AnswerMs == 0);
+  CHECK(after->SmoothedLatencyMs == 0);
   CHECK(after->FirstSeen == 7);
   CHECK(after->SuspectUntil == TimePoint());
   StoreContact contact = contactSince(Start - Millis(60000));
@@ -146,11 +148,11 @@
 TEST_CASE("A registration of an earlier start changes nothing", "[upstream]") {
   UpstreamTable table;
   registerServer(table, entry("a", 2000));
-  UpstreamEntry old = entry("a", 1000);
+  UpstreamRegistration old = entry("a", 1000);
   old.Draining = true;
-  CHECK(registerServer(table, old) == RegistrationNews::Outdated);
+  CHECK(registerServer(table, old) == RegistrationChange::Outdated);
   CHECK(table.Servers[ServerName("a")]->Entry == entry("a", 2000));
-  CHECK(registerServer(table, entry("a", 2000)) == RegistrationNews::None);
+  CHECK(registerServer(table, entry("a", 2000)) == RegistrationChange::None);
 }
 
 TEST_CASE("Where no start is told the name alone is the server", "[upstream]") {
@@ -158,18 +160,18 @@
   registerServer(table, entry("a"));
   std::shared_ptr<UpstreamServer> known = table.Servers[ServerName("a")];
   known->Replaced = true;
-  CHECK(registerServer(table, entry("a")) == RegistrationNews::None);
+  CHECK(registerServer(table, entry("a")) == RegistrationChange::None);
   CHECK(table.Servers[ServerName("a")] == known);
   CHECK(known->Replaced);
   // Others beside it may tell theirs.
   registerServer(table, entry("b", 1000));
   StoreContact contact = contactSince(Start - Millis(60000));
-  CHECK(serversOf(table, Desk, contact, Start).size() == 1);
+  CHECK(findUsableServers(table, Desk, contact, Start).size() == 1);
   // Another server has answered where it was, not where it is now.
-  UpstreamEntry moved = entry("a");
+  UpstreamRegistration moved = entry("a");
   moved.Where = Address{"10.0.0.9", 80};
-  CHECK(registerServer(table, moved) == RegistrationNews::Changed);
-  CHECK(serversOf(table, Desk, contact, Start).size() == 2);
+  CHECK(registerServer(table, moved) == RegistrationChange::Changed);
+  CHECK(findUsableServers(table, Desk, contact, Start).size() == 2);
 }
 
 TEST_CASE("A rejected registration names no server until a good one comes",
@@ -180,22 +182,23 @@
   std::shared_ptr<UpstreamServer> before = table.Servers[ServerName("a")];
   CHECK(rejectRegistration(table, ServerName("a"), "no JSON"));
   StoreContact contact = contactSince(Start);
-  CHECK(serversOf(table, Desk, contact, Start).size() == 1);
+  CHECK(findUsableServers(table, Desk, contact, Start).size() == 1);
   CHECK_FALSE(usable(table, *before, contact, Start));
   // A writer that goes on is counted, and told of once a reason.
   CHECK_FALSE(rejectRegistration(table, ServerName("a"), "no JSON"));
   CHECK(rejectRegistration(table, ServerName("a"), "no address"));
   CHECK(table.RejectedCount == 3);
-  CHECK(registerServer(table, entry("a", 1000)) == RegistrationNews::Outdated);
+  CHECK(registerServer(table, entry("a", 1000)) ==
+        RegistrationChange::Outdated);
   CHECK(registerServer(table, entry("a", 2000)) ==
-        RegistrationNews::Registered);
-  CHECK(serversOf(table, Desk, contact, Start).size() == 2);
+        RegistrationChange::Registered);
+  CHECK(findUsableServers(table, Desk, contact, Start).size() == 2);
   CHECK(table.Rejected.empty());
 }
 
 TEST_CASE("Rejected names are kept up to a bound", "[upstream]") {
   UpstreamTable table;
-  table.Limits.MostRejected = 3;
+  table.Limits.MaxRejectedNames = 3;
   for (int i = 0; i < 5; ++i)
     rejectRegistration(table, ServerName(std::to_string(i)), "no JSON");
   CHECK(table.Rejected.size() == 3);
@@ -207,33 +210,33 @@
   UpstreamTable table;
   UpstreamServer server;
   noteFailure(table, server, Start);
-  CHECK(server.SuspectUntil == Start + table.Limits.SuspectBase);
+  CHECK(server.SuspectUntil == Start + table.Limits.InitialSuspectTimeout);
   noteFailure(table, server, Start);
-  CHECK(server.SuspectUntil == Start + table.Limits.SuspectBase * 2);
+  CHECK(server.SuspectUntil == Start + table.Limits.InitialSuspectTimeout * 2);
   for (int i = 0; i < 40; ++i)
     noteFailure(table, server, Start);
-  CHECK(server.SuspectUntil == Start + table.Limits.SuspectMost);
+  CHECK(server.SuspectUntil == Start + table.Limits.MaxSuspectTimeout);
   noteSuccess(table, server, 10);
   CHECK(server.SuspectUntil == TimePoint());
 }
 
 TEST_CASE("An older answer of the store takes nothing back", "[upstream]") {
-  KeyedTable table;
-  CHECK(takeNews(table, {record(3, "config", "v3")}).size() == 1);
+  KeyedOffsets table;
+  CHECK(applyNewRecords(table, {record(3, "config", "v3")}).size() == 1);
   CHECK(table.Next == 4);
   // The whole table as of an earlier moment.
   KeyedRange stale{0, 2, {record(1, "config", "v1")}};
-  CHECK(takeWhole(table, stale).empty());
+  CHECK(applySnapshot(table, stale).empty());
   CHECK(table.Keys.at("config") == 3);
   CHECK(table.Next == 4);
 }
 
 TEST_CASE("What is missing from a newer whole table was deleted",
           "[upstream]") {
-  KeyedTable table;
-  takeNews(table, {record(0, "a", "x"), record(1, "b", "x")});
+  KeyedOffsets table;
+  applyNewRecords(table, {record(0, "a", "x"), record(1, "b", "x")});
   KeyedRange whole{5, 6, {record(5, "c", "y"), record(1, "b", "x")}};
-  std::vector<KeyedRecord> changed = takeWhole(table, whole);
+  std::vector<KeyedRecord> changed = applySnapshot(table, whole);
   REQUIRE(changed.size() == 2);
   CHECK(changed[0].Key == "a");
   CHECK_FALSE(changed[0].Value.has_value());
@@ -245,25 +248,25 @@
   StoreContact contact = contactSince(Start);
   CHECK_FALSE(noteFailure(contact, Start + Millis(100)));
   CHECK(noteFailure(contact, Start + Millis(600)));
-  CHECK(lostFor(contact, Millis(2000), Start + Millis(2100)));
-  CHECK_FALSE(lostFor(contact, Millis(2000), Start + Millis(1900)));
+  CHECK(unreachableFor(contact, Millis(2000), Start + Millis(2100)));
+  CHECK_FALSE(unreachableFor(contact, Millis(2000), Start + Millis(1900)));
   CHECK(noteAnswer(contact, Start + Millis(3000)));
-  CHECK_FALSE(steadyFor(contact, Millis(100), Start + Millis(3050)));
-  CHECK(steadyFor(contact, Millis(100), Start + Millis(3100)));
+  CHECK_FALSE(reachableFor(contact, Millis(100), Start + Millis(3050)));
+  CHECK(reachableFor(contact, Millis(100), Start + Millis(3100)));
 }
 
 TEST_CASE("A key that was written and deleted unread is told as deleted",
           "[upstream]") {
-  KeyedTable table;
+  KeyedOffsets table;
   table.Written["own"] = 4;
   table.Written["later"] = 9;
   KeyedRange whole{0, 7, {KeyedRecord{5, "other", "text"}}};
-  std::vector<KeyedRecord> changed = takeWhole(table, whole);
+  std::vector<KeyedRecord> changed = applySnapshot(table, whole);
   REQUIRE(changed.size() == 2);
   CHECK(changed[0] == KeyedRecord{4, "own", std::nullopt});
   CHECK(changed[1] == KeyedRecord{5, "other", "text"});
   // It is told once, and what is read in order needs no such news.
-  CHECK(takeNews(table, {KeyedRecord{9, "later", "text"}}).size() == 1);
+  CHECK(applyNewRecords(table, {KeyedRecord{9, "later", "text"}}).size() == 1);
   CHECK(table.Written.empty());
 }
 
--- a/UnitTests/Usage/UsageMeterTest.cpp
+++ b/UnitTests/Usage/UsageMeterTest.cpp
@@ -8,7 +8,7 @@
 const CustomerName Anna("anna");
 const CustomerName Bert("bert");
 
-struct MeterWorld : BatchWorld {
+struct MeterWorld : BatchTestFixture {
   Metrics Counts;
   StoreContact Contact;
   std::shared_ptr<bool> Cut = std::make_shared<bool>(false);
@@ -19,8 +19,8 @@
     limits.Self = {InstanceName("edge"), 7};
     limits.Windows.Window = Window;
     limits.Pace = Millis(5);
-    limits.PaceFactor = 0;
-    limits.MostPace = Millis(20);
+    limits.AppendIntervalFactor = 0;
+    limits.MaxAppendInterval = Millis(20);
     limits.BurstSpan = Millis(40);
     limits.RetryPause = Millis(5);
     limits.EndSpread = Millis(5);
@@ -41,11 +41,11 @@
   }
   /// What a reader makes of the topic.
   UsageCounts counted() {
-    UsageFold fold;
+    UsageState fold;
     UsageSettings limits;
     limits.Window = Millis(3600000);
-    UsageReading when{monotonicNow(), WallClock::create().at(monotonicNow()),
-                      Millis::max()};
+    UsageReadContext when{
+        monotonicNow(), WallClock::create().at(monotonicNow()), Millis::max()};
     Offset at = 0;
     for (const std::string &it : Store.Topics[UsageTopic])
       apply(fold, at++, decodeUsage(it, "test").value(), when, limits);
@@ -109,8 +109,8 @@
 
 TEST_CASE("Counts survive a store that refuses, loses answers or is away",
           "[usage]") {
-  for (AppendFate fate :
-       {AppendFate::Refused, AppendFate::AnswerLost, AppendFate::Lost}) {
+  for (AppendFault fate :
+       {AppendFault::Refused, AppendFault::AnswerLost, AppendFault::Lost}) {
     MeterWorld world;
     REQUIRE(world.runUntil([&] { return world.Meter->known(); }));
     world.Store.Fates = {fate, fate, fate};
@@ -143,7 +143,7 @@
   MeterWorld world;
   REQUIRE(world.runUntil([&] { return world.Meter->known(); }));
   world.Context.run_for(Millis(10));
-  world.Store.Fates = {AppendFate::AnswerLost};
+  world.Store.Fates = {AppendFault::AnswerLost};
   world.Meter->began(Anna);
   REQUIRE(world.runUntil([&] { return world.batches().size() == 2; }));
   // A reader passes over the second batch of a number.
@@ -158,7 +158,7 @@
   REQUIRE(world.runUntil([&] { return world.Meter->known(); }));
   world.Context.run_for(Millis(10));
   // None of these appends is answered, and the process may be killed then.
-  world.Store.Fates.assign(1000, AppendFate::AnswerLost);
+  world.Store.Fates.assign(1000, AppendFault::AnswerLost);
   world.Meter->began(Anna);
   REQUIRE(world.runUntil([&] {
     return world.counted() == UsageCounts{{Anna, 1}};
@@ -179,7 +179,7 @@
   MeterWorld world;
   REQUIRE(world.runUntil([&] { return world.Meter->known(); }));
   noteAnswer(world.Contact, monotonicNow());
-  world.Store.Fates.assign(1000, AppendFate::Refused);
+  world.Store.Fates.assign(1000, AppendFault::Refused);
   for (int i = 0; i < 100; ++i) {
     world.Meter->began(Anna);
     world.Context.run_for(Millis(2));
@@ -188,7 +188,7 @@
   CHECK(1000 - world.Store.Fates.size() <= 16);
   // One that is away is tried on, so that its return is heard of.
   world.Contact.Lost = true;
-  world.Store.Fates.assign(1000, AppendFate::Refused);
+  world.Store.Fates.assign(1000, AppendFault::Refused);
   world.Context.run_for(Millis(100));
   CHECK(1000 - world.Store.Fates.size() >= 10);
   world.Store.Fates.clear();
@@ -228,7 +228,7 @@
           "[usage]") {
   MeterWorld world;
   REQUIRE(world.runUntil([&] { return world.Meter->known(); }));
-  world.Store.Fates = {AppendFate::Refused};
+  world.Store.Fates = {AppendFault::Refused};
   world.Meter->began(Anna);
   world.run([&]() -> boost::asio::awaitable<void> {
     co_await world.Meter->leave(monotonicNow() + Millis(2000));
--- a/UnitTests/Usage/UsageRecordTest.cpp
+++ b/UnitTests/Usage/UsageRecordTest.cpp
@@ -23,7 +23,7 @@
       UsageBatch{Edge, 3, now, {{odd, now - Millis(20), 1}, {odd, now, -2}}},
       UsageBatch{Edge, 1, now, {}}, UsageLeave{Edge},
       UsageDecision{352800000, {{odd, 12}, {CustomerName("b"), 1}}},
-      UsageTold{352800000}};
+      UsageReported{352800000}};
   for (const UsageRecord &it : all) {
     Outcome<UsageRecord> again = decoded(encodeUsage(it));
     REQUIRE(again);
@@ -67,8 +67,8 @@
   CHECK(windowOf(WallTime(Millis(0)), Length) == 0);
   CHECK(windowOf(WallTime(Millis(4999)), Length) == 0);
   CHECK(windowOf(WallTime(Millis(5000)), Length) == 1);
-  CHECK(endOf(0, Length) == WallTime(Millis(5000)));
-  CHECK(windowOf(endOf(41, Length), Length) == 42);
+  CHECK(windowEnd(0, Length) == WallTime(Millis(5000)));
+  CHECK(windowOf(windowEnd(41, Length), Length) == 42);
 }
 
 TEST_CASE("A wall clock goes on from its begin", "[usage]") {
--- a/UnitTests/Usage/UsageReporterTest.cpp
+++ b/UnitTests/Usage/UsageReporterTest.cpp
@@ -14,7 +14,7 @@
 struct FakeReports {
   struct Told {
     UsageDecision What;
-    CallStamp By;
+    CallPermit By;
   };
   std::vector<Told> Calls;
   /// Codes of failure of the next calls; taken when there are none.
@@ -22,12 +22,13 @@
 
   ReportPort port() {
     ReportPort port;
-    port.Usage = [this](UsageDecision What, CallStamp By, Millis) {
+    port.Usage = [this](UsageDecision What, CallPermit By, Millis) {
       return take(std::move(What), std::move(By));
     };
     return port;
   }
-  boost::asio::awaitable<Outcome<Done>> take(UsageDecision What, CallStamp By) {
+  boost::asio::awaitable<Outcome<Done>> take(UsageDecision What,
+                                             CallPermit By) {
     Calls.push_back({std::move(What), std::move(By)});
     if (Failures.empty())
       co_return Done{};
@@ -48,30 +49,30 @@
   std::shared_ptr<bool> Cut = std::make_shared<bool>(false);
   Metrics Counts;
   std::shared_ptr<RolloutLog> Log;
-  std::shared_ptr<DutyKeeper> Duty;
+  std::shared_ptr<LeaseManager> Duty;
   std::shared_ptr<UsageMeter> Meter;
   std::shared_ptr<UsageReporter> Reporter;
 
-  ReportProcess(BatchWorld &World, FakeReports &To, const std::string &Name,
-                Incarnation Life) {
+  ReportProcess(BatchTestFixture &World, FakeReports &To,
+                const std::string &Name, Incarnation Life) {
     boost::asio::any_io_executor executor = World.Context.get_executor();
     RecordStore store = World.Store.port(Cut);
     Log = World.follow(store);
-    DutySettings duty;
+    LeaseSettings duty;
     duty.Self = LeaseHolder{InstanceName(Name), Life};
-    duty.HoldTime = Millis(120);
-    duty.RenewEvery = Millis(10);
-    duty.ClaimSpread = Millis(10);
-    duty.TakeoverPause = Millis(100);
-    Duty = DutyKeeper::create(executor, Log, World.Decisions, duty,
-                              {[] {}, [] {}});
+    duty.LeaseTimeout = Millis(120);
+    duty.RenewInterval = Millis(10);
+    duty.MaxClaimJitter = Millis(10);
+    duty.TakeoverDelay = Millis(100);
+    Duty = LeaseManager::create(executor, Log, World.Decisions, duty,
+                                {[] {}, [] {}});
     UsageMeter::Settings meter;
     meter.Self = {InstanceName(Name), Life};
     meter.Windows = windows();
     meter.Pace = Millis(2);
-    meter.PaceFactor = 0;
+    meter.AppendIntervalFactor = 0;
     meter.RetryPause = Millis(3);
-    meter.MostPace = Millis(20);
+    meter.MaxAppendInterval = Millis(20);
     meter.EndSpread = Millis(2);
     Meter = UsageMeter::create({executor, store, World.Decisions, Counts,
                                 WallClock::create(), Log->contact()},
@@ -82,7 +83,7 @@
     reporter.Wait = Millis(5);
     reporter.Pace = Millis(2);
     reporter.RetryPause = Millis(5);
-    reporter.CallEvery = Millis(1);
+    reporter.MinReportInterval = Millis(1);
     Reporter = UsageReporter::create({executor, store, To.port(), Duty,
                                       World.Decisions, Counts,
                                       WallClock::create(), Log->contact()},
@@ -98,8 +99,8 @@
     windows.Settle = Millis(10);
     windows.Due = Millis(300);
     windows.DueMargin = Millis(100);
-    windows.FewMissing = Millis(100);
-    windows.AfterStore = Millis(60);
+    windows.FewMissingTimeout = Millis(100);
+    windows.StoreRecoveryDelay = Millis(60);
     return windows;
   }
 };
@@ -131,7 +132,7 @@
 
 TEST_CASE("Each window is reported once, with what all processes counted",
           "[usage]") {
-  BatchWorld world;
+  BatchTestFixture world;
   FakeReports told;
   ReportProcess one(world, told, "one", 1);
   ReportProcess two(world, told, "two", 2);
@@ -151,7 +152,7 @@
 }
 
 TEST_CASE("A report that fails is told again, the oldest first", "[usage]") {
-  BatchWorld world;
+  BatchTestFixture world;
   FakeReports told;
   told.Failures = {FailureCode::TimedOut, FailureCode::Overloaded,
                    FailureCode::ConnectionLost, FailureCode::Unreachable};
@@ -169,7 +170,7 @@
 TEST_CASE("A successor tells what was decided, under a greater token and after "
           "a pause",
           "[usage]") {
-  BatchWorld world;
+  BatchTestFixture world;
   FakeReports told;
   // The first reporter decides and can tell nothing.
   told.Failures.assign(1000, FailureCode::TimedOut);
@@ -200,7 +201,7 @@
 TEST_CASE("A reporter that is cut off from the store calls no more, and goes "
           "on when nobody has followed it",
           "[usage]") {
-  BatchWorld world;
+  BatchTestFixture world;
   FakeReports told;
   ReportProcess one(world, told, "one", 1);
   REQUIRE(world.runUntil([&] { return told.Calls.size() >= 2; }));
@@ -217,7 +218,7 @@
 TEST_CASE(
     "Windows that no report could leave in time for are told all the same",
     "[usage]") {
-  BatchWorld world;
+  BatchTestFixture world;
   FakeReports told;
   ReportProcess one(world, told, "one", 1);
   REQUIRE(world.runUntil([&] { return told.Calls.size() >= 2; }));
--- a/UnitTests/Usage/UsageFoldTest.cpp
+++ b/UnitTests/Usage/UsageStateTest.cpp
@@ -1,4 +1,4 @@
-#include "Wasabi/Usage/UsageFold.h"
+#include "Wasabi/Usage/UsageState.h"
 #include "UnitTests/Core/Property.h"
 
 #include <catch2/catch.hpp>
@@ -19,7 +19,7 @@
 
 /// A fold that is read as its records are written.
 struct FoldCase {
-  UsageFold Fold;
+  UsageState Fold;
   UsageSettings Limits;
   Offset Next = 0;
   std::map<UsageSource, std::uint64_t> Sequences;
@@ -34,17 +34,19 @@
   }
   /// A batch that is written at `At`, by a clock that is ahead by `Ahead`.
   void batch(const UsageSource &From, WallTime At,
-             std::vector<UsageEntry> Entries = {}, Millis Ahead = Millis(0)) {
-    UsageBatch made{From, ++Sequences[From], At + Ahead, std::move(Entries)};
+             std::vector<UsageEntry> Entries = {},
+             Millis ClockOffset = Millis(0)) {
+    UsageBatch made{From, ++Sequences[From], At + ClockOffset,
+                    std::move(Entries)};
     for (UsageEntry &it : made.Entries)
-      it.At += Ahead;
+      it.At += ClockOffset;
     take(made, At);
   }
   UsageCounts counts(UsageWindow Of = Window) const {
     return countsOf(Fold, Of, Limits);
   }
   std::optional<UsageWindow> due(WallTime At) const {
-    return windowDue(Fold, At, reader(At), Contact, Limits);
+    return findDueWindow(Fold, At, reader(At), Contact, Limits);
   }
 };
 
@@ -104,8 +106,8 @@
   it.batch(source("a"), Begin + Millis(5050));
   Millis latest = it.Limits.Due - it.Limits.DueMargin;
   CHECK_FALSE(it.due(Begin + Millis(5000) + latest - Millis(1)));
-  CHECK(missingFrom(it.Fold, Window, FoldCase::reader(Begin + Millis(7000)),
-                    it.Limits) == std::vector<UsageSource>{source("b")});
+  CHECK(missingSources(it.Fold, Window, FoldCase::reader(Begin + Millis(7000)),
+                       it.Limits) == std::vector<UsageSource>{source("b")});
   CHECK(it.due(Begin + Millis(5000) + latest) == Window);
 }
 
@@ -115,8 +117,8 @@
   it.batch(source("b"), Begin + Millis(20));
   WallTime back = Begin + Millis(20000);
   it.Contact.Since = FoldCase::reader(back);
-  CHECK_FALSE(it.due(back + it.Limits.AfterStore - Millis(1)));
-  CHECK(it.due(back + it.Limits.AfterStore) == Window);
+  CHECK_FALSE(it.due(back + it.Limits.StoreRecoveryDelay - Millis(1)));
+  CHECK(it.due(back + it.Limits.StoreRecoveryDelay) == Window);
 }
 
 TEST_CASE("One process of many is waited for a short while only", "[usage]") {
@@ -127,8 +129,8 @@
   for (int i = 1; i < Many; ++i)
     it.batch(source(std::to_string(i)), Begin + Millis(5050));
   WallTime end = Begin + Millis(5000);
-  CHECK_FALSE(it.due(end + it.Limits.FewMissing - Millis(1)));
-  CHECK(it.due(end + it.Limits.FewMissing) == Window);
+  CHECK_FALSE(it.due(end + it.Limits.FewMissingTimeout - Millis(1)));
+  CHECK(it.due(end + it.Limits.FewMissingTimeout) == Window);
   // A third of them is cut off, or killed: that is not few.
   FoldCase cut;
   for (int i = 0; i < Many; ++i)
@@ -159,7 +161,7 @@
   REQUIRE(it.Fold.Untold.contains(Window));
   CHECK(it.Fold.Untold[Window] == oneFor(Anna));
   CHECK(it.counts().empty());
-  it.take(UsageTold{Window}, Begin + Millis(6050));
+  it.take(UsageReported{Window}, Begin + Millis(6050));
   CHECK(it.Fold.Untold.empty());
   // Nobody decides it anew.
   it.take(UsageDecision{Window, oneFor(Bert)}, Begin + Millis(6060));
@@ -198,8 +200,8 @@
     it.batch(source("late"), Begin + Millis(20), {}, step);
     it.batch(source("late"), Begin + Millis(4000),
              {{Anna, Begin + Millis(3900), 1}}, step);
-    CHECK(clockError(it.Fold, source("late"), it.Limits) == step);
-    CHECK(clockError(it.Fold, source("a"), it.Limits) == Millis(0));
+    CHECK(clockSkew(it.Fold, source("late"), it.Limits) == step);
+    CHECK(clockSkew(it.Fold, source("a"), it.Limits) == Millis(0));
     CHECK(it.counts() == oneFor(Anna));
     CHECK(it.counts(Window - 1).empty());
     // Its word that it has told all is read by the true time, too.
@@ -218,7 +220,7 @@
     it.batch(source(name), Begin + Millis(10));
   UsageBatch old{source("c"), 2, Begin + Millis(100), {}};
   it.take(old, Begin + Millis(9000), Millis(8900));
-  CHECK(clockError(it.Fold, source("c"), it.Limits) == Millis(0));
+  CHECK(clockSkew(it.Fold, source("c"), it.Limits) == Millis(0));
 }
 
 TEST_CASE("Records that a slow link delays say nothing of clocks", "[usage]") {
@@ -230,7 +232,7 @@
       source("c"), 2, Begin + Millis(100), {{Anna, Begin + Millis(90), 1}}};
   it.Sequences[source("c")] = 2;
   it.take(delayed, Begin + Millis(3000));
-  CHECK(clockError(it.Fold, source("c"), it.Limits) == Millis(0));
+  CHECK(clockSkew(it.Fold, source("c"), it.Limits) == Millis(0));
   CHECK(it.counts() == oneFor(Anna));
 }
 
--- a/Wasabi/Adapters/Admin/AdminServer.cpp
+++ b/Wasabi/Adapters/Admin/AdminServer.cpp
@@ -77,7 +77,8 @@
                    : textResponse(503, "not ready\n");
     }
     if (path == "/status" && Ask.query("brief") == "1")
-      return http::jsonResponse(200, sources->Brief ? sources->Brief() : "{}");
+      return http::jsonResponse(
+          200, sources->BriefStatus ? sources->BriefStatus() : "{}");
     if (path == "/status")
       return http::jsonResponse(200, status(*sources));
     if (path == "/metrics")
@@ -111,8 +112,8 @@
     if (!text.empty() &&
         (read.ec != std::errc() || read.ptr != text.data() + text.size()))
       return textResponse(400, "from: '" + text + "' is not a count\n");
-    return http::jsonResponse(200,
-                              encodeTimelinePage(timelinePage(Events, from)));
+    return http::jsonResponse(
+        200, encodeTimelinePage(makeTimelinePage(Events, from)));
   }
 
   Timeline &Events;
--- a/Wasabi/Adapters/Admin/AdminServer.h
+++ b/Wasabi/Adapters/Admin/AdminServer.h
@@ -24,7 +24,7 @@
   std::function<std::vector<std::string>()> Status;
   /// What `/status?brief=1` shows: a JSON object without the members, which
   /// grow with the system. Operators' clients ask every process for it.
-  std::function<std::string()> Brief;
+  std::function<std::string()> BriefStatus;
   /// Prometheus text for `/metrics`.
   std::function<std::string()> Metrics;
 };
--- a/Wasabi/Adapters/Frames/FrameSocket.cpp
+++ b/Wasabi/Adapters/Frames/FrameSocket.cpp
@@ -106,24 +106,25 @@
 asio::awaitable<Outcome<FrameBytes>> FrameSocket::receive() {
   std::shared_ptr<FrameSocket> self = shared_from_this();
   while (Open) {
-    std::size_t held = Held - Parsed;
+    std::size_t held = Held - ParsedBytes;
     std::size_t wanted = PrefixBytes;
     if (held >= PrefixBytes) {
-      std::uint32_t size = readPrefix(Incoming.data() + Parsed);
-      if (size > Limits.MaxFrame) {
+      std::uint32_t size = readPrefix(ReceiveBuffer.data() + ParsedBytes);
+      if (size > Limits.MaxFrameBytes) {
         close();
         co_return Failure{Verdict::MayHaveRun,
                           FailureCode::BadInput,
                           "frame from " + Peer,
                           std::to_string(size) + " bytes are more than " +
-                              std::to_string(Limits.MaxFrame),
+                              std::to_string(Limits.MaxFrameBytes),
                           {}};
       }
       wanted = PrefixBytes + size;
       if (held >= wanted) {
-        const std::uint8_t *begin = Incoming.data() + Parsed + PrefixBytes;
+        const std::uint8_t *begin =
+            ReceiveBuffer.data() + ParsedBytes + PrefixBytes;
         FrameBytes frame(begin, begin + size);
-        Parsed += wanted;
+        ParsedBytes += wanted;
         if (!isValid(frame.data(), frame.size())) {
           close();
           co_return Failure{Verdict::MayHaveRun,
@@ -140,21 +141,23 @@
     // Room for what is missing, but memory only as bytes really arrive. The
     // buffer keeps its size: filling it with zeros each time would cost more
     // than a small frame.
-    if (held > 0 && Parsed > 0)
-      std::memmove(Incoming.data(), Incoming.data() + Parsed, held);
+    if (held > 0 && ParsedBytes > 0)
+      std::memmove(ReceiveBuffer.data(), ReceiveBuffer.data() + ParsedBytes,
+                   held);
     Held = held;
-    Parsed = 0;
+    ParsedBytes = 0;
     std::size_t old = Held;
     // One large frame must not hold its memory for ever.
-    if (Incoming.size() > KeptBytes && old < ReadBytes) {
-      Incoming.resize(old);
-      Incoming.shrink_to_fit();
+    if (ReceiveBuffer.size() > KeptBytes && old < ReadBytes) {
+      ReceiveBuffer.resize(old);
+      ReceiveBuffer.shrink_to_fit();
     }
-    if (Incoming.size() < old + ReadBytes / 2)
-      Incoming.resize(old + ReadBytes);
+    if (ReceiveBuffer.size() < old + ReadBytes / 2)
+      ReceiveBuffer.resize(old + ReadBytes);
     std::tuple<boost::system::error_code, std::size_t> got =
         co_await Socket.async_read_some(
-            asio::buffer(Incoming.data() + old, Incoming.size() - old),
+            asio::buffer(ReceiveBuffer.data() + old,
+                         ReceiveBuffer.size() - old),
             Awaited);
     Held += std::get<1>(got);
     if (std::get<0>(got)) {
@@ -179,7 +182,7 @@
 bool FrameSocket::send(FrameBytes Frame) {
   if (!Open || Closing)
     return false;
-  if (Frame.size() > Limits.MaxFrame)
+  if (Frame.size() > Limits.MaxFrameBytes)
     return false;
   if (QueuedBytes + Frame.size() > Limits.MaxQueued) {
     // A peer that does not read must not hold our memory.
--- a/Wasabi/Adapters/Frames/FrameSocket.h
+++ b/Wasabi/Adapters/Frames/FrameSocket.h
@@ -29,7 +29,7 @@
 public:
   struct Settings {
     /// Largest frame taken or sent, in bytes.
-    std::uint32_t MaxFrame = 16u << 20;
+    std::uint32_t MaxFrameBytes = 16u << 20;
     /// Most bytes queued for sending; beyond it the connection is closed.
     std::size_t MaxQueued = 64u << 20;
     Millis ConnectTimeout{2000};
@@ -76,9 +76,9 @@
   std::deque<FrameBytes> Queue;
   std::size_t QueuedBytes = 0;
   /// Bytes received: `Held` of them are there, `Parsed` of these are done with.
-  std::vector<std::uint8_t> Incoming;
+  std::vector<std::uint8_t> ReceiveBuffer;
   std::size_t Held = 0;
-  std::size_t Parsed = 0;
+  std::size_t ParsedBytes = 0;
   bool Writing = false;
   bool Closing = false;
   bool Open = true;
--- a/Wasabi/Adapters/Frames/RequestClient.cpp
+++ b/Wasabi/Adapters/Frames/RequestClient.cpp
@@ -65,7 +65,7 @@
 class Link : public std::enable_shared_from_this<Link> {
 public:
   using LoadCallback = std::function<void(
-      const Address &, const std::vector<LoadSeen> &, bool Leaving)>;
+      const Address &, const std::vector<ReportedLoad> &, bool Leaving)>;
 
   Link(asio::any_io_executor Executor, Address Where,
        std::shared_ptr<const RequestClient::Settings> Shared,
@@ -236,7 +236,7 @@
   asio::awaitable<void> watch(std::shared_ptr<FrameSocket> Watched) {
     BootTimer timer(Executor);
     while (Watched->isOpen()) {
-      timer.expires_after(Setup.HeartbeatPeriod);
+      timer.expires_after(Setup.HeartbeatInterval);
       co_await timer.async_wait(Awaited);
       if (!Watched->isOpen())
         break;
@@ -353,13 +353,13 @@
   void takeLoads(const wire::LoadReport &Report) {
     if (!*Loads || !Report.servers())
       return;
-    std::vector<LoadSeen> seen;
+    std::vector<ReportedLoad> seen;
     seen.reserve(Report.servers()->size());
     for (const wire::ServerLoad *it : *Report.servers())
-      seen.push_back(LoadSeen{ServerName(textOf(it->server())),
-                              ServiceName(textOf(it->service())), it->running(),
-                              it->queued(), it->limit(), it->version(),
-                              it->serving()});
+      seen.push_back(ReportedLoad{ServerName(textOf(it->server())),
+                                  ServiceName(textOf(it->service())),
+                                  it->running(), it->queued(), it->limit(),
+                                  it->version(), it->serving()});
     (*Loads)(Where, seen, Report.leaving());
   }
 
@@ -382,12 +382,12 @@
   bool Stopped = false;
 };
 
-class FrameAnswerStream final : public AnswerStream {
+class FrameResponseStream final : public DaemonResponseStream {
 public:
-  FrameAnswerStream(std::shared_ptr<Link> Through, std::uint64_t Id,
-                    std::shared_ptr<Answer> Held)
+  FrameResponseStream(std::shared_ptr<Link> Through, std::uint64_t Id,
+                      std::shared_ptr<Answer> Held)
       : Through(std::move(Through)), Id(Id), Held(std::move(Held)) {}
-  ~FrameAnswerStream() override { Through->giveUp(Id); }
+  ~FrameResponseStream() override { Through->giveUp(Id); }
 
   const http::Response &head() const override { return *Held->Head; }
   const ServerName &server() const override { return Held->Server; }
@@ -443,7 +443,7 @@
         Setup(std::make_shared<const Settings>(std::move(Setup))) {}
   ~FrameRequestClient() override { FrameRequestClient::stop(); }
 
-  asio::awaitable<Outcome<std::unique_ptr<AnswerStream>>>
+  asio::awaitable<Outcome<std::unique_ptr<DaemonResponseStream>>>
   open(Address Where, RequestAttempt Attempt) override {
     TimePoint until = monotonicNow() + Attempt.Deadline;
     std::shared_ptr<Link> link = linkTo(Where);
@@ -462,8 +462,8 @@
                         "the connection is closed or full",
                         {}};
 
-    std::unique_ptr<AnswerStream> stream =
-        std::make_unique<FrameAnswerStream>(link, id, answer);
+    std::unique_ptr<DaemonResponseStream> stream =
+        std::make_unique<FrameResponseStream>(link, id, answer);
     while (!answer->Head && !answer->Broken) {
       if (monotonicNow() >= until)
         co_return Failure{Verdict::MayHaveRun,
@@ -527,7 +527,7 @@
 }
 
 asio::awaitable<Outcome<http::Response>>
-readWhole(AnswerStream &Stream, Millis Timeout, std::uint64_t MaxBody) {
+readWhole(DaemonResponseStream &Stream, Millis Timeout, std::uint64_t MaxBody) {
   http::Response whole = Stream.head();
   TimePoint until = monotonicNow() + Timeout;
   for (;;) {
--- a/Wasabi/Adapters/Frames/RequestClient.h
+++ b/Wasabi/Adapters/Frames/RequestClient.h
@@ -45,7 +45,7 @@
 };
 
 /// A server's load as its daemon pushed it last.
-struct LoadSeen {
+struct ReportedLoad {
   ServerName Server;
   ServiceName Service;
   std::uint32_t Running = 0;
@@ -54,14 +54,14 @@
   std::uint32_t Limit = 1;
   WeightVersion Version = 0;
   bool Serving = true;
-  bool operator==(const LoadSeen &) const = default;
+  bool operator==(const ReportedLoad &) const = default;
 };
 
 /// An answer that arrives in pieces through a daemon. Destroying it before its
 /// end cancels the work at the daemon. Used on the client's thread.
-class AnswerStream {
+class DaemonResponseStream {
 public:
-  virtual ~AnswerStream() = default;
+  virtual ~DaemonResponseStream() = default;
   /// Status and headers; the body is empty.
   virtual const http::Response &head() const = 0;
   /// The server that answers.
@@ -93,7 +93,7 @@
     /// that it owes, is taken for gone and its connection is closed.
     Millis SilenceLimit{3000};
     /// Time between two signs of life sent to each daemon.
-    Millis HeartbeatPeriod{1000};
+    Millis HeartbeatInterval{1000};
     std::uint64_t Seed = 1;
   };
 
@@ -105,7 +105,7 @@
   /// head within `Attempt.Deadline`. Failures carry the daemon's own verdict if
   /// it refused, `NotRun` when nothing could be sent, else `MayHaveRun`. Those
   /// of this client itself name the daemon's address as their place.
-  virtual boost::asio::awaitable<Outcome<std::unique_ptr<AnswerStream>>>
+  virtual boost::asio::awaitable<Outcome<std::unique_ptr<DaemonResponseStream>>>
   open(Address Where, RequestAttempt Attempt) = 0;
 
   /// Ends each `open` of this request that still waits for its head: it fails
@@ -116,7 +116,7 @@
   virtual void prepare(Address Where) = 0;
   /// Called on each load report. Set before use.
   virtual void
-  onLoad(std::function<void(const Address &, const std::vector<LoadSeen> &,
+  onLoad(std::function<void(const Address &, const std::vector<ReportedLoad> &,
                             bool Leaving)>
              Callback) = 0;
   /// Attempts open now.
@@ -127,7 +127,7 @@
 
 /// Reads a whole answer. Failures as for `next`.
 boost::asio::awaitable<Outcome<http::Response>>
-readWhole(AnswerStream &Stream, Millis Timeout, std::uint64_t MaxBody);
+readWhole(DaemonResponseStream &Stream, Millis Timeout, std::uint64_t MaxBody);
 
 } // namespace wasabi
 
--- a/Wasabi/Adapters/Frames/RequestFrames.cpp
+++ b/Wasabi/Adapters/Frames/RequestFrames.cpp
@@ -58,7 +58,7 @@
   return finish(builder,
                 wire::CreateHello(builder, builder.CreateString(Instance.Text),
                                   builder.CreateString(Domain.Text), Life,
-                                  Protocol));
+                                  ProtocolVersion));
 }
 
 FrameBytes request(std::uint64_t Id, const RequestAttempt &What,
@@ -123,11 +123,11 @@
   return finish(builder, wire::CreateCredit(builder, Id, Bytes));
 }
 
-FrameBytes loads(const std::vector<LoadSeen> &Loads, bool Leaving) {
+FrameBytes loads(const std::vector<ReportedLoad> &Loads, bool Leaving) {
   FlatBufferBuilder &builder = freshBuilder();
   std::vector<flatbuffers::Offset<wire::ServerLoad>> offsets;
   offsets.reserve(Loads.size());
-  for (const LoadSeen &it : Loads)
+  for (const ReportedLoad &it : Loads)
     offsets.push_back(wire::CreateServerLoad(
         builder, builder.CreateString(it.Server.Text),
         builder.CreateString(it.Service.Text), it.Running, it.Queued, it.Limit,
--- a/Wasabi/Adapters/Frames/RequestFrames.h
+++ b/Wasabi/Adapters/Frames/RequestFrames.h
@@ -14,9 +14,9 @@
 namespace wasabi::frames {
 
 /// The version of the request frames that this program speaks.
-inline constexpr std::uint32_t Protocol = 1;
+inline constexpr std::uint32_t ProtocolVersion = 1;
 /// Most body bytes of one chunk frame; longer pieces become several frames.
-inline constexpr std::size_t MaxChunk = 256u << 10;
+inline constexpr std::size_t MaxChunkBytes = 256u << 10;
 
 FrameBytes hello(const InstanceName &Instance, const DomainName &Domain,
                  Incarnation Life);
@@ -31,7 +31,7 @@
 FrameBytes refusal(std::uint64_t Id, const Failure &Why);
 FrameBytes cancel(std::uint64_t Id);
 FrameBytes credit(std::uint64_t Id, std::uint32_t Bytes);
-FrameBytes loads(const std::vector<LoadSeen> &Loads, bool Leaving);
+FrameBytes loads(const std::vector<ReportedLoad> &Loads, bool Leaving);
 
 } // namespace wasabi::frames
 
--- a/Wasabi/Adapters/Frames/RequestServer.cpp
+++ b/Wasabi/Adapters/Frames/RequestServer.cpp
@@ -61,11 +61,11 @@
 }
 
 /// The answer to one request on one connection.
-class FrameSink final : public AnswerSink {
+class FrameResponseSink final : public ResponseSink {
 public:
-  FrameSink(std::shared_ptr<FrameSocket> Socket, std::uint64_t Id,
-            std::uint64_t Credit, const asio::any_io_executor &Executor,
-            std::function<void()> Finish)
+  FrameResponseSink(std::shared_ptr<FrameSocket> Socket, std::uint64_t Id,
+                    std::uint64_t Credit, const asio::any_io_executor &Executor,
+                    std::function<void()> Finish)
       : Socket(std::move(Socket)), Id(Id), Credit(Credit), Changed(Executor),
         Finish(std::move(Finish)) {}
 
@@ -84,7 +84,7 @@
       if (Gone)
         co_return unwanted();
       std::size_t size =
-          std::min<std::uint64_t>({left.size(), Credit, frames::MaxChunk});
+          std::min<std::uint64_t>({left.size(), Credit, frames::MaxChunkBytes});
       if (!Socket->send(frames::chunk(Id, Sent, left.substr(0, size))))
         co_return unwanted();
       Sent += size;
@@ -165,7 +165,7 @@
 
 struct Connection {
   std::shared_ptr<FrameSocket> Socket;
-  std::unordered_map<std::uint64_t, std::shared_ptr<FrameSink>> Open;
+  std::unordered_map<std::uint64_t, std::shared_ptr<FrameResponseSink>> Open;
   std::uint64_t LastId = 0;
   TimePoint LastHeard;
   /// When the last load report went.
@@ -221,7 +221,7 @@
 
   Address address() const override { return Bound; }
 
-  void setLoads(std::vector<LoadSeen> NewLoads, bool NewLeaving) override {
+  void setLoads(std::vector<ReportedLoad> NewLoads, bool NewLeaving) override {
     bool urgent = NewLeaving != Leaving || serveOtherwise(NewLoads);
     Loads = std::move(NewLoads);
     Leaving = NewLeaving;
@@ -231,16 +231,17 @@
 
   /// Whether some server begins or ceases to take work, or has other weights:
   /// what askers must not learn late.
-  bool serveOtherwise(const std::vector<LoadSeen> &Now) const {
+  bool serveOtherwise(const std::vector<ReportedLoad> &Now) const {
     return !std::equal(Now.begin(), Now.end(), Loads.begin(), Loads.end(),
-                       [](const LoadSeen &One, const LoadSeen &Other) {
+                       [](const ReportedLoad &One, const ReportedLoad &Other) {
                          return One.Server == Other.Server &&
                                 One.Serving == Other.Serving &&
                                 One.Version == Other.Version;
                        });
   }
 
-  void reportFrom(std::function<std::vector<LoadSeen>()> NewSource) override {
+  void
+  setLoadSource(std::function<std::vector<ReportedLoad>()> NewSource) override {
     Source = std::move(NewSource);
   }
 
@@ -321,10 +322,10 @@
     From->Socket->close();
     Connections.erase(From);
     // Nobody can take these answers any more: their work is given up.
-    std::unordered_map<std::uint64_t, std::shared_ptr<FrameSink>> open;
+    std::unordered_map<std::uint64_t, std::shared_ptr<FrameResponseSink>> open;
     open.swap(From->Open);
-    for (const std::pair<const std::uint64_t, std::shared_ptr<FrameSink>> &it :
-         open)
+    for (const std::pair<const std::uint64_t,
+                         std::shared_ptr<FrameResponseSink>> &it : open)
       it.second->becomeGone();
   }
 
@@ -337,8 +338,9 @@
       return true;
     case wire::Body::Credit: {
       const wire::Credit &credit = *Frame.body_as_Credit();
-      std::unordered_map<std::uint64_t, std::shared_ptr<FrameSink>>::iterator
-          it = From->Open.find(credit.id());
+      std::unordered_map<std::uint64_t,
+                         std::shared_ptr<FrameResponseSink>>::iterator it =
+          From->Open.find(credit.id());
       if (it != From->Open.end())
         it->second->addCredit(credit.bytes());
       return true;
@@ -349,11 +351,12 @@
   }
 
   void takeCancel(Connection &From, std::uint64_t Id) {
-    std::unordered_map<std::uint64_t, std::shared_ptr<FrameSink>>::iterator it =
+    std::unordered_map<std::uint64_t,
+                       std::shared_ptr<FrameResponseSink>>::iterator it =
         From.Open.find(Id);
     if (it == From.Open.end())
       return;
-    std::shared_ptr<FrameSink> sink = it->second;
+    std::shared_ptr<FrameResponseSink> sink = it->second;
     From.Open.erase(it);
     sink->becomeGone();
   }
@@ -386,18 +389,19 @@
   void refuse(Connection &To, std::uint64_t Id, FailureCode Code,
               std::string Reason) {
     Failure why{Verdict::NotRun, Code, Setup.Instance.Text, std::move(Reason),
-                Setup.LoadPeriod};
+                Setup.LoadReportInterval};
     To.Socket->send(frames::refusal(Id, why));
   }
 
   void run(const std::shared_ptr<Connection> &From, std::uint64_t Id,
            RequestAttempt Attempt, std::uint32_t Credit) {
     std::weak_ptr<Connection> weak = From;
-    std::shared_ptr<FrameSink> sink = std::make_shared<FrameSink>(
-        From->Socket, Id, Credit, Context.get_executor(), [weak, Id] {
-          if (std::shared_ptr<Connection> held = weak.lock())
-            held->Open.erase(Id);
-        });
+    std::shared_ptr<FrameResponseSink> sink =
+        std::make_shared<FrameResponseSink>(
+            From->Socket, Id, Credit, Context.get_executor(), [weak, Id] {
+              if (std::shared_ptr<Connection> held = weak.lock())
+                held->Open.erase(Id);
+            });
     From->Open.emplace(Id, sink);
     ++InFlight;
     std::shared_ptr<FrameRequestServer> self = shared_from_this();
@@ -410,7 +414,7 @@
   }
 
   /// A handler that ends without an answer still owes the asker the truth.
-  void handled(FrameSink &Sink, const std::exception_ptr &Thrown) {
+  void handled(FrameResponseSink &Sink, const std::exception_ptr &Thrown) {
     --InFlight;
     if (Sink.finished())
       return;
@@ -434,7 +438,7 @@
   /// nothing.
   void reportWithAnswer(Connection &To) {
     TimePoint now = monotonicNow();
-    if (!Source || now - To.LastLoads < Setup.LoadGap)
+    if (!Source || now - To.LastLoads < Setup.MinLoadReportInterval)
       return;
     To.LastLoads = now;
     Loads = Source();
@@ -443,10 +447,10 @@
 
   asio::awaitable<void> report() {
     while (!Stopped) {
-      Tick.expires_after(Setup.LoadPeriod);
+      Tick.expires_after(Setup.LoadReportInterval);
       co_await Tick.async_wait(Awaited);
       closeSilent();
-      pushLoads(Setup.LoadPeriod / 2);
+      pushLoads(Setup.LoadReportInterval / 2);
     }
   }
 
@@ -480,8 +484,8 @@
   BootTimer Tick;
   Address Bound;
   std::set<std::shared_ptr<Connection>> Connections;
-  std::vector<LoadSeen> Loads;
-  std::function<std::vector<LoadSeen>()> Source;
+  std::vector<ReportedLoad> Loads;
+  std::function<std::vector<ReportedLoad>()> Source;
   std::size_t InFlight = 0;
   bool Leaving = false;
   bool Draining = false;
--- a/Wasabi/Adapters/Frames/RequestServer.h
+++ b/Wasabi/Adapters/Frames/RequestServer.h
@@ -17,9 +17,9 @@
 /// Where a daemon's handler puts its answer. One of `refuse` or `begin` is
 /// called, once; after `begin`, `write` any number of times, then `end` or
 /// `fail`. Used on the server's thread.
-class AnswerSink {
+class ResponseSink {
 public:
-  virtual ~AnswerSink() = default;
+  virtual ~ResponseSink() = default;
   virtual void begin(http::Response Head, ServerName Server) = 0;
   /// Sends body bytes; returns once the asker has credit for them.
   /// Failures: `Cancelled` or `ConnectionLost` when nobody wants them.
@@ -49,17 +49,17 @@
     /// Time between two load reports on a connection that is not answered on:
     /// with hundreds of daemons these are most of what goes on the wire at
     /// rest. A server that begins or ceases to take work is told of at once.
-    Millis LoadPeriod{1000};
+    Millis LoadReportInterval{1000};
     /// A connection that is answered on gets one with the answer, if the last
     /// one went this long ago.
-    Millis LoadGap{5};
+    Millis MinLoadReportInterval{5};
     /// An asker that sends nothing for this long is taken for gone: its work is
     /// cancelled and its connection closed.
     Millis SilenceLimit{10000};
   };
 
   using Handler = std::function<boost::asio::awaitable<void>(
-      RequestAttempt, std::shared_ptr<AnswerSink>)>;
+      RequestAttempt, std::shared_ptr<ResponseSink>)>;
 
   /// Errors: `Unavailable` when the port cannot be bound.
   static Result<std::shared_ptr<RequestServer>>
@@ -68,10 +68,11 @@
 
   virtual Address address() const = 0;
   /// What the next load reports say; set by the daemon.
-  virtual void setLoads(std::vector<LoadSeen> Loads, bool Leaving) = 0;
+  virtual void setLoads(std::vector<ReportedLoad> Loads, bool Leaving) = 0;
   /// Where the reports that go with answers come from; without it there are
   /// only the periodical ones. Called on the context's thread.
-  virtual void reportFrom(std::function<std::vector<LoadSeen>()> Source) = 0;
+  virtual void
+  setLoadSource(std::function<std::vector<ReportedLoad>()> Source) = 0;
   virtual std::size_t inFlight() const = 0;
   /// Bytes queued on all connections and not yet taken by the kernel.
   virtual std::size_t unsent() const = 0;
--- a/Wasabi/Adapters/Http/HttpClient.cpp
+++ b/Wasabi/Adapters/Http/HttpClient.cpp
@@ -186,7 +186,7 @@
   value.remove_prefix(at + Timeout.size());
   std::int64_t seconds = 0;
   std::from_chars(value.data(), value.data() + value.size(), seconds);
-  return std::max(seconds * PerSecond - Limits.KeepMargin, Millis(0));
+  return std::max(seconds * PerSecond - Limits.KeepAliveMargin, Millis(0));
 }
 
 // A function of its own: GCC 12 destroys temporaries of a co_return twice.
@@ -263,7 +263,7 @@
     std::shared_ptr<Link> link = std::move(it->second.back());
     it->second.pop_back();
     if (now - link->IdleSince <= link->MaxIdle &&
-        peek(link->Socket) == PeerState::Quiet)
+        peek(link->Socket) == PeerState::NoPendingData)
       return link;
   }
   return nullptr;
@@ -354,7 +354,7 @@
         co_return fresh;
       link = *fresh;
     }
-    if (Ask.SendBefore && monotonicNow() >= *Ask.SendBefore) {
+    if (Ask.SendDeadline && monotonicNow() >= *Ask.SendDeadline) {
       link->disarm();
       link->close();
       co_return outdated(Where);
--- a/Wasabi/Adapters/Http/HttpClient.h
+++ b/Wasabi/Adapters/Http/HttpClient.h
@@ -53,7 +53,7 @@
     std::string EchoHeader;
     /// An idle connection is not reused in this last part of the time for which
     /// its peer has promised to keep it (`Keep-Alive: timeout`).
-    Millis KeepMargin{300};
+    Millis KeepAliveMargin{300};
   };
 
   static std::shared_ptr<Client> create(boost::asio::any_io_executor Executor,
--- a/Wasabi/Adapters/Http/HttpConnection.cpp
+++ b/Wasabi/Adapters/Http/HttpConnection.cpp
@@ -66,35 +66,36 @@
   if (!ec)
     co_return Done{};
   close();
-  co_return peerGone();
+  co_return makePeerGoneFailure();
 }
 
 void Connection::close() {
   ErrorCode ec;
   Socket.close(ec);
-  noticeGone();
+  notifyPeerGone();
 }
 
 void Connection::abort() {
   reset(Socket);
-  noticeGone();
+  notifyPeerGone();
 }
 
-void Connection::noticeGone() {
+void Connection::notifyPeerGone() {
   std::shared_ptr<Exchange> current = Current.lock();
   if (current)
-    current->tellGone();
+    current->markPeerGone();
 }
 
 void Connection::drain() {
   if (Now == Phase::Idle)
-    Deadline = std::min(Deadline, monotonicNow() + Owner->Limits.DrainGrace);
+    Deadline =
+        std::min(Deadline, monotonicNow() + Owner->Limits.DrainGracePeriod);
 }
 
 /// A read is cancelled, not cut off: a request that it has taken in the same
 /// turn of the loop is served, and `serve` alone decides that none has come. A
 /// read that ends and is followed by another one is cancelled at the next look.
-void Connection::endIfLate(TimePoint At) {
+void Connection::enforceDeadline(TimePoint At) {
   if (At < Deadline)
     return;
   ErrorCode ec;
@@ -133,7 +134,7 @@
   ErrorCode ec;
   Socket.close(ec);
   Owner->Open.erase(this);
-  Owner->RoomTimer.cancel();
+  Owner->CapacityTimer.cancel();
 }
 
 asio::awaitable<bool> Connection::awaitBytes() {
@@ -143,8 +144,8 @@
   // Many idle connections must not hold on to many large buffers.
   if (Buffer.capacity() > ReadBytes)
     Buffer.shrink_to_fit();
-  Millis patience =
-      Owner->Draining ? Owner->Limits.DrainGrace : Owner->Limits.IdleTimeout;
+  Millis patience = Owner->Draining ? Owner->Limits.DrainGracePeriod
+                                    : Owner->Limits.IdleTimeout;
   Deadline = monotonicNow() + patience;
   auto [ec, n] =
       co_await Socket.async_read_some(Buffer.prepare(ReadBytes), Awaited);
@@ -289,7 +290,7 @@
     return;
   PeerState state = peek(Socket);
   if (state == PeerState::Gone) {
-    noticeGone();
+    notifyPeerGone();
     return;
   }
   // Pipelined bytes are taken in, so that an end behind them is seen too.
--- a/Wasabi/Adapters/Http/HttpConnection.h
+++ b/Wasabi/Adapters/Http/HttpConnection.h
@@ -27,7 +27,7 @@
   ServerState(boost::asio::io_context &Context, Server::Settings Limits,
               Handler Handle)
       : Limits(std::move(Limits)), Handle(std::move(Handle)),
-        RoomTimer(Context) {}
+        CapacityTimer(Context) {}
 
   const Server::Settings Limits;
   const Handler Handle;
@@ -37,7 +37,7 @@
   std::size_t InFlight = 0;
   std::unordered_set<Connection *> Open;
   /// Cancelled when a place for a connection becomes free.
-  BootTimer RoomTimer;
+  BootTimer CapacityTimer;
 };
 
 /// One connection: reads requests one after the other and runs the handler.
@@ -62,7 +62,7 @@
   /// Graceful shutdown: an idle connection closes after a short grace.
   void drain();
   /// Ends what the connection waits for if that is later than its deadline.
-  void endIfLate(TimePoint Now);
+  void enforceDeadline(TimePoint Now);
 
   /// Whether the connection closes after its next answer.
   bool closing() const;
@@ -81,7 +81,7 @@
                                       bool KeepAlive);
   void watch();
   void onReadable();
-  void noticeGone();
+  void notifyPeerGone();
 
   /// What the connection does, and so what its deadline ends.
   enum class Phase : std::uint8_t {
--- a/Wasabi/Adapters/Http/HttpExchange.cpp
+++ b/Wasabi/Adapters/Http/HttpExchange.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-Failure peerGone() {
+Failure makePeerGoneFailure() {
   return Failure{Verdict::MayHaveRun,
                  FailureCode::Cancelled,
                  "http peer",
@@ -37,7 +37,7 @@
   if (State != Stage::Fresh)
     co_return misuse("an answer has been begun already");
   if (Gone)
-    co_return peerGone();
+    co_return makePeerGoneFailure();
   State = Stage::Ended;
   KeepAlive = KeepAlive && !Link->closing();
   std::shared_ptr<Connection> link = Link;
@@ -51,7 +51,7 @@
   if (State != Stage::Fresh)
     co_return misuse("an answer has been begun already");
   if (Gone)
-    co_return peerGone();
+    co_return makePeerGoneFailure();
   State = Stage::Begun;
   bool chunked = Version >= FirstWithChunks;
   KeepAlive = KeepAlive && chunked && !Link->closing();
@@ -67,7 +67,7 @@
   if (State != Stage::Begun)
     co_return misuse("no answer has been begun");
   if (Gone)
-    co_return peerGone();
+    co_return makePeerGoneFailure();
   // An empty chunk would end the body.
   if (Chunk.empty() || HeadOnly)
     co_return Done{};
@@ -91,7 +91,7 @@
   if (State != Stage::Begun)
     co_return misuse("no answer has been begun");
   if (Gone)
-    co_return peerGone();
+    co_return makePeerGoneFailure();
   State = Stage::Ended;
   std::shared_ptr<Connection> link = Link;
   if (Version < FirstWithChunks || HeadOnly)
@@ -114,7 +114,7 @@
   this->Callback = std::move(Callback);
 }
 
-void Exchange::tellGone() {
+void Exchange::markPeerGone() {
   if (Gone)
     return;
   Gone = true;
--- a/Wasabi/Adapters/Http/HttpExchange.h
+++ b/Wasabi/Adapters/Http/HttpExchange.h
@@ -14,7 +14,7 @@
 class Connection;
 
 /// What a sender hears whose peer has closed its connection.
-Failure peerGone();
+Failure makePeerGoneFailure();
 
 /// One request's answer; outlives its connection harmlessly. Used on the
 /// server's thread only.
@@ -35,7 +35,7 @@
   void onGone(std::function<void()> Callback) override;
 
   /// Tells the handler that its peer has left.
-  void tellGone();
+  void markPeerGone();
   /// Detaches from the connection: what is called later fails.
   void finish();
   bool begun() const { return State != Stage::Fresh; }
--- a/Wasabi/Adapters/Http/HttpMessage.cpp
+++ b/Wasabi/Adapters/Http/HttpMessage.cpp
@@ -10,7 +10,7 @@
 std::string_view findHeader(const std::vector<Header> &Headers,
                             std::string_view Name) {
   for (const Header &it : Headers) {
-    if (sameName(it.Name, Name))
+    if (isSameHeaderName(it.Name, Name))
       return it.Value;
   }
   return {};
--- a/Wasabi/Adapters/Http/HttpServer.cpp
+++ b/Wasabi/Adapters/Http/HttpServer.cpp
@@ -43,7 +43,7 @@
   Address address() const override { return Bound; }
   std::size_t inFlight() const override { return Shared->InFlight; }
   std::size_t connections() const override { return Shared->Open.size(); }
-  void closeAfterAnswers() override { Shared->Closing = true; }
+  void closeAfterResponses() override { Shared->Closing = true; }
   void drain() override;
   void stop() override;
 
@@ -106,8 +106,8 @@
 asio::awaitable<void> ServerImpl::acceptLoop() {
   while (Acceptor.is_open()) {
     if (Shared->Open.size() >= Shared->Limits.MaxConnections) {
-      Shared->RoomTimer.expires_at(BootTimer::time_point::max());
-      co_await Shared->RoomTimer.async_wait(Awaited);
+      Shared->CapacityTimer.expires_at(BootTimer::time_point::max());
+      co_await Shared->CapacityTimer.async_wait(Awaited);
       continue;
     }
     auto [ec, socket] = co_await Acceptor.async_accept(Awaited);
@@ -117,15 +117,15 @@
     }
     if (!Acceptor.is_open())
       break;
-    Shared->RoomTimer.expires_after(AcceptPause);
-    co_await Shared->RoomTimer.async_wait(Awaited);
+    Shared->CapacityTimer.expires_after(AcceptPause);
+    co_await Shared->CapacityTimer.async_wait(Awaited);
   }
 }
 
 asio::awaitable<void> ServerImpl::sweepLoop() {
   Millis shortest =
       std::min({Shared->Limits.IdleTimeout, Shared->Limits.HeadTimeout,
-                Shared->Limits.DrainGrace});
+                Shared->Limits.DrainGracePeriod});
   Millis pause = std::clamp(shortest / 4, MinSweep, MaxSweep);
   while (!Stopped && !(Shared->Draining && Shared->Open.empty())) {
     SweepTimer.expires_after(pause);
@@ -137,7 +137,7 @@
     for (Connection *it : Shared->Open)
       all.push_back(it->shared_from_this());
     for (const std::shared_ptr<Connection> &it : all)
-      it->endIfLate(now);
+      it->enforceDeadline(now);
   }
 }
 
@@ -170,7 +170,7 @@
   acceptQueued();
   ErrorCode ec;
   Acceptor.close(ec);
-  Shared->RoomTimer.cancel();
+  Shared->CapacityTimer.cancel();
   for (Connection *it : Shared->Open)
     it->drain();
   if (Shared->Open.empty())
@@ -181,7 +181,7 @@
   Stopped = true;
   ErrorCode ec;
   Acceptor.close(ec);
-  Shared->RoomTimer.cancel();
+  Shared->CapacityTimer.cancel();
   SweepTimer.cancel();
   std::vector<std::shared_ptr<Connection>> all;
   all.reserve(Shared->Open.size());
--- a/Wasabi/Adapters/Http/HttpServer.h
+++ b/Wasabi/Adapters/Http/HttpServer.h
@@ -64,7 +64,7 @@
     Millis HeadTimeout{10000};
     /// How long a draining server waits for a request that may be on its way
     /// over an idle connection, before it closes that.
-    Millis DrainGrace{200};
+    Millis DrainGracePeriod{200};
   };
 
   /// Binds and starts to accept. Errors: `Unavailable` naming the address.
@@ -80,10 +80,10 @@
   virtual std::size_t connections() const = 0;
   /// Announces a stop: each answer from now on closes its connection, and new
   /// connections are still taken, for callers who do not know yet.
-  virtual void closeAfterAnswers() = 0;
+  virtual void closeAfterResponses() = 0;
   /// Graceful shutdown, step one: stops accepting, closes idle connections
-  /// after `DrainGrace`, and answers with `Connection: close` from now on. It
-  /// is complete once `connections` is 0.
+  /// after `DrainGracePeriod`, and answers with `Connection: close` from now
+  /// on. It is complete once `connections` is 0.
   virtual void drain() = 0;
   /// Closes everything at once.
   virtual void stop() = 0;
--- a/Wasabi/Adapters/Http/HttpWire.cpp
+++ b/Wasabi/Adapters/Http/HttpWire.cpp
@@ -18,9 +18,10 @@
 
 /// Whether the adapter itself writes this header.
 bool isFraming(std::string_view Name) {
-  return sameName(Name, "Content-Length") ||
-         sameName(Name, "Transfer-Encoding") || sameName(Name, "Connection") ||
-         sameName(Name, "Keep-Alive");
+  return isSameHeaderName(Name, "Content-Length") ||
+         isSameHeaderName(Name, "Transfer-Encoding") ||
+         isSameHeaderName(Name, "Connection") ||
+         isSameHeaderName(Name, "Keep-Alive");
 }
 
 /// Appends "Name: Value\r\n"; a line break within a value would start another
@@ -48,7 +49,7 @@
 
 } // namespace
 
-bool sameName(std::string_view Left, std::string_view Right) {
+bool isSameHeaderName(std::string_view Left, std::string_view Right) {
   return boost::beast::iequals({Left.data(), Left.size()},
                                {Right.data(), Right.size()});
 }
@@ -92,7 +93,7 @@
   if (n > 0)
     return PeerState::Sent;
   if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
-    return PeerState::Quiet;
+    return PeerState::NoPendingData;
   return PeerState::Gone;
 }
 
--- a/Wasabi/Adapters/Http/HttpWire.h
+++ b/Wasabi/Adapters/Http/HttpWire.h
@@ -33,11 +33,11 @@
 std::string writeHead(const Request &Ask, const Address &Where);
 
 /// Whether two header names are the same, without case. Thread-safe.
-bool sameName(std::string_view Left, std::string_view Right);
+bool isSameHeaderName(std::string_view Left, std::string_view Right);
 
 /// Whether the peer has closed or reset, or has sent something, as seen by a
 /// peek that takes nothing. Precondition: the socket is open.
-enum class PeerState : std::uint8_t { Quiet, Sent, Gone };
+enum class PeerState : std::uint8_t { NoPendingData, Sent, Gone };
 PeerState peek(boost::asio::ip::tcp::socket &Socket);
 
 /// Closes with a reset: the peer sees a lost connection, not an end.
--- a/Wasabi/Adapters/Platform/HttpScorer.cpp
+++ b/Wasabi/Adapters/Platform/HttpScorer.cpp
@@ -13,7 +13,7 @@
 
 boost::asio::awaitable<Outcome<double>>
 score(PlatformService Of, std::string Body, Millis Timeout) {
-  Outcome<PlatformAnswer> got =
+  Outcome<PlatformResponse> got =
       co_await callPlatform(Of, "POST", "/v1/score", std::move(Body), Timeout);
   if (!got)
     co_return got.failure();
@@ -25,7 +25,7 @@
 
 } // namespace
 
-ScorerPort httpScorer(std::shared_ptr<http::Client> Client, Address Where) {
+ScorerPort makeHttpScorer(std::shared_ptr<http::Client> Client, Address Where) {
   PlatformService of{std::move(Client), std::move(Where), "scorer"};
   ScorerPort port;
   port.Score = [of](Slot Place, std::string Text, Millis Timeout) {
--- a/Wasabi/Adapters/Platform/HttpScorer.h
+++ b/Wasabi/Adapters/Platform/HttpScorer.h
@@ -11,7 +11,7 @@
 namespace wasabi {
 
 /// A scorer port on `Client`, for the thread of the client's executor.
-ScorerPort httpScorer(std::shared_ptr<http::Client> Client, Address Where);
+ScorerPort makeHttpScorer(std::shared_ptr<http::Client> Client, Address Where);
 
 } // namespace wasabi
 
--- a/Wasabi/Adapters/Platform/HttpTrainer.cpp
+++ b/Wasabi/Adapters/Platform/HttpTrainer.cpp
@@ -60,8 +60,8 @@
   return RefusalReason::Unknown;
 }
 
-Result<DeliveryAnswer> readAnswer(const json::object &From) {
-  DeliveryAnswer answer;
+Result<DeliveryResponse> readAnswer(const json::object &From) {
+  DeliveryResponse answer;
   BOOST_LEAF_ASSIGN(answer.Newest, numberMember(From, "newest", Place));
   BOOST_LEAF_AUTO(taken, arrayMember(From, "taken", Place));
   BOOST_LEAF_ASSIGN(answer.Taken, slotsFromJson(*taken, Place));
@@ -75,7 +75,8 @@
     answer.Refused.push_back({which, reasonOf(reason)});
   }
   const json::value *whole = From.if_contains("step_whole");
-  answer.StepWhole = whole != nullptr && whole->is_bool() && whole->get_bool();
+  answer.StepComplete =
+      whole != nullptr && whole->is_bool() && whole->get_bool();
   return answer;
 }
 
@@ -95,7 +96,7 @@
   if (After)
     target += "?after=" + std::to_string(*After) +
               "&wait_ms=" + std::to_string(Wait.count());
-  Outcome<PlatformAnswer> got =
+  Outcome<PlatformResponse> got =
       co_await callPlatform(Of, "GET", target, {}, Wait + AnswerTime);
   if (!got)
     co_return got.failure();
@@ -104,20 +105,21 @@
   co_return toOutcome<WantedStep>([&] { return readStep(got->Body); });
 }
 
-boost::asio::awaitable<Outcome<DeliveryAnswer>>
+boost::asio::awaitable<Outcome<DeliveryResponse>>
 deliver(PlatformService Of, std::string Body, Millis Timeout) {
-  Outcome<PlatformAnswer> got = co_await callPlatform(
+  Outcome<PlatformResponse> got = co_await callPlatform(
       Of, "POST", "/v1/deliveries", std::move(Body), Timeout);
   if (!got)
     co_return got.failure();
   if (got->Status != StatusOk)
     co_return failureOf(Of, *got);
-  co_return toOutcome<DeliveryAnswer>([&] { return readAnswer(got->Body); });
+  co_return toOutcome<DeliveryResponse>([&] { return readAnswer(got->Body); });
 }
 
 } // namespace
 
-TrainerPort httpTrainer(std::shared_ptr<http::Client> Client, Address Where) {
+TrainerPort makeHttpTrainer(std::shared_ptr<http::Client> Client,
+                            Address Where) {
   PlatformService of{std::move(Client), std::move(Where), "trainer"};
   TrainerPort port;
   port.Step = [of](std::optional<std::uint64_t> After, Millis Wait) {
--- a/Wasabi/Adapters/Platform/HttpTrainer.h
+++ b/Wasabi/Adapters/Platform/HttpTrainer.h
@@ -11,7 +11,8 @@
 namespace wasabi {
 
 /// A trainer port on `Client`, for the thread of the client's executor.
-TrainerPort httpTrainer(std::shared_ptr<http::Client> Client, Address Where);
+TrainerPort makeHttpTrainer(std::shared_ptr<http::Client> Client,
+                            Address Where);
 
 } // namespace wasabi
 
--- a/Wasabi/Adapters/Platform/HttpWeightStore.cpp
+++ b/Wasabi/Adapters/Platform/HttpWeightStore.cpp
@@ -15,7 +15,7 @@
   std::string target = "/v1/models/" + Model.Text +
                        "/versions?after=" + std::to_string(After) +
                        "&wait_ms=" + std::to_string(Wait.count());
-  Outcome<PlatformAnswer> got = co_await callPlatform(
+  Outcome<PlatformResponse> got = co_await callPlatform(
       Of, "GET", std::move(target), {}, Wait + AnswerTime);
   if (!got)
     co_return got.failure();
@@ -27,8 +27,8 @@
 
 } // namespace
 
-WeightStorePort httpWeightStore(std::shared_ptr<http::Client> Client,
-                                Address Where) {
+WeightStorePort makeHttpWeightStore(std::shared_ptr<http::Client> Client,
+                                    Address Where) {
   PlatformService of{std::move(Client), std::move(Where), "weight store"};
   WeightStorePort port;
   port.Newest = [of](ModelName Model, WeightVersion After, Millis Wait) {
--- a/Wasabi/Adapters/Platform/HttpWeightStore.h
+++ b/Wasabi/Adapters/Platform/HttpWeightStore.h
@@ -11,8 +11,8 @@
 namespace wasabi {
 
 /// A weight store port on `Client`, for the thread of the client's executor.
-WeightStorePort httpWeightStore(std::shared_ptr<http::Client> Client,
-                                Address Where);
+WeightStorePort makeHttpWeightStore(std::shared_ptr<http::Client> Client,
+                                    Address Where);
 
 } // namespace wasabi
 
--- a/Wasabi/Adapters/Platform/PlatformCall.cpp
+++ b/Wasabi/Adapters/Platform/PlatformCall.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-boost::asio::awaitable<Outcome<PlatformAnswer>>
+boost::asio::awaitable<Outcome<PlatformResponse>>
 callPlatform(PlatformService Of, std::string Method, std::string Target,
              std::string Body, Millis Timeout) {
   Outcome<http::Response> got = co_await Of.Client->call(
@@ -33,7 +33,7 @@
       Timeout);
   if (!got)
     co_return got.failure();
-  PlatformAnswer answer;
+  PlatformResponse answer;
   answer.Status = got->Status;
   Outcome<boost::json::object> object = toOutcome<boost::json::object>(
       [&] { return parseObject(got->Body, Of.Place); });
@@ -44,7 +44,7 @@
   co_return answer;
 }
 
-Failure failureOf(const PlatformService &Of, const PlatformAnswer &Answer) {
+Failure failureOf(const PlatformService &Of, const PlatformResponse &Answer) {
   Failure why;
   why.Place = Of.Place;
   why.Reason = "status " + std::to_string(Answer.Status);
--- a/Wasabi/Adapters/Platform/PlatformCall.h
+++ b/Wasabi/Adapters/Platform/PlatformCall.h
@@ -20,20 +20,20 @@
 };
 
 /// An answer of any status, with its JSON object if it has one.
-struct PlatformAnswer {
+struct PlatformResponse {
   unsigned Status = 0;
   boost::json::object Body;
 };
 
 /// Calls and reads the answer's object. Failures: those of the client, and
 /// `BadInput` for a 200 without a JSON object.
-boost::asio::awaitable<Outcome<PlatformAnswer>>
+boost::asio::awaitable<Outcome<PlatformResponse>>
 callPlatform(PlatformService Of, std::string Method, std::string Target,
              std::string Body, Millis Timeout);
 
 /// The failure that a status other than 2xx stands for: 429 and 503 did not
 /// run, 409 is a stale token, any other may have run.
-Failure failureOf(const PlatformService &Of, const PlatformAnswer &Answer);
+Failure failureOf(const PlatformService &Of, const PlatformResponse &Answer);
 
 } // namespace wasabi
 
--- a/Wasabi/Adapters/PlatformLog/Commit.cpp
+++ b/Wasabi/Adapters/PlatformLog/Commit.cpp
@@ -54,20 +54,20 @@
 
 /// The end of a commit whose id has not shown.
 CommitResult unsettled(const Progress &So, const FoldState &State) {
-  if (State.BlockedAt)
-    return {So.MaySent ? CommitKind::Unknown : CommitKind::NotSent, 0,
-            "the record at offset " + std::to_string(*State.BlockedAt) +
+  if (State.BlockedOffset)
+    return {So.MaySent ? CommitStatus::Unknown : CommitStatus::NotAppended, 0,
+            "the record at offset " + std::to_string(*State.BlockedOffset) +
                 " is of a newer program"};
   if (!So.MaySent)
-    return {CommitKind::NotSent, 0, So.LastProblem};
-  return {CommitKind::Unknown, 0,
+    return {CommitStatus::NotAppended, 0, So.LastProblem};
+  return {CommitStatus::Unknown, 0,
           So.LastProblem.empty() ? "it was not read back in time"
                                  : So.LastProblem};
 }
 
 /// The reason that the history keeps for a refused change.
 std::string reasonAt(const FoldState &State, Offset At) {
-  for (const HistoryLine &line : State.History)
+  for (const HistoryEntry &line : State.History)
     if (line.At == At)
       return line.Reason;
   return {};
@@ -75,15 +75,16 @@
 
 } // namespace
 
-std::optional<CommitResult> fateOf(const FoldState &State, const RecordId &Id) {
+std::optional<CommitResult> findCommitResult(const FoldState &State,
+                                             const RecordId &Id) {
   auto it = State.Authors.find(Id.Author);
   if (it == State.Authors.end() || it->second.Life != Id.Life ||
       it->second.Sequence != Id.Sequence)
     return std::nullopt;
-  const AuthorMark &mark = it->second;
-  if (mark.Fate == RecordFate::Accepted)
-    return CommitResult{CommitKind::Accepted, mark.At, ""};
-  return CommitResult{CommitKind::Refused, mark.At, reasonAt(State, mark.At)};
+  const AuthorLogProgress &mark = it->second;
+  if (mark.ApplyStatus == RecordStatus::Accepted)
+    return CommitResult{CommitStatus::Accepted, mark.At, ""};
+  return CommitResult{CommitStatus::Refused, mark.At, reasonAt(State, mark.At)};
 }
 
 asio::awaitable<CommitResult> commitRecord(LogPort Log, FoldState &State,
@@ -91,14 +92,14 @@
   const std::string text = encodeRecord(What);
   const TimePoint until = monotonicNow() + Limits.Deadline;
   Progress so;
-  while (!State.BlockedAt && timeLeft(until) > Millis(0)) {
+  while (!State.BlockedOffset && timeLeft(until) > Millis(0)) {
     if (!so.Sent)
       co_await appendOnce(Log, text, so, Limits.RetryDelay);
 
     Millis wait = so.Sent ? Limits.ReadWait : Millis(0);
     Outcome<std::size_t> read =
-        co_await followLog(Log, State, std::min(wait, timeLeft(until)));
-    if (std::optional<CommitResult> fate = fateOf(State, What.Id))
+        co_await readAndApplyRange(Log, State, std::min(wait, timeLeft(until)));
+    if (std::optional<CommitResult> fate = findCommitResult(State, What.Id))
       co_return *fate;
     if (!read) {
       so.LastProblem = describe(read.failure());
@@ -118,17 +119,17 @@
 asio::awaitable<CommitResult> settleRecord(LogPort Log, FoldState &State,
                                            RecordId Id, CommitSettings Limits) {
   // Reads what is there first, as the id may show without more ado.
-  Outcome<std::size_t> read = co_await followLog(Log, State, Millis(0));
+  Outcome<std::size_t> read = co_await readAndApplyRange(Log, State, Millis(0));
   while (read && *read > 0)
-    read = co_await followLog(Log, State, Millis(0));
-  if (std::optional<CommitResult> fate = fateOf(State, Id))
+    read = co_await readAndApplyRange(Log, State, Millis(0));
+  if (std::optional<CommitResult> fate = findCommitResult(State, Id))
     co_return *fate;
   // A release with no token changes nothing, but takes the id. (It is a local,
   // since GCC 12 destroys aggregates within a co_await expression twice.)
   Record nothing{Id, ClaimRelease{"snapshots", 0}};
   CommitResult end =
       co_await commitRecord(Log, State, std::move(nothing), Limits);
-  if (end.Kind == CommitKind::Refused && end.Reason.empty())
+  if (end.Kind == CommitStatus::Refused && end.Reason.empty())
     end.Reason = "it was never applied, and now never will be";
   co_return end;
 }
--- a/Wasabi/Adapters/PlatformLog/Commit.h
+++ b/Wasabi/Adapters/PlatformLog/Commit.h
@@ -14,7 +14,7 @@
 namespace wasabi {
 
 /// What is known of a record at the end of `commitRecord`.
-enum class CommitKind : std::uint8_t {
+enum class CommitStatus : std::uint8_t {
   /// Taken, and in force from its offset on.
   Accepted,
   /// Read back, and refused by the rules.
@@ -22,12 +22,12 @@
   /// It may be on the log, or come to be: settle it by its id.
   Unknown,
   /// Proved not to be on the log.
-  NotSent,
+  NotAppended,
 };
 
 /// How a commit ended. An immutable value.
 struct CommitResult {
-  CommitKind Kind = CommitKind::NotSent;
+  CommitStatus Kind = CommitStatus::NotAppended;
   /// Where it stands, for `Accepted` and `Refused`.
   Offset At = 0;
   /// Why, for all but `Accepted`.
@@ -53,7 +53,8 @@
 commitRecord(LogPort Log, FoldState &State, Record What, CommitSettings Limits);
 
 /// The fate of an id, if the fold has taken it and it is its author's newest.
-std::optional<CommitResult> fateOf(const FoldState &State, const RecordId &Id);
+std::optional<CommitResult> findCommitResult(const FoldState &State,
+                                             const RecordId &Id);
 
 /// Settles an id whose fate is unknown: reads it back, or, when it is not on
 /// the log, takes the id with a record that does nothing, so that a late
--- a/Wasabi/Adapters/PlatformLog/HttpLog.cpp
+++ b/Wasabi/Adapters/PlatformLog/HttpLog.cpp
@@ -135,7 +135,7 @@
 
 } // namespace
 
-LogPort httpLog(std::shared_ptr<http::Client> Client, Address Service) {
+LogPort makeHttpLog(std::shared_ptr<http::Client> Client, Address Service) {
   LogPort out;
   out.Append = [Client, Service](std::string Stream, std::string Text) {
     return append(Client, Service, std::move(Stream), std::move(Text));
--- a/Wasabi/Adapters/PlatformLog/HttpLog.h
+++ b/Wasabi/Adapters/PlatformLog/HttpLog.h
@@ -11,7 +11,7 @@
 namespace wasabi {
 
 /// A log port on `Client`, for the thread of the client's executor.
-LogPort httpLog(std::shared_ptr<http::Client> Client, Address Service);
+LogPort makeHttpLog(std::shared_ptr<http::Client> Client, Address Service);
 
 } // namespace wasabi
 
--- a/Wasabi/Adapters/PlatformLog/LogRecovery.cpp
+++ b/Wasabi/Adapters/PlatformLog/LogRecovery.cpp
@@ -78,8 +78,8 @@
   }
 }
 
-asio::awaitable<Outcome<std::size_t>> followLog(LogPort Log, FoldState &State,
-                                                Millis Wait) {
+asio::awaitable<Outcome<std::size_t>>
+readAndApplyRange(LogPort Log, FoldState &State, Millis Wait) {
   Offset from = State.Next;
   Outcome<LogRange> range =
       co_await Log.Read(ControlStream, from, ReadChunk, Wait);
@@ -88,7 +88,7 @@
   if (range->First > from)
     co_return expired(from, range->First);
   for (const LogEntry &entry : range->Entries)
-    if (entry.At == State.Next && !State.BlockedAt)
+    if (entry.At == State.Next && !State.BlockedOffset)
       apply(State, entry.At, entry.Text);
   co_return static_cast<std::size_t>(State.Next - from);
 }
--- a/Wasabi/Adapters/PlatformLog/LogRecovery.h
+++ b/Wasabi/Adapters/PlatformLog/LogRecovery.h
@@ -23,7 +23,7 @@
 /// Gives how many were applied. Failures: those of the log; `Unavailable` when
 /// the next record has expired: recover anew.
 boost::asio::awaitable<Outcome<std::size_t>>
-followLog(LogPort Log, FoldState &State, Millis Wait);
+readAndApplyRange(LogPort Log, FoldState &State, Millis Wait);
 
 } // namespace wasabi
 
--- a/Wasabi/Adapters/Proxy/CallerAnswer.cpp
+++ b/Wasabi/Adapters/Proxy/CallerResponse.cpp
@@ -1,4 +1,4 @@
-#include "Wasabi/Adapters/Proxy/CallerAnswer.h"
+#include "Wasabi/Adapters/Proxy/CallerResponse.h"
 
 #include "Wasabi/Adapters/Proxy/ProxyHeaders.h"
 #include "Wasabi/Routing/Problem.h"
@@ -7,8 +7,8 @@
 
 namespace asio = boost::asio;
 
-void CallerAnswer::prepare(http::Response &Answer) {
-  removeHopHeaders(Answer.Headers);
+void CallerResponse::prepare(http::Response &Answer) {
+  removeHopByHopHeaders(Answer.Headers);
   removeHeader(Answer.Headers, VerdictHeader);
   removeHeader(Answer.Headers, "X-Request-Id");
   Answer.Headers.push_back({VerdictHeader, std::string(toText(Verdict::Ran))});
@@ -16,30 +16,30 @@
   Status = Answer.Status;
 }
 
-asio::awaitable<Outcome<Done>> CallerAnswer::send(http::Response Whole) {
+asio::awaitable<Outcome<Done>> CallerResponse::send(http::Response Whole) {
   prepare(Whole);
   Begun = true;
   Bytes += Whole.Body.size();
   co_return co_await Out->send(std::move(Whole));
 }
 
-asio::awaitable<Outcome<Done>> CallerAnswer::begin(http::Response Head) {
+asio::awaitable<Outcome<Done>> CallerResponse::begin(http::Response Head) {
   prepare(Head);
   Begun = true;
   Head.Body.clear();
   co_return co_await Out->begin(std::move(Head));
 }
 
-asio::awaitable<Outcome<Done>> CallerAnswer::write(std::string Piece) {
+asio::awaitable<Outcome<Done>> CallerResponse::write(std::string Piece) {
   Bytes += Piece.size();
   co_return co_await Out->write(std::move(Piece));
 }
 
-asio::awaitable<Outcome<Done>> CallerAnswer::end() {
+asio::awaitable<Outcome<Done>> CallerResponse::end() {
   co_return co_await Out->end();
 }
 
-asio::awaitable<Outcome<Done>> CallerAnswer::refuse(Failure Why) {
+asio::awaitable<Outcome<Done>> CallerResponse::refuse(Failure Why) {
   http::Response problem = problemResponse(Why);
   problem.Headers.push_back({"X-Request-Id", Name});
   Status = problem.Status;
@@ -47,7 +47,7 @@
   co_return co_await Out->send(std::move(problem));
 }
 
-Failure CallerAnswer::callerLeft() const {
+Failure CallerResponse::callerLeft() const {
   return Failure{Verdict::MayHaveRun,
                  FailureCode::Cancelled,
                  "caller",
--- a/Wasabi/Adapters/Proxy/CallerAnswer.h
+++ b/Wasabi/Adapters/Proxy/CallerResponse.h
@@ -1,8 +1,8 @@
 /// \file
 /// The answer to one caller: what has been given of it, with the headers that
 /// every answer carries.
-#ifndef WASABI_ADAPTERS_PROXY_CALLERANSWER_H
-#define WASABI_ADAPTERS_PROXY_CALLERANSWER_H
+#ifndef WASABI_ADAPTERS_PROXY_CALLERRESPONSE_H
+#define WASABI_ADAPTERS_PROXY_CALLERRESPONSE_H
 
 #include "Wasabi/Adapters/Http/HttpServer.h"
 #include "Wasabi/Core/Verdict.h"
@@ -17,10 +17,10 @@
 namespace wasabi {
 
 /// Counts what a caller is given. Not thread-safe.
-class CallerAnswer {
+class CallerResponse {
 public:
-  CallerAnswer() = default;
-  CallerAnswer(std::shared_ptr<http::Responder> Out, std::string Name)
+  CallerResponse() = default;
+  CallerResponse(std::shared_ptr<http::Responder> Out, std::string Name)
       : Out(std::move(Out)), Name(std::move(Name)) {}
 
   /// Gives a whole answer of the upstream.
@@ -56,4 +56,4 @@
 
 } // namespace wasabi
 
-#endif // WASABI_ADAPTERS_PROXY_CALLERANSWER_H
+#endif // WASABI_ADAPTERS_PROXY_CALLERRESPONSE_H
--- a/Wasabi/Adapters/Proxy/DaemonCounts.h
+++ b/Wasabi/Adapters/Proxy/DaemonMetrics.h
@@ -1,15 +1,15 @@
 /// \file
 /// The counters of a daemon's work.
-#ifndef WASABI_ADAPTERS_PROXY_DAEMONCOUNTS_H
-#define WASABI_ADAPTERS_PROXY_DAEMONCOUNTS_H
+#ifndef WASABI_ADAPTERS_PROXY_DAEMONMETRICS_H
+#define WASABI_ADAPTERS_PROXY_DAEMONMETRICS_H
 
 #include "Wasabi/Adapters/Telemetry/Metrics.h"
 
 namespace wasabi {
 
 /// Its registry must outlive it. Thread-safe as each counter is.
-struct DaemonCounts {
-  explicit DaemonCounts(Metrics &Registry)
+struct DaemonMetrics {
+  explicit DaemonMetrics(Metrics &Registry)
       : Attempts(Registry.counter("wasabi_daemon_attempts_total",
                                   "Attempts received")),
         Forwarded(Registry.counter("wasabi_daemon_forwarded_total",
@@ -22,8 +22,8 @@
                                 "Attempts that failed at their server")),
         Repeats(Registry.counter("wasabi_daemon_repeats_total",
                                  "Repeats of a key that were not run")),
-        OrdersTaken(Registry.counter("wasabi_daemon_orders_total",
-                                     "Orders carried out")),
+        OrdersExecuted(Registry.counter("wasabi_daemon_orders_total",
+                                        "Orders carried out")),
         OrdersRefused(Registry.counter("wasabi_daemon_orders_refused_total",
                                        "Orders refused for an old token")) {}
 
@@ -33,10 +33,10 @@
   Counter &Refused;
   Counter &Broken;
   Counter &Repeats;
-  Counter &OrdersTaken;
+  Counter &OrdersExecuted;
   Counter &OrdersRefused;
 };
 
 } // namespace wasabi
 
-#endif // WASABI_ADAPTERS_PROXY_DAEMONCOUNTS_H
+#endif // WASABI_ADAPTERS_PROXY_DAEMONMETRICS_H
--- a/Wasabi/Adapters/Proxy/DaemonProxy.cpp
+++ b/Wasabi/Adapters/Proxy/DaemonProxy.cpp
@@ -1,13 +1,13 @@
 #include "Wasabi/Adapters/Proxy/DaemonProxy.h"
 
-#include "Wasabi/Adapters/Proxy/DaemonCounts.h"
+#include "Wasabi/Adapters/Proxy/DaemonMetrics.h"
 #include "Wasabi/Adapters/Proxy/EngineApi.h"
-#include "Wasabi/Adapters/Proxy/Forwarding.h"
 #include "Wasabi/Adapters/Proxy/KeyWitnesses.h"
 #include "Wasabi/Adapters/Proxy/ProxyHeaders.h"
+#include "Wasabi/Adapters/Proxy/UpstreamExchange.h"
 #include "Wasabi/Core/BootTimer.h"
 #include "Wasabi/Routing/AdmissionGate.h"
-#include "Wasabi/Weights/OrderGuard.h"
+#include "Wasabi/Weights/FencingGuard.h"
 
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/co_spawn.hpp>
@@ -54,7 +54,7 @@
   /// Whether it takes new work.
   bool Serving = true;
   /// The exchanges at hand: true for those of samples.
-  std::map<Forwarding *, bool> Running;
+  std::map<UpstreamExchange *, bool> Running;
   /// Orders at hand and waiting; one is carried out at a time.
   std::list<std::pair<Order, DaemonProxy::OrderCallback>> Orders;
   bool Ordering = false;
@@ -63,7 +63,7 @@
 /// One attempt at this daemon.
 struct Work {
   RequestAttempt Attempt;
-  std::shared_ptr<AnswerSink> Sink;
+  std::shared_ptr<ResponseSink> Sink;
   Upstream *At = nullptr;
   std::uint64_t Id = 0;
   TimePoint Until;
@@ -108,7 +108,8 @@
                                                      Admission::Settings()));
   }
 
-  void attach(ControlSource NewSource, ServersCallback NewTell) override {
+  void attach(ControlPlaneReader NewSource,
+              ServerStatusCallback NewTell) override {
     Source = std::move(NewSource);
     Tell = std::move(NewTell);
     Witnesses = std::make_shared<KeyWitnesses>(
@@ -127,7 +128,7 @@
   }
 
   asio::awaitable<void> handle(RequestAttempt Attempt,
-                               std::shared_ptr<AnswerSink> Sink) override {
+                               std::shared_ptr<ResponseSink> Sink) override {
     std::shared_ptr<DaemonProxyImpl> held = self();
     // Daemons ask each other about keys, also while they leave.
     if (Attempt.Service.empty()) {
@@ -173,16 +174,16 @@
         asio::detached);
   }
 
-  std::vector<LoadSeen> loads() const override {
-    std::vector<LoadSeen> seen;
+  std::vector<ReportedLoad> loads() const override {
+    std::vector<ReportedLoad> seen;
     for (const std::unique_ptr<Upstream> &it : Upstreams) {
       const Admission &gate = it->Gate.admission();
-      LoadSeen load;
+      ReportedLoad load;
       load.Server = it->Setup.Server;
       load.Service = it->Setup.Service;
       load.Running = gate.running();
       load.Queued = gate.queued();
-      load.Limit = gate.steadyLimit();
+      load.Limit = gate.limitIgnoringProbe();
       load.Version = it->State ? it->State->Version : 0;
       load.Serving = it->Serving && !Leaving;
       seen.push_back(load);
@@ -206,7 +207,7 @@
   static KeyWitnesses::Settings witnessSettings(const Settings &From) {
     KeyWitnesses::Settings settings;
     settings.Keys.Self = Runner{From.Instance, From.Life};
-    settings.Keys.MaxAnswer = MaxKeptAnswer;
+    settings.Keys.MaxSingleAnswerBytes = MaxKeptAnswer;
     settings.WitnessTimeout = From.WitnessTimeout;
     settings.HandOverTimeout = From.HandOverTimeout;
     settings.ComeBack = ComeBack;
@@ -292,7 +293,7 @@
     const RequestAttempt &attempt = What.Attempt;
     bool keyed = !attempt.Key.empty() && !attempt.Idempotent;
     if (keyed && !What.KeyProved)
-      tellRefusal(What, withoutKeyProof(Why));
+      tellRefusal(What, downgradeUnprovenFailure(Why));
     else
       tellRefusal(What, Why);
   }
@@ -304,9 +305,9 @@
     What.Sink->fail(Why);
   }
 
-  AdmissionAsk askOf(const Work &What) {
+  AdmissionRequest askOf(const Work &What) {
     const RequestAttempt &attempt = What.Attempt;
-    AdmissionAsk ask;
+    AdmissionRequest ask;
     ask.Id = What.Id;
     ask.Priority = attempt.Priority;
     ask.Rollout = !attempt.Trainer.empty();
@@ -333,7 +334,7 @@
   asio::awaitable<void> runPlain(Work &What) {
     Upstream &at = *What.At;
     What.Sink->onGone([&at, id = What.Id] { at.Gate.wake(id); });
-    AdmissionAsk ask = askOf(What);
+    AdmissionRequest ask = askOf(What);
     std::function<bool()> gone = [sink = What.Sink] { return sink->gone(); };
     Outcome<Done> entered = co_await at.Gate.enter(ask, std::move(gone));
     if (!entered) {
@@ -341,7 +342,7 @@
       co_return;
     }
     record("attempt.admit", What, {});
-    Forwarding exchange(Context.get_executor(), Client);
+    UpstreamExchange exchange(Context.get_executor(), Client);
     Outcome<Done> end = co_await forward(What, exchange);
     if (end)
       What.Sink->end();
@@ -350,7 +351,8 @@
   }
 
   /// Gives an admitted attempt to its server, and its place to the next.
-  asio::awaitable<Outcome<Done>> forward(Work &What, Forwarding &Exchange) {
+  asio::awaitable<Outcome<Done>> forward(Work &What,
+                                         UpstreamExchange &Exchange) {
     Upstream &at = *What.At;
     bool sample = !What.Attempt.Trainer.empty();
     // A key's run is read to its end, for the caller's next try.
@@ -367,7 +369,7 @@
     record("attempt.forward", What,
            {{"idempotent", What.Attempt.Idempotent ? "true" : "false"},
             {"key", What.Attempt.Key}});
-    Forwarding::Ask ask = forwardingOf(What);
+    UpstreamExchange::Ask ask = forwardingOf(What);
     Outcome<Done> end = co_await Exchange.run(std::move(ask), What.Sink);
     at.Running.erase(&Exchange);
     if (!What.Sink->gone())
@@ -376,22 +378,22 @@
     co_return end;
   }
 
-  Forwarding::Ask forwardingOf(Work &What) {
-    Forwarding::Ask ask;
+  UpstreamExchange::Ask forwardingOf(Work &What) {
+    UpstreamExchange::Ask ask;
     ask.Where = What.At->Setup.Where;
     ask.Server = What.At->Setup.Server;
     ask.Until = What.Until;
     ask.Engine = What.At->Engine;
-    ask.KeepBytes = What.Key.empty() ? 0 : MaxKeptAnswer;
+    ask.MaxCopyBytes = What.Key.empty() ? 0 : MaxKeptAnswer;
     ask.Http = std::move(What.Attempt.Http);
-    removeHopHeaders(ask.Http.Headers);
+    removeHopByHopHeaders(ask.Http.Headers);
     if (ask.Http.header("X-Request-Id").empty())
       ask.Http.Headers.push_back({"X-Request-Id", What.Attempt.Request});
     removeHeader(ask.Http.Headers, "X-Attempt");
     ask.Http.Headers.push_back(
         {"X-Attempt", std::to_string(What.Attempt.Attempt)});
     if (ask.Engine && ask.Http.path() == CompletionsPath)
-      ask.Http.Body = withPriority(ask.Http.Body, What.Attempt.Priority);
+      ask.Http.Body = setRequestPriority(ask.Http.Body, What.Attempt.Priority);
     return ask;
   }
 
@@ -419,17 +421,17 @@
   asio::awaitable<void> runKeyed(Work &What) {
     KeyDecision decision =
         Witnesses->keys().begin(What.Key, What.Fingerprint, monotonicNow());
-    while (decision.Step == KeyStep::Wait) {
+    while (decision.Step == KeyAction::Wait) {
       if (!co_await waitForFirst(What))
         co_return;
       decision =
           Witnesses->keys().begin(What.Key, What.Fingerprint, monotonicNow());
     }
     switch (decision.Step) {
-    case KeyStep::Run:
+    case KeyAction::Run:
       co_await runFirst(What);
       break;
-    case KeyStep::Answer:
+    case KeyAction::Answer:
       Counts.Repeats.add();
       co_await answerAgain(What, std::move(decision.Answer));
       break;
@@ -487,7 +489,7 @@
     }
     What.KeyProved = true;
     What.Sink->onGone([&at, id = What.Id] { at.Gate.wake(id); });
-    AdmissionAsk ask = askOf(What);
+    AdmissionRequest ask = askOf(What);
     std::function<bool()> gone = [sink = What.Sink] { return sink->gone(); };
     Outcome<Done> entered = co_await at.Gate.enter(ask, std::move(gone));
     if (!entered) {
@@ -497,7 +499,7 @@
       co_return;
     }
     record("attempt.admit", What, {});
-    Forwarding exchange(Context.get_executor(), Client);
+    UpstreamExchange exchange(Context.get_executor(), Client);
     Outcome<Done> end = co_await forward(What, exchange);
     if (end) {
       Witnesses->keys().answered(What.Key, exchange.kept());
@@ -534,7 +536,7 @@
         it->Gate.tick();
       }
       tellServers();
-      Tick.expires_after(Setup.TickPeriod);
+      Tick.expires_after(Setup.TickInterval);
       co_await Tick.async_wait(Awaited);
     }
   }
@@ -569,7 +571,7 @@
     while (!Stopped) {
       if (At.Engine)
         co_await look(At);
-      timer.expires_after(Setup.StatePeriod);
+      timer.expires_after(Setup.StatePollInterval);
       co_await timer.async_wait(Awaited);
     }
   }
@@ -587,7 +589,7 @@
       co_return state;
     }
     ++At.FailedLooks;
-    if (At.FailedLooks < Setup.StateFailures || !At.Serving)
+    if (At.FailedLooks < Setup.UnhealthyThreshold || !At.Serving)
       co_return state;
     At.Serving = false;
     spdlog::warn("engine {}: {}: out of service", At.Setup.Server.Text,
@@ -609,12 +611,12 @@
 
   static void breakOffRunning(Upstream &At, bool SamplesOnly,
                               const Failure &Why) {
-    std::vector<Forwarding *> broken;
-    for (const std::pair<Forwarding *const, bool> &it : At.Running) {
+    std::vector<UpstreamExchange *> broken;
+    for (const std::pair<UpstreamExchange *const, bool> &it : At.Running) {
       if (it.second || !SamplesOnly)
         broken.push_back(it.first);
     }
-    for (Forwarding *it : broken) {
+    for (UpstreamExchange *it : broken) {
       // One may end while another is broken off.
       if (At.Running.contains(it))
         it->breakOff(Why);
@@ -655,10 +657,10 @@
       recordOrder("order.refuse", What, free.failure().Reason);
       co_return free.failure();
     }
-    Counts.OrdersTaken.add();
+    Counts.OrdersExecuted.add();
     recordOrder("order.take", What, "");
-    Outcome<Done> done =
-        co_await orderLoad(*Client, At.Setup.Where, What, Setup.OrderTimeout);
+    Outcome<Done> done = co_await sendLoadOrder(*Client, At.Setup.Where, What,
+                                                Setup.OrderTimeout);
     // The order's own answer may be lost or wrong: the report decides.
     Outcome<EngineState> state = co_await look(At);
     At.Gate.holdRollouts(false);
@@ -697,7 +699,7 @@
                               "server " + At.Setup.Server.Text,
                               "its model's version changes",
                               {}});
-    TimePoint until = monotonicNow() + Setup.SwapWait;
+    TimePoint until = monotonicNow() + Setup.SampleDrainTimeout;
     BootTimer timer(Context);
     while (At.Gate.admission().runningRollouts() > 0) {
       if (monotonicNow() >= until)
@@ -713,12 +715,12 @@
   asio::io_context &Context;
   const Settings Setup;
   Timeline &Events;
-  DaemonCounts Counts;
-  ControlSource Source;
-  ServersCallback Tell;
+  DaemonMetrics Counts;
+  ControlPlaneReader Source;
+  ServerStatusCallback Tell;
   /// Made when attached.
   std::shared_ptr<KeyWitnesses> Witnesses;
-  OrderGuard Guard;
+  FencingGuard Guard;
   std::shared_ptr<http::Client> Client;
   std::shared_ptr<RequestClient> Peers;
   std::vector<std::unique_ptr<Upstream>> Upstreams;
--- a/Wasabi/Adapters/Proxy/DaemonProxy.h
+++ b/Wasabi/Adapters/Proxy/DaemonProxy.h
@@ -44,24 +44,24 @@
     Incarnation Life = 0;
     std::vector<UpstreamServer> Upstreams;
     /// Time between two looks at an engine's state, and how long one may take.
-    Millis StatePeriod{250};
+    Millis StatePollInterval{250};
     Millis StateTimeout{1000};
     /// Looks in a row that must fail before a server is out of service.
-    std::uint32_t StateFailures = 3;
+    std::uint32_t UnhealthyThreshold = 3;
     /// Time between two looks at the waiting requests' deadlines.
-    Millis TickPeriod{20};
+    Millis TickInterval{20};
     /// How long a witness of a key may take to answer.
     Millis WitnessTimeout{500};
     /// How long handing all keys over may take.
     Millis HandOverTimeout{5000};
     /// Longest that an order waits for running samples, and takes after it.
-    Millis SwapWait{60000};
+    Millis SampleDrainTimeout{60000};
     Millis OrderTimeout{60000};
     std::uint64_t Seed = 1;
   };
 
   /// What the proxy tells the control plane.
-  using ServersCallback = std::function<void(std::vector<ServerStatus>)>;
+  using ServerStatusCallback = std::function<void(std::vector<ServerStatus>)>;
   using OrderCallback = std::function<void(Outcome<OrderAnswer>)>;
 
   /// `Events` and `Counts` must outlive the proxy.
@@ -72,14 +72,14 @@
 
   /// Begins to take requests and to tell of the servers; before it every
   /// request is refused `NotRun`.
-  virtual void attach(ControlSource Source, ServersCallback Tell) = 0;
+  virtual void attach(ControlPlaneReader Source, ServerStatusCallback Tell) = 0;
   /// Runs one attempt. For `RequestServer`.
   virtual boost::asio::awaitable<void>
-  handle(RequestAttempt Attempt, std::shared_ptr<AnswerSink> Sink) = 0;
+  handle(RequestAttempt Attempt, std::shared_ptr<ResponseSink> Sink) = 0;
   /// Carries an order out; calls back once, on the context's thread.
   virtual void order(Order What, OrderCallback Callback) = 0;
   /// What load reports say.
-  virtual std::vector<LoadSeen> loads() const = 0;
+  virtual std::vector<ReportedLoad> loads() const = 0;
   /// From now on new work is refused `NotRun`; what runs goes on to its end.
   virtual void leave() = 0;
   /// Tells the keys' witnesses among those that stay what is remembered here,
--- a/Wasabi/Adapters/Proxy/EngineApi.cpp
+++ b/Wasabi/Adapters/Proxy/EngineApi.cpp
@@ -79,8 +79,8 @@
   co_return parseEngineState(answer->Body);
 }
 
-asio::awaitable<Outcome<Done>> orderLoad(http::Client &Client, Address Where,
-                                         Order What, Millis Timeout) {
+asio::awaitable<Outcome<Done>>
+sendLoadOrder(http::Client &Client, Address Where, Order What, Millis Timeout) {
   json::object body;
   body["fence"] = What.Token;
   body["order"] = "load";
@@ -106,7 +106,7 @@
   co_return Done{};
 }
 
-std::string withPriority(const std::string &Body, std::int32_t Priority) {
+std::string setRequestPriority(const std::string &Body, std::int32_t Priority) {
   boost::system::error_code ec;
   json::value parsed = json::parse(Body, ec);
   if (ec || !parsed.is_object())
--- a/Wasabi/Adapters/Proxy/EngineApi.h
+++ b/Wasabi/Adapters/Proxy/EngineApi.h
@@ -38,11 +38,11 @@
 /// state afterwards. Failures: `StaleFence` when the engine refused the token;
 /// `Unavailable` when it failed; else those of the client.
 boost::asio::awaitable<Outcome<Done>>
-orderLoad(http::Client &Client, Address Where, Order What, Millis Timeout);
+sendLoadOrder(http::Client &Client, Address Where, Order What, Millis Timeout);
 
 /// A completion's body with this priority. Gives `Body` back when it is not a
 /// JSON object. Pure.
-std::string withPriority(const std::string &Body, std::int32_t Priority);
+std::string setRequestPriority(const std::string &Body, std::int32_t Priority);
 
 } // namespace wasabi
 
--- a/Wasabi/Adapters/Proxy/EntryCounts.h
+++ b/Wasabi/Adapters/Proxy/EntryMetrics.h
@@ -1,15 +1,15 @@
 /// \file
 /// The counters of an entry's work.
-#ifndef WASABI_ADAPTERS_PROXY_ENTRYCOUNTS_H
-#define WASABI_ADAPTERS_PROXY_ENTRYCOUNTS_H
+#ifndef WASABI_ADAPTERS_PROXY_ENTRYMETRICS_H
+#define WASABI_ADAPTERS_PROXY_ENTRYMETRICS_H
 
 #include "Wasabi/Adapters/Telemetry/Metrics.h"
 
 namespace wasabi {
 
 /// Its registry must outlive it. Thread-safe as each counter is.
-struct EntryCounts {
-  explicit EntryCounts(Metrics &Registry)
+struct EntryMetrics {
+  explicit EntryMetrics(Metrics &Registry)
       : Received(Registry.counter("wasabi_entry_requests_total",
                                   "Callers' requests received")),
         Whole(Registry.counter("wasabi_entry_whole_answers_total",
@@ -33,12 +33,12 @@
                                  "Attempts beyond a request's first")),
         Resumed(Registry.counter("wasabi_entry_resumed_streams_total",
                                  "Streams resumed on another server")),
-        BudgetSpent(Registry.counter(
+        RetryBudgetRefusals(Registry.counter(
             "wasabi_entry_retries_refused_total",
             "Retries not made since the retry budget was spent")),
-        Limited(Registry.counter("wasabi_entry_limited_total",
-                                 "Requests beyond their caller's limit")),
-        Affinity(Registry.counter(
+        RateLimited(Registry.counter("wasabi_entry_limited_total",
+                                     "Requests beyond their caller's limit")),
+        PrefixPlacements(Registry.counter(
             "wasabi_entry_prefix_placements_total",
             "Attempts that went where their prefix was placed, or belongs")),
         CrossDomain(
@@ -58,13 +58,13 @@
   Counter &Attempts;
   Counter &Retries;
   Counter &Resumed;
-  Counter &BudgetSpent;
-  Counter &Limited;
-  Counter &Affinity;
+  Counter &RetryBudgetRefusals;
+  Counter &RateLimited;
+  Counter &PrefixPlacements;
   Counter &CrossDomain;
   Quantiles &Seconds;
 };
 
 } // namespace wasabi
 
-#endif // WASABI_ADAPTERS_PROXY_ENTRYCOUNTS_H
+#endif // WASABI_ADAPTERS_PROXY_ENTRYMETRICS_H
--- a/Wasabi/Adapters/Proxy/EntryProxy.cpp
+++ b/Wasabi/Adapters/Proxy/EntryProxy.cpp
@@ -1,7 +1,7 @@
 #include "Wasabi/Adapters/Proxy/EntryProxy.h"
 
-#include "Wasabi/Adapters/Proxy/CallerAnswer.h"
-#include "Wasabi/Adapters/Proxy/EntryCounts.h"
+#include "Wasabi/Adapters/Proxy/CallerResponse.h"
+#include "Wasabi/Adapters/Proxy/EntryMetrics.h"
 #include "Wasabi/Adapters/Proxy/ProxyHeaders.h"
 #include "Wasabi/Core/BootTimer.h"
 #include "Wasabi/Routing/CallerLimits.h"
@@ -34,7 +34,7 @@
   std::string Name;
   RouteMatch Match;
   http::Request Ask;
-  CallerAnswer Answer;
+  CallerResponse Answer;
   TimePoint Began;
   TimePoint Until;
   std::int32_t Priority = 0;
@@ -47,7 +47,7 @@
   /// A daemon has looked its key up, so that its verdict holds for the key.
   bool KeyLookedUp = false;
   /// The attempt whose answer is being read, for cancelling.
-  AnswerStream *Reading = nullptr;
+  DaemonResponseStream *Reading = nullptr;
 
   /// Whether its key makes it run once.
   bool keyed() const { return !Match.Key.empty() && !Match.Idempotent; }
@@ -56,7 +56,7 @@
 /// Marks the stream being read, for as long as it lives.
 class ReadingMark {
 public:
-  ReadingMark(Call &What, AnswerStream &Stream) : What(What) {
+  ReadingMark(Call &What, DaemonResponseStream &Stream) : What(What) {
     What.Reading = &Stream;
   }
   ReadingMark(const ReadingMark &) = delete;
@@ -90,7 +90,7 @@
 class EntryProxyImpl final : public EntryProxy {
 public:
   EntryProxyImpl(asio::io_context &Context, Settings Setup,
-                 ControlSource Source, Timeline &Events, Metrics &Registry)
+                 ControlPlaneReader Source, Timeline &Events, Metrics &Registry)
       : Context(Context), Setup(std::move(Setup)), Source(std::move(Source)),
         Events(Events), Counts(Registry), Random(this->Setup.Seed),
         Hints(PrefixHints::Settings()), Refresh(Context) {
@@ -107,7 +107,7 @@
 
   void start() {
     Client->onLoad([this](const Address &Where,
-                          const std::vector<LoadSeen> &Loads,
+                          const std::vector<ReportedLoad> &Loads,
                           bool Leaving) { takeLoads(Where, Loads, Leaving); });
     std::shared_ptr<EntryProxyImpl> self =
         std::static_pointer_cast<EntryProxyImpl>(shared_from_this());
@@ -125,13 +125,13 @@
     Call call;
     call.Name = nextName();
     call.Ask = std::move(Ask);
-    call.Answer = CallerAnswer(std::move(Out), call.Name);
+    call.Answer = CallerResponse(std::move(Out), call.Name);
     call.Began = monotonicNow();
     Outcome<Done> end = accept(call);
     if (end)
       end = co_await serve(call);
     if (!end && call.keyed() && !call.KeyLookedUp)
-      end = withoutKeyProof(end.failure());
+      end = downgradeUnprovenFailure(end.failure());
     co_await finish(call, std::move(end));
     InFlight.fetch_sub(1, std::memory_order_relaxed);
   }
@@ -173,22 +173,22 @@
       return Failure{Verdict::NotRun, FailureCode::Unavailable,
                      "preset " + declared.InForce.Text,
                      "it takes no callers' requests", Millis(5000)};
-    std::size_t entries = liveEntries(*Source.Members());
+    std::size_t entries = countLiveEntries(*Source.Members());
     std::optional<Millis> wait = Limits.take(declared.Limits, What.Match.Caller,
                                              entries, monotonicNow());
     if (wait) {
-      Counts.Limited.add();
+      Counts.RateLimited.add();
       return Failure{Verdict::NotRun, FailureCode::Overloaded,
                      "caller " + What.Match.Caller,
                      "it asks more than its declared limit", *wait};
     }
     if (What.Match.Streamed) {
-      Outcome<CompletionProgress> begin = startOf(What.Ask.Body);
+      Outcome<CompletionProgress> begin = parseInitialProgress(What.Ask.Body);
       if (!begin)
         return begin.failure();
       What.Progress = *std::move(begin);
     }
-    removeHopHeaders(What.Ask.Headers);
+    removeHopByHopHeaders(What.Ask.Headers);
     if (What.Ask.header("X-Request-Id").empty())
       What.Ask.Headers.push_back({"X-Request-Id", What.Name});
     return Done{};
@@ -231,7 +231,7 @@
       return false;
     if (canSpend(Budget))
       return true;
-    Counts.BudgetSpent.add();
+    Counts.RetryBudgetRefusals.add();
     return false;
   }
 
@@ -249,8 +249,8 @@
     if (now == Seen)
       return;
     Seen = now;
-    Known = candidatesOf(*now);
-    retain(Choices, Known, monotonicNow());
+    Known = findCandidates(*now);
+    retainServers(Choices, Known, monotonicNow());
     Instances.clear();
     for (const std::pair<const ServiceName, std::vector<Candidate>> &service :
          Known) {
@@ -264,14 +264,14 @@
     TimePoint now = monotonicNow();
     // A key has one home, whichever entry it comes through.
     if (What.keyed())
-      return homeOf(What.Match.Key, all);
+      return findHomeCandidate(What.Match.Key, all);
     std::optional<ServerKey> cached;
     if (!What.Match.Prompt.empty())
-      cached = holderOf(prefixOf(What.Match.Prompt), all, now);
+      cached = holderOf(hashPromptPrefix(What.Match.Prompt), all, now);
     std::optional<Candidate> chosen = choose(Choices, all, What.Tried, cached,
                                              now, Random, What.Match.Caller);
     if (chosen && cached && chosen->Key == *cached)
-      Counts.Affinity.add();
+      Counts.PrefixPlacements.add();
     return chosen;
   }
 
@@ -283,14 +283,15 @@
     std::optional<ServerKey> placed = Hints.find(Prefix, Now);
     if (placed)
       return placed;
-    std::optional<Candidate> home = homeOf(std::to_string(Prefix), Of);
+    std::optional<Candidate> home =
+        findHomeCandidate(std::to_string(Prefix), Of);
     return home ? std::optional<ServerKey>(home->Key) : std::nullopt;
   }
 
   Failure nobody(const Call &What) {
     const std::vector<Candidate> &all = candidates(What.Match.Service);
     Millis wait =
-        untilAvailable(Choices, all, monotonicNow(), What.Match.Caller);
+        timeUntilAvailable(Choices, all, monotonicNow(), What.Match.Caller);
     return Failure{Verdict::NotRun, FailureCode::NoUpstream,
                    "service " + What.Match.Service.Text,
                    all.empty() ? "no server of it is known"
@@ -314,7 +315,7 @@
                    {"instance", who.Key.Instance.Text},
                    {"server", who.Key.Server.Text}});
     if (!What.Match.Prompt.empty())
-      Hints.place(prefixOf(What.Match.Prompt), who.Key, monotonicNow());
+      Hints.place(hashPromptPrefix(What.Match.Prompt), who.Key, monotonicNow());
 
     TimePoint began = monotonicNow();
     noteStart(Choices, who, began);
@@ -345,7 +346,7 @@
     attempt.Priority = What.Priority;
     attempt.Caller = What.Match.Caller;
     if (What.Followed) {
-      attempt.Http.Body = resumeBody(What.Ask.Body, What.Progress);
+      attempt.Http.Body = makeResumeBody(What.Ask.Body, What.Progress);
       Counts.Resumed.add();
     }
     return attempt;
@@ -364,12 +365,12 @@
                         What.Name,
                         "its deadline is over",
                         {}};
-    Outcome<std::unique_ptr<AnswerStream>> opened =
+    Outcome<std::unique_ptr<DaemonResponseStream>> opened =
         co_await Client->open(Who.Where, std::move(attempt));
     What.KeyLookedUp = opened || opened.failure().Place != toText(Who.Where);
     if (!opened)
       co_return opened.failure();
-    std::unique_ptr<AnswerStream> stream = *std::move(opened);
+    std::unique_ptr<DaemonResponseStream> stream = *std::move(opened);
     ReadingMark mark(What, *stream);
     if (What.Answer.gone())
       co_return What.Answer.callerLeft();
@@ -381,7 +382,8 @@
 
   /// Any answer but a followed stream: put together up to a bound, then passed
   /// on in pieces.
-  asio::awaitable<AttemptEnd> relayWhole(Call &What, AnswerStream &From) {
+  asio::awaitable<AttemptEnd> relayWhole(Call &What,
+                                         DaemonResponseStream &From) {
     // What goes on from a broken stream must be a stream itself.
     if (What.Answer.begun())
       co_return Failure{Verdict::MayHaveRun,
@@ -404,7 +406,7 @@
         continue;
       }
       whole.Body += **piece;
-      if (whole.Body.size() <= Setup.MaxBuffered)
+      if (whole.Body.size() <= Setup.MaxBufferedBytes)
         continue;
       std::string body = std::move(whole.Body);
       Outcome<Done> begun = co_await What.Answer.begin(whole);
@@ -420,7 +422,8 @@
   }
 
   /// A completion's stream: whole events are passed on at once, and counted.
-  asio::awaitable<AttemptEnd> relayEvents(Call &What, AnswerStream &From) {
+  asio::awaitable<AttemptEnd> relayEvents(Call &What,
+                                          DaemonResponseStream &From) {
     if (!What.Followed) {
       What.Followed = true;
       Outcome<Done> begun = co_await What.Answer.begin(From.head());
@@ -445,7 +448,7 @@
       if (!taken)
         co_return taken;
     }
-    if (!What.Progress.Done || splitter.partial())
+    if (!What.Progress.Done || splitter.hasPartialEvent())
       co_return Failure{Verdict::Ran,
                         FailureCode::ConnectionLost,
                         "event stream",
@@ -459,7 +462,7 @@
                                   std::string &Passed) {
     for (const std::string &it : Events) {
       Outcome<CompletionProgress> next =
-          followEvent(std::move(What.Progress), it);
+          applyStreamEvent(std::move(What.Progress), it);
       if (!next)
         return next.failure();
       What.Progress = *std::move(next);
@@ -512,12 +515,12 @@
     }
   }
 
-  void takeLoads(const Address &Where, const std::vector<LoadSeen> &Loads,
+  void takeLoads(const Address &Where, const std::vector<ReportedLoad> &Loads,
                  bool Leaving) {
     std::map<Address, InstanceName>::const_iterator it = Instances.find(Where);
     if (it == Instances.end())
       return;
-    for (const LoadSeen &load : Loads)
+    for (const ReportedLoad &load : Loads)
       noteLoad(Choices, ServerKey{it->second, load.Server}, load);
     if (Leaving)
       noteLeaving(Choices, it->second);
@@ -529,19 +532,19 @@
       refreshCandidates();
       for (const std::pair<const Address, InstanceName> &it : Instances)
         Client->prepare(it.first);
-      Refresh.expires_after(Setup.RefreshPeriod);
+      Refresh.expires_after(Setup.RefreshInterval);
       co_await Refresh.async_wait(Awaited);
     }
   }
 
   asio::io_context &Context;
   const Settings Setup;
-  const ControlSource Source;
+  const ControlPlaneReader Source;
   Timeline &Events;
-  EntryCounts Counts;
+  EntryMetrics Counts;
   std::mt19937_64 Random;
   std::shared_ptr<RequestClient> Client;
-  ChoiceState Choices;
+  BalancerState Choices;
   RetryBudget Budget;
   PrefixHints Hints;
   CallerLimits Limits;
@@ -556,17 +559,19 @@
 
 } // namespace
 
-ControlSource sourceOf(ControlPlane &Control) {
-  return ControlSource{[&Control] { return Control.state(); },
-                       [&Control] { return Control.view(); },
-                       [&Control](InstanceName Who) {
-                         Control.noteUnreachable(std::move(Who));
-                       }};
+ControlPlaneReader sourceOf(ControlPlane &Control) {
+  return ControlPlaneReader{[&Control] { return Control.state(); },
+                            [&Control] { return Control.view(); },
+                            [&Control](InstanceName Who) {
+                              Control.noteUnreachable(std::move(Who));
+                            }};
 }
 
-std::shared_ptr<EntryProxy>
-EntryProxy::create(asio::io_context &Context, Settings Setup,
-                   ControlSource Source, Timeline &Events, Metrics &Counts) {
+std::shared_ptr<EntryProxy> EntryProxy::create(asio::io_context &Context,
+                                               Settings Setup,
+                                               ControlPlaneReader Source,
+                                               Timeline &Events,
+                                               Metrics &Counts) {
   std::shared_ptr<EntryProxyImpl> proxy = std::make_shared<EntryProxyImpl>(
       Context, std::move(Setup), std::move(Source), Events, Counts);
   proxy->start();
--- a/Wasabi/Adapters/Proxy/EntryProxy.h
+++ b/Wasabi/Adapters/Proxy/EntryProxy.h
@@ -10,7 +10,7 @@
 #include "Wasabi/Core/Ids.h"
 #include "Wasabi/Core/Timeline.h"
 #include "Wasabi/Node/ControlPlane.h"
-#include "Wasabi/Routing/Choice.h"
+#include "Wasabi/Routing/LoadBalancing.h"
 #include "Wasabi/Routing/RetryBudget.h"
 
 #include <boost/asio/awaitable.hpp>
@@ -22,7 +22,7 @@
 namespace wasabi {
 
 /// What the proxy reads of the control plane; each function is thread-safe.
-struct ControlSource {
+struct ControlPlaneReader {
   std::function<std::shared_ptr<const FoldState>()> State;
   std::function<std::shared_ptr<const View>()> Members;
   /// Told when a daemon could not be reached. May be empty.
@@ -30,7 +30,7 @@
 };
 
 /// The source that reads a control plane, which must outlive it.
-ControlSource sourceOf(ControlPlane &Control);
+ControlPlaneReader sourceOf(ControlPlane &Control);
 
 /// Not thread-safe, but for what says so: use on the context's thread.
 class EntryProxy : public std::enable_shared_from_this<EntryProxy> {
@@ -41,20 +41,20 @@
     Incarnation Life = 0;
     /// A whole answer up to this many bytes is put together before its head is
     /// sent, so that a break can still be retried or told.
-    std::size_t MaxBuffered = 1u << 20;
+    std::size_t MaxBufferedBytes = 1u << 20;
     /// Most attempts of one request.
     std::uint32_t MaxAttempts = 4;
     RetryBudget::Settings Retries;
-    ChoiceSettings Choice;
+    BalancerSettings Choice;
     /// Time between two looks at the view, for connecting ahead.
-    Millis RefreshPeriod{100};
+    Millis RefreshInterval{100};
     std::uint64_t Seed = 1;
   };
 
   /// `Events` and `Counts` must outlive the proxy.
   static std::shared_ptr<EntryProxy> create(boost::asio::io_context &Context,
                                             Settings Setup,
-                                            ControlSource Source,
+                                            ControlPlaneReader Source,
                                             Timeline &Events, Metrics &Counts);
   virtual ~EntryProxy() = default;
 
--- a/Wasabi/Adapters/Proxy/KeyWitnesses.cpp
+++ b/Wasabi/Adapters/Proxy/KeyWitnesses.cpp
@@ -45,7 +45,7 @@
 asio::awaitable<Outcome<Done>>
 KeyWitnesses::reserve(KeyRecord What, std::vector<Address> &Reserved) {
   std::shared_ptr<const View> view = Members();
-  for (const Member &it : witnessesOf(What.Key, *view, self())) {
+  for (const Member &it : findWitnesses(What.Key, *view, self())) {
     Outcome<Done> told = co_await tell(it.Requests, What, ReserveMethod);
     if (told) {
       Reserved.push_back(it.Requests);
@@ -76,7 +76,7 @@
                       {LifeHeader, std::to_string(What.Who.Life)},
                       {TurnHeader, std::to_string(What.Turn)}};
   ask.Deadline = Setup.WitnessTimeout;
-  Outcome<std::unique_ptr<AnswerStream>> answer =
+  Outcome<std::unique_ptr<DaemonResponseStream>> answer =
       co_await Peers->open(std::move(Where), std::move(ask));
   if (!answer)
     co_return answer.failure();
@@ -113,7 +113,7 @@
     KeyRecord record = std::move(Work->Left.back());
     Work->Left.pop_back();
     std::shared_ptr<const View> view = Members();
-    for (const Member &it : witnessesOf(record.Key, *view, self())) {
+    for (const Member &it : findWitnesses(record.Key, *view, self())) {
       // A witness that knows better refuses, which is as good.
       if (takesWork(it))
         co_await tell(it.Requests, record, ReserveMethod);
@@ -132,7 +132,7 @@
   return it->second.Life != Who.Life || !takesWork(it->second);
 }
 
-void KeyWitnesses::answer(const RequestAttempt &Ask, AnswerSink &Sink) {
+void KeyWitnesses::answer(const RequestAttempt &Ask, ResponseSink &Sink) {
   bool release = Ask.Http.Method == ReleaseMethod;
   if (!release && Ask.Http.Method != ReserveMethod) {
     Sink.fail(Failure{Verdict::NotRun,
--- a/Wasabi/Adapters/Proxy/KeyWitnesses.h
+++ b/Wasabi/Adapters/Proxy/KeyWitnesses.h
@@ -51,7 +51,7 @@
   /// here, and calls back when done or after `HandOverTimeout`.
   void handOver(std::function<void()> Callback);
   /// Answers another daemon.
-  void answer(const RequestAttempt &Ask, AnswerSink &Sink);
+  void answer(const RequestAttempt &Ask, ResponseSink &Sink);
 
 private:
   struct HandOver;
--- a/Wasabi/Adapters/Proxy/ProcessSettings.cpp
+++ b/Wasabi/Adapters/Proxy/ProcessSettings.cpp
@@ -29,8 +29,8 @@
   return found;
 }
 
-Result<ProcessSettings> readProcessSettings(const ProcessFlags &Flags,
-                                            Incarnation Life) {
+Result<ProcessSettings> parseProcessSettings(const ProcessFlags &Flags,
+                                             Incarnation Life) {
   if (Flags.Instance.empty())
     return badInput("--instance", "this instance needs a name");
   if (Flags.FailureDomain.empty())
@@ -53,8 +53,9 @@
   return settings;
 }
 
-ControlPlane::Settings controlSettings(const ProcessSettings &From, Role Kind,
-                                       Address Requests, Address Admin) {
+ControlPlane::Settings makeControlPlaneSettings(const ProcessSettings &From,
+                                                Role Kind, Address Requests,
+                                                Address Admin) {
   ControlPlane::Settings settings;
   settings.Instance = From.Instance;
   settings.Domain = From.Domain;
@@ -84,9 +85,9 @@
   return boost::json::serialize(status);
 }
 
-std::string loadsJson(const std::vector<LoadSeen> &Loads) {
+std::string encodeServerLoads(const std::vector<ReportedLoad> &Loads) {
   boost::json::array servers;
-  for (const LoadSeen &it : Loads)
+  for (const ReportedLoad &it : Loads)
     servers.push_back(boost::json::object{{"name", it.Server.Text},
                                           {"service", it.Service.Text},
                                           {"running", it.Running},
--- a/Wasabi/Adapters/Proxy/ProcessSettings.h
+++ b/Wasabi/Adapters/Proxy/ProcessSettings.h
@@ -52,12 +52,13 @@
 
 /// Reads and checks the shared flags; `Life` is this start. Errors: `BadInput`
 /// naming the flag.
-Result<ProcessSettings> readProcessSettings(const ProcessFlags &Flags,
-                                            Incarnation Life);
+Result<ProcessSettings> parseProcessSettings(const ProcessFlags &Flags,
+                                             Incarnation Life);
 
 /// The control plane's settings of a process with these addresses.
-ControlPlane::Settings controlSettings(const ProcessSettings &From, Role Kind,
-                                       Address Requests, Address Admin);
+ControlPlane::Settings makeControlPlaneSettings(const ProcessSettings &From,
+                                                Role Kind, Address Requests,
+                                                Address Admin);
 
 /// A JSON object for `/status` of what every process tells.
 struct ProcessStatus {
@@ -72,7 +73,7 @@
 std::string statusJson(const ProcessStatus &What);
 
 /// A JSON object for `/status` of a daemon's servers and their load.
-std::string loadsJson(const std::vector<LoadSeen> &Loads);
+std::string encodeServerLoads(const std::vector<ReportedLoad> &Loads);
 
 } // namespace wasabi
 
--- a/Wasabi/Adapters/Proxy/ProxyHeaders.cpp
+++ b/Wasabi/Adapters/Proxy/ProxyHeaders.cpp
@@ -16,7 +16,7 @@
                                         : Letter;
 }
 
-bool sameName(std::string_view One, std::string_view Other) {
+bool isSameHeaderName(std::string_view One, std::string_view Other) {
   return One.size() == Other.size() &&
          std::equal(One.begin(), One.end(), Other.begin(),
                     [](char A, char B) { return lower(A) == lower(B); });
@@ -25,15 +25,16 @@
 } // namespace
 
 void removeHeader(std::vector<http::Header> &Headers, std::string_view Name) {
-  std::erase_if(
-      Headers, [&](const http::Header &it) { return sameName(it.Name, Name); });
+  std::erase_if(Headers, [&](const http::Header &it) {
+    return isSameHeaderName(it.Name, Name);
+  });
 }
 
-void removeHopHeaders(std::vector<http::Header> &Headers) {
+void removeHopByHopHeaders(std::vector<http::Header> &Headers) {
   std::erase_if(Headers, [](const http::Header &Field) {
     return std::any_of(
         HopHeaders.begin(), HopHeaders.end(),
-        [&](std::string_view it) { return sameName(Field.Name, it); });
+        [&](std::string_view it) { return isSameHeaderName(Field.Name, it); });
   });
 }
 
--- a/Wasabi/Adapters/Proxy/ProxyHeaders.h
+++ b/Wasabi/Adapters/Proxy/ProxyHeaders.h
@@ -12,7 +12,7 @@
 
 /// Takes out what holds for one connection only (RFC 9110, 7.6.1), and what
 /// the next connection frames anew: length, host, expectations.
-void removeHopHeaders(std::vector<http::Header> &Headers);
+void removeHopByHopHeaders(std::vector<http::Header> &Headers);
 
 /// Takes out every field of this name, compared without case.
 void removeHeader(std::vector<http::Header> &Headers, std::string_view Name);
--- a/Wasabi/Adapters/Proxy/Forwarding.cpp
+++ b/Wasabi/Adapters/Proxy/UpstreamExchange.cpp
@@ -1,4 +1,4 @@
-#include "Wasabi/Adapters/Proxy/Forwarding.h"
+#include "Wasabi/Adapters/Proxy/UpstreamExchange.h"
 
 #include "Wasabi/Adapters/Proxy/ProxyHeaders.h"
 
@@ -34,7 +34,7 @@
 
 } // namespace
 
-void Forwarding::breakOff(Failure Why) {
+void UpstreamExchange::breakOff(Failure Why) {
   if (Broken)
     return;
   Broken = std::move(Why);
@@ -44,7 +44,7 @@
     Cancel.emit(asio::cancellation_type::terminal);
 }
 
-Failure Forwarding::reasonFor(Failure Why) const {
+Failure UpstreamExchange::makeExchangeFailure(Failure Why) const {
   if (!Broken)
     return Why;
   Failure told = *Broken;
@@ -53,7 +53,8 @@
   return told;
 }
 
-asio::awaitable<Forwarding::Opened> Forwarding::open(const Ask &What) {
+asio::awaitable<UpstreamExchange::Opened>
+UpstreamExchange::open(const Ask &What) {
   std::optional<Opened> opened;
   // A coroutine of its own, so that it can be cancelled while the server is
   // silent; its connection is then closed, which tells the server.
@@ -77,10 +78,10 @@
 }
 
 asio::awaitable<Outcome<Done>>
-Forwarding::run(Ask What, std::shared_ptr<AnswerSink> Sink) {
+UpstreamExchange::run(Ask What, std::shared_ptr<ResponseSink> Sink) {
   Opened opened = co_await open(What);
   if (!opened)
-    co_return reasonFor(opened.failure());
+    co_return makeExchangeFailure(opened.failure());
   std::unique_ptr<http::ResponseStream> stream = *std::move(opened);
   const http::Response &head = stream->head();
   if (What.Engine && head.Status == StatusUnavailable)
@@ -95,17 +96,17 @@
   if (!end) {
     Failure why = end.failure();
     why.Run = Verdict::Ran;
-    co_return reasonFor(why);
+    co_return makeExchangeFailure(why);
   }
   co_return end;
 }
 
 asio::awaitable<Outcome<Done>>
-Forwarding::relay(const Ask &What, http::ResponseStream &From,
-                  std::shared_ptr<AnswerSink> Sink) {
+UpstreamExchange::relay(const Ask &What, http::ResponseStream &From,
+                        std::shared_ptr<ResponseSink> Sink) {
   http::Response head = From.head();
-  removeHopHeaders(head.Headers);
-  if (What.KeepBytes > 0)
+  removeHopByHopHeaders(head.Headers);
+  if (What.MaxCopyBytes > 0)
     Kept = head;
   Sink->begin(std::move(head), What.Server);
   for (;;) {
@@ -116,12 +117,12 @@
     if (!piece->has_value())
       co_return Done{};
     // One byte too many is kept, so that the copy is seen to be cut short.
-    if (Kept.Body.size() <= What.KeepBytes && What.KeepBytes > 0)
+    if (Kept.Body.size() <= What.MaxCopyBytes && What.MaxCopyBytes > 0)
       Kept.Body += **piece;
-    if (Sink->gone() && What.KeepBytes > 0)
+    if (Sink->gone() && What.MaxCopyBytes > 0)
       continue;
     Outcome<Done> written = co_await Sink->write(**std::move(piece));
-    if (!written && What.KeepBytes == 0)
+    if (!written && What.MaxCopyBytes == 0)
       co_return written;
   }
 }
--- a/Wasabi/Adapters/Proxy/Forwarding.h
+++ b/Wasabi/Adapters/Proxy/UpstreamExchange.h
@@ -1,7 +1,7 @@
 /// \file
 /// Gives one admitted attempt to its server, once, and relays the answer.
-#ifndef WASABI_ADAPTERS_PROXY_FORWARDING_H
-#define WASABI_ADAPTERS_PROXY_FORWARDING_H
+#ifndef WASABI_ADAPTERS_PROXY_UPSTREAMEXCHANGE_H
+#define WASABI_ADAPTERS_PROXY_UPSTREAMEXCHANGE_H
 
 #include "Wasabi/Adapters/Frames/RequestServer.h"
 #include "Wasabi/Adapters/Http/HttpClient.h"
@@ -17,13 +17,13 @@
 
 /// One exchange with a server, which can be broken off from outside. Not
 /// thread-safe: use on the executor's thread.
-class Forwarding {
+class UpstreamExchange {
 public:
-  Forwarding(boost::asio::any_io_executor Executor,
-             std::shared_ptr<http::Client> Client)
+  UpstreamExchange(boost::asio::any_io_executor Executor,
+                   std::shared_ptr<http::Client> Client)
       : Executor(std::move(Executor)), Client(std::move(Client)) {}
-  Forwarding(const Forwarding &) = delete;
-  Forwarding &operator=(const Forwarding &) = delete;
+  UpstreamExchange(const UpstreamExchange &) = delete;
+  UpstreamExchange &operator=(const UpstreamExchange &) = delete;
 
   struct Ask {
     Address Where;
@@ -34,13 +34,13 @@
     bool Engine = false;
     /// Read to the end even when the asker is gone, and keep a copy of the
     /// answer up to this many bytes; 0 for neither.
-    std::size_t KeepBytes = 0;
+    std::size_t MaxCopyBytes = 0;
   };
 
   /// Sends the request and relays the answer into `Sink`, without its end.
   /// The verdict of a failure says how far it came.
   boost::asio::awaitable<Outcome<Done>> run(Ask What,
-                                            std::shared_ptr<AnswerSink> Sink);
+                                            std::shared_ptr<ResponseSink> Sink);
   /// Closes the exchange with this reason; `run` then fails with it, except
   /// that nothing sent yet is `NotRun`.
   void breakOff(Failure Why);
@@ -50,10 +50,10 @@
 private:
   using Opened = Outcome<std::unique_ptr<http::ResponseStream>>;
   boost::asio::awaitable<Opened> open(const Ask &What);
-  boost::asio::awaitable<Outcome<Done>> relay(const Ask &What,
-                                              http::ResponseStream &From,
-                                              std::shared_ptr<AnswerSink> Sink);
-  Failure reasonFor(Failure Why) const;
+  boost::asio::awaitable<Outcome<Done>>
+  relay(const Ask &What, http::ResponseStream &From,
+        std::shared_ptr<ResponseSink> Sink);
+  Failure makeExchangeFailure(Failure Why) const;
 
   boost::asio::any_io_executor Executor;
   std::shared_ptr<http::Client> Client;
@@ -65,4 +65,4 @@
 
 } // namespace wasabi
 
-#endif // WASABI_ADAPTERS_PROXY_FORWARDING_H
+#endif // WASABI_ADAPTERS_PROXY_UPSTREAMEXCHANGE_H
--- a/Wasabi/Adapters/Telemetry/DecisionLog.cpp
+++ b/Wasabi/Adapters/Telemetry/DecisionLog.cpp
@@ -11,7 +11,7 @@
 
 DecisionLog::DecisionLog(boost::asio::io_context &Context, Settings Limits)
     : Limits(std::move(Limits)), Timer(Context), Tokens(this->Limits.Burst),
-      Refilled(monotonicNow()) {}
+      LastRefill(monotonicNow()) {}
 
 DecisionLog::~DecisionLog() { flush(); }
 
@@ -27,10 +27,10 @@
 
 bool DecisionLog::admit() {
   TimePoint now = monotonicNow();
-  double passed = std::chrono::duration<double>(now - Refilled).count();
-  Refilled = now;
+  double passed = std::chrono::duration<double>(now - LastRefill).count();
+  LastRefill = now;
   Tokens = std::min(Limits.Burst, Tokens + passed * Limits.LinesPerSecond);
-  if (Tokens < 1 || Pending.size() > Limits.MaxPending)
+  if (Tokens < 1 || Pending.size() > Limits.MaxPendingBytes)
     return false;
   Tokens -= 1;
   return true;
@@ -43,14 +43,14 @@
     return;
   }
   if (Dropped != Told) {
-    Pending +=
-        logLine(wallMicros(), LogLevel::Warning, Limits.Instance, "log.dropped",
-                {{"lines", std::to_string(Dropped - Told)}});
+    Pending += formatLogLine(wallMicros(), LogLevel::Warning, Limits.Instance,
+                             "log.dropped",
+                             {{"lines", std::to_string(Dropped - Told)}});
     Pending += '\n';
     Told = Dropped;
   }
-  Pending +=
-      logLine(wallMicros(), LogLevel::Info, Limits.Instance, Event, Fields);
+  Pending += formatLogLine(wallMicros(), LogLevel::Info, Limits.Instance, Event,
+                           Fields);
   Pending += '\n';
   arm();
 }
--- a/Wasabi/Adapters/Telemetry/DecisionLog.h
+++ b/Wasabi/Adapters/Telemetry/DecisionLog.h
@@ -32,7 +32,7 @@
     /// Lines that may come at once.
     double Burst = 2000;
     /// Bytes that wait for a reader that is slow; more are dropped.
-    std::size_t MaxPending = 1u << 20;
+    std::size_t MaxPendingBytes = 1u << 20;
     /// How long a line waits for others, which share its system call.
     Millis Gather{50};
   };
@@ -59,7 +59,7 @@
   BootTimer Timer;
   std::string Pending;
   double Tokens;
-  TimePoint Refilled;
+  TimePoint LastRefill;
   std::uint64_t Dropped = 0;
   std::uint64_t Told = 0;
   bool Waiting = false;
--- a/Wasabi/Adapters/Telemetry/Log.cpp
+++ b/Wasabi/Adapters/Telemetry/Log.cpp
@@ -96,7 +96,7 @@
                       "' is not debug, info, warning or error");
 }
 
-std::string printable(std::string_view Text, std::size_t Most) {
+std::string sanitizeForLog(std::string_view Text, std::size_t Most) {
   std::string out(Text.substr(0, Most));
   std::replace_if(
       out.begin(), out.end(), [](char It) { return It < ' ' || It > '~'; },
@@ -104,9 +104,9 @@
   return out;
 }
 
-std::string logLine(std::uint64_t WallMicroseconds, LogLevel Level,
-                    std::string_view Instance, std::string_view Message,
-                    const std::vector<EventField> &Fields) {
+std::string formatLogLine(std::uint64_t WallMicroseconds, LogLevel Level,
+                          std::string_view Instance, std::string_view Message,
+                          const std::vector<EventField> &Fields) {
   std::string line;
   appendField(line, "time", utcText(WallMicroseconds));
   appendField(line, "level", toText(Level));
@@ -137,7 +137,7 @@
   if (!Sink->should_log(level))
     return;
   std::string line =
-      logLine(wallMicros(), Level, Limits.Instance, Message, Fields);
+      formatLogLine(wallMicros(), Level, Limits.Instance, Message, Fields);
   Sink->log(level, spdlog::string_view_t(line.data(), line.size()));
 }
 
