--- a/Wasabi/Adapters/Telemetry/Log.h
+++ b/Wasabi/Adapters/Telemetry/Log.h
@@ -31,13 +31,13 @@
 /// One line as it is written, without the newline: time (UTC, ISO 8601 with
 /// microseconds), level, instance, message, then the fields in their order.
 /// The value of a field whose key names a secret is replaced. Pure.
-std::string logLine(std::uint64_t WallMicroseconds, LogLevel Level,
-                    std::string_view Instance, std::string_view Message,
-                    const std::vector<EventField> &Fields);
+std::string formatLogLine(std::uint64_t WallMicroseconds, LogLevel Level,
+                          std::string_view Instance, std::string_view Message,
+                          const std::vector<EventField> &Fields);
 
 /// Foreign bytes as a field's value: at most `Most` of them, and what is not
 /// visible ASCII or a blank as a question mark. Pure.
-std::string printable(std::string_view Text, std::size_t Most);
+std::string sanitizeForLog(std::string_view Text, std::size_t Most);
 
 /// The log of one process. Thread-safe.
 class Log {
--- a/Wasabi/Adapters/Telemetry/Metrics.cpp
+++ b/Wasabi/Adapters/Telemetry/Metrics.cpp
@@ -190,13 +190,14 @@
   if (family.Help.empty())
     family.Help = Help;
   // One name is one kind over all its series.
-  if (!family.BySeries.empty() && !std::holds_alternative<std::unique_ptr<T>>(
-                                      family.BySeries.begin()->second))
+  if (!family.SeriesByLabels.empty() &&
+      !std::holds_alternative<std::unique_ptr<T>>(
+          family.SeriesByLabels.begin()->second))
     endOnMisuse(Name);
-  auto it = family.BySeries.find(Labels);
-  if (it == family.BySeries.end())
-    it =
-        family.BySeries.emplace(std::move(Labels), std::make_unique<T>()).first;
+  auto it = family.SeriesByLabels.find(Labels);
+  if (it == family.SeriesByLabels.end())
+    it = family.SeriesByLabels.emplace(std::move(Labels), std::make_unique<T>())
+             .first;
   return *std::get<std::unique_ptr<T>>(it->second);
 }
 
@@ -221,10 +222,10 @@
   for (const auto &[name, family] : Families) {
     std::string_view kind =
         std::visit([](const auto &held) { return kindText(*held); },
-                   family.BySeries.begin()->second);
+                   family.SeriesByLabels.begin()->second);
     text += "# HELP " + name + " " + escapedHelp(family.Help) + "\n";
     text += "# TYPE " + name + " " + std::string(kind) + "\n";
-    for (const auto &[labels, series] : family.BySeries) {
+    for (const auto &[labels, series] : family.SeriesByLabels) {
       text += std::visit(
           [&, &name = name, &labels = labels](const auto &held) {
             return seriesText(name, labels, *held);
--- a/Wasabi/Adapters/Telemetry/Metrics.h
+++ b/Wasabi/Adapters/Telemetry/Metrics.h
@@ -100,7 +100,7 @@
                               std::unique_ptr<Quantiles>>;
   struct Family {
     std::string Help;
-    std::map<std::vector<MetricLabel>, Series> BySeries;
+    std::map<std::vector<MetricLabel>, Series> SeriesByLabels;
   };
 
   template <typename T>
--- a/Wasabi/Adapters/Telemetry/TimelineJson.cpp
+++ b/Wasabi/Adapters/Telemetry/TimelineJson.cpp
@@ -78,7 +78,7 @@
   return out + "]}";
 }
 
-TimelinePage timelinePage(const Timeline &Of, std::uint64_t From) {
+TimelinePage makeTimelinePage(const Timeline &Of, std::uint64_t From) {
   return {Of.instance(), Of.dropped(), Of.since(From)};
 }
 
--- a/Wasabi/Adapters/Telemetry/TimelineJson.h
+++ b/Wasabi/Adapters/Telemetry/TimelineJson.h
@@ -31,7 +31,7 @@
 std::string encodeTimelinePage(const TimelinePage &What);
 
 /// The page of a process from sequence number `From` on. Thread-safe.
-TimelinePage timelinePage(const Timeline &Of, std::uint64_t From);
+TimelinePage makeTimelinePage(const Timeline &Of, std::uint64_t From);
 
 /// The reverse of `encodeTimelinePage`. Errors: `BadInput` at `Place`.
 /// Thread-safe.
--- a/Wasabi/Batch/BatchJob.h
+++ b/Wasabi/Batch/BatchJob.h
@@ -13,15 +13,15 @@
 namespace wasabi {
 
 /// A record of the payload topic (`PayloadStore.h`). An immutable value.
-struct PayloadRecord {
+struct PayloadRecordRef {
   Offset At = 0;
   std::uint64_t Bytes = 0;
-  bool operator==(const PayloadRecord &) const = default;
+  bool operator==(const PayloadRecordRef &) const = default;
 };
 
 /// Where bytes lie in the payload topic: those of the records, joined. Empty
 /// where the bytes stand in the record itself.
-using PayloadPlace = std::vector<PayloadRecord>;
+using PayloadLocation = std::vector<PayloadRecordRef>;
 
 /// A batch job as its submitter names it. Names are a customer's own: two
 /// customers may choose the same one, and know nothing of each other's job.
@@ -41,20 +41,20 @@
 using ItemId = Name<struct ItemTag>;
 
 /// A header that goes to the server as it came.
-struct PassedHeader {
+struct ForwardedHeader {
   std::string Name;
   std::string Value;
-  bool operator==(const PassedHeader &) const = default;
+  bool operator==(const ForwardedHeader &) const = default;
 };
 
 /// The request that scores a finished sample.
-struct ScoreCall {
+struct ScoreRequest {
   /// The id that the scoring server sees.
   std::string Id;
   std::string Host;
   std::string Path;
   std::string Body;
-  bool operator==(const ScoreCall &) const = default;
+  bool operator==(const ScoreRequest &) const = default;
 };
 
 /// One sample to generate. An immutable value. Where its job's items lie in the
@@ -62,12 +62,12 @@
 struct BatchItem {
   ItemId Id;
   std::string Path;
-  std::vector<PassedHeader> Headers;
+  std::vector<ForwardedHeader> Headers;
   std::string Body;
   /// Items of one group share their prompt and count only together.
   std::string Group;
   /// Set when the sample needs a score before it counts as complete.
-  std::optional<ScoreCall> Score;
+  std::optional<ScoreRequest> Score;
   /// Output length that the caller expects, in tokens; 0 when it does not say.
   /// True at the median only.
   double ExpectedTokens = 0;
@@ -91,12 +91,12 @@
 };
 
 /// How an item ended.
-enum class ItemEnd : std::uint8_t { Completed, Terminated };
+enum class ItemStatus : std::uint8_t { Completed, Terminated };
 
 /// What stands at one position of a job's results. An immutable value.
 struct ItemResult {
   ItemId Item;
-  ItemEnd End = ItemEnd::Completed;
+  ItemStatus End = ItemStatus::Completed;
   /// The data of all events in order, joined by line feeds.
   std::string Output;
   /// Every version that generated an event, ascending.
@@ -104,7 +104,7 @@
   /// What the scoring server signed; empty if the item needs no score.
   std::string Score;
   /// Where `Output` lies if it isn't here.
-  PayloadPlace OutputAt = {};
+  PayloadLocation OutputLocation = {};
   bool operator==(const ItemResult &) const = default;
 };
 
--- a/Wasabi/Batch/BatchRecord.cpp
+++ b/Wasabi/Batch/BatchRecord.cpp
@@ -39,7 +39,7 @@
 
 json::value itemValue(const BatchItem &Item) {
   json::array headers;
-  for (const PassedHeader &it : Item.Headers)
+  for (const ForwardedHeader &it : Item.Headers)
     headers.push_back(json::array{it.Name, it.Value});
   json::object value{{"id", Item.Id.Text},
                      {"path", Item.Path},
@@ -60,9 +60,9 @@
   return json::array{Item.Id.Text, Item.Group, Item.ExpectedTokens};
 }
 
-json::array placeValue(const PayloadPlace &Place) {
+json::array placeValue(const PayloadLocation &Place) {
   json::array records;
-  for (const PayloadRecord &it : Place)
+  for (const PayloadRecordRef &it : Place)
     records.push_back(json::array{it.At, it.Bytes});
   return records;
 }
@@ -70,7 +70,8 @@
 json::object fieldsOf(const JobPart &What) {
   json::array items;
   for (const BatchItem &it : What.Job.Items)
-    items.push_back(What.ItemsAt.empty() ? itemValue(it) : sketchValue(it));
+    items.push_back(What.ItemsLocation.empty() ? itemValue(it)
+                                               : sketchValue(it));
   return {{"kind", "job"},
           {"schema", schemaFor(What.Job.Id)},
           {"job", jobValue(What.Job.Id)},
@@ -82,7 +83,7 @@
           {"step", What.Job.Step},
           {"min", What.Job.MinVersion},
           {"groups", What.Job.TargetGroups},
-          {"at", placeValue(What.ItemsAt)},
+          {"at", placeValue(What.ItemsLocation)},
           {"items", std::move(items)}};
 }
 
@@ -93,9 +94,9 @@
                      schemaFor(What.Job),
                      jobValue(What.Job),
                      What.Result.Item.Text,
-                     What.Result.End == ItemEnd::Completed,
+                     What.Result.End == ItemStatus::Completed,
                      What.Result.Output,
-                     placeValue(What.Result.OutputAt),
+                     placeValue(What.Result.OutputLocation),
                      json::value_from(What.Result.Versions),
                      What.Result.Score};
 }
@@ -106,7 +107,7 @@
           {"job", jobValue(What.Job)}};
 }
 
-json::value fieldsOf(const TextRecord &What) {
+json::value fieldsOf(const PartialTextRecord &What) {
   return json::array{TextTag,
                      schemaFor(What.Job),
                      jobValue(What.Job),
@@ -114,7 +115,7 @@
                      What.Source,
                      What.After,
                      What.Text.Output,
-                     placeValue(What.OutputAt),
+                     placeValue(What.OutputLocation),
                      What.Text.Events,
                      What.Text.Whole,
                      json::value_from(What.Text.Versions)};
@@ -166,8 +167,8 @@
   return std::string(text.data(), text.size());
 }
 
-PayloadPlace placeOf(const json::value &From) {
-  PayloadPlace place;
+PayloadLocation placeOf(const json::value &From) {
+  PayloadLocation place;
   for (const json::value &it : From.as_array())
     place.push_back(
         {it.at(0).to_number<Offset>(), it.at(1).to_number<std::uint64_t>()});
@@ -220,8 +221,8 @@
   const json::value *score = From.if_contains("score");
   if (score != nullptr) {
     const json::array &parts = score->as_array();
-    item.Score = ScoreCall{plainText(parts.at(0)), plainText(parts.at(1)),
-                           plainText(parts.at(2)), bytesOf(parts.at(3))};
+    item.Score = ScoreRequest{plainText(parts.at(0)), plainText(parts.at(1)),
+                              plainText(parts.at(2)), bytesOf(parts.at(3))};
   }
   return item;
 }
@@ -237,10 +238,11 @@
   part.Job.Step = numberOf(From, "step");
   part.Job.MinVersion = numberOf(From, "min");
   part.Job.TargetGroups = numberOf(From, "groups");
-  part.ItemsAt = placeOf(From.at("at"));
+  part.ItemsLocation = placeOf(From.at("at"));
   for (const json::value &it : From.at("items").as_array())
-    part.Job.Items.push_back(part.ItemsAt.empty() ? readItem(it.as_object())
-                                                  : readSketch(it.as_array()));
+    part.Job.Items.push_back(part.ItemsLocation.empty()
+                                 ? readItem(it.as_object())
+                                 : readSketch(it.as_array()));
   return part;
 }
 
@@ -249,22 +251,22 @@
   record.Job = jobOf(From.next());
   record.Result.Item = ItemId(From.text());
   record.Result.End =
-      From.next().as_bool() ? ItemEnd::Completed : ItemEnd::Terminated;
+      From.next().as_bool() ? ItemStatus::Completed : ItemStatus::Terminated;
   record.Result.Output = From.text();
-  record.Result.OutputAt = placeOf(From.next());
+  record.Result.OutputLocation = placeOf(From.next());
   record.Result.Versions = From.versions();
   record.Result.Score = From.text();
   return record;
 }
 
 BatchRecord readText(ArrayReader &From) {
-  TextRecord record;
+  PartialTextRecord record;
   record.Job = jobOf(From.next());
   record.Item = ItemId(From.text());
   record.Source = From.number();
   record.After = From.number();
   record.Text.Output = From.text();
-  record.OutputAt = placeOf(From.next());
+  record.OutputLocation = placeOf(From.next());
   record.Text.Events = From.number();
   record.Text.Whole = From.next().as_bool();
   record.Text.Versions = From.versions();
@@ -316,7 +318,7 @@
   constexpr std::size_t PerHeader = 16;
   std::size_t bytes = ItemHeadBytes + Item.Path.size() + Item.Group.size() +
                       Item.Body.size() * 4 / 3;
-  for (const PassedHeader &it : Item.Headers)
+  for (const ForwardedHeader &it : Item.Headers)
     bytes += PerHeader + it.Name.size() + it.Value.size();
   if (Item.Score)
     bytes += Item.Score->Path.size() + Item.Score->Body.size() * 4 / 3;
--- a/Wasabi/Batch/BatchRecord.h
+++ b/Wasabi/Batch/BatchRecord.h
@@ -30,7 +30,7 @@
   std::uint32_t Part = 0;
   std::uint32_t Parts = 1;
   /// Where the items of this part lie as a whole (`encodeItems`).
-  PayloadPlace ItemsAt = {};
+  PayloadLocation ItemsLocation = {};
   bool operator==(const JobPart &) const = default;
 };
 
@@ -49,7 +49,7 @@
 
 /// What an item's dispatcher has of its unfinished text, whole or what came
 /// since its last such record.
-struct TextRecord {
+struct PartialTextRecord {
   JobId Job;
   ItemId Item;
   /// Tells the texts of two dispatchers apart, which must not be joined.
@@ -60,8 +60,8 @@
   /// whole text.
   PartialText Text;
   /// Where `Text.Output` lies if it isn't here.
-  PayloadPlace OutputAt = {};
-  bool operator==(const TextRecord &) const = default;
+  PayloadLocation OutputLocation = {};
+  bool operator==(const PartialTextRecord &) const = default;
 };
 
 /// Takes the lease. Valid if no record of the lease lies between `After` and
@@ -88,8 +88,9 @@
   bool operator==(const LeaseRelease &) const = default;
 };
 
-using BatchRecord = std::variant<JobPart, ResultRecord, JobEnd, TextRecord,
-                                 LeaseClaim, LeaseRenewal, LeaseRelease>;
+using BatchRecord =
+    std::variant<JobPart, ResultRecord, JobEnd, PartialTextRecord, LeaseClaim,
+                 LeaseRenewal, LeaseRelease>;
 
 /// The text of a record as it is appended. Thread-safe.
 std::string encodeRecord(const BatchRecord &What);
@@ -101,7 +102,7 @@
 
 /// A text up to this long, in bytes, stands in its record: to name it and to
 /// read it elsewhere would cost as much.
-inline constexpr std::size_t InlineBytes = 256;
+inline constexpr std::size_t MaxInlineBytes = 256;
 
 /// The parts of one submission, the items of each some `MaxBytes` long.
 /// Thread-safe.
--- a/Wasabi/Batch/BatchDesk.cpp
+++ b/Wasabi/Batch/BatchService.cpp
@@ -1,4 +1,4 @@
-#include "Wasabi/Batch/BatchDesk.h"
+#include "Wasabi/Batch/BatchService.h"
 
 namespace wasabi {
 
@@ -19,60 +19,62 @@
 
 } // namespace
 
-std::string_view toText(DeskVerdict Verdict) {
+std::string_view toText(JobRequestStatus Verdict) {
   switch (Verdict) {
-  case DeskVerdict::Taken:
+  case JobRequestStatus::Taken:
     return "taken";
-  case DeskVerdict::Refused:
+  case JobRequestStatus::Refused:
     return "refused";
-  case DeskVerdict::Unknown:
+  case JobRequestStatus::Unknown:
     return "unknown";
-  case DeskVerdict::NoJob:
+  case JobRequestStatus::JobNotFound:
     return "no-job";
   }
   return "unknown";
 }
 
-BatchDesk::BatchDesk(Parts With, Settings Limits)
+BatchService::BatchService(Parts With, Settings Limits)
     : Limits(Limits), Log(std::move(With.Log)),
       Payloads(std::move(With.Payloads)), Decisions(std::move(With.Decisions)),
-      ResultTime(std::move(With.ResultTime)) {}
+      ResultTimeout(std::move(With.ResultTimeout)) {}
 
-std::shared_ptr<BatchDesk> BatchDesk::create(Parts With, Settings Limits) {
-  return std::shared_ptr<BatchDesk>(new BatchDesk(std::move(With), Limits));
+std::shared_ptr<BatchService> BatchService::create(Parts With,
+                                                   Settings Limits) {
+  return std::shared_ptr<BatchService>(
+      new BatchService(std::move(With), Limits));
 }
 
 /// Appends until the store takes the records or the topic shows what they say.
 /// `Refused` only if no append can have happened or can still happen.
 template <typename Check>
-asio::awaitable<DeskVerdict>
-BatchDesk::appendUntil(std::vector<std::string> Records, Check Shows) {
+asio::awaitable<JobRequestStatus>
+BatchService::appendAndConfirm(std::vector<std::string> Records, Check Shows) {
   // Out of reach of the store nothing is sent: the submitter hears at once that
   // nothing was taken, and another process may reach it.
   if (Log->contact().Lost)
-    co_return DeskVerdict::Refused;
+    co_return JobRequestStatus::Refused;
   Outcome<Offset> got = co_await Log->append(std::move(Records));
   if (got || Shows())
-    co_return DeskVerdict::Taken;
+    co_return JobRequestStatus::Taken;
   if (got.failure().Run == Verdict::NotRun)
-    co_return DeskVerdict::Refused;
+    co_return JobRequestStatus::Refused;
   // It may be there, or come yet: the topic tells.
   Outcome<Done> fresh = co_await Log->refresh();
   if (fresh && Shows())
-    co_return DeskVerdict::Taken;
-  co_return DeskVerdict::Unknown;
+    co_return JobRequestStatus::Taken;
+  co_return JobRequestStatus::Unknown;
 }
 
 /// Stores the items of a job and gives the records that make it one. Until one
 /// of these is in the topic nothing has been accepted.
 asio::awaitable<Outcome<std::vector<std::string>>>
-BatchDesk::storeItems(const BatchJob &Job) {
+BatchService::storeItems(const BatchJob &Job) {
   std::vector<JobPart> parts = splitJob(Job, Payloads->settings().RecordBytes);
   std::vector<std::string> items;
   items.reserve(parts.size());
   for (const JobPart &it : parts)
     items.push_back(encodeItems(it.Job.Items));
-  Outcome<std::vector<PayloadPlace>> places = co_await Payloads->put(items);
+  Outcome<std::vector<PayloadLocation>> places = co_await Payloads->put(items);
   // A repeated store of items does no harm, so one lost answer is borne.
   if (!places && !Log->contact().Lost)
     places = co_await Payloads->put(std::move(items));
@@ -81,23 +83,23 @@
   std::vector<std::string> records;
   records.reserve(parts.size());
   for (std::size_t i = 0; i < parts.size(); ++i) {
-    parts[i].ItemsAt = std::move((*places)[i]);
+    parts[i].ItemsLocation = std::move((*places)[i]);
     records.push_back(encodeRecord(parts[i]));
   }
   co_return records;
 }
 
-asio::awaitable<DeskVerdict> BatchDesk::submit(BatchJob Job) {
-  std::shared_ptr<BatchDesk> self = shared_from_this();
+asio::awaitable<JobRequestStatus> BatchService::submit(BatchJob Job) {
+  std::shared_ptr<BatchService> self = shared_from_this();
   JobId id = Job.Id;
   auto shows = [this, id] { return findJob(Log->fold(), id) != nullptr; };
-  DeskVerdict verdict = DeskVerdict::Taken;
+  JobRequestStatus verdict = JobRequestStatus::Taken;
   if (Log->contact().Lost && !shows())
-    verdict = DeskVerdict::Refused;
+    verdict = JobRequestStatus::Refused;
   else if (!shows()) {
     Outcome<std::vector<std::string>> records = co_await storeItems(Job);
-    verdict = records ? co_await appendUntil(std::move(*records), shows)
-                      : DeskVerdict::Refused;
+    verdict = records ? co_await appendAndConfirm(std::move(*records), shows)
+                      : JobRequestStatus::Refused;
   }
   Decisions->line("job.submitted", {{"job", id.Text},
                                     {"model", Job.Model.Text},
@@ -107,12 +109,12 @@
   co_return verdict;
 }
 
-asio::awaitable<DeskVerdict> BatchDesk::end(JobId Id) {
-  std::shared_ptr<BatchDesk> self = shared_from_this();
+asio::awaitable<JobRequestStatus> BatchService::end(JobId Id) {
+  std::shared_ptr<BatchService> self = shared_from_this();
   Outcome<std::shared_ptr<JobState>> job = co_await find(Id);
   if (!job && job.failure().Code == FailureCode::Expired)
-    co_return DeskVerdict::NoJob;
-  DeskVerdict verdict = DeskVerdict::Taken;
+    co_return JobRequestStatus::JobNotFound;
+  JobRequestStatus verdict = JobRequestStatus::Taken;
   // Whether there is such a job matters to nobody: the end of none is passed
   // over by all who read it.
   if (!job || !(*job)->Ended) {
@@ -122,14 +124,15 @@
       std::shared_ptr<JobState> state = findJob(Log->fold(), Id);
       return state && state->Ended;
     };
-    verdict = co_await appendUntil(std::move(records), ended);
+    verdict = co_await appendAndConfirm(std::move(records), ended);
   }
   Decisions->line("job.ended", {{"job", Id.Text},
                                 {"verdict", std::string(toText(verdict))}});
   co_return verdict;
 }
 
-asio::awaitable<Outcome<std::shared_ptr<JobState>>> BatchDesk::find(JobId Id) {
+asio::awaitable<Outcome<std::shared_ptr<JobState>>>
+BatchService::find(JobId Id) {
   std::shared_ptr<JobState> job = findJob(Log->fold(), Id);
   if (job)
     co_return job;
@@ -144,8 +147,8 @@
 }
 
 asio::awaitable<Outcome<ResultPage>>
-BatchDesk::read(JobId Id, std::size_t After, Millis Wait) {
-  std::shared_ptr<BatchDesk> self = shared_from_this();
+BatchService::read(JobId Id, std::size_t After, Millis Wait) {
+  std::shared_ptr<BatchService> self = shared_from_this();
   Outcome<std::shared_ptr<JobState>> found = co_await find(Id);
   if (!found)
     co_return found.failure();
@@ -155,14 +158,14 @@
   // That a position is empty may be said only by who knows the present: another
   // process may have shown what stands there.
   bool beyond = After > job.Results.size();
-  bool stale = monotonicNow() - Log->freshAt() > Limits.StaleAfter;
+  bool stale = monotonicNow() - Log->lastCaughtUpTime() > Limits.MaxStateAge;
   if (job.Results.size() <= After && (beyond || stale)) {
     Outcome<Done> fresh = co_await Log->refresh();
     if (!fresh)
       co_return unsure(Id, fresh.failure().Reason);
   }
 
-  Outcome<ResultPage> page = co_await collect(*found, After);
+  Outcome<ResultPage> page = co_await loadResultPage(*found, After);
   Decisions->line(
       "job.read",
       {{"job", Id.Text},
@@ -178,24 +181,25 @@
 
 /// Until when a reader of a trainer's step waits for it to be whole; `Came` for
 /// a reader of another job.
-TimePoint BatchDesk::holdUntil(const JobState &Job, std::size_t After,
-                               TimePoint Came, Millis Wait) const {
+TimePoint BatchService::computeAnswerDeadline(const JobState &Job,
+                                              std::size_t After, TimePoint Came,
+                                              Millis Wait) const {
   if (Job.Job.TargetGroups == 0)
     return Came;
   StepRead read{Came, Wait, Job.Results.size() > After, std::nullopt};
-  Millis time = ResultTime ? ResultTime(Job.Job) : Millis(0);
+  Millis time = ResultTimeout ? ResultTimeout(Job.Job) : Millis(0);
   if (time > Millis(0))
     read.Due = Job.Seen + time;
-  return wasabi::holdUntil(read, Limits.Steps);
+  return wasabi::computeAnswerDeadline(read, Limits.Steps);
 }
 
 /// Waits for a step to be whole; else for a result at `After`, and for those
 /// that come with it.
-asio::awaitable<void> BatchDesk::awaitResults(std::shared_ptr<JobState> Job,
-                                              std::size_t After, TimePoint Came,
-                                              Millis Wait) {
-  TimePoint held = holdUntil(*Job, After, Came, Wait);
-  while (!isStepWhole(*Job) && !Job->Ended && monotonicNow() < held)
+asio::awaitable<void> BatchService::awaitResults(std::shared_ptr<JobState> Job,
+                                                 std::size_t After,
+                                                 TimePoint Came, Millis Wait) {
+  TimePoint held = computeAnswerDeadline(*Job, After, Came, Wait);
+  while (!isStepComplete(*Job) && !Job->Ended && monotonicNow() < held)
     co_await Log->changes().wait(held);
   if (Job->Results.size() > After)
     co_return;
@@ -203,28 +207,28 @@
   while (Job->Results.size() <= After && !Job->Ended && monotonicNow() < until)
     co_await Log->changes().wait(until);
   TimePoint gathered = std::min(until, monotonicNow() + Limits.Gather);
-  while (!isStepWhole(*Job) && !Job->Ended && monotonicNow() < gathered)
+  while (!isStepComplete(*Job) && !Job->Ended && monotonicNow() < gathered)
     co_await Log->changes().wait(gathered);
 }
 
 /// The results from `After` on with their texts: as many as there are, as fit
 /// into a page and as the store gives now.
 asio::awaitable<Outcome<ResultPage>>
-BatchDesk::collect(std::shared_ptr<JobState> Job, std::size_t After) {
+BatchService::loadResultPage(std::shared_ptr<JobState> Job, std::size_t After) {
   ResultPage page;
   page.Total = Job->Job.Items.size();
   std::size_t bytes = 0;
   for (std::size_t i = After; i < Job->Results.size(); ++i) {
     ItemResult result = Job->Results[i];
-    Outcome<std::string> text = co_await Payloads->get(result.OutputAt);
+    Outcome<std::string> text = co_await Payloads->get(result.OutputLocation);
     if (!text && page.Results.empty())
       co_return unsure(Job->Job.Id, text.failure().Reason);
     if (!text)
       break;
     result.Output += *text;
-    result.OutputAt.clear();
+    result.OutputLocation.clear();
     bytes += result.Output.size();
-    if (!page.Results.empty() && bytes > Limits.PageBytes)
+    if (!page.Results.empty() && bytes > Limits.MaxPageBytes)
       break;
     page.Results.push_back(std::move(result));
   }
@@ -232,8 +236,9 @@
   co_return page;
 }
 
-asio::awaitable<Outcome<std::string>> BatchDesk::body(JobId Id, ItemId Item) {
-  std::shared_ptr<BatchDesk> self = shared_from_this();
+asio::awaitable<Outcome<std::string>> BatchService::body(JobId Id,
+                                                         ItemId Item) {
+  std::shared_ptr<BatchService> self = shared_from_this();
   Outcome<std::shared_ptr<JobState>> found = co_await find(Id);
   if (!found)
     co_return found.failure();
@@ -241,7 +246,7 @@
   auto it = job.Index.find(Item.Text);
   if (it == job.Index.end())
     co_return noJob(Id);
-  ItemPlace place = job.Places[it->second];
+  ItemLocation place = job.Places[it->second];
   if (place.Items.empty())
     co_return job.Job.Items[it->second].Body;
   Outcome<std::vector<BatchItem>> items =
--- a/Wasabi/Batch/BatchFold.cpp
+++ b/Wasabi/Batch/BatchState.cpp
@@ -1,4 +1,4 @@
-#include "Wasabi/Batch/BatchFold.h"
+#include "Wasabi/Batch/BatchState.h"
 
 #include <string_view>
 
@@ -6,13 +6,14 @@
 
 namespace {
 
-void addPlaces(std::vector<ItemPlace> &To, const JobPart &Of) {
+void addPlaces(std::vector<ItemLocation> &To, const JobPart &Of) {
   for (std::size_t i = 0; i < Of.Job.Items.size(); ++i)
-    To.push_back({Of.ItemsAt, i});
+    To.push_back({Of.ItemsLocation, i});
 }
 
-std::shared_ptr<JobState> makeState(BatchJob Job, std::vector<ItemPlace> Places,
-                                    Offset At, TimePoint Now) {
+std::shared_ptr<JobState> makeState(BatchJob Job,
+                                    std::vector<ItemLocation> Places, Offset At,
+                                    TimePoint Now) {
   std::shared_ptr<JobState> state = std::make_shared<JobState>();
   state->Places = std::move(Places);
   state->At = At;
@@ -23,7 +24,7 @@
     state->Index.emplace(Job.Items[i].Id.Text, i);
     std::size_t group =
         groups.emplace(Job.Items[i].Group, groups.size()).first->second;
-    state->GroupOf.push_back(group);
+    state->GroupIndices.push_back(group);
     state->Unlisted.resize(groups.size(), 0);
     ++state->Unlisted[group];
   }
@@ -33,11 +34,11 @@
 
 /// The parts of one submission lie side by side, since they are appended at
 /// once; a part that does not continue the one before starts anew.
-FoldChange applyKind(BatchFold &Fold, Offset At, const JobPart &What,
-                     TimePoint Now) {
+BatchStateChange applyKind(BatchState &Fold, Offset At, const JobPart &What,
+                           TimePoint Now) {
   if (What.Part == 0) {
     Fold.Unfinished = What;
-    Fold.UnfinishedPlaces.clear();
+    Fold.PendingItemLocations.clear();
   } else if (Fold.Unfinished && Fold.Unfinished->Job.Id == What.Job.Id &&
              Fold.Unfinished->Part + 1 == What.Part) {
     std::vector<BatchItem> &items = Fold.Unfinished->Job.Items;
@@ -45,7 +46,7 @@
     Fold.Unfinished->Part = What.Part;
   } else
     return {};
-  addPlaces(Fold.UnfinishedPlaces, What);
+  addPlaces(Fold.PendingItemLocations, What);
   if (What.Part + 1 < What.Parts)
     return {};
 
@@ -56,14 +57,14 @@
   if (Fold.Jobs.contains(id))
     return {};
   std::shared_ptr<JobState> state =
-      makeState(std::move(job), std::move(Fold.UnfinishedPlaces), At, Now);
-  Fold.UnfinishedPlaces.clear();
+      makeState(std::move(job), std::move(Fold.PendingItemLocations), At, Now);
+  Fold.PendingItemLocations.clear();
   Fold.Jobs.emplace(std::move(id), state);
-  return {FoldChange::Kind::Accepted, state};
+  return {BatchStateChange::Kind::Accepted, state};
 }
 
-FoldChange applyKind(BatchFold &Fold, Offset, const ResultRecord &What,
-                     TimePoint) {
+BatchStateChange applyKind(BatchState &Fold, Offset, const ResultRecord &What,
+                           TimePoint) {
   std::shared_ptr<JobState> job = findJob(Fold, What.Job);
   if (!job)
     return {};
@@ -72,58 +73,59 @@
   if (it == job->Index.end() || job->Listed[it->second])
     return {};
   job->Listed[it->second] = true;
-  if (--job->Unlisted[job->GroupOf[it->second]] == 0)
-    ++job->WholeGroups;
+  if (--job->Unlisted[job->GroupIndices[it->second]] == 0)
+    ++job->CompleteGroups;
   job->Texts.erase(it->second);
   job->Results.push_back(What.Result);
-  return {FoldChange::Kind::Listed, job};
+  return {BatchStateChange::Kind::Listed, job};
 }
 
-FoldChange applyKind(BatchFold &Fold, Offset, const JobEnd &What, TimePoint) {
+BatchStateChange applyKind(BatchState &Fold, Offset, const JobEnd &What,
+                           TimePoint) {
   std::shared_ptr<JobState> job = findJob(Fold, What.Job);
   if (!job || job->Ended)
     return {};
   job->Ended = true;
-  return {FoldChange::Kind::Ended, job};
+  return {BatchStateChange::Kind::Ended, job};
 }
 
-FoldChange applyKind(BatchFold &Fold, Offset, const TextRecord &What,
-                     TimePoint) {
+BatchStateChange applyKind(BatchState &Fold, Offset,
+                           const PartialTextRecord &What, TimePoint) {
   std::shared_ptr<JobState> job = findJob(Fold, What.Job);
   if (!job)
     return {};
   auto it = job->Index.find(What.Item.Text);
   if (it == job->Index.end() || job->Listed[it->second])
     return {};
-  StoredText &stored = job->Texts[it->second];
+  SavedPartialText &stored = job->Texts[it->second];
   bool goesOn = What.After > 0 && stored.Source == What.Source &&
                 stored.Text.Events == What.After;
   if (What.After > 0 && !goesOn)
     return {};
   if (!goesOn)
     stored.Pieces.clear();
-  stored.Pieces.push_back({What.Text.Output, What.OutputAt});
+  stored.Pieces.push_back({What.Text.Output, What.OutputLocation});
   stored.Source = What.Source;
   stored.Text = What.Text;
   stored.Text.Output.clear();
   return {};
 }
 
-FoldChange applyKind(BatchFold &Fold, Offset At, const LeaseClaim &What,
-                     TimePoint Now) {
+BatchStateChange applyKind(BatchState &Fold, Offset At, const LeaseClaim &What,
+                           TimePoint Now) {
   // Compare and swap: its writer found the lease free, and nobody has taken or
   // prolonged it since.
   std::optional<Offset> last;
   if (Fold.Lease.Holder)
-    last = Fold.Lease.LastAt;
+    last = Fold.Lease.LastRecordOffset;
   if (What.After != last)
     return {};
   Fold.Lease = LeaseState{What.Holder, At, At, Now, false};
-  return {FoldChange::Kind::Lease, nullptr};
+  return {BatchStateChange::Kind::Lease, nullptr};
 }
 
-FoldChange applyKind(BatchFold &Fold, Offset At, const LeaseRenewal &What,
-                     TimePoint Now) {
+BatchStateChange applyKind(BatchState &Fold, Offset At,
+                           const LeaseRenewal &What, TimePoint Now) {
   // Only who has read a claim that is valid renews under it: one that is not
   // known here has expired before this process began to read.
   bool unread = !Fold.Lease.Holder || What.Term > Fold.Lease.Term;
@@ -131,25 +133,25 @@
     Fold.Lease = LeaseState{What.Holder, What.Term, At, Now, false};
   if (Fold.Lease.Term != What.Term || Fold.Lease.Released)
     return {};
-  Fold.Lease.LastAt = At;
+  Fold.Lease.LastRecordOffset = At;
   Fold.Lease.Seen = Now;
-  return {FoldChange::Kind::Lease, nullptr};
+  return {BatchStateChange::Kind::Lease, nullptr};
 }
 
-FoldChange applyKind(BatchFold &Fold, Offset At, const LeaseRelease &What,
-                     TimePoint Now) {
+BatchStateChange applyKind(BatchState &Fold, Offset At,
+                           const LeaseRelease &What, TimePoint Now) {
   if (!Fold.Lease.Holder || Fold.Lease.Term != What.Term)
     return {};
   Fold.Lease.Released = true;
-  Fold.Lease.LastAt = At;
+  Fold.Lease.LastRecordOffset = At;
   Fold.Lease.Seen = Now;
-  return {FoldChange::Kind::Lease, nullptr};
+  return {BatchStateChange::Kind::Lease, nullptr};
 }
 
 } // namespace
 
-FoldChange apply(BatchFold &Fold, Offset At, const BatchRecord &What,
-                 TimePoint Now) {
+BatchStateChange apply(BatchState &Fold, Offset At, const BatchRecord &What,
+                       TimePoint Now) {
   if (At < Fold.Next)
     return {};
   Fold.Next = At + 1;
@@ -157,25 +159,25 @@
       [&](const auto &Kind) { return applyKind(Fold, At, Kind, Now); }, What);
 }
 
-void skip(BatchFold &Fold, Offset At) {
+void skip(BatchState &Fold, Offset At) {
   if (At >= Fold.Next)
     Fold.Next = At + 1;
 }
 
-void expire(BatchFold &Fold, TimePoint Now) {
+void expire(BatchState &Fold, TimePoint Now) {
   for (auto it = Fold.Jobs.begin(); it != Fold.Jobs.end();) {
-    bool old = Now - it->second->Seen > Fold.Limits.KeepJob;
+    bool old = Now - it->second->Seen > Fold.Limits.JobRetention;
     it = old ? Fold.Jobs.erase(it) : std::next(it);
   }
 }
 
-bool isStepWhole(const JobState &Of) {
+bool isStepComplete(const JobState &Of) {
   std::uint64_t wanted =
       Of.Job.TargetGroups > 0 ? Of.Job.TargetGroups : Of.Unlisted.size();
-  return Of.WholeGroups >= wanted;
+  return Of.CompleteGroups >= wanted;
 }
 
-std::shared_ptr<JobState> findJob(const BatchFold &Fold, const JobId &Id) {
+std::shared_ptr<JobState> findJob(const BatchState &Fold, const JobId &Id) {
   auto it = Fold.Jobs.find(Id);
   return it == Fold.Jobs.end() ? nullptr : it->second;
 }
--- a/Wasabi/Batch/BatchFold.h
+++ b/Wasabi/Batch/BatchState.h
@@ -2,8 +2,8 @@
 /// What follows from the rollout topic's order: which jobs were accepted, what
 /// stands at each position of their results, and who holds the dispatching
 /// duty. The same records give the same state in every process.
-#ifndef WASABI_BATCH_BATCHFOLD_H
-#define WASABI_BATCH_BATCHFOLD_H
+#ifndef WASABI_BATCH_BATCHSTATE_H
+#define WASABI_BATCH_BATCHSTATE_H
 
 #include "Wasabi/Batch/BatchRecord.h"
 #include "Wasabi/Core/Clock.h"
@@ -21,22 +21,22 @@
 /// A stretch of an unfinished text, here or in the payload topic.
 struct TextPiece {
   std::string Here;
-  PayloadPlace There;
+  PayloadLocation There;
 };
 
 /// An unfinished text, and whose it is.
-struct StoredText {
+struct SavedPartialText {
   /// `Output` is empty: `Pieces` joined.
   PartialText Text;
   std::vector<TextPiece> Pieces;
-  /// See `TextRecord::Source`.
+  /// See `PartialTextRecord::Source`.
   std::uint64_t Source = 0;
 };
 
 /// Where an item lies in the payload topic.
-struct ItemPlace {
+struct ItemLocation {
   /// Of the items that lie together; empty if the item is here as a whole.
-  PayloadPlace Items;
+  PayloadLocation Items;
   /// Its number among them.
   std::size_t Index = 0;
 };
@@ -45,7 +45,7 @@
 struct JobState {
   BatchJob Job;
   /// By item.
-  std::vector<ItemPlace> Places;
+  std::vector<ItemLocation> Places;
   /// Offset of its first record: jobs are ordered by it.
   Offset At = 0;
   /// When this process learnt of it.
@@ -58,12 +58,12 @@
   /// By item: whether it stands in `Results`.
   std::vector<bool> Listed;
   /// By item: the number of its group.
-  std::vector<std::size_t> GroupOf;
+  std::vector<std::size_t> GroupIndices;
   /// By group: its items that do not stand in `Results`.
   std::vector<std::size_t> Unlisted;
-  std::size_t WholeGroups = 0;
+  std::size_t CompleteGroups = 0;
   /// Unfinished texts that dispatchers have saved, by item.
-  std::map<std::size_t, StoredText> Texts;
+  std::map<std::size_t, SavedPartialText> Texts;
 };
 
 /// The dispatching duty.
@@ -73,18 +73,18 @@
   /// Offset of the holder's claim, its fencing token.
   FencingToken Term = 0;
   /// Offset of the newest record that changed or prolonged it.
-  Offset LastAt = 0;
+  Offset LastRecordOffset = 0;
   /// When this process saw the holder's last record.
   TimePoint Seen;
   bool Released = false;
 };
 
 /// The folded state. Owned by one thread.
-struct BatchFold {
+struct BatchState {
   struct Settings {
     /// A job is kept this long: results must be readable for 120 s after the
     /// submission on all deployments known, and records expire at 300 s.
-    Millis KeepJob{150000};
+    Millis JobRetention{150000};
     bool operator==(const Settings &) const = default;
   };
 
@@ -96,11 +96,11 @@
   /// Parts of a submission whose last part has not been seen.
   std::optional<JobPart> Unfinished;
   /// Places of the items in `Unfinished`.
-  std::vector<ItemPlace> UnfinishedPlaces;
+  std::vector<ItemLocation> PendingItemLocations;
 };
 
 /// What a record changed, for whoever acts on it.
-struct FoldChange {
+struct BatchStateChange {
   enum class Kind : std::uint8_t { Nothing, Accepted, Listed, Ended, Lease };
   Kind What = Kind::Nothing;
   std::shared_ptr<JobState> Job;
@@ -108,22 +108,22 @@
 
 /// Applies the record at `At`. A record before `Next` was applied already and
 /// changes nothing. Precondition: records come in their order.
-FoldChange apply(BatchFold &Fold, Offset At, const BatchRecord &What,
-                 TimePoint Now);
+BatchStateChange apply(BatchState &Fold, Offset At, const BatchRecord &What,
+                       TimePoint Now);
 
 /// Passes over the record at `At`, which could not be read.
-void skip(BatchFold &Fold, Offset At);
+void skip(BatchState &Fold, Offset At);
 
 /// Forgets jobs that nobody may ask for any more.
-void expire(BatchFold &Fold, TimePoint Now);
+void expire(BatchState &Fold, TimePoint Now);
 
 /// Whether as many groups are listed whole as the job's trainer waits for.
 /// Pure.
-bool isStepWhole(const JobState &Of);
+bool isStepComplete(const JobState &Of);
 
 /// The job of this name, null if it is not known.
-std::shared_ptr<JobState> findJob(const BatchFold &Fold, const JobId &Id);
+std::shared_ptr<JobState> findJob(const BatchState &Fold, const JobId &Id);
 
 } // namespace wasabi
 
-#endif // WASABI_BATCH_BATCHFOLD_H
+#endif // WASABI_BATCH_BATCHSTATE_H
--- a/Wasabi/Batch/PayloadStore.cpp
+++ b/Wasabi/Batch/PayloadStore.cpp
@@ -47,10 +47,10 @@
       new PayloadStore(std::move(Store), std::move(Limits)));
 }
 
-asio::awaitable<Outcome<std::vector<PayloadPlace>>>
+asio::awaitable<Outcome<std::vector<PayloadLocation>>>
 PayloadStore::put(std::vector<std::string> Payloads) {
   std::shared_ptr<PayloadStore> self = shared_from_this();
-  std::vector<PayloadPlace> places(Payloads.size());
+  std::vector<PayloadLocation> places(Payloads.size());
   for (PayloadAppend &it : planAppends(Payloads, Limits)) {
     if (it.Records.empty())
       continue;
@@ -67,7 +67,7 @@
       co_return why;
     }
     for (std::size_t i = 0; i < sizes.size(); ++i)
-      places[it.Owners[i]].push_back(PayloadRecord{*first + i, sizes[i]});
+      places[it.Owners[i]].push_back(PayloadRecordRef{*first + i, sizes[i]});
   }
   co_return places;
 }
@@ -78,7 +78,7 @@
     return;
   Order.push_back(At);
   KeptBytes += size;
-  while (KeptBytes > Limits.CacheBytes && Order.size() > 1) {
+  while (KeptBytes > Limits.MaxCacheBytes && Order.size() > 1) {
     auto oldest = Kept.find(Order.front());
     KeptBytes -= oldest->second.size();
     Kept.erase(oldest);
@@ -86,7 +86,7 @@
   }
 }
 
-asio::awaitable<Outcome<Done>> PayloadStore::load(PayloadRecord What,
+asio::awaitable<Outcome<Done>> PayloadStore::load(PayloadRecordRef What,
                                                   ReadAhead More) {
   std::size_t ahead = More == ReadAhead::Neighbours ? Limits.ReadBytes : 0;
   std::size_t most = std::max<std::size_t>(ahead, What.Bytes);
@@ -107,11 +107,11 @@
   co_return Done{};
 }
 
-asio::awaitable<Outcome<std::string>> PayloadStore::get(PayloadPlace Place,
+asio::awaitable<Outcome<std::string>> PayloadStore::get(PayloadLocation Place,
                                                         ReadAhead More) {
   std::shared_ptr<PayloadStore> self = shared_from_this();
   std::string bytes;
-  for (const PayloadRecord &it : Place) {
+  for (const PayloadRecordRef &it : Place) {
     if (!Kept.contains(it.At)) {
       Outcome<Done> loaded = co_await load(it, More);
       if (!loaded)
@@ -123,7 +123,7 @@
 }
 
 asio::awaitable<Outcome<std::vector<BatchItem>>>
-getItems(PayloadStore &From, PayloadPlace Place, JobId Of) {
+getItems(PayloadStore &From, PayloadLocation Place, JobId Of) {
   Outcome<std::string> stored = co_await From.get(std::move(Place));
   if (!stored)
     co_return stored.failure();
--- a/Wasabi/Batch/PayloadStore.h
+++ b/Wasabi/Batch/PayloadStore.h
@@ -41,7 +41,7 @@
     std::size_t ReadBytes = 128u << 10;
     /// Payloads kept in memory, in bytes: a second's worth at 1 MB/s, as long
     /// as a reader needs them.
-    std::size_t CacheBytes = 2u << 20;
+    std::size_t MaxCacheBytes = 2u << 20;
   };
 
   static std::shared_ptr<PayloadStore> create(RecordStore Store,
@@ -50,19 +50,19 @@
   /// Appends each payload, in records of at most `RecordBytes`, and gives where
   /// each one lies. A failure leaves some that nobody names; it may be called
   /// again. Failures are `NotRun`: what no record names has no effect.
-  boost::asio::awaitable<Outcome<std::vector<PayloadPlace>>>
+  boost::asio::awaitable<Outcome<std::vector<PayloadLocation>>>
   put(std::vector<std::string> Payloads);
 
   /// The bytes at a place. Failures: `Expired` when the store has them no more,
   /// those of the store otherwise.
   boost::asio::awaitable<Outcome<std::string>>
-  get(PayloadPlace Place, ReadAhead More = ReadAhead::Neighbours);
+  get(PayloadLocation Place, ReadAhead More = ReadAhead::Neighbours);
 
   const Settings &settings() const { return Limits; }
 
 private:
   PayloadStore(RecordStore Store, Settings Limits);
-  boost::asio::awaitable<Outcome<Done>> load(PayloadRecord What,
+  boost::asio::awaitable<Outcome<Done>> load(PayloadRecordRef What,
                                              ReadAhead More);
   void keep(Offset At, std::string Bytes);
 
@@ -77,7 +77,7 @@
 /// The items of `Of` that lie at `Place`. Failures: those of
 /// `PayloadStore::get`; `BadInput` when these are no items.
 boost::asio::awaitable<Outcome<std::vector<BatchItem>>>
-getItems(PayloadStore &From, PayloadPlace Place, JobId Of);
+getItems(PayloadStore &From, PayloadLocation Place, JobId Of);
 
 } // namespace wasabi
 
--- a/Wasabi/Batch/RolloutLog.cpp
+++ b/Wasabi/Batch/RolloutLog.cpp
@@ -35,8 +35,8 @@
 
 asio::awaitable<void> RolloutLog::follow() {
   for (;;) {
-    Outcome<LogRange> got =
-        co_await Store.Read(Limits.Topic, Fold.Next, Limits.Wait, nextBytes());
+    Outcome<LogRange> got = co_await Store.Read(Limits.Topic, Fold.Next,
+                                                Limits.Wait, nextReadBytes());
     // A read that was ended because the store is back is made again at once.
     if (!got && got.failure().Code == FailureCode::Cancelled)
       continue;
@@ -51,9 +51,9 @@
     // While behind, the next stretch is read at once.
     if (more && CaughtUp)
       co_await pauseFor(Executor, Limits.Pace);
-    if (!Delayed && farBehind(*got))
+    if (!ReplayDelayDone && isFarBehind(*got))
       co_await pauseFor(Executor, Limits.ReplayDelay);
-    Delayed = true;
+    ReplayDelayDone = true;
   }
 }
 
@@ -79,13 +79,13 @@
                                   Limits.AppendTimeout);
 }
 
-std::size_t RolloutLog::nextBytes() const {
-  bool look = !Delayed && Limits.ReplayDelay > Millis(0);
-  return look ? Limits.LookBytes : Limits.ReadBytes;
+std::size_t RolloutLog::nextReadBytes() const {
+  bool look = !ReplayDelayDone && Limits.ReplayDelay > Millis(0);
+  return look ? Limits.MaxFirstReadBytes : Limits.ReadBytes;
 }
 
 /// Whether what is left takes more than one read, by the size of what came.
-bool RolloutLog::farBehind(const LogRange &Range) const {
+bool RolloutLog::isFarBehind(const LogRange &Range) const {
   if (Range.Entries.empty() || Range.End <= Fold.Next)
     return false;
   std::size_t bytes = 0;
@@ -131,8 +131,8 @@
     skip(Fold, Entry.At);
     return;
   }
-  FoldChange change = apply(Fold, Entry.At, *record, monotonicNow());
-  if (Listener && change.What != FoldChange::Kind::Nothing)
+  BatchStateChange change = apply(Fold, Entry.At, *record, monotonicNow());
+  if (Listener && change.What != BatchStateChange::Kind::Nothing)
     Listener(change);
 }
 
--- a/Wasabi/Batch/RolloutLog.h
+++ b/Wasabi/Batch/RolloutLog.h
@@ -5,7 +5,7 @@
 #define WASABI_BATCH_ROLLOUTLOG_H
 
 #include "Wasabi/Adapters/Telemetry/DecisionLog.h"
-#include "Wasabi/Batch/BatchFold.h"
+#include "Wasabi/Batch/BatchState.h"
 #include "Wasabi/Core/AsyncSignal.h"
 #include "Wasabi/Ports/RecordStore.h"
 #include "Wasabi/Upstream/StoreContact.h"
@@ -45,7 +45,7 @@
     /// long before it reads the rest: see `replayDelay`.
     Millis ReplayDelay{0};
     /// Most bytes of the first read of a process that may have to pause.
-    std::size_t LookBytes = 8u << 10;
+    std::size_t MaxFirstReadBytes = 8u << 10;
     /// How long an append may take before its outcome is unknown.
     Millis AppendTimeout{1200};
   };
@@ -57,17 +57,17 @@
   /// Begins to follow the topic, for as long as the context runs.
   void start();
 
-  const BatchFold &fold() const { return Fold; }
+  const BatchState &fold() const { return Fold; }
   const StoreContact &contact() const { return Contact; }
   /// Whether the topic has been read to its end since the start.
   bool caughtUp() const { return CaughtUp; }
   /// When an answer of the store last showed that nothing was left to read. A
   /// process that is catching up has contact, and does not know the present.
-  TimePoint freshAt() const { return FreshAt; }
+  TimePoint lastCaughtUpTime() const { return FreshAt; }
   /// Woken after each change of the fold.
   AsyncSignal &changes() { return Changed; }
   /// Called for each change, in order.
-  void onChange(std::function<void(const FoldChange &)> Callback) {
+  void onChange(std::function<void(const BatchStateChange &)> Callback) {
     Listener = std::move(Callback);
   }
 
@@ -85,8 +85,8 @@
   RolloutLog(boost::asio::any_io_executor Executor, RecordStore Store,
              std::shared_ptr<DecisionLog> Decisions, Settings Limits);
   boost::asio::awaitable<void> follow();
-  std::size_t nextBytes() const;
-  bool farBehind(const LogRange &Range) const;
+  std::size_t nextReadBytes() const;
+  bool isFarBehind(const LogRange &Range) const;
   void take(const LogRange &Range);
   void takeEntry(const LogEntry &Entry);
   void answered();
@@ -96,13 +96,13 @@
   const boost::asio::any_io_executor Executor;
   const RecordStore Store;
   const std::shared_ptr<DecisionLog> Decisions;
-  BatchFold Fold;
+  BatchState Fold;
   StoreContact Contact;
   AsyncSignal Changed;
-  std::function<void(const FoldChange &)> Listener;
+  std::function<void(const BatchStateChange &)> Listener;
   bool CaughtUp = false;
   /// Whether the pause of `Settings::ReplayDelay` has been made.
-  bool Delayed = false;
+  bool ReplayDelayDone = false;
   TimePoint FreshAt;
 };
 
--- a/Wasabi/Batch/StepRead.cpp
+++ b/Wasabi/Batch/StepRead.cpp
@@ -4,7 +4,8 @@
 
 namespace wasabi {
 
-TimePoint holdUntil(const StepRead &Of, const StepReadSettings &Limits) {
+TimePoint computeAnswerDeadline(const StepRead &Of,
+                                const StepReadSettings &Limits) {
   Millis most = Of.HasResults ? std::min(Of.Wait, Limits.Pace) : Of.Wait;
   TimePoint until = Of.Came + most;
   if (Of.Due)
--- a/Wasabi/Batch/StepRead.h
+++ b/Wasabi/Batch/StepRead.h
@@ -46,7 +46,8 @@
 /// it would come back anyway if it has results to get, after all that it allows
 /// if it has none, and in any case while what it gets is in time. `Came` where
 /// it is not to be held. Pure.
-TimePoint holdUntil(const StepRead &Of, const StepReadSettings &Limits);
+TimePoint computeAnswerDeadline(const StepRead &Of,
+                                const StepReadSettings &Limits);
 
 } // namespace wasabi
 
--- a/Wasabi/Config/Configuration.cpp
+++ b/Wasabi/Config/Configuration.cpp
@@ -1,7 +1,7 @@
 #include "Wasabi/Config/Configuration.h"
 
+#include "Wasabi/Config/DuplicateKeys.h"
 #include "Wasabi/Config/JsonReader.h"
-#include "Wasabi/Config/RepeatedMembers.h"
 
 #include <boost/json.hpp>
 
@@ -350,7 +350,7 @@
                                       std::string_view Text) {
   std::string file(File);
   ObjectTexts out;
-  BOOST_LEAF_CHECK(checkRepeatedMembers(Text, file));
+  BOOST_LEAF_CHECK(checkDuplicateKeys(Text, file));
   BOOST_LEAF_AUTO(value, parseJson(Text, file));
   const boost::json::array *items = value.if_array();
   if (!items) {
--- a/Wasabi/Config/RepeatedMembers.cpp
+++ b/Wasabi/Config/DuplicateKeys.cpp
@@ -1,4 +1,4 @@
-#include "Wasabi/Config/RepeatedMembers.h"
+#include "Wasabi/Config/DuplicateKeys.h"
 
 #include <boost/json/basic_parser_impl.hpp>
 
@@ -111,8 +111,8 @@
 
 } // namespace
 
-Result<void> checkRepeatedMembers(std::string_view Text,
-                                  const std::string &Place) {
+Result<void> checkDuplicateKeys(std::string_view Text,
+                                const std::string &Place) {
   json::basic_parser<Watch> parser{json::parse_options()};
   json::error_code ec;
   parser.write_some(false, Text.data(), Text.size(), ec);
--- a/Wasabi/Core/BootTimer.h
+++ b/Wasabi/Core/BootTimer.h
@@ -14,7 +14,7 @@
 /// How Asio waits for a time of `Clock`. The kernel's timers, which Asio waits
 /// with, stand still while the machine is suspended: no wait is longer than
 /// `Longest`, after which Asio looks at the clock again. Thread-safe.
-template <typename Clock> struct BoundedWait {
+template <typename Clock> struct BoundedWaitTraits {
   /// A timer that came due while the machine was suspended fires this much
   /// later at most. Ten idle wake-ups a second; of a lease of 1.5 s that ran
   /// out meanwhile its holder learns well within 0.3 s.
@@ -35,7 +35,7 @@
 
 /// Takes times of `monotonicNow`. Used on its executor's thread.
 using BootTimer =
-    boost::asio::basic_waitable_timer<BootClock, BoundedWait<BootClock>>;
+    boost::asio::basic_waitable_timer<BootClock, BoundedWaitTraits<BootClock>>;
 
 } // namespace wasabi
 
--- a/Wasabi/Core/Ids.h
+++ b/Wasabi/Core/Ids.h
@@ -49,14 +49,14 @@
 using Incarnation = std::uint64_t;
 /// When a server started, in Unix milliseconds by its own clock; 0 if it does
 /// not say.
-using ServerStart = std::uint64_t;
+using ServerStartTime = std::uint64_t;
 
 /// One server from a start to its end. A server may start again under the name
 /// that it had: it then knows nothing of before, and nothing that was known of
 /// it holds. Immutable in use.
 struct ServerIncarnation {
   ServerName Server;
-  ServerStart Start = 0;
+  ServerStartTime Start = 0;
   auto operator<=>(const ServerIncarnation &) const = default;
 };
 
--- a/Wasabi/Customers/Access.cpp
+++ b/Wasabi/Customers/Access.cpp
@@ -15,14 +15,14 @@
 }
 
 Access decideAccess(const std::optional<CustomerTable> &Known,
-                    const AccessAsk &Ask, const StoreContact &Contact,
+                    const AccessRequest &Ask, const StoreContact &Contact,
                     const AccessSettings &Limits, TimePoint Now) {
   if (!Known)
     return {AccessVerdict::Granted, std::nullopt};
   const Customer *holder = Ask.Key ? Known->holderOf(*Ask.Key) : nullptr;
   if (holder != nullptr) {
-    bool withdrawn =
-        Limits.StrictRevoke && lostFor(Contact, Limits.RevokeTime, Now);
+    bool withdrawn = Limits.StrictRevocation &&
+                     unreachableFor(Contact, Limits.MaxRevocationDelay, Now);
     if (!withdrawn)
       return {AccessVerdict::Granted, *holder};
     return {Ask.Public ? AccessVerdict::Granted : AccessVerdict::Unsure,
@@ -36,8 +36,8 @@
 }
 
 std::uint32_t priorityOf(const std::optional<Customer> &By,
-                         std::uint32_t OfRoute) {
-  return By && By->Priority ? *By->Priority : OfRoute;
+                         std::uint32_t RoutePriority) {
+  return By && By->Priority ? *By->Priority : RoutePriority;
 }
 
 } // namespace wasabi
--- a/Wasabi/Customers/Access.h
+++ b/Wasabi/Customers/Access.h
@@ -37,14 +37,15 @@
 /// How keys are judged.
 struct AccessSettings {
   /// Whether a key must not pass where its withdrawal may have been missed.
-  bool StrictRevoke = false;
-  /// With `StrictRevoke`: how long after its withdrawal a key may pass at most.
-  Millis RevokeTime{5000};
+  bool StrictRevocation = false;
+  /// With `StrictRevocation`: how long after its withdrawal a key may pass at
+  /// most.
+  Millis MaxRevocationDelay{5000};
   bool operator==(const AccessSettings &) const = default;
 };
 
 /// What is asked for.
-struct AccessAsk {
+struct AccessRequest {
   /// Empty where none came, or several.
   std::optional<KeyDigest> Key;
   /// Whether the route takes requests without a key.
@@ -57,15 +58,15 @@
 /// Out of reach of the store, a key that is not known is not refused: a caller
 /// takes such a refusal for final, and its key may be a new one. One that is
 /// known passes, since to refuse it would turn away every caller for the sake
-/// of the few whose key was withdrawn meanwhile, unless `StrictRevoke` says
+/// of the few whose key was withdrawn meanwhile, unless `StrictRevocation` says
 /// that those matter more.
 Access decideAccess(const std::optional<CustomerTable> &Known,
-                    const AccessAsk &Ask, const StoreContact &Contact,
+                    const AccessRequest &Ask, const StoreContact &Contact,
                     const AccessSettings &Limits, TimePoint Now);
 
 /// The priority of a customer's request: its own before the route's. Pure.
 std::uint32_t priorityOf(const std::optional<Customer> &By,
-                         std::uint32_t OfRoute);
+                         std::uint32_t RoutePriority);
 
 } // namespace wasabi
 
--- a/Wasabi/Customers/CustomerTable.cpp
+++ b/Wasabi/Customers/CustomerTable.cpp
@@ -20,7 +20,7 @@
   std::vector<HeldKey> ambiguous;
   for (const Entry &it : Entries) {
     if (!isUsable(it.Who.Name)) {
-      ++table.Unusable;
+      ++table.RejectedCustomers;
       continue;
     }
     std::size_t number = table.Customers.size();
--- a/Wasabi/Customers/CustomerTable.h
+++ b/Wasabi/Customers/CustomerTable.h
@@ -46,7 +46,7 @@
   /// Keys that were listed for several customers.
   std::size_t ambiguousKeys() const { return Ambiguous; }
   /// Customers that were left out for their names.
-  std::size_t unusable() const { return Unusable; }
+  std::size_t rejectedCustomers() const { return RejectedCustomers; }
   bool operator==(const CustomerTable &) const = default;
 
 private:
@@ -61,7 +61,7 @@
   std::unordered_map<CustomerName, std::size_t> ByName;
   std::unordered_multimap<std::size_t, HeldKey> Held;
   std::size_t Ambiguous = 0;
-  std::size_t Unusable = 0;
+  std::size_t RejectedCustomers = 0;
 };
 
 } // namespace wasabi
--- a/Wasabi/Customers/KeyDigest.cpp
+++ b/Wasabi/Customers/KeyDigest.cpp
@@ -37,7 +37,7 @@
   KeyDigest::Bytes value{};
   crypto_generichash(value.data(), value.size(),
                      reinterpret_cast<const unsigned char *>(Key.data()),
-                     Key.size(), Drawn.data(), Drawn.size());
+                     Key.size(), HashKey.data(), HashKey.size());
   return KeyDigest(value);
 }
 
--- a/Wasabi/Customers/KeyDigest.h
+++ b/Wasabi/Customers/KeyDigest.h
@@ -44,9 +44,9 @@
 private:
   using Secret = std::array<unsigned char, 32>;
 
-  explicit KeyDigester(const Secret &Drawn) : Drawn(Drawn) {}
+  explicit KeyDigester(const Secret &HashKey) : HashKey(HashKey) {}
 
-  Secret Drawn;
+  Secret HashKey;
 };
 
 } // namespace wasabi
--- a/Wasabi/Customers/ServedShares.cpp
+++ b/Wasabi/Customers/ServedShares.cpp
@@ -9,12 +9,12 @@
 void fade(ServedShares &Of, TimePoint Now) {
   // Each customer is visited at this pace only.
   constexpr Millis Step{100};
-  if (Now - Of.Faded < Step)
+  if (Now - Of.LastDecay < Step)
     return;
-  double lives = std::chrono::duration<double>(Now - Of.Faded) /
+  double lives = std::chrono::duration<double>(Now - Of.LastDecay) /
                  std::chrono::duration<double>(Of.Limits.HalfLife);
   double left = std::exp2(-lives);
-  Of.Faded = Now;
+  Of.LastDecay = Now;
   Of.All.Asked *= left;
   Of.All.Served *= left;
   for (auto &[name, counts] : Of.Customers) {
@@ -22,7 +22,7 @@
     counts.Served *= left;
   }
   std::erase_if(Of.Customers, [&Of](const auto &It) {
-    return It.second.Asked < Of.Limits.Forget;
+    return It.second.Asked < Of.Limits.EvictionThreshold;
   });
 }
 
@@ -42,9 +42,10 @@
   Of.All.Served += Served ? 1 : 0;
 }
 
-bool isBehind(const ServedShares &Of, const CustomerName &Who) {
+bool isUnderserved(const ServedShares &Of, const CustomerName &Who) {
   auto found = Of.Customers.find(Who);
-  if (found == Of.Customers.end() || found->second.Asked < Of.Limits.LeastAsked)
+  if (found == Of.Customers.end() ||
+      found->second.Asked < Of.Limits.MinRequests)
     return false;
   return shareOf(found->second) < Of.Limits.Behind * shareOf(Of.All);
 }
--- a/Wasabi/Customers/ServedShares.h
+++ b/Wasabi/Customers/ServedShares.h
@@ -25,9 +25,9 @@
     /// behind. Users want a quarter at least; the rest is for what chance does.
     double Behind = 0.5;
     /// Requests of which fewer say nothing.
-    double LeastAsked = 4;
+    double MinRequests = 4;
     /// Customers of whom less than this is left are forgotten.
-    double Forget = 0.01;
+    double EvictionThreshold = 0.01;
     bool operator==(const Settings &) const = default;
   };
   struct Counts {
@@ -38,7 +38,7 @@
   Settings Limits;
   Counts All;
   std::map<CustomerName, Counts> Customers;
-  TimePoint Faded;
+  TimePoint LastDecay;
 };
 
 /// A customer's request has come to its end, served or not. Pure but for `Of`.
@@ -47,7 +47,7 @@
 
 /// Whether a customer was served so much less often than all that it should go
 /// first among its like. Pure.
-bool isBehind(const ServedShares &Of, const CustomerName &Who);
+bool isUnderserved(const ServedShares &Of, const CustomerName &Who);
 
 } // namespace wasabi
 
--- a/Wasabi/Dispatch/Dispatcher.cpp
+++ b/Wasabi/Dispatch/Dispatcher.cpp
@@ -47,7 +47,7 @@
   asio::co_spawn(
       Executor, [self] { return self->commitLoop(); }, asio::detached);
   asio::co_spawn(
-      Executor, [self] { return self->lookLoop(); }, asio::detached);
+      Executor, [self] { return self->monitorLoop(); }, asio::detached);
   asio::co_spawn(
       Executor, [self] { return self->saveLoop(); }, asio::detached);
 }
@@ -65,24 +65,24 @@
       open.push_back(job);
   }
   for (const std::shared_ptr<JobState> &it : open)
-    takeUp(it);
+    addJob(it);
   schedule();
   Wake.notify();
 }
 
 void Dispatcher::deactivate() {
   Active = false;
-  for (const std::shared_ptr<ItemWork> &it : Works)
+  for (const std::shared_ptr<ItemTask> &it : Works)
     drop(it);
   Works.clear();
   Pool.clear();
-  PromptAt.clear();
+  PromptEngines.clear();
 }
 
-asio::awaitable<std::vector<std::string>> Dispatcher::handBack() {
+asio::awaitable<std::vector<std::string>> Dispatcher::handOverTexts() {
   std::shared_ptr<Dispatcher> self = shared_from_this();
-  std::vector<TextRecord> texts;
-  for (const std::shared_ptr<ItemWork> &it : Works) {
+  std::vector<PartialTextRecord> texts;
+  for (const std::shared_ptr<ItemTask> &it : Works) {
     bool unfinished = it->Stage == ItemStage::Running ||
                       it->Stage == ItemStage::Waiting ||
                       it->Stage == ItemStage::Scoring;
@@ -99,22 +99,22 @@
 }
 
 /// Whether an item may go on from a text, as the versions of that allow.
-bool Dispatcher::fits(const PartialText &Text, const ItemWork &For) const {
+bool Dispatcher::fits(const PartialText &Text, const ItemTask &For) const {
   if (Text.Versions.empty())
     return true;
   bool fresh = Text.Versions.front() >= For.Job->Job.MinVersion;
   return fresh && (Text.Versions.size() == 1 || !singleVersion(For));
 }
 
-void Dispatcher::takeUp(const std::shared_ptr<JobState> &Job) {
-  std::vector<std::shared_ptr<ItemWork>> all;
-  WeightVersion &newest = NewestMin[Job->Job.Model];
+void Dispatcher::addJob(const std::shared_ptr<JobState> &Job) {
+  std::vector<std::shared_ptr<ItemTask>> all;
+  WeightVersion &newest = NewestMinVersions[Job->Job.Model];
   newest = std::max(newest, Job->Job.MinVersion);
   double mean = meanExpected(Job->Job);
   for (std::size_t i = 0; i < Job->Job.Items.size(); ++i) {
     if (Job->Listed[i])
       continue;
-    std::shared_ptr<ItemWork> work = std::make_shared<ItemWork>();
+    std::shared_ptr<ItemTask> work = std::make_shared<ItemTask>();
     work->Job = Job;
     work->Index = i;
     work->Item = Job->Job.Items[i];
@@ -134,7 +134,7 @@
                    {"listed", std::to_string(Job->Results.size())}});
 }
 
-void Dispatcher::drop(const std::shared_ptr<ItemWork> &Work) {
+void Dispatcher::drop(const std::shared_ptr<ItemTask> &Work) {
   Work->Dropped = true;
   if (Work->Stream != nullptr)
     Work->Stream->cancel();
@@ -142,23 +142,23 @@
 }
 
 void Dispatcher::clearFinished() {
-  std::erase_if(Works, [](const std::shared_ptr<ItemWork> &It) {
+  std::erase_if(Works, [](const std::shared_ptr<ItemTask> &It) {
     return It->Dropped || It->Stage == ItemStage::Finished;
   });
 }
 
-void Dispatcher::onChange(const FoldChange &Change) {
+void Dispatcher::onChange(const BatchStateChange &Change) {
   if (!Active)
     return;
-  if (Change.What == FoldChange::Kind::Accepted) {
-    takeUp(Change.Job);
+  if (Change.What == BatchStateChange::Kind::Accepted) {
+    addJob(Change.Job);
     schedule();
     Wake.notify();
   }
-  if (Change.What == FoldChange::Kind::Ended) {
+  if (Change.What == BatchStateChange::Kind::Ended) {
     if (Carried.size() > MaxCarried)
       Carried.clear();
-    for (const std::shared_ptr<ItemWork> &it : Works) {
+    for (const std::shared_ptr<ItemTask> &it : Works) {
       if (it->Job != Change.Job)
         continue;
       if (it->Text.Events > 0)
@@ -170,7 +170,7 @@
   }
 }
 
-void Dispatcher::onView() {
+void Dispatcher::onFleetChange() {
   if (!Active)
     return;
   // Registrations come in bursts, and one look serves them all.
@@ -180,7 +180,7 @@
 /// The item's route in the configuration in force, looked up once for each
 /// configuration: hundreds of items may wait, and there may be hundreds of
 /// routes.
-const UpstreamRoute *Dispatcher::routeOf(const ItemWork &Work) const {
+const UpstreamRoute *Dispatcher::routeOf(const ItemTask &Work) const {
   if (!View.Routes)
     return nullptr;
   if (Work.Found.Of != View.Routes) {
@@ -192,7 +192,7 @@
 }
 
 /// The priority of its job's customer before that of its route.
-std::uint32_t Dispatcher::priorityOf(const ItemWork &Work,
+std::uint32_t Dispatcher::priorityOf(const ItemTask &Work,
                                      const UpstreamRoute &Route) const {
   const CustomerName &by = Work.Job->Job.Id.Customer;
   if (by.empty() || !View.Routes || !View.Routes->Customers)
@@ -202,14 +202,14 @@
                              : Route.Priority;
 }
 
-bool Dispatcher::singleVersion(const ItemWork &Work) const {
+bool Dispatcher::singleVersion(const ItemTask &Work) const {
   const UpstreamRoute *route = routeOf(Work);
   return route != nullptr && route->SingleVersion;
 }
 
 /// Drops a text that no engine can go on with under the one version that its
 /// route allows.
-void Dispatcher::dropMixedText(ItemWork &Work) const {
+void Dispatcher::dropMixedText(ItemTask &Work) const {
   if (Work.Text.Events == 0 || Work.Text.Whole || !singleVersion(Work))
     return;
   const ModelName &model = Work.Job->Job.Model;
@@ -222,24 +222,25 @@
     clearText(Work);
 }
 
-EngineNeed Dispatcher::needOf(const ItemWork &Work) const {
-  EngineNeed need;
+EngineRequirements Dispatcher::needOf(const ItemTask &Work) const {
+  EngineRequirements need;
   need.Model = Work.Job->Job.Model;
   need.MinVersion = Work.Job->Job.MinVersion;
   need.Avoid = Work.Avoid;
-  auto prompt = PromptAt.find(Work.Item.Group);
-  if (prompt != PromptAt.end())
+  auto prompt = PromptEngines.find(Work.Item.Group);
+  if (prompt != PromptEngines.end())
     need.Preferred = prompt->second;
   if (Work.Text.Events > 0 && singleVersion(Work))
-    need.Exactly = Work.Text.Versions.front();
+    need.ExactVersion = Work.Text.Versions.front();
   need.Long = isLong(Work);
   return need;
 }
 
 /// Whether a text is one that its step is likely to wait for: it has come far
 /// already, or is expected to be longer than its job's mean.
-bool Dispatcher::isLong(const ItemWork &Work) const {
-  return Work.ExpectedLong || Work.Text.Events >= Limits.Pool.Pace.LongEvents;
+bool Dispatcher::isLong(const ItemTask &Work) const {
+  return Work.ExpectedLong ||
+         Work.Text.Events >= Limits.Pool.Pace.MinLongTextEvents;
 }
 
 /// Has waiting items placed, once for all that happens in one turn of the loop.
@@ -276,9 +277,9 @@
 /// Whether an item gets no engine since servers have ended under it. It stays
 /// open: it has neither been done nor failed, and its step is whole without it
 /// if enough others are.
-bool Dispatcher::inQuarantine(ItemWork &Work) const {
+bool Dispatcher::updateQuarantined(ItemTask &Work) const {
   bool now =
-      Crashes->standing(Work.Guard->Digest) == CrashStanding::Quarantined;
+      Crashes->crashStatus(Work.Guard->Digest) == CrashStatus::Quarantined;
   if (now != Work.Quarantined)
     Decisions->line(now ? "item.quarantined" : "item.released",
                     {{"item", Work.Item.Id.Text},
@@ -290,13 +291,12 @@
 
 /// The engine for an item; null if none has room. Suspects are kept apart as
 /// long as there are engines for that.
-std::shared_ptr<EngineState> Dispatcher::engineFor(const ItemWork &Work,
-                                                   const EngineList &Free,
-                                                   const PaceScale &Scale,
-                                                   TimePoint Now) const {
-  std::set<ServerIncarnation> suspects = Crashes->suspectsAt();
+std::shared_ptr<EngineState>
+Dispatcher::findEngineFor(const ItemTask &Work, const EngineList &Free,
+                          const PaceBaseline &Scale, TimePoint Now) const {
+  std::set<ServerIncarnation> suspects = Crashes->suspectServers();
   bool apart = !suspects.empty() &&
-               Crashes->standing(Work.Guard->Digest) != CrashStanding::Clean;
+               Crashes->crashStatus(Work.Guard->Digest) != CrashStatus::Clean;
   if (apart) {
     EngineList others = Free;
     std::erase_if(others, [&](const std::shared_ptr<EngineState> &It) {
@@ -313,10 +313,10 @@
 void Dispatcher::scheduleNow() {
   using Rank = std::tuple<bool, std::uint32_t, Offset, double>;
   TimePoint now = monotonicNow();
-  PaceScale scale = paceScale(Pool, Limits.Pool);
+  PaceBaseline scale = computePaceBaseline(Pool, Limits.Pool);
   std::map<ModelName, EngineList> free = enginesWithRoom(now);
-  std::vector<std::pair<Rank, std::shared_ptr<ItemWork>>> waiting;
-  for (const std::shared_ptr<ItemWork> &it : Works) {
+  std::vector<std::pair<Rank, std::shared_ptr<ItemTask>>> waiting;
+  for (const std::shared_ptr<ItemTask> &it : Works) {
     if (it->Stage != ItemStage::Waiting || it->Dropped || it->NotBefore > now)
       continue;
     const UpstreamRoute *route = routeOf(*it);
@@ -328,11 +328,12 @@
       continue;
     // Jobs that are overdue earn less than those that can be whole in time;
     // within a job the longest text decides when it is whole.
-    if (inQuarantine(*it))
+    if (updateQuarantined(*it))
       continue;
     bool overdue = now - it->Job->Seen > route->ResultDeadline;
-    double expected = it->Item.ExpectedTokens > 0 ? it->Item.ExpectedTokens
-                                                  : Limits.UnknownTokens;
+    double expected = it->Item.ExpectedTokens > 0
+                          ? it->Item.ExpectedTokens
+                          : Limits.DefaultExpectedTokens;
     waiting.emplace_back(
         Rank{overdue, priorityOf(*it, *route), it->Job->At, -expected}, it);
   }
@@ -341,7 +342,7 @@
   for (const auto &[rank, work] : waiting) {
     dropMixedText(*work);
     std::shared_ptr<EngineState> engine =
-        engineFor(*work, free[work->Job->Job.Model], scale, now);
+        findEngineFor(*work, free[work->Job->Job.Model], scale, now);
     if (engine)
       startRun(work, engine);
   }
--- a/Wasabi/Dispatch/Dispatcher.h
+++ b/Wasabi/Dispatch/Dispatcher.h
@@ -41,13 +41,13 @@
 };
 
 /// The route of an item in one configuration. Valid while `Of` is in force.
-struct ItemRoute {
+struct CachedRoute {
   std::shared_ptr<const RouteTable> Of;
   const UpstreamRoute *Route = nullptr;
 };
 
 /// One item that the dispatcher works on.
-struct ItemWork {
+struct ItemTask {
   std::shared_ptr<JobState> Job;
   std::size_t Index = 0;
   /// The item; only what every process knows of it while `Stage` is `Loading`.
@@ -60,7 +60,7 @@
   /// Whether it is expected to be longer than its job's mean.
   bool ExpectedLong = false;
   /// Where its route was found last.
-  mutable ItemRoute Found;
+  mutable CachedRoute Found;
   PartialText Text;
   /// Events and bytes of `Text` that this dispatcher has saved in the topic.
   std::uint64_t SavedEvents = 0;
@@ -92,7 +92,7 @@
 };
 
 /// Lets an item begin anew.
-void clearText(ItemWork &Work);
+void clearText(ItemTask &Work);
 
 /// Used on one thread, that of its executor.
 class Dispatcher : public std::enable_shared_from_this<Dispatcher> {
@@ -101,56 +101,56 @@
     EnginePoolSettings Pool;
     /// Look at running items this often while there are any: a tenth of the
     /// shortest objective.
-    Millis LookEvery{50};
+    Millis PollInterval{50};
     /// A run without an event for this long has lost its server. An event takes
     /// some 40 ms; a prompt that is read beside it some 10 ms more.
-    Millis StallTime{450};
+    Millis RunStallTimeout{450};
     /// The same before its first event, which waits for the prompt and may wait
     /// for a slot: some 100 ms at an engine that has a place free.
-    Millis FirstEventTime{800};
+    Millis FirstEventTimeout{800};
     /// The same while its server takes weights: a load takes 0.9 s, and longer
     /// when several load.
-    Millis LoadStallTime{2500};
+    Millis LoadStallTimeout{2500};
     /// Texts in progress are saved this often, so that a successor goes on from
     /// there: the longest take 7 s of a step's 7.5, and what is generated again
     /// makes their trainer late by as much.
-    Millis SaveEvery{350};
+    Millis SaveInterval{350};
     /// Fewer new events than this are not worth a record: about as many come
     /// between two saves.
-    std::uint64_t SaveEvents = 8;
+    std::uint64_t MinSaveEvents = 8;
     /// How long an answer of the store may take.
     Millis StoreTime{800};
     /// Weights that have not come after this are wanted anew, of this engine or
     /// of another: a load takes 0.9 s, and longer when several load.
-    Millis SwapLimit{4000};
+    Millis SwapTimeout{4000};
     /// Longest pause between two events of a stream before it is broken, as a
-    /// last resort: `StallTime` ends it long before.
-    Millis EventLimit{6000};
+    /// last resort: `RunStallTimeout` ends it long before.
+    Millis EventTimeout{6000};
     /// Pause before an item is tried again after a failure.
     Millis RetryPause{60};
     /// Pause before a quarantined scoring call is looked at again: it is free
     /// again when a server has answered it, which is rare.
-    Millis QuarantinePause{1000};
+    Millis QuarantineRetryDelay{1000};
     /// Saved texts of a job that are fetched at once: an answer of the store
     /// takes 4 ms, and a text comes in up to ten pieces.
-    std::size_t TextFetchers = 8;
+    std::size_t MaxTextFetches = 8;
     /// Pause before the store is asked again for an item that it did not give.
     Millis LoadPause{200};
     /// Time that a scoring call is given before it is made again elsewhere: it
     /// takes 80 ms and in one case of a hundred 400.
-    Millis FirstScoreTime{450};
+    Millis FirstScoreCallTimeout{450};
     /// The same from the second time on.
-    Millis ScoreTime{1500};
+    Millis ScoreCallTimeout{1500};
     /// A trainer asks for the step of a version this soon after naming it, if
     /// it is not ahead of its time: 0.06 to 0.2 s.
-    Millis StepArrival{500};
+    Millis StepArrivalTimeout{500};
     /// Pause between two moves of an engine to another model.
-    Millis MoveEvery{4000};
+    Millis MinMoveInterval{4000};
     /// What a job's demand counts for: its expected tokens while it is younger
     /// than this.
-    Millis DemandSpan{12000};
+    Millis DemandWindow{12000};
     /// Demand of an item that does not say how long it will be, in tokens.
-    double UnknownTokens = 800;
+    double DefaultExpectedTokens = 800;
   };
 
   /// What a dispatcher works with.
@@ -179,14 +179,14 @@
   /// The duty is another's: stops all runs.
   void deactivate();
   /// Stops all runs and gives their texts as records for the successor.
-  boost::asio::awaitable<std::vector<std::string>> handBack();
+  boost::asio::awaitable<std::vector<std::string>> handOverTexts();
 
   /// Takes a change of the rollout topic.
-  void onChange(const FoldChange &Change);
+  void onChange(const BatchStateChange &Change);
   /// The servers, the configuration or a named version changed.
-  void onView();
+  void onFleetChange();
   /// The process beside the server `Of` told what it holds.
-  void onHeld(const ServerName &Of, const HeldWeights &Now);
+  void onHeldWeights(const ServerName &Of, const HeldWeights &Now);
 
 private:
   /// What became of bringing in an item: the store may give it later, or has it
@@ -194,13 +194,13 @@
   enum class LoadOutcome : std::uint8_t { Loaded, Later, Never };
   /// Items that lie together in the payload topic.
   struct LoadedItems {
-    PayloadPlace From;
+    PayloadLocation From;
     std::vector<BatchItem> Items;
   };
   /// A text that is saved, and the record of it.
   struct TextSave {
-    std::shared_ptr<ItemWork> Work;
-    TextRecord Record;
+    std::shared_ptr<ItemTask> Work;
+    PartialTextRecord Record;
   };
   /// A result that the topic does not show yet.
   struct PendingResult {
@@ -212,67 +212,69 @@
   Dispatcher(Parts With, Settings Limits);
 
   // Items.
-  void takeUp(const std::shared_ptr<JobState> &Job);
-  boost::asio::awaitable<void> load(std::vector<std::shared_ptr<ItemWork>> All);
-  boost::asio::awaitable<LoadOutcome> loadItem(ItemWork &Work,
+  void addJob(const std::shared_ptr<JobState> &Job);
+  boost::asio::awaitable<void> load(std::vector<std::shared_ptr<ItemTask>> All);
+  boost::asio::awaitable<LoadOutcome> loadItem(ItemTask &Work,
                                                LoadedItems &Near);
-  const StoredText *savedText(const ItemWork &Work) const;
-  void loadSavedTexts(std::vector<std::shared_ptr<ItemWork>> All);
+  const SavedPartialText *savedText(const ItemTask &Work) const;
+  void loadSavedTexts(std::vector<std::shared_ptr<ItemTask>> All);
   boost::asio::awaitable<void>
-  fetchTexts(std::shared_ptr<std::deque<std::shared_ptr<ItemWork>>> From);
-  boost::asio::awaitable<void> loadSaved(ItemWork &Work);
-  boost::asio::awaitable<Outcome<PartialText>> loadText(StoredText From) const;
-  void loaded(const std::shared_ptr<ItemWork> &Work);
-  bool fits(const PartialText &Text, const ItemWork &For) const;
-  void drop(const std::shared_ptr<ItemWork> &Work);
+  fetchTexts(std::shared_ptr<std::deque<std::shared_ptr<ItemTask>>> From);
+  boost::asio::awaitable<void> loadSavedText(ItemTask &Work);
+  boost::asio::awaitable<Outcome<PartialText>>
+  loadText(SavedPartialText From) const;
+  void loaded(const std::shared_ptr<ItemTask> &Work);
+  bool fits(const PartialText &Text, const ItemTask &For) const;
+  void drop(const std::shared_ptr<ItemTask> &Work);
   void clearFinished();
   void schedule();
   void scheduleNow();
-  bool inQuarantine(ItemWork &Work) const;
-  std::shared_ptr<EngineState> engineFor(const ItemWork &Work,
-                                         const EngineList &Free,
-                                         const PaceScale &Scale,
-                                         TimePoint Now) const;
+  bool updateQuarantined(ItemTask &Work) const;
+  std::shared_ptr<EngineState> findEngineFor(const ItemTask &Work,
+                                             const EngineList &Free,
+                                             const PaceBaseline &Scale,
+                                             TimePoint Now) const;
   std::map<ModelName, EngineList> enginesWithRoom(TimePoint Now) const;
-  EngineNeed needOf(const ItemWork &Work) const;
-  bool singleVersion(const ItemWork &Work) const;
-  void dropMixedText(ItemWork &Work) const;
-  TextRecord unsavedText(const ItemWork &Work) const;
+  EngineRequirements needOf(const ItemTask &Work) const;
+  bool singleVersion(const ItemTask &Work) const;
+  void dropMixedText(ItemTask &Work) const;
+  PartialTextRecord unsavedText(const ItemTask &Work) const;
   boost::asio::awaitable<void> saveLoop();
   boost::asio::awaitable<bool> saveTexts(std::vector<TextSave> Due);
   boost::asio::awaitable<Outcome<std::vector<std::string>>>
-  storeTexts(std::vector<TextRecord> Texts) const;
-  void startRun(const std::shared_ptr<ItemWork> &Work,
+  storeTexts(std::vector<PartialTextRecord> Texts) const;
+  void startRun(const std::shared_ptr<ItemTask> &Work,
                 const std::shared_ptr<EngineState> &On);
-  boost::asio::awaitable<void> run(std::shared_ptr<ItemWork> Work);
-  boost::asio::awaitable<bool> readEvents(ItemWork &Work);
-  void endRun(const std::shared_ptr<ItemWork> &Work, const Failure &Why);
-  bool judgeHead(const std::shared_ptr<ItemWork> &Work, const StreamHead &Head);
-  void terminate(const std::shared_ptr<ItemWork> &Work, std::string_view Why);
-  void startScore(const std::shared_ptr<ItemWork> &Work);
-  boost::asio::awaitable<void> score(std::shared_ptr<ItemWork> Work);
-  void finish(const std::shared_ptr<ItemWork> &Work, ItemResult Result);
+  boost::asio::awaitable<void> run(std::shared_ptr<ItemTask> Work);
+  boost::asio::awaitable<bool> readEvents(ItemTask &Work);
+  void requeueItem(const std::shared_ptr<ItemTask> &Work, const Failure &Why);
+  bool checkStreamHead(const std::shared_ptr<ItemTask> &Work,
+                       const StreamHead &Head);
+  void terminate(const std::shared_ptr<ItemTask> &Work, std::string_view Why);
+  void startScoring(const std::shared_ptr<ItemTask> &Work);
+  boost::asio::awaitable<void> score(std::shared_ptr<ItemTask> Work);
+  void finish(const std::shared_ptr<ItemTask> &Work, ItemResult Result);
   boost::asio::awaitable<void> commitLoop();
-  boost::asio::awaitable<Outcome<Done>> commitSome();
-  const UpstreamRoute *routeOf(const ItemWork &Work) const;
-  std::uint32_t priorityOf(const ItemWork &Work,
+  boost::asio::awaitable<Outcome<Done>> commitOldestResults();
+  const UpstreamRoute *routeOf(const ItemTask &Work) const;
+  std::uint32_t priorityOf(const ItemTask &Work,
                            const UpstreamRoute &Route) const;
-  http::Request askOf(const ItemWork &Work) const;
+  http::Request askOf(const ItemTask &Work) const;
 
   // Engines.
   void syncEngines();
   std::map<ModelName, double> demand() const;
   std::map<ModelName, ModelDemand> modelDemands();
-  boost::asio::awaitable<void> lookLoop();
-  void lookAtRuns();
-  void moveToFaster();
-  bool isLong(const ItemWork &Work) const;
+  boost::asio::awaitable<void> monitorLoop();
+  void cancelStalledRuns();
+  void moveRunsToFasterEngines();
+  bool isLong(const ItemTask &Work) const;
   void forgetPaces();
-  void takeHeld(EngineState &Engine) const;
-  void wantVersions();
+  void applyReportedWeights(EngineState &Engine) const;
+  void requestWeightLoads();
   boost::asio::awaitable<void> want(std::shared_ptr<EngineState> On,
                                     WantedWeights What);
-  void noteEvent(EngineState &On, ItemWork &Work);
+  void noteEvent(EngineState &On, ItemTask &Work);
   SwapMode swapMode(const ModelName &Model) const;
 
   const Settings Limits;
@@ -290,31 +292,31 @@
   bool Active = false;
   /// Drawn anew each time the duty is taken up.
   std::uint64_t Source = 0;
-  std::vector<std::shared_ptr<ItemWork>> Works;
+  std::vector<std::shared_ptr<ItemTask>> Works;
   /// Texts of items that were not finished, for jobs that carry them over: a
   /// customer's own only.
   std::map<std::pair<CustomerName, ItemId>, PartialText> Carried;
   /// The engine that read a group's prompt.
-  std::map<std::string, ServerIncarnation> PromptAt;
+  std::map<std::string, ServerIncarnation> PromptEngines;
   EngineList Pool;
   /// What the processes beside the servers told last, and when it came.
-  struct HeldNews {
+  struct HeldReport {
     HeldWeights Held;
     TimePoint Came;
   };
-  std::map<ServerName, HeldNews> Held;
+  std::map<ServerName, HeldReport> Held;
   TimePoint LastMove;
   /// The oldest weights that the newest step of each model allows.
-  std::map<ModelName, WeightVersion> NewestMin;
+  std::map<ModelName, WeightVersion> NewestMinVersions;
   /// The version that was named last.
   struct NamedVersion {
     WeightVersion Version = 0;
     /// When this dispatcher learnt of it.
     TimePoint Since;
-    /// `NewestMin` at that time.
-    WeightVersion MinBefore = 0;
+    /// `NewestMinVersions` at that time.
+    WeightVersion MinVersionAtNaming = 0;
   };
-  std::map<ModelName, NamedVersion> Namings;
+  std::map<ModelName, NamedVersion> NamedVersions;
   std::deque<PendingResult> Uncommitted;
   /// Whether `scheduleNow` is on its way.
   bool Scheduled = false;
--- a/Wasabi/Dispatch/DispatcherEngines.cpp
+++ b/Wasabi/Dispatch/DispatcherEngines.cpp
@@ -21,11 +21,12 @@
   std::map<ModelName, double> steps;
   TimePoint now = monotonicNow();
   for (const auto &[id, job] : Log->fold().Jobs) {
-    if (now - job->Seen > Limits.DemandSpan)
+    if (now - job->Seen > Limits.DemandWindow)
       continue;
     double &sum = found[job->Job.Model];
     for (const BatchItem &it : job->Job.Items)
-      sum += it.ExpectedTokens > 0 ? it.ExpectedTokens : Limits.UnknownTokens;
+      sum += it.ExpectedTokens > 0 ? it.ExpectedTokens
+                                   : Limits.DefaultExpectedTokens;
     steps[job->Job.Model] += 1;
   }
   for (auto &[model, sum] : found)
@@ -35,10 +36,10 @@
 
 /// What an engine that is new here has told earlier, if that is newer than its
 /// registration.
-void Dispatcher::takeHeld(EngineState &Engine) const {
+void Dispatcher::applyReportedWeights(EngineState &Engine) const {
   auto news = Held.find(Engine.Server->Entry.Id);
   if (news == Held.end() ||
-      !sameStart(news->second.Held.Start, Engine.Server->Entry.Start))
+      !mayBeSameStart(news->second.Held.Start, Engine.Server->Entry.Start))
     return;
   for (const auto &[model, version] : news->second.Held.Models) {
     WeightVersion &has = Engine.Versions[model];
@@ -59,7 +60,7 @@
     for (const ModelName &it : service.Engine->Models)
       wanted[it] = 1;
     for (const std::shared_ptr<UpstreamServer> &it :
-         serversOf(View.Servers, service.Name, View.Contact, now)) {
+         findUsableServers(View.Servers, service.Name, View.Contact, now)) {
       auto known = std::find_if(Pool.begin(), Pool.end(),
                                 [&](const std::shared_ptr<EngineState> &Of) {
                                   return Of->Server == it;
@@ -75,7 +76,7 @@
           engine->Versions[model] = version;
       }
       if (known == Pool.end())
-        takeHeld(*engine);
+        applyReportedWeights(*engine);
       next.push_back(std::move(engine));
     }
   }
@@ -84,7 +85,7 @@
   // Until every model has had a job, they count alike.
   if (asked.size() == wanted.size())
     wanted = asked;
-  bool mayMove = now - LastMove > Limits.MoveEvery;
+  bool mayMove = now - LastMove > Limits.MinMoveInterval;
   if (assignModels(Pool,
                    poolSizes(wanted, static_cast<std::uint32_t>(Pool.size())),
                    View.Named, mayMove)) {
@@ -97,33 +98,33 @@
   }
 }
 
-asio::awaitable<void> Dispatcher::lookLoop() {
+asio::awaitable<void> Dispatcher::monitorLoop() {
   constexpr Millis Idle{1000};
   for (;;) {
     bool busy = Active && !Works.empty();
-    co_await Wake.wait(monotonicNow() + (busy ? Limits.LookEvery : Idle));
+    co_await Wake.wait(monotonicNow() + (busy ? Limits.PollInterval : Idle));
     if (!Active)
       continue;
     syncEngines();
-    lookAtRuns();
+    cancelStalledRuns();
     for (const std::shared_ptr<EngineState> &it : Pool)
-      forgetRecent(it->Pace, monotonicNow(), Limits.Pool.Pace);
-    moveToFaster();
-    wantVersions();
+      expireRecentPace(it->Pace, monotonicNow(), Limits.Pool.Pace);
+    moveRunsToFasterEngines();
+    requestWeightLoads();
     schedule();
   }
 }
 
 /// Ends the runs of servers that are silent, that leave or that are gone.
-void Dispatcher::lookAtRuns() {
+void Dispatcher::cancelStalledRuns() {
   TimePoint now = monotonicNow();
-  for (const std::shared_ptr<ItemWork> &it : Works) {
+  for (const std::shared_ptr<ItemTask> &it : Works) {
     if (it->Stage != ItemStage::Running || !it->Engine)
       continue;
     EngineState &engine = *it->Engine;
-    Millis patience = engine.swapping() ? Limits.LoadStallTime
-                      : it->Begun       ? Limits.StallTime
-                                        : Limits.FirstEventTime;
+    Millis patience = engine.swapping() ? Limits.LoadStallTimeout
+                      : it->Begun       ? Limits.RunStallTimeout
+                                        : Limits.FirstEventTimeout;
     bool stalled = now - it->LastEvent > patience;
     bool leaving = !usable(View.Servers, *engine.Server, View.Contact, now);
     if (!stalled && !leaving)
@@ -145,27 +146,27 @@
 /// are slow, long ones from any that is a grade slower. Going on elsewhere
 /// costs two or three events of reading, staying costs the rest of the text at
 /// a multiple of the time.
-void Dispatcher::moveToFaster() {
+void Dispatcher::moveRunsToFasterEngines() {
   TimePoint now = monotonicNow();
   const EnginePaceSettings &limits = Limits.Pool.Pace;
-  PaceScale scale = paceScale(Pool, Limits.Pool);
+  PaceBaseline scale = computePaceBaseline(Pool, Limits.Pool);
   std::map<const EngineState *, std::uint32_t> promised;
-  for (const std::shared_ptr<ItemWork> &it : Works) {
+  for (const std::shared_ptr<ItemTask> &it : Works) {
     if (it->Stage != ItemStage::Running || !it->Engine || !it->Begun ||
         it->Stream == nullptr || it->Moved)
       continue;
     const EngineState &from = *it->Engine;
-    bool slow = isSlow(from.Pace, scale.UsualMs, limits);
-    std::uint32_t grade = paceGrade(from.Pace, scale.FastMs, limits);
-    bool late =
-        grade > 0 && !it->MovedForPace && it->Text.Events >= limits.LongEvents;
+    bool slow = isSlow(from.Pace, scale.MedianMs, limits);
+    std::uint32_t grade = paceTier(from.Pace, scale.FastQuartileMs, limits);
+    bool late = grade > 0 && !it->MovedForPace &&
+                it->Text.Events >= limits.MinLongTextEvents;
     if (!slow && !late)
       continue;
     std::shared_ptr<EngineState> other =
         chooseEngine(Pool, needOf(*it), scale, Limits.Pool, now);
     if (!other || other->Server->SuspectUntil > now ||
-        isSlow(other->Pace, scale.UsualMs, limits) ||
-        (!slow && paceGrade(other->Pace, scale.FastMs, limits) >= grade))
+        isSlow(other->Pace, scale.MedianMs, limits) ||
+        (!slow && paceTier(other->Pace, scale.FastQuartileMs, limits) >= grade))
       continue;
     std::uint32_t &more = promised[other.get()];
     if (other->Running + more >= other->Server->Entry.Slots)
@@ -177,9 +178,9 @@
          {"server", from.Server->Entry.Id.Text},
          {"reason", slow ? "slow" : "slower than another"},
          {"recent_ms", fmt::format("{:.0f}", from.Pace.RecentMs)},
-         {"own_ms", fmt::format("{:.0f}", knownMs(from.Pace, limits))},
-         {"usual_ms", fmt::format("{:.0f}", scale.UsualMs)},
-         {"fast_ms", fmt::format("{:.0f}", scale.FastMs)}});
+         {"own_ms", fmt::format("{:.0f}", longTermMs(from.Pace, limits))},
+         {"usual_ms", fmt::format("{:.0f}", scale.MedianMs)},
+         {"fast_ms", fmt::format("{:.0f}", scale.FastQuartileMs)}});
     it->Moved = true;
     it->MovedForPace = it->MovedForPace || !slow;
     it->Stream->cancel();
@@ -190,7 +191,7 @@
 //-------------------------------------===//
 
 SwapMode Dispatcher::swapMode(const ModelName &Model) const {
-  for (const std::shared_ptr<ItemWork> &it : Works) {
+  for (const std::shared_ptr<ItemTask> &it : Works) {
     if (it->Job->Job.Model != Model)
       continue;
     const UpstreamRoute *route = routeOf(*it);
@@ -205,7 +206,7 @@
 std::map<ModelName, ModelDemand> Dispatcher::modelDemands() {
   TimePoint now = monotonicNow();
   std::map<ModelName, ModelDemand> found;
-  for (const std::shared_ptr<ItemWork> &it : Works) {
+  for (const std::shared_ptr<ItemTask> &it : Works) {
     if (it->Dropped || it->Stage != ItemStage::Waiting || it->Quarantined)
       continue;
     const BatchJob &job = it->Job->Job;
@@ -213,44 +214,44 @@
     waiting = std::max(waiting, job.MinVersion);
   }
   for (const auto &[model, version] : View.Named) {
-    NamedVersion &named = Namings[model];
-    WeightVersion newest = NewestMin[model];
+    NamedVersion &named = NamedVersions[model];
+    WeightVersion newest = NewestMinVersions[model];
     if (named.Version != version)
       named = {version, now, newest};
     ModelDemand &demand = found[model];
     demand.Named = version;
-    bool expected =
-        newest == named.MinBefore && now - named.Since < Limits.StepArrival;
+    bool expected = newest == named.MinVersionAtNaming &&
+                    now - named.Since < Limits.StepArrivalTimeout;
     // Each version that is named lets a step's oldest one rise by one.
     if (expected)
-      demand.Coming = named.MinBefore + 1;
+      demand.Coming = named.MinVersionAtNaming + 1;
   }
   return found;
 }
 
 /// Says which engines should take new weights now. Not all at once: the others
 /// go on serving, and more than a few loads slow each other down.
-void Dispatcher::wantVersions() {
+void Dispatcher::requestWeightLoads() {
   TimePoint now = monotonicNow();
   std::uint32_t swapping = 0;
   std::map<ModelName, ModelDemand> demands = modelDemands();
   EngineList due;
   for (const std::shared_ptr<EngineState> &it : Pool) {
-    bool late = now - it->WantedAt > Limits.SwapLimit;
+    bool late = now - it->WantedAt > Limits.SwapTimeout;
     if (it->swapping() && !late) {
       ++swapping;
       continue;
     }
     auto demand = demands.find(it->Model);
-    if (demand != demands.end() && mayLoad(*it, demand->second) &&
+    if (demand != demands.end() && shouldLoadWeights(*it, demand->second) &&
         it->Server->SuspectUntil <= now)
       due.push_back(it);
   }
   auto share = static_cast<std::uint32_t>(static_cast<double>(Pool.size()) *
-                                          Limits.Pool.LoadShare);
-  std::uint32_t most = std::max(Limits.Pool.LeastLoads, share);
+                                          Limits.Pool.MaxLoadingFraction);
+  std::uint32_t most = std::max(Limits.Pool.MinLoadingLimit, share);
   for (const std::shared_ptr<EngineState> &it :
-       loadOrder(std::move(due), demands)) {
+       sortForLoading(std::move(due), demands)) {
     if (swapping >= most)
       return;
     ++swapping;
@@ -283,12 +284,12 @@
     On->Wanted = 0;
 }
 
-void Dispatcher::onHeld(const ServerName &Of, const HeldWeights &Now) {
-  Held[Of] = HeldNews{Now, monotonicNow()};
+void Dispatcher::onHeldWeights(const ServerName &Of, const HeldWeights &Now) {
+  Held[Of] = HeldReport{Now, monotonicNow()};
   for (const std::shared_ptr<EngineState> &it : Pool) {
     // What a start that has not registered yet holds is taken up when it does.
     if (it->Server->Entry.Id != Of ||
-        !sameStart(it->Server->Entry.Start, Now.Start))
+        !mayBeSameStart(it->Server->Entry.Start, Now.Start))
       continue;
     for (const auto &[model, version] : Now.Models)
       it->Versions[model] = version;
--- a/Wasabi/Dispatch/DispatcherRecords.cpp
+++ b/Wasabi/Dispatch/DispatcherRecords.cpp
@@ -16,12 +16,12 @@
 /// Brings in what the items of a job ask for and the texts that they go on
 /// from, and lets each begin as soon as it has both.
 asio::awaitable<void>
-Dispatcher::load(std::vector<std::shared_ptr<ItemWork>> All) {
+Dispatcher::load(std::vector<std::shared_ptr<ItemTask>> All) {
   std::shared_ptr<Dispatcher> self = shared_from_this();
   // Items of a job lie together: one read and one decoding serve dozens.
   LoadedItems near;
-  std::vector<std::shared_ptr<ItemWork>> saved;
-  for (const std::shared_ptr<ItemWork> &it : All) {
+  std::vector<std::shared_ptr<ItemTask>> saved;
+  for (const std::shared_ptr<ItemTask> &it : All) {
     LoadOutcome got = LoadOutcome::Later;
     while (!it->Dropped && got == LoadOutcome::Later) {
       got = co_await loadItem(*it, near);
@@ -43,7 +43,7 @@
 
 /// The text that a dispatcher before has saved of the item and that it may go
 /// on from; null if there is none.
-const StoredText *Dispatcher::savedText(const ItemWork &Work) const {
+const SavedPartialText *Dispatcher::savedText(const ItemTask &Work) const {
   auto saved = Work.Job->Texts.find(Work.Index);
   if (saved == Work.Job->Texts.end() || !fits(saved->second.Text, Work))
     return nullptr;
@@ -53,19 +53,19 @@
 /// Fetches saved texts, several at a time and the longest first: they decide
 /// when their step is whole. One after the other, a takeover of 400 items had
 /// its last ones running again after 2 s.
-void Dispatcher::loadSavedTexts(std::vector<std::shared_ptr<ItemWork>> All) {
-  auto events = [this](const std::shared_ptr<ItemWork> &Of) {
-    const StoredText *saved = savedText(*Of);
+void Dispatcher::loadSavedTexts(std::vector<std::shared_ptr<ItemTask>> All) {
+  auto events = [this](const std::shared_ptr<ItemTask> &Of) {
+    const SavedPartialText *saved = savedText(*Of);
     return saved == nullptr ? 0 : saved->Text.Events;
   };
   std::stable_sort(All.begin(), All.end(),
                    [&events](const auto &Left, const auto &Right) {
                      return events(Left) > events(Right);
                    });
-  using Queue = std::deque<std::shared_ptr<ItemWork>>;
+  using Queue = std::deque<std::shared_ptr<ItemTask>>;
   std::shared_ptr<Queue> queue =
       std::make_shared<Queue>(All.begin(), All.end());
-  std::size_t fetchers = std::min(Limits.TextFetchers, queue->size());
+  std::size_t fetchers = std::min(Limits.MaxTextFetches, queue->size());
   for (std::size_t i = 0; i < fetchers; ++i)
     asio::co_spawn(
         Executor,
@@ -74,20 +74,20 @@
 }
 
 asio::awaitable<void> Dispatcher::fetchTexts(
-    std::shared_ptr<std::deque<std::shared_ptr<ItemWork>>> From) {
+    std::shared_ptr<std::deque<std::shared_ptr<ItemTask>>> From) {
   while (!From->empty()) {
-    std::shared_ptr<ItemWork> next = From->front();
+    std::shared_ptr<ItemTask> next = From->front();
     From->pop_front();
     if (!next->Dropped)
-      co_await loadSaved(*next);
+      co_await loadSavedText(*next);
     if (!next->Dropped)
       loaded(next);
   }
 }
 
 asio::awaitable<Dispatcher::LoadOutcome>
-Dispatcher::loadItem(ItemWork &Work, LoadedItems &Near) {
-  const ItemPlace &place = Work.Job->Places[Work.Index];
+Dispatcher::loadItem(ItemTask &Work, LoadedItems &Near) {
+  const ItemLocation &place = Work.Job->Places[Work.Index];
   if (place.Items.empty())
     co_return LoadOutcome::Loaded;
   std::optional<Failure> failed;
@@ -116,8 +116,8 @@
 
 /// Takes the text that a dispatcher before has saved. One that can't be had is
 /// generated anew.
-asio::awaitable<void> Dispatcher::loadSaved(ItemWork &Work) {
-  const StoredText *saved = savedText(Work);
+asio::awaitable<void> Dispatcher::loadSavedText(ItemTask &Work) {
+  const SavedPartialText *saved = savedText(Work);
   if (saved == nullptr)
     co_return;
   Outcome<PartialText> text = co_await loadText(*saved);
@@ -129,7 +129,7 @@
 }
 
 asio::awaitable<Outcome<PartialText>>
-Dispatcher::loadText(StoredText From) const {
+Dispatcher::loadText(SavedPartialText From) const {
   PartialText text = std::move(From.Text);
   for (const TextPiece &it : From.Pieces) {
     text.Output += it.Here;
@@ -144,7 +144,7 @@
 
 /// The item has all that it needs: it goes on from the longest text that is
 /// known of it and that its job allows.
-void Dispatcher::loaded(const std::shared_ptr<ItemWork> &Work) {
+void Dispatcher::loaded(const std::shared_ptr<ItemTask> &Work) {
   auto carried = Carried.find({Work->Job->Job.Id.Customer, Work->Item.Id});
   if (carried != Carried.end() && carried->second.Events > Work->Text.Events &&
       fits(carried->second, *Work))
@@ -153,7 +153,7 @@
       digestOf(askOf(*Work), Work->Job->Job.Id.Customer), Work->Item.Id.Text});
   Work->Stage = ItemStage::Waiting;
   if (Work->Text.Whole)
-    startScore(Work);
+    startScoring(Work);
   schedule();
 }
 
@@ -165,7 +165,7 @@
 constexpr std::size_t AppendBytes = 1000000;
 
 /// Whether the topic shows a result of the item, or nobody waits for one.
-bool settled(const BatchFold &Fold, const ResultRecord &What) {
+bool settled(const BatchState &Fold, const ResultRecord &What) {
   std::shared_ptr<JobState> job = findJob(Fold, What.Job);
   if (!job || job->Ended)
     return true;
@@ -185,7 +185,7 @@
       co_await CommitWake.wait(monotonicNow() + Idle);
       continue;
     }
-    Outcome<Done> done = co_await commitSome();
+    Outcome<Done> done = co_await commitOldestResults();
     if (done)
       continue;
     Decisions->line("results.append_failed",
@@ -196,7 +196,7 @@
 
 /// Appends the oldest results: first the texts that stand for themselves, then
 /// the records that name them. Only this function takes results away.
-asio::awaitable<Outcome<Done>> Dispatcher::commitSome() {
+asio::awaitable<Outcome<Done>> Dispatcher::commitOldestResults() {
   std::vector<std::string> texts;
   std::vector<std::size_t> owners;
   std::size_t count = 0;
@@ -210,13 +210,13 @@
     owners.push_back(count);
   }
   if (!texts.empty()) {
-    Outcome<std::vector<PayloadPlace>> places =
+    Outcome<std::vector<PayloadLocation>> places =
         co_await Payloads->put(std::move(texts));
     if (!places)
       co_return places.failure();
     for (std::size_t i = 0; i < owners.size(); ++i) {
       PendingResult &of = Uncommitted[owners[i]];
-      of.Record.Result.OutputAt = std::move((*places)[i]);
+      of.Record.Result.OutputLocation = std::move((*places)[i]);
       of.Text.clear();
     }
   }
@@ -237,29 +237,29 @@
 
 /// What the topic does not have of a text: what came since it was saved last,
 /// or, if this dispatcher has saved nothing of it, all.
-TextRecord Dispatcher::unsavedText(const ItemWork &Work) const {
-  TextRecord record{Work.Job->Job.Id, Work.Item.Id, Source, Work.SavedEvents,
-                    Work.Text};
+PartialTextRecord Dispatcher::unsavedText(const ItemTask &Work) const {
+  PartialTextRecord record{Work.Job->Job.Id, Work.Item.Id, Source,
+                           Work.SavedEvents, Work.Text};
   record.Text.Output.erase(0, Work.SavedBytes);
   return record;
 }
 
 /// Puts long texts into the payload topic and gives the records that name them.
 asio::awaitable<Outcome<std::vector<std::string>>>
-Dispatcher::storeTexts(std::vector<TextRecord> Texts) const {
+Dispatcher::storeTexts(std::vector<PartialTextRecord> Texts) const {
   std::vector<std::string> payloads(Texts.size());
   for (std::size_t i = 0; i < Texts.size(); ++i) {
-    if (Texts[i].Text.Output.size() > InlineBytes)
+    if (Texts[i].Text.Output.size() > MaxInlineBytes)
       payloads[i].swap(Texts[i].Text.Output);
   }
-  Outcome<std::vector<PayloadPlace>> places =
+  Outcome<std::vector<PayloadLocation>> places =
       co_await Payloads->put(std::move(payloads));
   if (!places)
     co_return places.failure();
   std::vector<std::string> records;
   records.reserve(Texts.size());
   for (std::size_t i = 0; i < Texts.size(); ++i) {
-    Texts[i].OutputAt = std::move((*places)[i]);
+    Texts[i].OutputLocation = std::move((*places)[i]);
     records.push_back(encodeRecord(Texts[i]));
   }
   co_return records;
@@ -270,14 +270,14 @@
 /// half second after an outage, when the texts have gone on for seconds
 /// unsaved.
 asio::awaitable<void> Dispatcher::saveLoop() {
-  Millis pause = Limits.SaveEvery;
+  Millis pause = Limits.SaveInterval;
   for (;;) {
     co_await pauseFor(Executor, pause);
-    pause = Limits.SaveEvery;
+    pause = Limits.SaveInterval;
     std::vector<TextSave> due;
     std::size_t bytes = 0;
-    for (const std::shared_ptr<ItemWork> &it : Works) {
-      bool grown = it->Text.Events >= it->SavedEvents + Limits.SaveEvents;
+    for (const std::shared_ptr<ItemTask> &it : Works) {
+      bool grown = it->Text.Events >= it->SavedEvents + Limits.MinSaveEvents;
       if (!Active || it->Stage != ItemStage::Running || !grown)
         continue;
       if (bytes > AppendBytes) {
@@ -298,7 +298,7 @@
 /// False if the store did not take them, as far as is known.
 asio::awaitable<bool> Dispatcher::saveTexts(std::vector<TextSave> Due) {
   std::vector<PartialText> saved;
-  std::vector<TextRecord> texts;
+  std::vector<PartialTextRecord> texts;
   for (TextSave &it : Due) {
     saved.push_back(it.Work->Text);
     texts.push_back(std::move(it.Record));
@@ -317,7 +317,7 @@
                   {{"texts", std::to_string(saved.size())},
                    {"result", failed ? describe(*failed) : "written"}});
   for (std::size_t i = 0; i < saved.size(); ++i) {
-    ItemWork &work = *Due[i].Work;
+    ItemTask &work = *Due[i].Work;
     // A text that began anew meanwhile has nothing saved. After an append of
     // unknown outcome the next record holds the whole text.
     bool same = work.Text.Events >= saved[i].Events &&
--- a/Wasabi/Dispatch/DispatcherRuns.cpp
+++ b/Wasabi/Dispatch/DispatcherRuns.cpp
@@ -27,18 +27,18 @@
 
 } // namespace
 
-http::Request Dispatcher::askOf(const ItemWork &Work) const {
+http::Request Dispatcher::askOf(const ItemTask &Work) const {
   http::Request ask;
   ask.Method = "POST";
   ask.Target = Work.Item.Path;
   ask.Headers.push_back({"Host", Work.Job->Job.Host});
-  for (const PassedHeader &it : Work.Item.Headers)
+  for (const ForwardedHeader &it : Work.Item.Headers)
     ask.Headers.push_back({it.Name, it.Value});
   ask.Body = Work.Item.Body;
   return ask;
 }
 
-void Dispatcher::startRun(const std::shared_ptr<ItemWork> &Work,
+void Dispatcher::startRun(const std::shared_ptr<ItemTask> &Work,
                           const std::shared_ptr<EngineState> &On) {
   Work->Stage = ItemStage::Running;
   Work->Engine = On;
@@ -48,7 +48,7 @@
   Work->Moved = false;
   ++On->Running;
   ++On->Server->InFlight;
-  PromptAt[Work->Item.Group] = On->Server->Entry.incarnation();
+  PromptEngines[Work->Item.Group] = On->Server->Entry.incarnation();
   Decisions->line("item.run",
                   {{"item", Work->Item.Id.Text},
                    {"job", Work->Job->Job.Id.Text},
@@ -60,10 +60,10 @@
       asio::detached);
 }
 
-asio::awaitable<void> Dispatcher::run(std::shared_ptr<ItemWork> Work) {
+asio::awaitable<void> Dispatcher::run(std::shared_ptr<ItemTask> Work) {
   std::shared_ptr<EngineState> engine = Work->Engine;
   TimePoint began = monotonicNow();
-  std::unique_ptr<Quarantine::SuspectRun> suspect = Crashes->beginRun(
+  std::unique_ptr<Quarantine::SuspectRun> suspect = Crashes->trackSuspectRun(
       Work->Guard->Digest, engine->Server->Entry.incarnation());
   SendOptions options;
   options.RequestId = Work->Item.Id.Text;
@@ -73,7 +73,7 @@
   std::optional<Outcome<std::unique_ptr<EngineStream>>> opened =
       co_await cancellable(Executor,
                            Engines.Open(engine->Server->Entry, askOf(*Work),
-                                        options, Limits.EventLimit),
+                                        options, Limits.EventTimeout),
                            Work->Stop);
   Failure why{Verdict::MayHaveRun, FailureCode::Cancelled, "dispatcher",
               "the run was stopped", Millis(0)};
@@ -87,7 +87,7 @@
   }
   if (opened && *opened && !Work->Dropped) {
     std::unique_ptr<EngineStream> stream = std::move(**opened);
-    bool good = judgeHead(Work, stream->head());
+    bool good = checkStreamHead(Work, stream->head());
     if (good) {
       Work->Stream = stream.get();
       whole = co_await readEvents(*Work);
@@ -102,23 +102,23 @@
   Work->Engine.reset();
   bool lost = Work->Broken && Work->Broken->Run != Verdict::NotRun &&
               Work->Broken->Code == FailureCode::ConnectionLost;
-  if (lost && Crashes->suspicious(began, Work->Begun))
-    co_await Crashes->connectionLost(Work->Guard, engine->Server);
+  if (lost && Crashes->mayHaveCrashedServer(began, Work->Begun))
+    co_await Crashes->onConnectionLost(Work->Guard, engine->Server);
   if (Work->Dropped || Work->Stage == ItemStage::Finished)
     co_return schedule();
   if (!whole) {
     Work->Avoid = engine->Server->Entry.incarnation();
-    endRun(Work, why);
+    requeueItem(Work, why);
     co_return;
   }
   wasabi::noteSuccess(View.Servers, *engine->Server, 0);
   Crashes->answered(*Work->Guard);
   Work->Text.Whole = true;
-  startScore(Work);
+  startScoring(Work);
   schedule();
 }
 
-void Dispatcher::startScore(const std::shared_ptr<ItemWork> &Work) {
+void Dispatcher::startScoring(const std::shared_ptr<ItemTask> &Work) {
   Work->Stage = ItemStage::Scoring;
   asio::co_spawn(
       Executor, [self = shared_from_this(), Work] { return self->score(Work); },
@@ -127,8 +127,8 @@
 
 /// Whether a stream may be read on; else what becomes of the item is settled,
 /// or it is tried again.
-bool Dispatcher::judgeHead(const std::shared_ptr<ItemWork> &Work,
-                           const StreamHead &Head) {
+bool Dispatcher::checkStreamHead(const std::shared_ptr<ItemTask> &Work,
+                                 const StreamHead &Head) {
   EngineState &engine = *Work->Engine;
   if (Head.Version) {
     engine.Versions[engine.Model] = *Head.Version;
@@ -175,13 +175,13 @@
   return false;
 }
 
-asio::awaitable<bool> Dispatcher::readEvents(ItemWork &Work) {
+asio::awaitable<bool> Dispatcher::readEvents(ItemTask &Work) {
   EngineState &engine = *Work.Engine;
   std::optional<WeightVersion> version = Work.Stream->head().Version;
   for (;;) {
-    // Stalled runs are ended by `lookAtRuns`.
+    // Stalled runs are ended by `cancelStalledRuns`.
     Outcome<std::optional<EngineEvent>> event =
-        co_await Work.Stream->next(Limits.EventLimit);
+        co_await Work.Stream->next(Limits.EventTimeout);
     if (!event) {
       Work.Broken = event.failure();
       co_return false;
@@ -217,21 +217,21 @@
   }
 }
 
-void Dispatcher::noteEvent(EngineState &On, ItemWork &Work) {
+void Dispatcher::noteEvent(EngineState &On, ItemTask &Work) {
   TimePoint now = monotonicNow();
   double gap =
       std::chrono::duration<double, std::milli>(now - Work.LastEvent).count();
   // The first pause is queue and prompt, and one across a load says nothing of
   // the engine's pace.
   if (Work.Begun && !On.swapping())
-    notePause(On.Pace, gap, now, Limits.Pool.Pace);
+    recordEventInterval(On.Pace, gap, now, Limits.Pool.Pace);
   Work.Begun = true;
   Work.LastEvent = now;
   On.Pace.LastEvent = now;
 }
 
-void Dispatcher::endRun(const std::shared_ptr<ItemWork> &Work,
-                        const Failure &Why) {
+void Dispatcher::requeueItem(const std::shared_ptr<ItemTask> &Work,
+                             const Failure &Why) {
   Work->Stage = ItemStage::Waiting;
   Work->NotBefore =
       Work->Moved ? TimePoint() : monotonicNow() + Limits.RetryPause;
@@ -247,17 +247,17 @@
   Wake.notify();
 }
 
-void Dispatcher::terminate(const std::shared_ptr<ItemWork> &Work,
+void Dispatcher::terminate(const std::shared_ptr<ItemTask> &Work,
                            std::string_view Why) {
   Decisions->line("item.terminated", {{"item", Work->Item.Id.Text},
                                       {"job", Work->Job->Job.Id.Text},
                                       {"reason", std::string(Why)}});
-  finish(Work, ItemResult{Work->Item.Id, ItemEnd::Terminated, "", {}, ""});
+  finish(Work, ItemResult{Work->Item.Id, ItemStatus::Terminated, "", {}, ""});
 }
 
-asio::awaitable<void> Dispatcher::score(std::shared_ptr<ItemWork> Work) {
+asio::awaitable<void> Dispatcher::score(std::shared_ptr<ItemTask> Work) {
   const BatchItem &item = Work->Item;
-  ItemResult result{item.Id, ItemEnd::Completed, Work->Text.Output,
+  ItemResult result{item.Id, ItemStatus::Completed, Work->Text.Output,
                     Work->Text.Versions, ""};
   std::uint32_t failures = 0;
   std::uint32_t calls = 0;
@@ -274,16 +274,17 @@
     UpstreamRoute once = *route;
     // Each failure is counted here, and a lost answer costs no attempt.
     once.MaxAttempts = 1;
-    once.Timeout = Limits.ScoreTime;
+    once.Timeout = Limits.ScoreCallTimeout;
     ForwardRequest call;
     call.Id = item.Score->Id;
     call.Arrived = monotonicNow();
-    call.Patience = ++calls == 1 ? Limits.FirstScoreTime : Limits.ScoreTime;
+    call.Patience =
+        ++calls == 1 ? Limits.FirstScoreCallTimeout : Limits.ScoreCallTimeout;
     call.Ask.Method = "POST";
     call.Ask.Target = item.Score->Path;
     call.Ask.Headers = {{"Host", item.Score->Host}};
     call.Ask.Body = item.Score->Body;
-    Outcome<UpstreamAnswer> got =
+    Outcome<UpstreamResponse> got =
         co_await Scores->answer(std::move(call), std::move(once), Work->Stop);
     if (got && got->Response.Status >= Ok &&
         got->Response.Status < FirstRedirect && !got->Signature.empty()) {
@@ -296,7 +297,7 @@
     }
     bool quarantined = !got && got.failure().Code == FailureCode::Quarantined;
     if (!Work->Dropped)
-      co_await pauseFor(Executor, quarantined ? Limits.QuarantinePause
+      co_await pauseFor(Executor, quarantined ? Limits.QuarantineRetryDelay
                                               : Limits.RetryPause);
   }
   if (Work->Dropped)
@@ -305,28 +306,28 @@
   schedule();
 }
 
-void Dispatcher::finish(const std::shared_ptr<ItemWork> &Work,
+void Dispatcher::finish(const std::shared_ptr<ItemTask> &Work,
                         ItemResult Result) {
   Work->Stage = ItemStage::Finished;
   Decisions->line(
       "item.finished",
       {{"item", Result.Item.Text},
        {"job", Work->Job->Job.Id.Text},
-       {"completed", Result.End == ItemEnd::Completed ? "yes" : "no"},
+       {"completed", Result.End == ItemStatus::Completed ? "yes" : "no"},
        {"events", std::to_string(Work->Text.Events)},
        {"versions", fmt::format("{}", fmt::join(Result.Versions, ","))},
        {"took_ms", std::to_string(std::chrono::duration_cast<Millis>(
                                       monotonicNow() - Work->Job->Seen)
                                       .count())}});
   std::string text;
-  if (Result.Output.size() > InlineBytes)
+  if (Result.Output.size() > MaxInlineBytes)
     text.swap(Result.Output);
   Uncommitted.push_back(
       {{Work->Job->Job.Id, std::move(Result)}, std::move(text)});
   CommitWake.notify();
 }
 
-void clearText(ItemWork &Work) {
+void clearText(ItemTask &Work) {
   Work.Text = PartialText();
   Work.SavedEvents = 0;
   Work.SavedBytes = 0;
--- a/Wasabi/Dispatch/EnginePool.cpp
+++ b/Wasabi/Dispatch/EnginePool.cpp
@@ -20,8 +20,8 @@
 
 } // namespace
 
-PaceScale paceScale(const EngineList &Engines,
-                    const EnginePoolSettings &Limits) {
+PaceBaseline computePaceBaseline(const EngineList &Engines,
+                                 const EnginePoolSettings &Limits) {
   constexpr double Median = 0.5;
   constexpr double Quarter = 0.25;
   std::vector<double> recent;
@@ -29,11 +29,11 @@
   for (const std::shared_ptr<EngineState> &it : Engines) {
     if (it->Pace.RecentMs > 0)
       recent.push_back(it->Pace.RecentMs);
-    if (knownMs(it->Pace, Limits.Pace) > 0)
-      own.push_back(knownMs(it->Pace, Limits.Pace));
+    if (longTermMs(it->Pace, Limits.Pace) > 0)
+      own.push_back(longTermMs(it->Pace, Limits.Pace));
   }
-  return PaceScale{quantile(std::move(recent), Median),
-                   quantile(std::move(own), Quarter)};
+  return PaceBaseline{quantile(std::move(recent), Median),
+                      quantile(std::move(own), Quarter)};
 }
 
 std::map<ModelName, std::uint32_t>
@@ -214,8 +214,8 @@
 }
 
 std::shared_ptr<EngineState> chooseEngine(const EngineList &Engines,
-                                          const EngineNeed &Need,
-                                          const PaceScale &Scale,
+                                          const EngineRequirements &Need,
+                                          const PaceBaseline &Scale,
                                           const EnginePoolSettings &Limits,
                                           TimePoint Now) {
   using Rank = std::tuple<bool, bool, bool, std::uint32_t, bool, double>;
@@ -225,14 +225,14 @@
     const UpstreamServer &server = *it->Server;
     WeightVersion has = it->version(Need.Model);
     bool fits = it->Model == Need.Model && has >= Need.MinVersion &&
-                (!Need.Exactly || has == *Need.Exactly);
+                (!Need.ExactVersion || has == *Need.ExactVersion);
     if (!fits || !hasRoom(*it, Now))
       continue;
     double load = static_cast<double>(it->Running) / server.Entry.Slots;
     std::uint32_t grade =
-        Need.Long ? paceGrade(it->Pace, Scale.FastMs, Limits.Pace) : 0;
+        Need.Long ? paceTier(it->Pace, Scale.FastQuartileMs, Limits.Pace) : 0;
     Rank rank{server.SuspectUntil > Now,
-              isSlow(it->Pace, Scale.UsualMs, Limits.Pace),
+              isSlow(it->Pace, Scale.MedianMs, Limits.Pace),
               server.Entry.incarnation() == Need.Avoid,
               grade,
               server.Entry.incarnation() != Need.Preferred,
--- a/Wasabi/Dispatch/EnginePool.h
+++ b/Wasabi/Dispatch/EnginePool.h
@@ -53,23 +53,23 @@
   EnginePaceSettings Pace;
   /// Part of the engines that may take new weights at once: more slow each
   /// other down.
-  double LoadShare = 0.2;
+  double MaxLoadingFraction = 0.2;
   /// At least this many may.
-  std::uint32_t LeastLoads = 2;
+  std::uint32_t MinLoadingLimit = 2;
 };
 
 /// What the paces of all engines say of one, in milliseconds an event; 0 where
 /// nothing is known.
-struct PaceScale {
+struct PaceBaseline {
   /// The lower median of the recent paces.
-  double UsualMs = 0;
+  double MedianMs = 0;
   /// A fourth of the engines are as fast as this or faster.
-  double FastMs = 0;
+  double FastQuartileMs = 0;
 };
 
 /// The scale of `Engines`. Pure.
-PaceScale paceScale(const EngineList &Engines,
-                    const EnginePoolSettings &Limits);
+PaceBaseline computePaceBaseline(const EngineList &Engines,
+                                 const EnginePoolSettings &Limits);
 
 /// How many engines each model should have, of `Count` in all, by the models'
 /// demand. Each model with demand gets two at least, where there are so many:
@@ -87,11 +87,11 @@
                   bool MayMove);
 
 /// What a sample needs of an engine.
-struct EngineNeed {
+struct EngineRequirements {
   ModelName Model;
   WeightVersion MinVersion = 0;
   /// Set when the text must go on under this version.
-  std::optional<WeightVersion> Exactly;
+  std::optional<WeightVersion> ExactVersion;
   /// The engine that has the group's prompt, if any.
   ServerIncarnation Preferred;
   /// The engine that has just failed the sample, if any.
@@ -108,8 +108,8 @@
 
 /// The engine for one more sample, null if none has room.
 std::shared_ptr<EngineState> chooseEngine(const EngineList &Engines,
-                                          const EngineNeed &Need,
-                                          const PaceScale &Scale,
+                                          const EngineRequirements &Need,
+                                          const PaceBaseline &Scale,
                                           const EnginePoolSettings &Limits,
                                           TimePoint Now);
 
--- a/Wasabi/Dispatch/EngineTopics.cpp
+++ b/Wasabi/Dispatch/EngineTopics.cpp
@@ -15,7 +15,7 @@
 constexpr Millis EnginePace{30};
 
 /// Records of a release before this one have none.
-ServerStart readStart(JsonReader &From) {
+ServerStartTime readStart(JsonReader &From) {
   return From.has("start") ? From.number("start") : 0;
 }
 
@@ -72,7 +72,7 @@
 }
 
 std::shared_ptr<KeyedFollower> followWanted(
-    const FeedParts &Parts,
+    const FeedContext &Parts,
     std::function<void(const ServerName &, WantedWeights, Offset)> Take) {
   return startFeed(
       Parts, WantedTopic, EnginePace,
@@ -86,7 +86,7 @@
 }
 
 std::shared_ptr<KeyedFollower>
-followHeld(const FeedParts &Parts,
+followHeld(const FeedContext &Parts,
            std::function<void(const ServerName &, const HeldWeights &)> Take) {
   return startFeed(
       Parts, HeldTopic, EnginePace,
--- a/Wasabi/Dispatch/EngineTopics.h
+++ b/Wasabi/Dispatch/EngineTopics.h
@@ -26,7 +26,7 @@
   WeightVersion Version = 0;
   SwapMode Mode = SwapMode::Continue;
   /// Of which start of the server it is wanted; 0 if that is not known.
-  ServerStart Start = 0;
+  ServerStartTime Start = 0;
   bool operator==(const WantedWeights &) const = default;
 };
 
@@ -36,13 +36,13 @@
   /// Whether it is taking others now.
   bool Loading = false;
   /// The start of the server that held them; 0 if that is not known.
-  ServerStart Start = 0;
+  ServerStartTime Start = 0;
   bool operator==(const HeldWeights &) const = default;
 };
 
 /// Whether what is known of one start of a server speaks for another. Where a
 /// start is not known, the server's name has to do. Pure.
-inline bool sameStart(ServerStart Left, ServerStart Right) {
+inline bool mayBeSameStart(ServerStartTime Left, ServerStartTime Right) {
   return Left == 0 || Right == 0 || Left == Right;
 }
 
@@ -57,12 +57,12 @@
 
 /// Calls `Take` for each change of what is wanted of a server.
 std::shared_ptr<KeyedFollower> followWanted(
-    const FeedParts &Parts,
+    const FeedContext &Parts,
     std::function<void(const ServerName &, WantedWeights, Offset)> Take);
 
 /// Calls `Take` for each change of what a server holds.
 std::shared_ptr<KeyedFollower>
-followHeld(const FeedParts &Parts,
+followHeld(const FeedContext &Parts,
            std::function<void(const ServerName &, const HeldWeights &)> Take);
 
 } // namespace wasabi
--- a/Wasabi/Dispatch/DutyKeeper.cpp
+++ b/Wasabi/Dispatch/LeaseManager.cpp
@@ -1,4 +1,4 @@
-#include "Wasabi/Dispatch/DutyKeeper.h"
+#include "Wasabi/Dispatch/LeaseManager.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -9,8 +9,8 @@
 
 namespace asio = boost::asio;
 
-bool leaseFree(const LeaseState &Lease, const StoreContact &Contact,
-               const DutySettings &Limits, Millis Spread, TimePoint Now) {
+bool isLeaseFree(const LeaseState &Lease, const StoreContact &Contact,
+                 const LeaseSettings &Limits, Millis Spread, TimePoint Now) {
   if (Contact.Lost)
     return false;
   if (!Lease.Holder || Lease.Released)
@@ -21,7 +21,7 @@
   // While the store was away nobody could renew: the holder gets its full time
   // again after the store's return.
   TimePoint heard = std::max(Lease.Seen, Contact.Since);
-  return Now - heard >= Limits.HoldTime + Spread;
+  return Now - heard >= Limits.LeaseTimeout + Spread;
 }
 
 Millis claimDelay(double CpuShare) {
@@ -33,37 +33,37 @@
   return Millis(static_cast<std::int64_t>(missing * MillisPerCore));
 }
 
-DutyKeeper::DutyKeeper(asio::any_io_executor Executor,
-                       std::shared_ptr<RolloutLog> Log,
-                       std::shared_ptr<DecisionLog> Decisions,
-                       DutySettings Limits, Callbacks Calls)
+LeaseManager::LeaseManager(asio::any_io_executor Executor,
+                           std::shared_ptr<RolloutLog> Log,
+                           std::shared_ptr<DecisionLog> Decisions,
+                           LeaseSettings Limits, Callbacks Calls)
     : Limits(std::move(Limits)), Executor(std::move(Executor)),
       Log(std::move(Log)), Decisions(std::move(Decisions)),
       Calls(std::move(Calls)), Random(this->Limits.Self.Life),
-      Spread(drawSpread()) {}
-
-std::shared_ptr<DutyKeeper>
-DutyKeeper::create(asio::any_io_executor Executor,
-                   std::shared_ptr<RolloutLog> Log,
-                   std::shared_ptr<DecisionLog> Decisions, DutySettings Limits,
-                   Callbacks Calls) {
-  return std::shared_ptr<DutyKeeper>(
-      new DutyKeeper(std::move(Executor), std::move(Log), std::move(Decisions),
-                     std::move(Limits), std::move(Calls)));
+      Spread(makeClaimJitter()) {}
+
+std::shared_ptr<LeaseManager>
+LeaseManager::create(asio::any_io_executor Executor,
+                     std::shared_ptr<RolloutLog> Log,
+                     std::shared_ptr<DecisionLog> Decisions,
+                     LeaseSettings Limits, Callbacks Calls) {
+  return std::shared_ptr<LeaseManager>(new LeaseManager(
+      std::move(Executor), std::move(Log), std::move(Decisions),
+      std::move(Limits), std::move(Calls)));
 }
 
-void DutyKeeper::start() {
+void LeaseManager::start() {
   asio::co_spawn(
       Executor, [self = shared_from_this()] { return self->keep(); },
       asio::detached);
 }
 
-Millis DutyKeeper::drawSpread() {
-  return Millis(Random() % (Limits.ClaimSpread.count() + 1));
+Millis LeaseManager::makeClaimJitter() {
+  return Millis(Random() % (Limits.MaxClaimJitter.count() + 1));
 }
 
 /// Compares what the topic says with what this process believes.
-void DutyKeeper::look() {
+void LeaseManager::look() {
   const LeaseState &lease = Log->fold().Lease;
   bool mine = lease.Holder && *lease.Holder == Limits.Self && !lease.Released;
   if (Held && (!mine || lease.Term != Term)) {
@@ -75,31 +75,31 @@
          {"new_term", std::to_string(lease.Term)}});
     Calls.Lost();
   }
-  if (!Held && mine && !Retired) {
+  if (!Held && mine && !ClaimingStopped) {
     Held = true;
     Term = lease.Term;
-    Proof = beginProof(Term, Succeeds, monotonicNow());
+    Proof = makeLeaseProof(Term, HasPredecessor, monotonicNow());
     Decisions->line("duty.gained", {{"term", std::to_string(Term)}});
     Calls.Gained();
   }
   if (Held)
-    prove(Proof, lease);
+    confirmRenewals(Proof, lease);
 }
 
-std::optional<DutyPermit> DutyKeeper::permit() const {
-  if (!Held || Retired)
+std::optional<LeasePermit> LeaseManager::permit() const {
+  if (!Held || ClaimingStopped)
     return std::nullopt;
-  return permitOf(Proof, {Limits.HoldTime, Limits.TakeoverPause});
+  return computePermit(Proof, {Limits.LeaseTimeout, Limits.TakeoverDelay});
 }
 
-asio::awaitable<void> DutyKeeper::claim() {
+asio::awaitable<void> LeaseManager::claim() {
   LeaseState before = Log->fold().Lease;
   TimePoint sent = monotonicNow();
-  Spread = drawSpread();
+  Spread = makeClaimJitter();
   LeaseClaim claim{Limits.Self};
   if (before.Holder)
-    claim.After = before.LastAt;
-  Succeeds = before.Holder.has_value();
+    claim.After = before.LastRecordOffset;
+  HasPredecessor = before.Holder.has_value();
   std::vector<std::string> records{encodeRecord(claim)};
   LastRenewal = sent;
   Outcome<Offset> got = co_await Log->append(std::move(records));
@@ -111,10 +111,10 @@
   // What became of it is read from the topic.
   Outcome<Done> fresh = co_await Log->refresh();
   if (!fresh)
-    co_await pauseFor(Executor, Limits.RenewEvery);
+    co_await pauseFor(Executor, Limits.RenewInterval);
 }
 
-asio::awaitable<void> DutyKeeper::renew() {
+asio::awaitable<void> LeaseManager::renew() {
   LastRenewal = monotonicNow();
   std::vector<std::string> records{
       encodeRecord(LeaseRenewal{Term, Limits.Self})};
@@ -132,10 +132,11 @@
 
 /// Whether the lease is free and has been for as long as a stronger instance
 /// would need to take it.
-bool DutyKeeper::mayClaim() {
+bool LeaseManager::mayClaim() {
   TimePoint now = monotonicNow();
-  bool free = !Held && !Retired && Log->caughtUp() &&
-              leaseFree(Log->fold().Lease, Log->contact(), Limits, Spread, now);
+  bool free =
+      !Held && !ClaimingStopped && Log->caughtUp() &&
+      isLeaseFree(Log->fold().Lease, Log->contact(), Limits, Spread, now);
   if (!free) {
     FreeSince.reset();
     return false;
@@ -145,27 +146,28 @@
   return now - *FreeSince >= Limits.ClaimDelay;
 }
 
-asio::awaitable<void> DutyKeeper::keep() {
+asio::awaitable<void> LeaseManager::keep() {
   for (;;) {
     look();
     TimePoint now = monotonicNow();
-    bool due = Held && now - LastRenewal >= Limits.RenewEvery;
+    bool due = Held && now - LastRenewal >= Limits.RenewInterval;
     bool wanted = mayClaim();
     // A free lease is looked at more often, for the delay to be exact.
-    TimePoint next = now + (FreeSince ? Limits.ClaimSpread : Limits.RenewEvery);
+    TimePoint next =
+        now + (FreeSince ? Limits.MaxClaimJitter : Limits.RenewInterval);
     if (due)
       co_await renew();
     else if (wanted)
       co_await claim();
     else
-      co_await Log->changes().wait(Held ? LastRenewal + Limits.RenewEvery
+      co_await Log->changes().wait(Held ? LastRenewal + Limits.RenewInterval
                                         : next);
   }
 }
 
-asio::awaitable<void> DutyKeeper::release(std::vector<std::string> Texts) {
-  std::shared_ptr<DutyKeeper> self = shared_from_this();
-  Retired = true;
+asio::awaitable<void> LeaseManager::release(std::vector<std::string> Texts) {
+  std::shared_ptr<LeaseManager> self = shared_from_this();
+  ClaimingStopped = true;
   if (!Held)
     co_return;
   Held = false;
--- a/Wasabi/Dispatch/LoadOrder.cpp
+++ b/Wasabi/Dispatch/LoadOrder.cpp
@@ -5,15 +5,15 @@
 
 namespace wasabi {
 
-bool mayLoad(const EngineState &Engine, const ModelDemand &Of) {
+bool shouldLoadWeights(const EngineState &Engine, const ModelDemand &Of) {
   WeightVersion has = Engine.version(Engine.Model);
   bool serves = Of.Waiting > 0 && has >= Of.Waiting;
   bool willServe = Of.Coming > 0 && has >= Of.Coming;
   return has < Of.Named && !serves && !willServe;
 }
 
-EngineList loadOrder(EngineList Due,
-                     const std::map<ModelName, ModelDemand> &Models) {
+EngineList sortForLoading(EngineList Due,
+                          const std::map<ModelName, ModelDemand> &Models) {
   auto rank = [&Models](const std::shared_ptr<EngineState> &Of) {
     WeightVersion has = Of->version(Of->Model);
     bool inVain = Of->Wanted > has;
--- a/Wasabi/Dispatch/LoadOrder.h
+++ b/Wasabi/Dispatch/LoadOrder.h
@@ -31,14 +31,14 @@
 
 /// Whether an engine should take newer weights now: if there are any, and it
 /// serves neither what waits nor what is about to be asked for. Pure.
-bool mayLoad(const EngineState &Engine, const ModelDemand &Of);
+bool shouldLoadWeights(const EngineState &Engine, const ModelDemand &Of);
 
 /// `Due` in the order in which they should load: those asked in vain last, else
 /// they would hold up the others; first those that cannot serve what waits;
 /// among these, those that are furthest behind, then those with the least to
 /// hold up. Pure.
-EngineList loadOrder(EngineList Due,
-                     const std::map<ModelName, ModelDemand> &Models);
+EngineList sortForLoading(EngineList Due,
+                          const std::map<ModelName, ModelDemand> &Models);
 
 } // namespace wasabi
 
--- a/Wasabi/Dispatch/OrderKeeper.cpp
+++ b/Wasabi/Dispatch/WeightReconciler.cpp
@@ -1,4 +1,4 @@
-#include "Wasabi/Dispatch/OrderKeeper.h"
+#include "Wasabi/Dispatch/WeightReconciler.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -7,66 +7,65 @@
 
 namespace asio = boost::asio;
 
-OrderKeeper::OrderKeeper(asio::any_io_executor Executor, RecordStore Store,
-                         EnginePort Engines,
-                         std::shared_ptr<DecisionLog> Decisions,
-                         Settings Limits)
+WeightReconciler::WeightReconciler(asio::any_io_executor Executor,
+                                   RecordStore Store, EnginePort Engines,
+                                   std::shared_ptr<DecisionLog> Decisions,
+                                   Settings Limits)
     : Limits(std::move(Limits)), Executor(std::move(Executor)),
       Store(std::move(Store)), Engines(std::move(Engines)),
       Decisions(std::move(Decisions)), Changed(this->Executor) {}
 
-std::shared_ptr<OrderKeeper>
-OrderKeeper::create(asio::any_io_executor Executor, RecordStore Store,
-                    EnginePort Engines, std::shared_ptr<DecisionLog> Decisions,
-                    Settings Limits) {
-  return std::shared_ptr<OrderKeeper>(
-      new OrderKeeper(std::move(Executor), std::move(Store), std::move(Engines),
-                      std::move(Decisions), std::move(Limits)));
+std::shared_ptr<WeightReconciler> WeightReconciler::create(
+    asio::any_io_executor Executor, RecordStore Store, EnginePort Engines,
+    std::shared_ptr<DecisionLog> Decisions, Settings Limits) {
+  return std::shared_ptr<WeightReconciler>(new WeightReconciler(
+      std::move(Executor), std::move(Store), std::move(Engines),
+      std::move(Decisions), std::move(Limits)));
 }
 
-void OrderKeeper::start() {
+void WeightReconciler::start() {
   asio::co_spawn(
       Executor, [self = shared_from_this()] { return self->keep(); },
       asio::detached);
 }
 
-void OrderKeeper::setEngines(std::vector<UpstreamEntry> Now) {
+void WeightReconciler::setRegistrations(std::vector<UpstreamRegistration> Now) {
   Entries = std::move(Now);
   Changed.notify();
 }
 
-const UpstreamEntry *OrderKeeper::engine() const {
-  for (const UpstreamEntry &it : Entries) {
+const UpstreamRegistration *WeightReconciler::engine() const {
+  for (const UpstreamRegistration &it : Entries) {
     if (!Gone.contains(it.incarnation()))
       return &it;
   }
   return nullptr;
 }
 
-void OrderKeeper::setWanted(const ServerName &Of, WantedWeights What,
-                            Offset At) {
-  Wanted &wanted = ByServer[Of];
+void WeightReconciler::setWanted(const ServerName &Of, WantedWeights What,
+                                 Offset At) {
+  Wanted &wanted = WantedByServer[Of];
   if (wanted.At > At)
     return;
   wanted = Wanted{std::move(What), At};
   Changed.notify();
 }
 
-asio::awaitable<void> OrderKeeper::keep() {
+asio::awaitable<void> WeightReconciler::keep() {
   for (;;) {
     bool settled = co_await look();
-    co_await Changed.wait(monotonicNow() +
-                          (settled ? Limits.RestEvery : Limits.LookEvery));
+    co_await Changed.wait(monotonicNow() + (settled ? Limits.IdlePollInterval
+                                                    : Limits.PollInterval));
   }
 }
 
 /// Looks at the engine once and gives the order that is due. False if the
 /// engine is not where it should be.
-asio::awaitable<bool> OrderKeeper::look() {
-  const UpstreamEntry *entry = this->engine();
+asio::awaitable<bool> WeightReconciler::look() {
+  const UpstreamRegistration *entry = this->engine();
   if (entry == nullptr)
     co_return true;
-  UpstreamEntry engine = *entry;
+  UpstreamRegistration engine = *entry;
   Outcome<EngineReport> got =
       co_await Engines.Report(engine, Limits.AnswerTime);
   if (!got)
@@ -80,7 +79,7 @@
   HeldWeights held{got->Models, got->Busy, is.Start};
   if (first)
     co_await publish(engine.Id, held);
-  const WantedWeights *due = dueFor(is, *got);
+  const WantedWeights *due = findDueWeights(is, *got);
   if (due != nullptr && Token)
     co_await order(engine, *due, got->Accepted);
   if (!first)
@@ -89,28 +88,29 @@
 }
 
 /// What the engine should be ordered to take now, null if nothing.
-const WantedWeights *OrderKeeper::dueFor(const ServerIncarnation &Of,
-                                         const EngineReport &Now) const {
-  auto wanted = ByServer.find(Of.Server);
-  if (Now.Busy || wanted == ByServer.end())
+const WantedWeights *
+WeightReconciler::findDueWeights(const ServerIncarnation &Of,
+                                 const EngineReport &Now) const {
+  auto wanted = WantedByServer.find(Of.Server);
+  if (Now.Busy || wanted == WantedByServer.end())
     return nullptr;
   const WantedWeights &what = wanted->second.What;
-  if (!sameStart(what.Start, Of.Start))
+  if (!mayBeSameStart(what.Start, Of.Start))
     return nullptr;
   auto has = Now.Models.find(what.Model);
   bool there = has != Now.Models.end() && has->second >= what.Version;
   return there ? nullptr : &what;
 }
 
-asio::awaitable<void> OrderKeeper::order(UpstreamEntry Engine,
-                                         WantedWeights What,
-                                         std::uint64_t Accepted) {
-  VersionOrder order{What.Model,    What.Version, What.Mode,
-                     Limits.Holder, *Token,       Accepted};
-  Outcome<OrderOutcome> got =
+asio::awaitable<void> WeightReconciler::order(UpstreamRegistration Engine,
+                                              WantedWeights What,
+                                              std::uint64_t Accepted) {
+  WeightLoadRequest order{What.Model,    What.Version, What.Mode,
+                          Limits.Holder, *Token,       Accepted};
+  Outcome<WeightLoadOutcome> got =
       co_await Engines.Order(Engine, order, Limits.AnswerTime);
-  bool begun = got && *got == OrderOutcome::Begun;
-  if (got && *got == OrderOutcome::OtherServer)
+  bool begun = got && *got == WeightLoadOutcome::Begun;
+  if (got && *got == WeightLoadOutcome::WrongServer)
     Gone.insert(Engine.incarnation());
   std::string result =
       got ? begun ? "begun" : "not begun" : describe(got.failure());
@@ -124,8 +124,9 @@
 
 /// Tells the store what the engine holds, if that is news. What the store does
 /// not take is told again at the next look.
-asio::awaitable<void> OrderKeeper::publish(ServerName Of, HeldWeights Now) {
-  if (Token && Published == Now && PublishedOf == Of)
+asio::awaitable<void> WeightReconciler::publish(ServerName Of,
+                                                HeldWeights Now) {
+  if (Token && Published == Now && PublishedServer == Of)
     co_return;
   Outcome<Offset> got = co_await Store.AppendKeyed(
       HeldTopic, Of.Text, encodeHeld(Now), Limits.StoreTime);
@@ -138,7 +139,7 @@
     co_return;
   Token = *got;
   Published = std::move(Now);
-  PublishedOf = std::move(Of);
+  PublishedServer = std::move(Of);
 }
 
 } // namespace wasabi
--- a/Wasabi/Membership/MemberNews.h
+++ b/Wasabi/Membership/MemberUpdate.h
@@ -1,7 +1,7 @@
 /// \file
 /// One thing told about a member.
-#ifndef WASABI_MEMBERSHIP_MEMBERNEWS_H
-#define WASABI_MEMBERSHIP_MEMBERNEWS_H
+#ifndef WASABI_MEMBERSHIP_MEMBERUPDATE_H
+#define WASABI_MEMBERSHIP_MEMBERUPDATE_H
 
 #include "Wasabi/Core/Ids.h"
 #include "Wasabi/Membership/View.h"
@@ -9,15 +9,15 @@
 namespace wasabi {
 
 /// What is told about a member. An immutable value.
-struct MemberNews {
+struct MemberUpdate {
   /// The member. Without addresses and domain where these have not changed, and
   /// without servers too where only its bad health is told.
   Member About;
   /// Who suspects it, when it is told as suspect.
   InstanceName Accuser;
-  bool operator==(const MemberNews &) const = default;
+  bool operator==(const MemberUpdate &) const = default;
 };
 
 } // namespace wasabi
 
-#endif // WASABI_MEMBERSHIP_MEMBERNEWS_H
+#endif // WASABI_MEMBERSHIP_MEMBERUPDATE_H
--- a/Wasabi/Membership/Swim.cpp
+++ b/Wasabi/Membership/Swim.cpp
@@ -54,8 +54,8 @@
 }
 
 /// What is told of a member: all when it is alive, else its health alone.
-MemberNews newsOf(const SwimMember &Held) {
-  MemberNews news;
+MemberUpdate newsOf(const SwimMember &Held) {
+  MemberUpdate news;
   news.About = Held.Who;
   if (Held.Who.State == Health::Alive)
     return news;
@@ -72,8 +72,8 @@
 
 /// What is told of a member whose servers or stamp alone have changed: most
 /// changes are of that kind, and addresses are most of a member's bytes.
-MemberNews updateOf(const SwimMember &Held) {
-  MemberNews news = newsOf(Held);
+MemberUpdate updateOf(const SwimMember &Held) {
+  MemberUpdate news = newsOf(Held);
   news.About.Domain = DomainName();
   news.About.Requests = Address();
   news.About.Control = Address();
@@ -82,31 +82,32 @@
 }
 
 /// Whether news is of servers or the stamp alone.
-bool isUpdate(const MemberNews &News) {
+bool isUpdate(const MemberUpdate &News) {
   return News.About.State == Health::Alive && News.About.Control.empty();
 }
 
 std::uint32_t timesToTell(const SwimState &State, bool Update) {
   const SwimSettings &limits = State.Limits;
-  std::uint32_t factor = Update ? limits.UpdateFactor : limits.TellFactor;
+  std::uint32_t factor =
+      Update ? limits.ServerRetransmitFactor : limits.RetransmitFactor;
   double members = static_cast<double>(countPresent(State) + 1);
   std::uint32_t rounds =
       static_cast<std::uint32_t>(std::ceil(std::log(members)));
   return std::max(factor * rounds, 1u);
 }
 
-void tell(Step &On, MemberNews News) {
+void tell(Step &On, MemberUpdate News) {
   InstanceName name = News.About.Instance;
   // Addresses that are still being told must not be lost to an update.
-  auto held = On.State.Tellings.find(name);
-  if (isUpdate(News) && held != On.State.Tellings.end() &&
+  auto held = On.State.PendingUpdates.find(name);
+  if (isUpdate(News) && held != On.State.PendingUpdates.end() &&
       !held->second.News.About.Control.empty())
     News = newsOf(On.State.Members.at(name));
   std::uint32_t times = timesToTell(On.State, isUpdate(News));
   // What an exchange brings in bulk, the others get by their own exchanges.
   if (On.Bulk)
     times = 1;
-  On.State.Tellings[name] = Telling{std::move(News), times};
+  On.State.PendingUpdates[name] = PendingUpdate{std::move(News), times};
 }
 
 /// Takes note of a new health, or of new content with the same health.
@@ -145,7 +146,7 @@
   if (Held.Who.State == Health::Alive)
     setHealth(On, Held, Health::Suspect, Witness);
   Held.Accusers.insert(Accuser);
-  MemberNews news = newsOf(Held);
+  MemberUpdate news = newsOf(Held);
   news.Accuser = Accuser;
   tell(On, std::move(news));
 }
@@ -162,7 +163,7 @@
   InstanceName name = Who.Instance;
   SwimMember &held = On.State.Members[name];
   held = SwimMember();
-  On.State.Tellings.erase(name);
+  On.State.PendingUpdates.erase(name);
   held.Who = std::move(Who);
   held.Since = On.Now;
   held.Left = held.Who.State == Health::Leaving;
@@ -207,9 +208,9 @@
   bool bad = Told.State == Health::Suspect || Told.State == Health::Dead;
   if (Told.Stamp < self.Stamp) {
     // Refuted already, but the teller has missed it: the answer tells it again.
-    if (bad && !On.State.Tellings.contains(On.State.Self))
-      On.State.Tellings[On.State.Self] =
-          Telling{newsOf(On.State.Members.at(On.State.Self)), Reminders};
+    if (bad && !On.State.PendingUpdates.contains(On.State.Self))
+      On.State.PendingUpdates[On.State.Self] =
+          PendingUpdate{newsOf(On.State.Members.at(On.State.Self)), Reminders};
     return;
   }
   if (bad) {
@@ -241,7 +242,7 @@
 }
 
 /// News of an incarnation not known here.
-void hearOfNew(Step &On, const MemberNews &News) {
+void hearOfNew(Step &On, const MemberUpdate &News) {
   const Member &told = News.About;
   // Without addresses it is of no use; but a leaver or a dead one is kept as a
   // mark against older news.
@@ -256,17 +257,17 @@
 
 /// Counts one more process that knows what is being told.
 void countKnown(SwimState &State,
-                std::map<InstanceName, Telling>::iterator At) {
-  std::uint32_t &left = At->second.TimesLeft;
+                std::map<InstanceName, PendingUpdate>::iterator At) {
+  std::uint32_t &left = At->second.TransmitsLeft;
   left -= std::min(left, HeardAgain);
   if (left == 0)
-    State.Tellings.erase(At);
+    State.PendingUpdates.erase(At);
 }
 
 /// News that is known already needs less telling.
-void hearAgain(Step &On, const MemberNews &News) {
-  auto found = On.State.Tellings.find(News.About.Instance);
-  if (found == On.State.Tellings.end())
+void hearAgain(Step &On, const MemberUpdate &News) {
+  auto found = On.State.PendingUpdates.find(News.About.Instance);
+  if (found == On.State.PendingUpdates.end())
     return;
   const Member &own = found->second.News.About;
   const Member &told = News.About;
@@ -287,7 +288,7 @@
     setHealth(On, Held, Health::Leaving, ByPeers);
 }
 
-void hearAlive(Step &On, SwimMember &Held, const MemberNews &News) {
+void hearAlive(Step &On, SwimMember &Held, const MemberUpdate &News) {
   const Member &told = News.About;
   if (told.Stamp <= Held.Who.Stamp) {
     hearAgain(On, News);
@@ -303,7 +304,7 @@
   // leaver stays one.
   if (!Held.Left) {
     Held.Who.State = Health::Alive;
-    Held.FailedHere = false;
+    Held.LastProbeFailed = false;
   }
   noteChange(On, Held, was, ByItself);
   if (!Held.Left)
@@ -312,7 +313,7 @@
 
 /// Whether anything but the teller's word says that a member is gone.
 bool hasOtherWitness(const SwimMember &Held, const InstanceName &Teller) {
-  if (Held.FailedHere || Held.Unlisted || Held.Left)
+  if (Held.LastProbeFailed || Held.Unlisted || Held.Left)
     return true;
   return std::any_of(Held.Accusers.begin(), Held.Accusers.end(),
                      [&](const InstanceName &it) { return it != Teller; });
@@ -329,7 +330,7 @@
   On.Done.Probes.push_back(Held.Who.Instance);
 }
 
-void hearBad(Step &On, SwimMember &Held, const MemberNews &News,
+void hearBad(Step &On, SwimMember &Held, const MemberUpdate &News,
              const InstanceName &Teller) {
   const Member &told = News.About;
   if (told.Stamp < Held.Who.Stamp || Held.Who.State == Health::Dead) {
@@ -345,7 +346,7 @@
   suspect(On, Held, News.Accuser, ByPeers);
 }
 
-void hearOne(Step &On, const MemberNews &News, const InstanceName &Teller) {
+void hearOne(Step &On, const MemberUpdate &News, const InstanceName &Teller) {
   const Member &told = News.About;
   if (isSelf(On.State, told.Instance)) {
     hearOfSelf(On, told);
@@ -421,10 +422,10 @@
 
 void judge(Step &On) {
   bool doubt = judgeSelf(On.State);
-  if (doubt == On.State.SelfDoubt)
+  if (doubt == On.State.MayBeIsolated)
     return;
   On.Done.ViewChanged = true;
-  On.State.SelfDoubt = doubt;
+  On.State.MayBeIsolated = doubt;
   if (doubt)
     return;
   // What was suspected meanwhile may have been this process' own fault: the
@@ -434,7 +435,7 @@
       continue;
     held.Since = On.Now;
     held.Accusers.clear();
-    held.FailedHere = false;
+    held.LastProbeFailed = false;
   }
 }
 
@@ -444,11 +445,11 @@
   if (found == state.Members.end() || found->second.Who.Life != Event.Life)
     return;
   SwimMember &held = found->second;
-  held.FailedHere = !Event.Reached;
+  held.LastProbeFailed = !Event.Reached;
   if (held.Who.State == Health::Dead)
     return;
   state.Recent.push_back(ProbeResult{Event.Target, Event.Reached});
-  if (state.Recent.size() > state.Limits.DoubtWindow)
+  if (state.Recent.size() > state.Limits.IsolationProbeWindow)
     state.Recent.pop_front();
 
   if (Event.Reached) {
@@ -502,7 +503,7 @@
   Held.Unlisted = true;
   if (Held.Who.State == Health::Dead)
     return;
-  if (Held.FailedHere)
+  if (Held.LastProbeFailed)
     setHealth(On, Held, Health::Dead, ByListAndProbe);
   else
     On.Done.Probes.push_back(Held.Who.Instance);
@@ -520,8 +521,8 @@
   // A list that lacks even this process is no witness of removals.
   auto self = listed.find(On.State.Self);
   Incarnation life = selfOf(On.State).Life;
-  On.Done.SelfUnlisted = self == listed.end() || self->second < life;
-  if (On.Done.SelfUnlisted)
+  On.Done.SelfMissingFromList = self == listed.end() || self->second < life;
+  if (On.Done.SelfMissingFromList)
     return;
   for (auto &[name, held] : On.State.Members) {
     if (held.Listed && !held.Unlisted && !listed.contains(name) &&
@@ -537,7 +538,7 @@
   SwimState &state = On.State;
   Micros gap = On.Now - state.LastTime;
   state.LastTime = On.Now;
-  if (gap <= state.Limits.PauseLimit)
+  if (gap <= state.Limits.ProcessPauseThreshold)
     return;
   state.LocalHealth = std::min(state.LocalHealth + 2, MaxLocalHealth);
   for (auto &[name, held] : state.Members) {
@@ -548,7 +549,7 @@
 
 void endSuspicions(Step &On) {
   SwimState &state = On.State;
-  if (state.SelfDoubt)
+  if (state.MayBeIsolated)
     return;
   std::size_t members = countPresent(state);
   for (auto &[name, held] : state.Members) {
@@ -565,13 +566,13 @@
   SwimState &state = On.State;
   for (auto it = state.Members.begin(); it != state.Members.end();) {
     const SwimMember &held = it->second;
-    bool old = On.Now - held.Since >= state.Limits.ForgetDead;
+    bool old = On.Now - held.Since >= state.Limits.DeadMemberRetention;
     if (isPresent(held) || !old) {
       ++it;
       continue;
     }
     std::erase(state.ProbeOrder, it->first);
-    state.Tellings.erase(it->first);
+    state.PendingUpdates.erase(it->first);
     On.Done.ViewChanged = true;
     it = state.Members.erase(it);
   }
@@ -582,15 +583,15 @@
 void handle(Step &On, const ProbeDue &) {
   chooseProbe(On);
   ++On.State.ProbeCount;
-  if (On.State.ProbeCount % On.State.Limits.DeadProbeEvery == 0)
+  if (On.State.ProbeCount % On.State.Limits.ProbesPerDeadProbe == 0)
     chooseDeadProbe(On);
 }
 
 void handle(Step &On, const ProbeEnded &Event) { endProbe(On, Event); }
 
-void handle(Step &On, const NewsHeard &Event) {
-  On.Bulk = Event.News.size() > 2 * On.State.Limits.MaxNews;
-  for (const MemberNews &it : Event.News)
+void handle(Step &On, const UpdatesReceived &Event) {
+  On.Bulk = Event.News.size() > 2 * On.State.Limits.MaxUpdatesPerFrame;
+  for (const MemberUpdate &it : Event.News)
     hearOne(On, it, Event.From);
   judge(On);
 }
@@ -649,27 +650,28 @@
   return std::move(step.Done);
 }
 
-std::vector<MemberNews> newsFor(SwimState &State, const InstanceName &Peer) {
-  std::vector<MemberNews> chosen;
+std::vector<MemberUpdate> takeUpdatesFor(SwimState &State,
+                                         const InstanceName &Peer) {
+  std::vector<MemberUpdate> chosen;
   auto peer = State.Members.find(Peer);
   if (peer != State.Members.end() && peer->second.Who.State != Health::Alive)
     chosen.push_back(newsOf(peer->second));
 
   // What was told least goes first.
   std::vector<std::pair<std::uint32_t, InstanceName>> order;
-  for (const auto &[name, telling] : State.Tellings) {
+  for (const auto &[name, telling] : State.PendingUpdates) {
     if (name != Peer)
-      order.emplace_back(telling.TimesLeft, name);
+      order.emplace_back(telling.TransmitsLeft, name);
   }
   std::sort(order.rbegin(), order.rend());
   for (const auto &[left, name] : order) {
-    if (chosen.size() >= State.Limits.MaxNews)
+    if (chosen.size() >= State.Limits.MaxUpdatesPerFrame)
       break;
-    Telling &telling = State.Tellings.at(name);
+    PendingUpdate &telling = State.PendingUpdates.at(name);
     chosen.push_back(telling.News);
-    --telling.TimesLeft;
-    if (telling.TimesLeft == 0)
-      State.Tellings.erase(name);
+    --telling.TransmitsLeft;
+    if (telling.TransmitsLeft == 0)
+      State.PendingUpdates.erase(name);
   }
   return chosen;
 }
@@ -682,9 +684,11 @@
   return XXH64(parts, sizeof(parts), 0);
 }
 
-void noteDigests(SwimState &State, const std::vector<std::uint64_t> &Digests) {
+void applyPeerDigests(SwimState &State,
+                      const std::vector<std::uint64_t> &Digests) {
   std::unordered_set<std::uint64_t> known(Digests.begin(), Digests.end());
-  for (auto it = State.Tellings.begin(); it != State.Tellings.end();) {
+  for (auto it = State.PendingUpdates.begin();
+       it != State.PendingUpdates.end();) {
     auto next = std::next(it);
     if (known.contains(digestOf(it->second.News.About)))
       countKnown(State, it);
@@ -692,7 +696,7 @@
   }
 }
 
-std::vector<std::uint64_t> digestsOf(const SwimState &State) {
+std::vector<std::uint64_t> computeDigests(const SwimState &State) {
   std::vector<std::uint64_t> digests;
   digests.reserve(State.Members.size());
   for (const auto &[name, held] : State.Members)
@@ -700,15 +704,16 @@
   return digests;
 }
 
-std::vector<MemberNews> newsBeyond(const SwimState &State,
-                                   const std::vector<std::uint64_t> &Digests) {
+std::vector<MemberUpdate>
+findMissingUpdates(const SwimState &State,
+                   const std::vector<std::uint64_t> &Digests) {
   std::unordered_set<std::uint64_t> known(Digests.begin(), Digests.end());
-  std::vector<MemberNews> news;
+  std::vector<MemberUpdate> news;
   for (const auto &[name, held] : State.Members) {
     if (known.contains(digestOf(held.Who)))
       continue;
     // Alive or suspect, the other side may not know it at all: tell it whole.
-    MemberNews whole = newsOf(held);
+    MemberUpdate whole = newsOf(held);
     if (held.Who.State == Health::Suspect) {
       whole.About = held.Who;
       whole.About.State = Health::Alive;
@@ -722,9 +727,9 @@
                         std::size_t Accusers, std::uint32_t LocalHealth) {
   double scale = std::max(
       1.0, std::log10(static_cast<double>(std::max<std::size_t>(Members, 1))));
-  double least = scale * Limits.SuspicionPeriods *
+  double least = scale * Limits.MinSuspicionPeriods *
                  static_cast<double>(Limits.ProbePeriod.count());
-  double most = least * Limits.LongestSuspicion;
+  double most = least * Limits.MaxSuspicionFactor;
   // Each further accuser shortens it, the first ones most.
   double further = static_cast<double>(std::max<std::size_t>(Accusers, 1) - 1);
   double wanted = static_cast<double>(std::max(Limits.Accusers, 2u) - 1);
@@ -735,8 +740,9 @@
   return Millis(static_cast<std::int64_t>(span));
 }
 
-std::vector<InstanceName>
-chooseHelpers(SwimState &State, const InstanceName &Target, std::size_t Count) {
+std::vector<InstanceName> chooseRandomPeers(SwimState &State,
+                                            const InstanceName &Target,
+                                            std::size_t Count) {
   std::vector<InstanceName> names;
   for (const auto &[name, held] : State.Members) {
     if (name != Target && name != State.Self && held.Who.State == Health::Alive)
@@ -751,7 +757,7 @@
 View viewOf(const SwimState &State) {
   View view;
   view.Self = State.Self;
-  view.SelfDoubt = State.SelfDoubt;
+  view.MayBeIsolated = State.MayBeIsolated;
   for (const auto &[name, held] : State.Members)
     view.Members.emplace_hint(view.Members.end(), name, held.Who);
   return view;
--- a/Wasabi/Membership/Swim.h
+++ b/Wasabi/Membership/Swim.h
@@ -11,7 +11,7 @@
 #include "Wasabi/Core/Clock.h"
 #include "Wasabi/Core/Ids.h"
 #include "Wasabi/Membership/ListedInstance.h"
-#include "Wasabi/Membership/MemberNews.h"
+#include "Wasabi/Membership/MemberUpdate.h"
 #include "Wasabi/Membership/View.h"
 
 #include <cstddef>
@@ -31,28 +31,28 @@
   /// Time between two probes; suspicion scales with it.
   Millis ProbePeriod{1000};
   /// Shortest suspicion, in probe periods for each factor of ten of members.
-  std::uint32_t SuspicionPeriods = 2;
+  std::uint32_t MinSuspicionPeriods = 2;
   /// The longest suspicion is this many times the shortest.
-  std::uint32_t LongestSuspicion = 3;
+  std::uint32_t MaxSuspicionFactor = 3;
   /// This many accusers shorten a suspicion to its least.
   std::uint32_t Accusers = 3;
   /// Each change is told this many times for each factor e of members.
-  std::uint32_t TellFactor = 3;
+  std::uint32_t RetransmitFactor = 3;
   /// The same of a change of servers alone, which is frequent; exchanges of
   /// digests bring it to whom the few tellings missed.
-  std::uint32_t UpdateFactor = 1;
+  std::uint32_t ServerRetransmitFactor = 1;
   /// Most news that one frame carries.
-  std::size_t MaxNews = 8;
+  std::size_t MaxUpdatesPerFrame = 8;
   /// A dead member is forgotten after this.
-  Millis ForgetDead{600000};
+  Millis DeadMemberRetention{600000};
   /// Recent probes by which a process judges itself.
-  std::size_t DoubtWindow = 10;
+  std::size_t IsolationProbeWindow = 10;
   /// A step of the clock longer than this was a pause of this process.
-  Millis PauseLimit{1500};
+  Millis ProcessPauseThreshold{1500};
   /// Most probes that one event may start at once.
   std::size_t MaxProbes = 8;
   /// Every n-th probe tries a dead member, so that a healed cut is noticed.
-  std::uint32_t DeadProbeEvery = 5;
+  std::uint32_t ProbesPerDeadProbe = 5;
   bool operator==(const SwimSettings &) const = default;
 };
 
@@ -64,7 +64,7 @@
   /// Since when it has its present health.
   TimePoint Since;
   /// Whether the last probe from here failed.
-  bool FailedHere = false;
+  bool LastProbeFailed = false;
   /// Whether the platform has listed this incarnation.
   bool Listed = false;
   /// Whether the platform listed this incarnation and no longer does.
@@ -74,9 +74,9 @@
 };
 
 /// News that is still being told.
-struct Telling {
-  MemberNews News;
-  std::uint32_t TimesLeft = 0;
+struct PendingUpdate {
+  MemberUpdate News;
+  std::uint32_t TransmitsLeft = 0;
 };
 
 /// One probe's end, as a process judges itself by.
@@ -90,14 +90,14 @@
   SwimSettings Limits;
   InstanceName Self;
   std::map<InstanceName, SwimMember> Members;
-  std::map<InstanceName, Telling> Tellings;
+  std::map<InstanceName, PendingUpdate> PendingUpdates;
   std::vector<InstanceName> ProbeOrder;
   std::size_t ProbeAt = 0;
   std::uint64_t ProbeCount = 0;
   std::deque<ProbeResult> Recent;
   /// 0 is well; each step makes this process more patient with others.
   std::uint32_t LocalHealth = 0;
-  bool SelfDoubt = false;
+  bool MayBeIsolated = false;
   TimePoint LastTime;
   std::mt19937_64 Random;
 };
@@ -115,9 +115,9 @@
   bool PeersAnswered = false;
 };
 /// Another process told news.
-struct NewsHeard {
+struct UpdatesReceived {
   InstanceName From;
-  std::vector<MemberNews> News;
+  std::vector<MemberUpdate> News;
 };
 /// The platform's list was read.
 struct ListRead {
@@ -137,7 +137,7 @@
 struct SelfLeaves {};
 
 using SwimEvent =
-    std::variant<ProbeDue, ProbeEnded, NewsHeard, ListRead, RequestFailed,
+    std::variant<ProbeDue, ProbeEnded, UpdatesReceived, ListRead, RequestFailed,
                  TimePassed, ServersChanged, SelfLeaves>;
 
 // ---- effects ----
@@ -156,12 +156,12 @@
   /// Members to probe now.
   std::vector<InstanceName> Probes;
   /// News to pass on at once, besides being carried by probes.
-  std::vector<MemberNews> Urgent;
+  std::vector<MemberUpdate> Urgent;
   std::vector<HealthChange> Changes;
   /// Whether the view differs from before.
   bool ViewChanged = false;
   /// Whether the platform's list lacks this process.
-  bool SelfUnlisted = false;
+  bool SelfMissingFromList = false;
 };
 
 /// The state of a process that knows only itself. `Self.Stamp` becomes 1. Pure.
@@ -173,19 +173,22 @@
 
 /// News for a frame to `Peer`: first what is held against the peer itself, so
 /// that it can refute it, then what was told least. Pure but for `State`.
-std::vector<MemberNews> newsFor(SwimState &State, const InstanceName &Peer);
+std::vector<MemberUpdate> takeUpdatesFor(SwimState &State,
+                                         const InstanceName &Peer);
 
 /// 64 bits that differ when what is known of a member differs; a suspect counts
 /// as alive. Pure.
 std::uint64_t digestOf(const Member &Who);
 /// The digests of all members. Pure.
-std::vector<std::uint64_t> digestsOf(const SwimState &State);
+std::vector<std::uint64_t> computeDigests(const SwimState &State);
 /// Takes note of what a peer knows, which needs less telling. Pure but for
 /// `State`.
-void noteDigests(SwimState &State, const std::vector<std::uint64_t> &Digests);
+void applyPeerDigests(SwimState &State,
+                      const std::vector<std::uint64_t> &Digests);
 /// News of all members that the other side knows otherwise. Pure.
-std::vector<MemberNews> newsBeyond(const SwimState &State,
-                                   const std::vector<std::uint64_t> &Digests);
+std::vector<MemberUpdate>
+findMissingUpdates(const SwimState &State,
+                   const std::vector<std::uint64_t> &Digests);
 
 /// How long a suspicion lasts with so many members and accusers. Pure.
 Millis suspicionTimeout(const SwimSettings &Limits, std::size_t Members,
@@ -193,8 +196,9 @@
 
 /// Members that a probe of `Target` may be sent through, at most `Count`. Pure
 /// but for `State`.
-std::vector<InstanceName>
-chooseHelpers(SwimState &State, const InstanceName &Target, std::size_t Count);
+std::vector<InstanceName> chooseRandomPeers(SwimState &State,
+                                            const InstanceName &Target,
+                                            std::size_t Count);
 
 /// The view as others read it. Pure.
 View viewOf(const SwimState &State);
--- a/Wasabi/Membership/View.h
+++ b/Wasabi/Membership/View.h
@@ -58,7 +58,7 @@
   InstanceName Self;
   /// Set while most of the view seems gone at once: then this process doubts
   /// itself first, declares nobody dead and takes no new claim.
-  bool SelfDoubt = false;
+  bool MayBeIsolated = false;
   bool operator==(const View &) const = default;
 };
 
--- a/Wasabi/Node/ClaimKeeper.cpp
+++ b/Wasabi/Node/ClaimManager.cpp
@@ -1,4 +1,4 @@
-#include "Wasabi/Node/ClaimKeeper.h"
+#include "Wasabi/Node/ClaimManager.h"
 
 #include "Wasabi/Membership/Rendezvous.h"
 #include "Wasabi/State/Claims.h"
@@ -7,37 +7,37 @@
 
 namespace wasabi {
 
-std::shared_ptr<ClaimKeeper>
-ClaimKeeper::create(Settings Setup, std::shared_ptr<RecordAppender> Appender,
-                    Timeline &Events) {
-  return std::shared_ptr<ClaimKeeper>(
-      new ClaimKeeper(std::move(Setup), std::move(Appender), Events));
+std::shared_ptr<ClaimManager>
+ClaimManager::create(Settings Setup, std::shared_ptr<RecordAppender> Appender,
+                     Timeline &Events) {
+  return std::shared_ptr<ClaimManager>(
+      new ClaimManager(std::move(Setup), std::move(Appender), Events));
 }
 
-ClaimKeeper::ClaimKeeper(Settings Setup,
-                         std::shared_ptr<RecordAppender> Appender,
-                         Timeline &Events)
+ClaimManager::ClaimManager(Settings Setup,
+                           std::shared_ptr<RecordAppender> Appender,
+                           Timeline &Events)
     : Setup(std::move(Setup)), Appender(std::move(Appender)), Events(Events) {}
 
-void ClaimKeeper::want(const std::string &Resource) {
+void ClaimManager::want(const std::string &Resource) {
   std::lock_guard<std::mutex> lock(Guard);
   Wanted.emplace(Resource, monotonicNow());
 }
 
-void ClaimKeeper::unwant(const std::string &Resource) {
+void ClaimManager::withdrawClaim(const std::string &Resource) {
   std::lock_guard<std::mutex> lock(Guard);
   Wanted.erase(Resource);
   Held.erase(Resource);
 }
 
-void ClaimKeeper::unwantAll() {
+void ClaimManager::withdrawAllClaims() {
   std::lock_guard<std::mutex> lock(Guard);
   Wanted.clear();
   Held.clear();
 }
 
-std::optional<HeldClaim> ClaimKeeper::held(const std::string &Resource,
-                                           TimePoint Now) const {
+std::optional<HeldClaim> ClaimManager::held(const std::string &Resource,
+                                            TimePoint Now) const {
   std::lock_guard<std::mutex> lock(Guard);
   auto found = Held.find(Resource);
   if (found == Held.end() || Now >= found->second.Until)
@@ -45,7 +45,7 @@
   return found->second;
 }
 
-std::map<std::string, HeldClaim> ClaimKeeper::heldNow(TimePoint Now) const {
+std::map<std::string, HeldClaim> ClaimManager::heldNow(TimePoint Now) const {
   std::lock_guard<std::mutex> lock(Guard);
   std::map<std::string, HeldClaim> found;
   for (const auto &[resource, claim] : Held) {
@@ -56,7 +56,7 @@
 }
 
 std::optional<FencingToken>
-ClaimKeeper::token(const FoldState &State, const std::string &Resource) const {
+ClaimManager::token(const FoldState &State, const std::string &Resource) const {
   auto found = State.Claims.find(Resource);
   if (found == State.Claims.end() || !isMine(found->second))
     return std::nullopt;
@@ -66,12 +66,12 @@
   return found->second.Token;
 }
 
-bool ClaimKeeper::isMine(const Claim &What) const {
+bool ClaimManager::isMine(const Claim &What) const {
   return !What.Released && What.Holder == Setup.Instance &&
-         What.HolderLife == Setup.Life;
+         What.HolderIncarnation == Setup.Life;
 }
 
-bool ClaimKeeper::holdsAny(const FoldState &State) const {
+bool ClaimManager::holdsAny(const FoldState &State) const {
   for (const auto &[resource, claim] : State.Claims) {
     if (isMine(claim))
       return true;
@@ -81,22 +81,22 @@
 
 // ---- following the fold ----
 
-void ClaimKeeper::onApplied(Offset At, const FoldState &State,
-                            const Applied &Did, TimePoint Now) {
-  if (Did.ClaimChanged.empty())
+void ClaimManager::onApplied(Offset At, const FoldState &State,
+                             const ControlStateChange &Did, TimePoint Now) {
+  if (Did.ChangedClaimResource.empty())
     return;
-  auto found = State.Claims.find(Did.ClaimChanged);
+  auto found = State.Claims.find(Did.ChangedClaimResource);
   if (found == State.Claims.end())
     return;
   note(found->first, found->second, Now);
-  if (!isMine(found->second) || found->second.RenewedAt != At)
+  if (!isMine(found->second) || found->second.RenewalOffset != At)
     return;
 
   // Authority counts from before the record was sent, never from its answer.
   Tracked &known = Known[found->first];
   known.SentAt = Appender->firstSent();
   HeldClaim claim{found->second.Token,
-                  authorityUntil(known.SentAt, found->second.Term)};
+                  authorityEnd(known.SentAt, found->second.Term)};
   bool taken = found->second.Token == At + 1;
   Events.record(taken ? "claim.taken" : "claim.renewed",
                 {{"resource", found->first},
@@ -107,26 +107,26 @@
     Held[found->first] = claim;
 }
 
-void ClaimKeeper::onAdopted(const FoldState &State, TimePoint Now) {
+void ClaimManager::onStateReplaced(const FoldState &State, TimePoint Now) {
   // How long ago these were renewed is unknown: a full term counts from now.
   for (const auto &[resource, claim] : State.Claims) {
-    if (Known[resource].RenewedAt != claim.RenewedAt ||
+    if (Known[resource].RenewalOffset != claim.RenewalOffset ||
         Known[resource].ReadAt == TimePoint())
       note(resource, claim, Now);
   }
 }
 
-void ClaimKeeper::note(const std::string &Resource, const Claim &What,
-                       TimePoint Now) {
+void ClaimManager::note(const std::string &Resource, const Claim &What,
+                        TimePoint Now) {
   Tracked &known = Known[Resource];
-  known.RenewedAt = What.RenewedAt;
+  known.RenewalOffset = What.RenewalOffset;
   known.ReadAt = Now;
   known.Token = What.Token;
   if (!isMine(What))
     lose(Resource);
 }
 
-void ClaimKeeper::lose(const std::string &Resource) {
+void ClaimManager::lose(const std::string &Resource) {
   std::lock_guard<std::mutex> lock(Guard);
   auto found = Held.find(Resource);
   if (found == Held.end())
@@ -138,8 +138,8 @@
 
 // ---- deciding ----
 
-void ClaimKeeper::decide(const FoldState &State, const View &Seen, bool MayTake,
-                         TimePoint Now) {
+void ClaimManager::decide(const FoldState &State, const View &Seen,
+                          bool MayAcquire, TimePoint Now) {
   std::map<std::string, TimePoint> wanted;
   {
     std::lock_guard<std::mutex> lock(Guard);
@@ -154,7 +154,7 @@
 
   for (const auto &[resource, since] : looked) {
     Tracked &known = Known[resource];
-    ClaimSituation now;
+    ClaimDecisionInput now;
     auto found = State.Claims.find(resource);
     if (found != State.Claims.end())
       now.Current = found->second;
@@ -164,40 +164,40 @@
     now.ReadAt = known.ReadAt;
     now.WantedAt = since;
     now.SentAt = known.SentAt;
-    now.MayTake = MayTake;
+    now.MayAcquire = MayAcquire;
     // The rank costs a look at every member: only where it can matter.
     const Claim *current = now.Current ? &*now.Current : nullptr;
-    if (!now.Mine && MayTake && mayTake(current, now.ReadAt, Now))
+    if (!now.Mine && MayAcquire && canAcquireClaim(current, now.ReadAt, Now))
       now.Rank = rankOf(resource, Seen);
     act(resource, decideClaim(now, Setup.Rules, Now), now.Current);
   }
 }
 
-void ClaimKeeper::act(const std::string &Resource, ClaimStep Step,
-                      const std::optional<Claim> &Current) {
+void ClaimManager::act(const std::string &Resource, ClaimAction Step,
+                       const std::optional<Claim> &Current) {
   RecordBody body;
   switch (Step) {
-  case ClaimStep::Wait:
+  case ClaimAction::Wait:
     return;
-  case ClaimStep::Take:
+  case ClaimAction::Take:
     body = takeOver(Resource, Current ? &*Current : nullptr, Setup.Rules.Term);
     break;
-  case ClaimStep::Renew:
+  case ClaimAction::Renew:
     body = ClaimRenew{Resource, Current->Token};
     break;
-  case ClaimStep::Release:
+  case ClaimAction::Release:
     body = ClaimRelease{Resource, Current->Token};
     break;
   }
   Known[Resource].Busy = true;
-  std::shared_ptr<ClaimKeeper> self = shared_from_this();
+  std::shared_ptr<ClaimManager> self = shared_from_this();
   FencingToken token = Current ? Current->Token : 0;
   Appender->append(
       std::move(body), true,
       [self, Resource, Step, token](const Outcome<Appended> &Done) {
         self->Known[Resource].Busy = false;
-        bool accepted = Done && Done->Did.Fate == RecordFate::Accepted;
-        if (accepted && Step == ClaimStep::Release)
+        bool accepted = Done && Done->Did.ApplyStatus == RecordStatus::Accepted;
+        if (accepted && Step == ClaimAction::Release)
           self->Events.record(
               "claim.released",
               {{"resource", Resource}, {"fence", std::to_string(token)}});
--- a/Wasabi/Node/ClaimKeeper.h
+++ b/Wasabi/Node/ClaimManager.h
@@ -1,7 +1,7 @@
 /// \file
 /// Takes, renews and releases the claims that this process wants.
-#ifndef WASABI_NODE_CLAIMKEEPER_H
-#define WASABI_NODE_CLAIMKEEPER_H
+#ifndef WASABI_NODE_CLAIMMANAGER_H
+#define WASABI_NODE_CLAIMMANAGER_H
 
 #include "Wasabi/Core/Clock.h"
 #include "Wasabi/Core/Ids.h"
@@ -21,7 +21,7 @@
 namespace wasabi {
 
 /// Not thread-safe but for what says otherwise: use on the control thread.
-class ClaimKeeper : public std::enable_shared_from_this<ClaimKeeper> {
+class ClaimManager : public std::enable_shared_from_this<ClaimManager> {
 public:
   struct Settings {
     InstanceName Instance;
@@ -29,16 +29,16 @@
     ClaimSettings Rules;
   };
 
-  static std::shared_ptr<ClaimKeeper>
+  static std::shared_ptr<ClaimManager>
   create(Settings Setup, std::shared_ptr<RecordAppender> Appender,
          Timeline &Events);
 
   /// Thread-safe.
   void want(const std::string &Resource);
   /// Thread-safe. `held` gives nothing from now on.
-  void unwant(const std::string &Resource);
+  void withdrawClaim(const std::string &Resource);
   /// Stops wanting all. Thread-safe.
-  void unwantAll();
+  void withdrawAllClaims();
   /// The claim, while this process may act on it. Thread-safe.
   std::optional<HeldClaim> held(const std::string &Resource,
                                 TimePoint Now) const;
@@ -49,32 +49,32 @@
   /// All that may be acted on now. Thread-safe.
   std::map<std::string, HeldClaim> heldNow(TimePoint Now) const;
 
-  /// Decides on each resource. `MayTake` as in `ClaimSituation`.
-  void decide(const FoldState &State, const View &Seen, bool MayTake,
+  /// Decides on each resource. `MayAcquire` as in `ClaimDecisionInput`.
+  void decide(const FoldState &State, const View &Seen, bool MayAcquire,
               TimePoint Now);
   /// Whether the fold still has a claim of this process that is not released.
   bool holdsAny(const FoldState &State) const;
 
-  void onApplied(Offset At, const FoldState &State, const Applied &Did,
-                 TimePoint Now);
-  void onAdopted(const FoldState &State, TimePoint Now);
+  void onApplied(Offset At, const FoldState &State,
+                 const ControlStateChange &Did, TimePoint Now);
+  void onStateReplaced(const FoldState &State, TimePoint Now);
 
 private:
   /// What is known here of one resource.
   struct Tracked {
     /// Offset and time of the last record on it that was read.
-    Offset RenewedAt = 0;
+    Offset RenewalOffset = 0;
     TimePoint ReadAt;
     FencingToken Token = 0;
     bool Busy = false;
     TimePoint SentAt;
   };
 
-  ClaimKeeper(Settings Setup, std::shared_ptr<RecordAppender> Appender,
-              Timeline &Events);
+  ClaimManager(Settings Setup, std::shared_ptr<RecordAppender> Appender,
+               Timeline &Events);
   bool isMine(const Claim &What) const;
   void note(const std::string &Resource, const Claim &What, TimePoint Now);
-  void act(const std::string &Resource, ClaimStep Step,
+  void act(const std::string &Resource, ClaimAction Step,
            const std::optional<Claim> &Current);
   void lose(const std::string &Resource);
 
@@ -91,4 +91,4 @@
 
 } // namespace wasabi
 
-#endif // WASABI_NODE_CLAIMKEEPER_H
+#endif // WASABI_NODE_CLAIMMANAGER_H
--- a/Wasabi/Node/ClaimRules.cpp
+++ b/Wasabi/Node/ClaimRules.cpp
@@ -10,30 +10,30 @@
 /// A holder renews after this part of the term.
 constexpr int RenewalsPerTerm = 3;
 
-Millis rankDelay(const ClaimSituation &Now, const ClaimSettings &Limits) {
+Millis rankDelay(const ClaimDecisionInput &Now, const ClaimSettings &Limits) {
   Millis delay = Limits.RankDelay * static_cast<std::int64_t>(Now.Rank);
   return std::min(delay, Limits.MaxRankDelay);
 }
 
-ClaimStep decideOwn(const ClaimSituation &Now, TimePoint At) {
+ClaimAction decideOwn(const ClaimDecisionInput &Now, TimePoint At) {
   if (!Now.Wanted)
-    return ClaimStep::Release;
+    return ClaimAction::Release;
   Micros period = Micros(Now.Current->Term) / RenewalsPerTerm;
-  return At - Now.SentAt >= period ? ClaimStep::Renew : ClaimStep::Wait;
+  return At - Now.SentAt >= period ? ClaimAction::Renew : ClaimAction::Wait;
 }
 
 } // namespace
 
-ClaimStep decideClaim(const ClaimSituation &Now, const ClaimSettings &Limits,
-                      TimePoint At) {
+ClaimAction decideClaim(const ClaimDecisionInput &Now,
+                        const ClaimSettings &Limits, TimePoint At) {
   if (Now.Busy)
-    return ClaimStep::Wait;
+    return ClaimAction::Wait;
   if (Now.Mine)
     return decideOwn(Now, At);
-  if (!Now.Wanted || !Now.MayTake)
-    return ClaimStep::Wait;
+  if (!Now.Wanted || !Now.MayAcquire)
+    return ClaimAction::Wait;
   if (At - Now.WantedAt < Limits.Settle)
-    return ClaimStep::Wait;
+    return ClaimAction::Wait;
 
   // Those that rank first try first; the rest stay in reserve.
   Millis delay = rankDelay(Now, Limits);
@@ -42,8 +42,8 @@
   if (current != nullptr)
     free = std::max(free, current->Released ? Now.ReadAt
                                             : Now.ReadAt + current->Term);
-  bool lapsed = mayTake(current, Now.ReadAt, At);
-  return lapsed && At - free >= delay ? ClaimStep::Take : ClaimStep::Wait;
+  bool lapsed = canAcquireClaim(current, Now.ReadAt, At);
+  return lapsed && At - free >= delay ? ClaimAction::Take : ClaimAction::Wait;
 }
 
 } // namespace wasabi
--- a/Wasabi/Node/ClaimRules.h
+++ b/Wasabi/Node/ClaimRules.h
@@ -26,7 +26,7 @@
 };
 
 /// All that a decision on one resource depends on. An immutable value.
-struct ClaimSituation {
+struct ClaimDecisionInput {
   /// The claim in the fold; empty when there is none.
   std::optional<Claim> Current;
   /// Whether this process, in this life, is its holder.
@@ -44,14 +44,14 @@
   std::size_t Rank = 0;
   /// Whether this process may decide anew: it trusts its view, the log answers,
   /// and no newer schema blocks its fold.
-  bool MayTake = true;
+  bool MayAcquire = true;
 };
 
-enum class ClaimStep : std::uint8_t { Wait, Take, Renew, Release };
+enum class ClaimAction : std::uint8_t { Wait, Take, Renew, Release };
 
 /// What to do now. Pure.
-ClaimStep decideClaim(const ClaimSituation &Now, const ClaimSettings &Limits,
-                      TimePoint At);
+ClaimAction decideClaim(const ClaimDecisionInput &Now,
+                        const ClaimSettings &Limits, TimePoint At);
 
 } // namespace wasabi
 
--- a/Wasabi/Node/ControlMessage.cpp
+++ b/Wasabi/Node/ControlMessage.cpp
@@ -46,7 +46,7 @@
 }
 
 flatbuffers::Offset<wire::MemberState> put(FlatBufferBuilder &Builder,
-                                           const MemberNews &News) {
+                                           const MemberUpdate &News) {
   const Member &who = News.About;
   std::vector<flatbuffers::Offset<wire::ServerState>> servers;
   servers.reserve(who.Servers.size());
@@ -81,11 +81,11 @@
   return read ? *read : Address();
 }
 
-std::optional<MemberNews> newsFrom(const wire::MemberState &From) {
+std::optional<MemberUpdate> newsFrom(const wire::MemberState &From) {
   if (From.role() > static_cast<std::uint8_t>(Role::Daemon) ||
       From.health() > static_cast<std::uint8_t>(Health::Dead))
     return std::nullopt;
-  MemberNews news;
+  MemberUpdate news;
   Member &who = news.About;
   who.Instance = InstanceName(text(From.instance()));
   who.Domain = DomainName(text(From.domain()));
@@ -121,7 +121,7 @@
   GossipOffsets offsets;
   std::vector<flatbuffers::Offset<wire::MemberState>> news;
   news.reserve(Carried.News.size());
-  for (const MemberNews &it : Carried.News)
+  for (const MemberUpdate &it : Carried.News)
     news.push_back(put(Builder, it));
   if (!news.empty())
     offsets.News = Builder.CreateVector(news);
@@ -136,7 +136,7 @@
   Gossip carried;
   if (From.members() != nullptr) {
     for (const wire::MemberState *it : *From.members()) {
-      std::optional<MemberNews> news = newsFrom(*it);
+      std::optional<MemberUpdate> news = newsFrom(*it);
       if (!news)
         return std::nullopt;
       carried.News.push_back(std::move(*news));
@@ -146,7 +146,7 @@
     carried.Digests.assign(From.digests()->begin(), From.digests()->end());
   carried.Full = From.full();
   carried.Next = From.next();
-  carried.LogAge = Millis(From.log_age_ms());
+  carried.CaughtUpAge = Millis(From.log_age_ms());
   carried.At = HybridTime{From.hlc_wall(), From.hlc_count()};
   return carried;
 }
@@ -161,7 +161,7 @@
   return {wire::Body::Ping,
           wire::CreatePing(Builder, What.Sequence, from, target, carried.News,
                            it.Next, it.Full, it.At.Wall, it.At.Count,
-                           millis(it.LogAge), carried.Digests)
+                           millis(it.CaughtUpAge), carried.Digests)
               .Union()};
 }
 
@@ -171,8 +171,8 @@
   const Gossip &it = What.Carried;
   return {wire::Body::Ack,
           wire::CreateAck(Builder, What.Sequence, from, carried.News, it.Next,
-                          it.Full, it.At.Wall, it.At.Count, millis(it.LogAge),
-                          carried.Digests)
+                          it.Full, it.At.Wall, it.At.Count,
+                          millis(it.CaughtUpAge), carried.Digests)
               .Union()};
 }
 
@@ -202,23 +202,23 @@
   TextOffset from = put(Builder, What.From);
   return {wire::Body::LogPush,
           wire::CreateLogPush(Builder, from, list, What.Next, What.First,
-                              millis(What.LogAge), What.Sequence)
+                              millis(What.CaughtUpAge), What.Sequence)
               .Union()};
 }
 
-BodyOffset put(FlatBufferBuilder &Builder, const LogAskMessage &What) {
+BodyOffset put(FlatBufferBuilder &Builder, const LogRequestMessage &What) {
   TextOffset from = put(Builder, What.From);
   return {wire::Body::LogAsk,
           wire::CreateLogAsk(Builder, What.Sequence, from, What.Start).Union()};
 }
 
-BodyOffset put(FlatBufferBuilder &Builder, const StateAskMessage &What) {
+BodyOffset put(FlatBufferBuilder &Builder, const StateRequestMessage &What) {
   TextOffset from = put(Builder, What.From);
   return {wire::Body::StateAsk,
           wire::CreateStateAsk(Builder, What.Sequence, from).Union()};
 }
 
-BodyOffset put(FlatBufferBuilder &Builder, const StateGiveMessage &What) {
+BodyOffset put(FlatBufferBuilder &Builder, const StateResponseMessage &What) {
   TextOffset hash = put(Builder, What.Hash);
   TextOffset state = put(Builder, What.State);
   return {wire::Body::StateGive,
@@ -226,7 +226,7 @@
               .Union()};
 }
 
-BodyOffset put(FlatBufferBuilder &Builder, const OrderAskMessage &What) {
+BodyOffset put(FlatBufferBuilder &Builder, const OrderRequestMessage &What) {
   TextOffset from = put(Builder, What.From);
   TextOffset server = put(Builder, What.What.Server.Text);
   TextOffset resource = put(Builder, What.What.Resource);
@@ -237,7 +237,7 @@
               .Union()};
 }
 
-BodyOffset put(FlatBufferBuilder &Builder, const OrderDoneMessage &What) {
+BodyOffset put(FlatBufferBuilder &Builder, const OrderResponseMessage &What) {
   if (What.Answer)
     return {wire::Body::OrderDone,
             wire::CreateOrderDone(Builder, What.Sequence, true,
@@ -283,7 +283,7 @@
   push.From = text(From.from());
   push.Next = From.next();
   push.First = From.first();
-  push.LogAge = Millis(From.log_age_ms());
+  push.CaughtUpAge = Millis(From.log_age_ms());
   if (From.records() != nullptr) {
     for (const wire::LogRecord *it : *From.records())
       push.Records.push_back(LogEntry{it->offset(), text(it->text())});
@@ -294,20 +294,21 @@
 Outcome<ControlMessage> doneFrom(const wire::OrderDone &From) {
   if (From.ok())
     return ControlMessage(
-        OrderDoneMessage{From.sequence(), OrderAnswer{From.version()}});
+        OrderResponseMessage{From.sequence(), OrderAnswer{From.version()}});
   if (From.run() > static_cast<std::uint8_t>(Verdict::Ran) ||
       From.code() > static_cast<std::uint8_t>(FailureCode::Internal))
     return malformed("order done: unknown verdict or code");
   Failure why{static_cast<Verdict>(From.run()),
               static_cast<FailureCode>(From.code()), text(From.place()),
               text(From.reason()), Millis(0)};
-  return ControlMessage(OrderDoneMessage{From.sequence(), std::move(why)});
+  return ControlMessage(OrderResponseMessage{From.sequence(), std::move(why)});
 }
 
 ControlMessage orderFrom(const wire::OrderAsk &From) {
   Order what{ServerName(text(From.server())), text(From.resource()),
              From.token(), ModelName(text(From.model())), From.version()};
-  return OrderAskMessage{From.sequence(), text(From.from()), std::move(what)};
+  return OrderRequestMessage{From.sequence(), text(From.from()),
+                             std::move(what)};
 }
 
 } // namespace
@@ -345,16 +346,16 @@
   case wire::Body::LogAsk: {
     const wire::LogAsk &it = *frame->body_as_LogAsk();
     return ControlMessage(
-        LogAskMessage{it.sequence(), text(it.from()), it.start()});
+        LogRequestMessage{it.sequence(), text(it.from()), it.start()});
   }
   case wire::Body::StateAsk: {
     const wire::StateAsk &it = *frame->body_as_StateAsk();
-    return ControlMessage(StateAskMessage{it.sequence(), text(it.from())});
+    return ControlMessage(StateRequestMessage{it.sequence(), text(it.from())});
   }
   case wire::Body::StateGive: {
     const wire::StateGive &it = *frame->body_as_StateGive();
-    return ControlMessage(StateGiveMessage{it.sequence(), it.next(),
-                                           text(it.hash()), text(it.state())});
+    return ControlMessage(StateResponseMessage{
+        it.sequence(), it.next(), text(it.hash()), text(it.state())});
   }
   case wire::Body::OrderAsk:
     return orderFrom(*frame->body_as_OrderAsk());
--- a/Wasabi/Node/ControlMessage.h
+++ b/Wasabi/Node/ControlMessage.h
@@ -6,7 +6,7 @@
 #include "Wasabi/Core/Clock.h"
 #include "Wasabi/Core/Ids.h"
 #include "Wasabi/Core/Verdict.h"
-#include "Wasabi/Membership/MemberNews.h"
+#include "Wasabi/Membership/MemberUpdate.h"
 #include "Wasabi/Node/ControlPlane.h"
 #include "Wasabi/Ports/LogPort.h"
 
@@ -20,14 +20,14 @@
 /// What each probe and its answer carry besides: news of members, and how far
 /// the sender has folded the log.
 struct Gossip {
-  std::vector<MemberNews> News;
+  std::vector<MemberUpdate> News;
   /// Hashes of all that the sender knows; only with `Full`.
   std::vector<std::uint64_t> Digests;
   /// Asks for all that the receiver knows otherwise.
   bool Full = false;
   Offset Next = 0;
   /// How long ago the log was known to end at or before `Next`.
-  Millis LogAge{0};
+  Millis CaughtUpAge{0};
   HybridTime At;
   bool operator==(const Gossip &) const = default;
 };
@@ -66,7 +66,7 @@
 
 /// Records of the control stream, contiguous.
 struct LogPushMessage {
-  /// Of the `LogAskMessage` that it answers, or 0.
+  /// Of the `LogRequestMessage` that it answers, or 0.
   std::uint64_t Sequence = 0;
   std::string From;
   std::vector<LogEntry> Records;
@@ -74,51 +74,52 @@
   Offset Next = 0;
   /// The oldest offset that the sender could push.
   Offset First = 0;
-  Millis LogAge{0};
+  Millis CaughtUpAge{0};
   bool operator==(const LogPushMessage &) const = default;
 };
 
 /// Asks for records from `Start`; answered by a `LogPushMessage`.
-struct LogAskMessage {
+struct LogRequestMessage {
   std::uint64_t Sequence = 0;
   std::string From;
   Offset Start = 0;
-  bool operator==(const LogAskMessage &) const = default;
+  bool operator==(const LogRequestMessage &) const = default;
 };
 
 /// Asks for the whole state.
-struct StateAskMessage {
+struct StateRequestMessage {
   std::uint64_t Sequence = 0;
   std::string From;
-  bool operator==(const StateAskMessage &) const = default;
+  bool operator==(const StateRequestMessage &) const = default;
 };
 
 /// The whole state; empty text when the sender has none to give.
-struct StateGiveMessage {
+struct StateResponseMessage {
   std::uint64_t Sequence = 0;
   Offset Next = 0;
   /// `hashState` of the state.
   std::string Hash;
   std::string State;
-  bool operator==(const StateGiveMessage &) const = default;
+  bool operator==(const StateResponseMessage &) const = default;
 };
 
-struct OrderAskMessage {
+struct OrderRequestMessage {
   std::uint64_t Sequence = 0;
   std::string From;
   Order What;
-  bool operator==(const OrderAskMessage &) const = default;
+  bool operator==(const OrderRequestMessage &) const = default;
 };
 
-struct OrderDoneMessage {
+struct OrderResponseMessage {
   std::uint64_t Sequence = 0;
   Outcome<OrderAnswer> Answer = OrderAnswer();
 };
 
 using ControlMessage =
     std::variant<PingMessage, AckMessage, PingRequestMessage, PingAnswerMessage,
-                 LogPushMessage, LogAskMessage, StateAskMessage,
-                 StateGiveMessage, OrderAskMessage, OrderDoneMessage>;
+                 LogPushMessage, LogRequestMessage, StateRequestMessage,
+                 StateResponseMessage, OrderRequestMessage,
+                 OrderResponseMessage>;
 
 /// The frame of a message, without its length prefix. Pure.
 std::vector<std::uint8_t> encodeControl(const ControlMessage &What);
--- a/Wasabi/Node/ControlPlane.cpp
+++ b/Wasabi/Node/ControlPlane.cpp
@@ -3,11 +3,11 @@
 #include "Wasabi/Adapters/Http/HttpClient.h"
 #include "Wasabi/Adapters/PlatformLog/HttpLog.h"
 #include "Wasabi/Core/BootTimer.h"
-#include "Wasabi/Node/ClaimKeeper.h"
+#include "Wasabi/Node/ClaimManager.h"
 #include "Wasabi/Node/ControlServer.h"
 #include "Wasabi/Node/ControlStatus.h"
 #include "Wasabi/Node/LogFollower.h"
-#include "Wasabi/Node/MemberWatch.h"
+#include "Wasabi/Node/MembershipManager.h"
 #include "Wasabi/Node/PeerLinks.h"
 #include "Wasabi/Node/RecordAppender.h"
 #include "Wasabi/Node/SnapshotRule.h"
@@ -66,7 +66,9 @@
   std::shared_ptr<const View> view() const override { return Watch->view(); }
   void setServers(std::vector<ServerStatus> Servers) override;
   void want(std::string Resource) override { Keeper->want(Resource); }
-  void unwant(std::string Resource) override { Keeper->unwant(Resource); }
+  void withdrawClaim(std::string Resource) override {
+    Keeper->withdrawClaim(Resource);
+  }
   std::optional<HeldClaim> held(const std::string &Resource) const override {
     return Keeper->held(Resource, monotonicNow());
   }
@@ -77,18 +79,19 @@
   void noteUnreachable(InstanceName Member) override;
   void order(InstanceName Daemon, Order What, Millis Timeout,
              std::function<void(Outcome<OrderAnswer>)> Callback) override;
-  void append(RecordBody Body,
-              std::function<void(Outcome<Applied>)> Callback) override;
+  void
+  append(RecordBody Body,
+         std::function<void(Outcome<ControlStateChange>)> Callback) override;
   void leave(std::function<void()> Callback) override;
   std::string statusJson() const override;
 
 private:
   void makeParts();
   Member selfMember() const;
-  MemberWatch::Hooks watchHooks();
+  MembershipManager::Hooks watchHooks();
   LogFollower::Hooks followerHooks();
   void receive(ControlMessage What, const ControlServer::Reply &Answer);
-  void takeOrder(const OrderAskMessage &Ask, ControlServer::Reply Answer);
+  void takeOrder(const OrderRequestMessage &Ask, ControlServer::Reply Answer);
   asio::awaitable<void>
   sendOrder(InstanceName Daemon, Order What, Millis Timeout,
             std::function<void(Outcome<OrderAnswer>)> Callback);
@@ -108,10 +111,10 @@
   std::shared_ptr<http::Client> Client;
   std::shared_ptr<ControlServer> Server;
   std::shared_ptr<PeerLinks> Links;
-  std::shared_ptr<MemberWatch> Watch;
+  std::shared_ptr<MembershipManager> Watch;
   std::shared_ptr<LogFollower> Follower;
   std::shared_ptr<RecordAppender> Appender;
-  std::shared_ptr<ClaimKeeper> Keeper;
+  std::shared_ptr<ClaimManager> Keeper;
   SnapshotSettings SnapshotLimits;
   Offset SnapshotSeen = 0;
   TimePoint SnapshotSeenAt = monotonicNow();
@@ -159,13 +162,14 @@
   return self;
 }
 
-MemberWatch::Hooks ControlThread::watchHooks() {
-  MemberWatch::Hooks calls;
-  calls.FillLog = [this](Gossip &Carried) {
+MembershipManager::Hooks ControlThread::watchHooks() {
+  MembershipManager::Hooks calls;
+  calls.FillLogPosition = [this](Gossip &Carried) {
     Carried.Next = Follower->next();
-    Carried.LogAge = Follower->logAge();
+    Carried.CaughtUpAge = Follower->caughtUpAge();
   };
-  calls.HearLog = [this](const InstanceName &Peer, Offset Next, Millis Age) {
+  calls.OnPeerLogPosition = [this](const InstanceName &Peer, Offset Next,
+                                   Millis Age) {
     Follower->hear(Peer, Next, Age);
   };
   return calls;
@@ -175,14 +179,14 @@
   LogFollower::Hooks calls;
   calls.CurrentView = [this]() { return Watch->view(); };
   calls.OnApplied = [this](Offset At, const FoldState &State,
-                           const Applied &Did) {
+                           const ControlStateChange &Did) {
     // The claims look at the record in flight before the appender closes it.
     Keeper->onApplied(At, State, Did, monotonicNow());
     Appender->onApplied(At, State, Did);
   };
-  calls.OnAdopted = [this](const FoldState &State) {
-    Keeper->onAdopted(State, monotonicNow());
-    Appender->onAdopted(State);
+  calls.OnStateReplaced = [this](const FoldState &State) {
+    Keeper->onStateReplaced(State, monotonicNow());
+    Appender->onStateReplaced(State);
   };
   return calls;
 }
@@ -194,19 +198,19 @@
   PeerLinks::Settings links;
   Links = PeerLinks::create(executor, links, Counters);
 
-  MemberWatch::Settings watch;
+  MembershipManager::Settings watch;
   watch.Self = selfMember();
   watch.Instances = Setup.Instances;
   watch.Seeds = Setup.Seeds;
   watch.Swim.ProbePeriod = Setup.ProbePeriod;
   watch.ProbeTimeout = Setup.ProbeTimeout;
-  watch.ListPeriod = Setup.ListPeriod;
+  watch.MinListReadInterval = Setup.MinListReadInterval;
   watch.ListBytesPerSecond = Setup.ListBytesPerSecond;
   watch.Seed = Setup.Seed;
-  Watch = MemberWatch::create(executor, watch, Links, Client, Counters, Events,
-                              watchHooks());
+  Watch = MembershipManager::create(executor, watch, Links, Client, Counters,
+                                    Events, watchHooks());
 
-  LogPort log = httpLog(Client, Setup.Log);
+  LogPort log = makeHttpLog(Client, Setup.Log);
   LogFollower::Settings follower;
   follower.ReadersPerDomain = Setup.ReadersPerDomain;
   follower.Seed = Setup.Seed + 2;
@@ -220,12 +224,12 @@
   Appender =
       RecordAppender::create(executor, appender, log, Follower, Counters);
 
-  ClaimKeeper::Settings keeper;
+  ClaimManager::Settings keeper;
   keeper.Instance = Setup.Instance;
   keeper.Life = Life;
   keeper.Rules.Term = Setup.ClaimTerm;
-  keeper.Rules.Settle = Setup.ClaimSettle;
-  Keeper = ClaimKeeper::create(keeper, Appender, Events);
+  keeper.Rules.Settle = Setup.ClaimSettleDelay;
+  Keeper = ClaimManager::create(keeper, Appender, Events);
 }
 
 void ControlThread::start() {
@@ -259,19 +263,21 @@
     Watch->receive(*ask, Answer);
   else if (const LogPushMessage *push = std::get_if<LogPushMessage>(&What))
     Follower->receive(*push);
-  else if (const LogAskMessage *gap = std::get_if<LogAskMessage>(&What))
+  else if (const LogRequestMessage *gap = std::get_if<LogRequestMessage>(&What))
     Answer(Follower->answer(*gap));
-  else if (const StateAskMessage *state = std::get_if<StateAskMessage>(&What))
+  else if (const StateRequestMessage *state =
+               std::get_if<StateRequestMessage>(&What))
     Answer(Follower->answer(*state));
-  else if (const OrderAskMessage *order = std::get_if<OrderAskMessage>(&What))
+  else if (const OrderRequestMessage *order =
+               std::get_if<OrderRequestMessage>(&What))
     takeOrder(*order, Answer);
 }
 
-void ControlThread::takeOrder(const OrderAskMessage &Ask,
+void ControlThread::takeOrder(const OrderRequestMessage &Ask,
                               ControlServer::Reply Answer) {
   std::uint64_t sequence = Ask.Sequence;
   if (!Handle) {
-    OrderDoneMessage refused;
+    OrderResponseMessage refused;
     refused.Sequence = sequence;
     refused.Answer = notRun(FailureCode::NoUpstream, Setup.Instance.Text,
                             "no server stands behind this process");
@@ -282,7 +288,7 @@
   Handle(Ask.What, [executor, sequence,
                     Answer = std::move(Answer)](Outcome<OrderAnswer> Did) {
     // The answer may come from any thread.
-    OrderDoneMessage done;
+    OrderResponseMessage done;
     done.Sequence = sequence;
     done.Answer = std::move(Did);
     asio::post(executor, [Answer, done]() { Answer(done); });
@@ -324,8 +330,8 @@
     co_return;
   }
   Address where = found->second.Control;
-  OrderAskMessage ask{Links->nextSequence(), Setup.Instance.Text,
-                      std::move(What)};
+  OrderRequestMessage ask{Links->nextSequence(), Setup.Instance.Text,
+                          std::move(What)};
   ControlMessage question = std::move(ask);
   Outcome<ControlMessage> answer =
       co_await Links->ask(where, std::move(question), Timeout);
@@ -333,7 +339,8 @@
     Callback(answer.failure());
     co_return;
   }
-  const OrderDoneMessage *done = std::get_if<OrderDoneMessage>(&*answer);
+  const OrderResponseMessage *done =
+      std::get_if<OrderResponseMessage>(&*answer);
   if (done == nullptr) {
     Failure why{Verdict::MayHaveRun, FailureCode::BadInput, Daemon.Text,
                 "its answer is not one to an order", Millis(0)};
@@ -343,8 +350,9 @@
   Callback(done->Answer);
 }
 
-void ControlThread::append(RecordBody Body,
-                           std::function<void(Outcome<Applied>)> Callback) {
+void ControlThread::append(
+    RecordBody Body,
+    std::function<void(Outcome<ControlStateChange>)> Callback) {
   asio::post(Context, [this, Body = std::move(Body),
                        Callback = std::move(Callback)]() mutable {
     Appender->append(std::move(Body), false,
@@ -363,7 +371,7 @@
   std::shared_ptr<const View> seen = view();
   bool leaving = seen->Members.at(Setup.Instance).State == Health::Leaving;
   return Follower->hasState() && Follower->logReachable() && !leaving &&
-         !seen->SelfDoubt && !state()->BlockedAt;
+         !seen->MayBeIsolated && !state()->BlockedOffset;
 }
 
 asio::awaitable<void> ControlThread::dutyLoop() {
@@ -387,13 +395,13 @@
     SnapshotSeenAt = Now;
   }
   std::optional<HeldClaim> claim = Keeper->held(SnapshotResource, Now);
-  if (!claim || SnapshotBusy || folded->BlockedAt)
+  if (!claim || SnapshotBusy || folded->BlockedOffset)
     return;
   if (Now - RetentionLookedAt > RetentionLook) {
     RetentionLookedAt = Now;
-    Follower->readSoon();
+    Follower->requestRead();
   }
-  SnapshotSituation situation;
+  SnapshotDecisionInput situation;
   situation.Next = folded->Next;
   situation.Last = folded->SnapshotRevision;
   situation.LogFirst = Follower->logFirst();
@@ -423,7 +431,7 @@
 asio::awaitable<void>
 ControlThread::leaveSteps(std::function<void()> Callback) {
   // Successors need not wait a term for what is given up.
-  Keeper->unwantAll();
+  Keeper->withdrawAllClaims();
   TimePoint until = monotonicNow() + LeaveLimit;
   co_await Watch->leave();
   BootTimer timer(Context);
--- a/Wasabi/Node/ControlPlane.h
+++ b/Wasabi/Node/ControlPlane.h
@@ -74,13 +74,13 @@
     /// Readers of the log in each failure domain.
     std::uint32_t ReadersPerDomain = 2;
     /// Time between two readings of the platform's list.
-    Millis ListPeriod{3000};
+    Millis MinListReadInterval{3000};
     /// Bytes a second that a reader of the list spends on it; the others spend
     /// a third of it.
     std::int64_t ListBytesPerSecond = 1000;
     /// How long a claim must have been wanted before it is taken, so that the
     /// view has filled.
-    Millis ClaimSettle{1500};
+    Millis ClaimSettleDelay{1500};
     /// Seed of every random choice here.
     std::uint64_t Seed = 1;
   };
@@ -116,7 +116,7 @@
   /// the first for it by rendezvous hashing over the view. Thread-safe.
   virtual void want(std::string Resource) = 0;
   /// Gives the claim up and stops wanting it. Thread-safe.
-  virtual void unwant(std::string Resource) = 0;
+  virtual void withdrawClaim(std::string Resource) = 0;
   /// The claim, if this process holds it and may act now. Thread-safe; checks
   /// the monotonic clock at each call.
   virtual std::optional<HeldClaim> held(const std::string &Resource) const = 0;
@@ -136,8 +136,9 @@
                      std::function<void(Outcome<OrderAnswer>)> Callback) = 0;
   /// Appends a record to the control stream with an id of this process, and
   /// answers with its fate once it is read back. Thread-safe.
-  virtual void append(RecordBody Body,
-                      std::function<void(Outcome<Applied>)> Callback) = 0;
+  virtual void
+  append(RecordBody Body,
+         std::function<void(Outcome<ControlStateChange>)> Callback) = 0;
   /// Tells everyone that this process is leaving, releases its claims, and
   /// calls back when told or after a bounded time. Thread-safe.
   virtual void leave(std::function<void()> Callback) = 0;
--- a/Wasabi/Node/ControlStatus.cpp
+++ b/Wasabi/Node/ControlStatus.cpp
@@ -59,9 +59,9 @@
   whole["next"] = Status.State->Next;
   whole["config_revision"] = Status.State->ConfigRevision;
   whole["preset"] = Status.State->Config->InForce.Text;
-  if (Status.State->BlockedAt)
-    whole["blocked_at"] = *Status.State->BlockedAt;
-  whole["self_doubt"] = Status.Seen->SelfDoubt;
+  if (Status.State->BlockedOffset)
+    whole["blocked_at"] = *Status.State->BlockedOffset;
+  whole["self_doubt"] = Status.Seen->MayBeIsolated;
   json::array members;
   for (const auto &[name, member] : Status.Seen->Members)
     members.push_back(memberJson(member));
