--- a/Wasabi/Node/LogFollower.cpp
+++ b/Wasabi/Node/LogFollower.cpp
@@ -79,7 +79,7 @@
   Wake.cancel();
 }
 
-Millis LogFollower::logAge() const {
+Millis LogFollower::caughtUpAge() const {
   return millisSince(FreshAt, monotonicNow());
 }
 
@@ -104,21 +104,21 @@
 }
 
 asio::awaitable<void> LogFollower::followOnce() {
-  if (Fold.BlockedAt) {
+  if (Fold.BlockedOffset) {
     co_await pause(BlockedPause);
     co_return;
   }
   bool reader = isReader();
-  if (!reader && !ReadWanted && !isSilent()) {
+  if (!reader && !ReadRequested && !isCatchUpOverdue()) {
     co_await pause(LookPeriod);
     co_return;
   }
 
   // A reader waits at the log for news; others only look.
-  bool waits = reader && !ReadWanted;
-  ReadWanted = false;
-  Outcome<LogRange> got = co_await read(Fold.Next, Setup.ReadBatch,
-                                        waits ? Setup.PollWait : Millis(0));
+  bool waits = reader && !ReadRequested;
+  ReadRequested = false;
+  Outcome<LogRange> got = co_await read(Fold.Next, Setup.MaxReadRecords,
+                                        waits ? Setup.PollTimeout : Millis(0));
   if (Stopped)
     co_return;
   if (!got) {
@@ -138,12 +138,12 @@
   }
   StaleNoted = false;
   if (got->First > Fold.Next && got->Entries.empty()) {
-    co_await recoverExpired(got->First);
+    co_await recoverFromExpiredOffset(got->First);
     co_return;
   }
-  absorb(got->Entries, true);
+  applyLogEntries(got->Entries, true);
   if (Fold.Next >= got->End)
-    noteFresh(monotonicNow());
+    recordCaughtUp(monotonicNow());
 }
 
 asio::awaitable<Outcome<LogRange>>
@@ -151,17 +151,17 @@
   Counters.LogReads.fetch_add(1);
   Outcome<LogRange> got = co_await Log.Read(ControlStream, From, Max, Wait);
   if (got) {
-    noteLog(true, "");
+    recordReachability(true, "");
     LogFirst = std::max(LogFirst, got->First);
     for (const LogEntry &it : got->Entries)
       Counters.BytesIn.fetch_add(it.Text.size());
   } else {
-    noteLog(false, describe(got.failure()));
+    recordReachability(false, describe(got.failure()));
   }
   co_return got;
 }
 
-asio::awaitable<void> LogFollower::recoverExpired(Offset First) {
+asio::awaitable<void> LogFollower::recoverFromExpiredOffset(Offset First) {
   // The log has dropped what comes next here: only a whole state helps.
   spdlog::warn("control: offset {} has expired, the log begins at {}",
                Fold.Next, First);
@@ -177,20 +177,20 @@
   return isLogReader(*seen, Setup.ReadersPerDomain);
 }
 
-bool LogFollower::isSilent() const {
-  return logAge() > Setup.SilenceLimit + SilenceExtra;
+bool LogFollower::isCatchUpOverdue() const {
+  return caughtUpAge() > Setup.SilenceLimit + CaughtUpAgeJitter;
 }
 
-void LogFollower::noteFresh(TimePoint At) {
+void LogFollower::recordCaughtUp(TimePoint At) {
   if (At <= FreshAt)
     return;
   FreshAt = At;
   // Each process has its own patience, so that they do not read in step.
   std::uint64_t most = static_cast<std::uint64_t>(Setup.SilenceLimit.count());
-  SilenceExtra = Millis(static_cast<std::int64_t>(Random() % (most + 1)));
+  CaughtUpAgeJitter = Millis(static_cast<std::int64_t>(Random() % (most + 1)));
 }
 
-void LogFollower::noteLog(bool Up, const std::string &Reason) {
+void LogFollower::recordReachability(bool Up, const std::string &Reason) {
   bool was = Reachable.exchange(Up);
   if (was == Up && LogNoted)
     return;
@@ -209,8 +209,8 @@
   return std::max(Setup.MinBackOff, Millis(drawn));
 }
 
-void LogFollower::readSoon() {
-  ReadWanted = true;
+void LogFollower::requestRead() {
+  ReadRequested = true;
   Wake.cancel();
 }
 
@@ -234,13 +234,13 @@
   if (peers.size() > StatePeers)
     peers.resize(StatePeers);
   for (const Member *it : peers) {
-    StateAskMessage ask{Links->nextSequence(), seen->Self.Text};
+    StateRequestMessage ask{Links->nextSequence(), seen->Self.Text};
     Address where = it->Control;
     ControlMessage question = ask;
     Outcome<ControlMessage> answer =
         co_await Links->ask(where, std::move(question), PeerTimeout);
-    const StateGiveMessage *given =
-        answer ? std::get_if<StateGiveMessage>(&*answer) : nullptr;
+    const StateResponseMessage *given =
+        answer ? std::get_if<StateResponseMessage>(&*answer) : nullptr;
     if (Stopped || given == nullptr || given->State.empty())
       continue;
     Outcome<FoldState> state =
@@ -293,7 +293,8 @@
   std::vector<LogEntry> all;
   Offset next = From;
   while (next < End && !Stopped) {
-    Outcome<LogRange> got = co_await read(next, Setup.ReadBatch, Millis(0));
+    Outcome<LogRange> got =
+        co_await read(next, Setup.MaxReadRecords, Millis(0));
     if (!got)
       co_return got.failure();
     if (got->Entries.empty())
@@ -312,7 +313,7 @@
   Fold = std::move(State);
   Kept.clear();
   KeptBytes = 0;
-  Calls.OnAdopted(Fold);
+  Calls.OnStateReplaced(Fold);
   publish();
   Obtained.store(true);
   Failures = 0;
@@ -321,7 +322,8 @@
 
 // ---- applying and spreading ----
 
-bool LogFollower::absorb(const std::vector<LogEntry> &Entries, bool Spread) {
+bool LogFollower::applyLogEntries(const std::vector<LogEntry> &Entries,
+                                  bool Spread) {
   std::vector<LogEntry> fresh;
   bool whole = true;
   bool quick = false;
@@ -334,22 +336,22 @@
       whole = false;
       break;
     }
-    quick = applyOne(it) || quick;
-    if (Fold.BlockedAt)
+    quick = applyLogEntry(it) || quick;
+    if (Fold.BlockedOffset)
       break;
     fresh.push_back(it);
   }
-  if (fresh.empty() && !Fold.BlockedAt)
+  if (fresh.empty() && !Fold.BlockedOffset)
     return whole;
   publish();
   if (Spread && fresh.size() <= Setup.MaxPushed)
-    pushOn(fresh, quick);
+    pushToPeers(fresh, quick);
   return whole;
 }
 
-bool LogFollower::applyOne(const LogEntry &Entry) {
-  Applied did = apply(Fold, Entry.At, Entry.Text);
-  if (did.Fate == RecordFate::Newer) {
+bool LogFollower::applyLogEntry(const LogEntry &Entry) {
+  ControlStateChange did = apply(Fold, Entry.At, Entry.Text);
+  if (did.ApplyStatus == RecordStatus::Newer) {
     Events.record("fold.blocked", {{"offset", std::to_string(Entry.At)},
                                    {"reason", did.Reason}});
     spdlog::error("control: offset {} needs a newer program: {}", Entry.At,
@@ -364,23 +366,23 @@
                   "here",
                   Entry.At);
   }
-  if (did.Fate == RecordFate::Refused && isConfigChange(Entry.Text))
+  if (did.ApplyStatus == RecordStatus::Refused && isConfigChange(Entry.Text))
     Events.record("config.refused", {{"offset", std::to_string(Entry.At)},
                                      {"reason", did.Reason}});
   if (did.ConfigChanged)
     Events.record("config.in_force", {{"offset", std::to_string(Entry.At)},
                                       {"preset", Fold.Config->InForce.Text}});
   Calls.OnApplied(Entry.At, Fold, did);
-  bool taken = !did.ClaimChanged.empty() &&
-               Fold.Claims.at(did.ClaimChanged).Token == Entry.At + 1;
+  bool taken = !did.ChangedClaimResource.empty() &&
+               Fold.Claims.at(did.ChangedClaimResource).Token == Entry.At + 1;
   return did.ConfigChanged || taken;
 }
 
 void LogFollower::keep(const LogEntry &Entry) {
   Kept.push_back(Entry);
   KeptBytes += Entry.Text.size();
-  while (Kept.size() > 1 &&
-         (Kept.size() > Setup.MaxKept || KeptBytes > Setup.MaxKeptBytes)) {
+  while (Kept.size() > 1 && (Kept.size() > Setup.MaxRetainedRecords ||
+                             KeptBytes > Setup.MaxRetainedBytes)) {
     KeptBytes -= Kept.front().Text.size();
     Kept.pop_front();
   }
@@ -388,24 +390,24 @@
 
 void LogFollower::publish() { Shown.set(Fold); }
 
-void LogFollower::pushOn(const std::vector<LogEntry> &Fresh, bool Quick) {
+void LogFollower::pushToPeers(const std::vector<LogEntry> &Fresh, bool Quick) {
   if (Fresh.empty())
     return;
   std::shared_ptr<const View> seen = Calls.CurrentView();
   FanoutSettings limits;
-  limits.RandomPeers = Quick ? Setup.ChangePeers : Setup.RenewalPeers;
+  limits.RandomPeers = Quick ? Setup.ChangeFanout : Setup.RenewalFanout;
   limits.OtherDomains = isReader();
   // The same choice for a while: fewer connections, and peers whose offset is
   // known.
-  std::mt19937_64 sticky(
-      Setup.Seed + static_cast<std::uint64_t>(
-                       monotonicNow().time_since_epoch() / Setup.KeepPeers));
+  std::mt19937_64 sticky(Setup.Seed + static_cast<std::uint64_t>(
+                                          monotonicNow().time_since_epoch() /
+                                          Setup.PeerSelectionInterval));
   LogPushMessage push;
   push.From = seen->Self.Text;
   push.Records = Fresh;
   push.Next = Fold.Next;
   push.First = Kept.front().At;
-  push.LogAge = logAge();
+  push.CaughtUpAge = caughtUpAge();
   for (const InstanceName &it : chooseFanout(*seen, limits, sticky)) {
     // A peer that is known to be as far needs nothing.
     auto known = PeerNext.find(it);
@@ -417,52 +419,55 @@
   }
 }
 
-void LogFollower::takeOwn(Offset At, std::string Text) {
+void LogFollower::applyOwnRecord(Offset At, std::string Text) {
   if (!Obtained.load() || At > Fold.Next) {
-    readSoon();
+    requestRead();
     return;
   }
   std::vector<LogEntry> entries;
   entries.push_back(LogEntry{At, std::move(Text)});
-  absorb(entries, true);
+  applyLogEntries(entries, true);
 }
 
 void LogFollower::receive(const LogPushMessage &Push) {
   InstanceName peer(Push.From);
-  if (Obtained.load() && !Fold.BlockedAt)
-    absorb(Push.Records, true);
-  hear(peer, Push.Next, Push.LogAge);
+  if (Obtained.load() && !Fold.BlockedOffset)
+    applyLogEntries(Push.Records, true);
+  hear(peer, Push.Next, Push.CaughtUpAge);
 }
 
-void LogFollower::hear(const InstanceName &Peer, Offset Next, Millis LogAge) {
+void LogFollower::hear(const InstanceName &Peer, Offset Next,
+                       Millis CaughtUpAge) {
   if (Peer.empty() || !Obtained.load())
     return;
   PeerNext[Peer] = Next;
   if (Next <= Fold.Next) {
-    if (Next == Fold.Next && LogAge < Setup.SilenceLimit)
-      noteFresh(monotonicNow() - LogAge);
+    if (Next == Fold.Next && CaughtUpAge < Setup.SilenceLimit)
+      recordCaughtUp(monotonicNow() - CaughtUpAge);
     return;
   }
-  if (GapAsked || Fold.BlockedAt)
+  if (GapRequestInFlight || Fold.BlockedOffset)
     return;
-  GapAsked = true;
+  GapRequestInFlight = true;
   std::shared_ptr<LogFollower> self = shared_from_this();
   asio::co_spawn(
       Executor,
-      [self, Peer]() -> asio::awaitable<void> { return self->askForGap(Peer); },
+      [self, Peer]() -> asio::awaitable<void> {
+        return self->requestMissingRecords(Peer);
+      },
       asio::detached);
 }
 
-asio::awaitable<void> LogFollower::askForGap(InstanceName Peer) {
+asio::awaitable<void> LogFollower::requestMissingRecords(InstanceName Peer) {
   std::shared_ptr<LogFollower> self = shared_from_this();
   // What is missing may be on its way.
-  BootTimer grace(Executor, Setup.GapGrace);
+  BootTimer grace(Executor, Setup.GapRequestDelay);
   co_await grace.async_wait(Awaited);
   std::shared_ptr<const View> seen = Calls.CurrentView();
   auto found = seen->Members.find(Peer);
   while (!Stopped && found != seen->Members.end() &&
-         PeerNext[Peer] > Fold.Next && !Fold.BlockedAt) {
-    LogAskMessage ask{Links->nextSequence(), seen->Self.Text, Fold.Next};
+         PeerNext[Peer] > Fold.Next && !Fold.BlockedOffset) {
+    LogRequestMessage ask{Links->nextSequence(), seen->Self.Text, Fold.Next};
     Address where = found->second.Control;
     ControlMessage question = ask;
     Outcome<ControlMessage> answer =
@@ -471,23 +476,23 @@
         answer ? std::get_if<LogPushMessage>(&*answer) : nullptr;
     Offset before = Fold.Next;
     if (push != nullptr && !Stopped)
-      absorb(push->Records, true);
+      applyLogEntries(push->Records, true);
     if (Fold.Next == before) {
       // The peer cannot help: the log itself can.
-      readSoon();
+      requestRead();
       break;
     }
   }
-  GapAsked = false;
+  GapRequestInFlight = false;
 }
 
-LogPushMessage LogFollower::answer(const LogAskMessage &Ask) const {
+LogPushMessage LogFollower::answer(const LogRequestMessage &Ask) const {
   LogPushMessage push;
   push.Sequence = Ask.Sequence;
   push.From = Calls.CurrentView()->Self.Text;
   push.Next = Fold.Next;
   push.First = Kept.empty() ? Fold.Next : Kept.front().At;
-  push.LogAge = logAge();
+  push.CaughtUpAge = caughtUpAge();
   if (Ask.Start < push.First)
     return push;
   std::size_t bytes = 0;
@@ -502,8 +507,8 @@
   return push;
 }
 
-StateGiveMessage LogFollower::answer(const StateAskMessage &Ask) const {
-  StateGiveMessage give;
+StateResponseMessage LogFollower::answer(const StateRequestMessage &Ask) const {
+  StateResponseMessage give;
   give.Sequence = Ask.Sequence;
   if (!Obtained.load())
     return give;
--- a/Wasabi/Node/LogFollower.h
+++ b/Wasabi/Node/LogFollower.h
@@ -38,28 +38,28 @@
   struct Settings {
     std::uint32_t ReadersPerDomain = 2;
     /// How long a reader's read waits at the log for something new.
-    Millis PollWait{5000};
+    Millis PollTimeout{5000};
     /// Without a sign, for this long, that somebody has read the log to its
     /// end, a process reads it itself. A random part of as much is added.
     Millis SilenceLimit{6000};
     /// How long pushes may lag before a gap is asked for.
-    Millis GapGrace{150};
+    Millis GapRequestDelay{150};
     /// Bounds of the back-off while the log does not answer.
     Millis MinBackOff{100};
     Millis MaxBackOff{3000};
     /// Most records taken in one read.
-    std::size_t ReadBatch = 512;
+    std::size_t MaxReadRecords = 512;
     /// Records kept for peers that ask, and their bytes.
-    std::size_t MaxKept = 4096;
-    std::size_t MaxKeptBytes = 4u << 20;
+    std::size_t MaxRetainedRecords = 4096;
+    std::size_t MaxRetainedBytes = 4u << 20;
     /// Longest stretch that is pushed on; more is catching up, not news.
     std::size_t MaxPushed = 64;
     /// Random peers that a record is pushed to besides the ring's successor: of
     /// a change, and of a mere renewal, which is in no hurry.
-    std::size_t ChangePeers = 2;
-    std::size_t RenewalPeers = 1;
+    std::size_t ChangeFanout = 2;
+    std::size_t RenewalFanout = 1;
     /// How long the same random peers are kept, for their connections' sake.
-    Millis KeepPeers{30000};
+    Millis PeerSelectionInterval{30000};
     /// How far from the end a start looks for a snapshot first.
     std::size_t SnapshotWindow = 2048;
     std::uint64_t Seed = 1;
@@ -69,10 +69,11 @@
     /// The members, now.
     std::function<std::shared_ptr<const View>()> CurrentView;
     /// Called after each record, before the state is published.
-    std::function<void(Offset At, const FoldState &State, const Applied &Did)>
+    std::function<void(Offset At, const FoldState &State,
+                       const ControlStateChange &Did)>
         OnApplied;
     /// Called when a whole state was taken over.
-    std::function<void(const FoldState &State)> OnAdopted;
+    std::function<void(const FoldState &State)> OnStateReplaced;
   };
 
   static std::shared_ptr<LogFollower>
@@ -95,19 +96,19 @@
   /// The oldest offset that the log kept when last read.
   Offset logFirst() const { return LogFirst; }
   /// How long ago the log was known to end at or before `next`.
-  Millis logAge() const;
+  Millis caughtUpAge() const;
 
   /// Takes records that a peer pushed.
   void receive(const LogPushMessage &Push);
   /// Notes how far a peer is, and asks it for what is missing here.
   void hear(const InstanceName &Peer, Offset PeerNext, Millis PeerLogAge);
   /// Takes a record that the log took from this process at `At`.
-  void takeOwn(Offset At, std::string Text);
+  void applyOwnRecord(Offset At, std::string Text);
   /// Reads the log soon, reader or not.
-  void readSoon();
+  void requestRead();
 
-  LogPushMessage answer(const LogAskMessage &Ask) const;
-  StateGiveMessage answer(const StateAskMessage &Ask) const;
+  LogPushMessage answer(const LogRequestMessage &Ask) const;
+  StateResponseMessage answer(const StateRequestMessage &Ask) const;
 
 private:
   LogFollower(boost::asio::any_io_executor Executor, Settings Setup,
@@ -124,21 +125,21 @@
   boost::asio::awaitable<bool> stateFromLog();
   boost::asio::awaitable<Outcome<std::vector<LogEntry>>> readAll(Offset From,
                                                                  Offset End);
-  boost::asio::awaitable<void> askForGap(InstanceName Peer);
-  boost::asio::awaitable<void> recoverExpired(Offset First);
+  boost::asio::awaitable<void> requestMissingRecords(InstanceName Peer);
+  boost::asio::awaitable<void> recoverFromExpiredOffset(Offset First);
 
   bool isReader() const;
-  bool isSilent() const;
-  void noteLog(bool Up, const std::string &Reason);
-  void noteFresh(TimePoint At);
+  bool isCatchUpOverdue() const;
+  void recordReachability(bool Up, const std::string &Reason);
+  void recordCaughtUp(TimePoint At);
   /// Applies what follows on; false when something before it is missing.
-  bool absorb(const std::vector<LogEntry> &Entries, bool Spread);
+  bool applyLogEntries(const std::vector<LogEntry> &Entries, bool Spread);
   /// Whether the record changed more than a claim's term.
-  bool applyOne(const LogEntry &Entry);
+  bool applyLogEntry(const LogEntry &Entry);
   void keep(const LogEntry &Entry);
   bool adopt(FoldState State);
   void publish();
-  void pushOn(const std::vector<LogEntry> &Fresh, bool Quick);
+  void pushToPeers(const std::vector<LogEntry> &Fresh, bool Quick);
   Millis backOff();
 
   boost::asio::any_io_executor Executor;
@@ -161,12 +162,12 @@
   std::map<InstanceName, Offset> PeerNext;
   /// When the log was known to end at or before `Fold.Next`.
   TimePoint FreshAt;
-  Millis SilenceExtra{0};
+  Millis CaughtUpAgeJitter{0};
   unsigned Failures = 0;
   bool LogNoted = false;
   bool StaleNoted = false;
-  bool ReadWanted = false;
-  bool GapAsked = false;
+  bool ReadRequested = false;
+  bool GapRequestInFlight = false;
   bool Stopped = false;
 };
 
--- a/Wasabi/Node/MemberWatch.cpp
+++ b/Wasabi/Node/MembershipManager.cpp
@@ -1,4 +1,4 @@
-#include "Wasabi/Node/MemberWatch.h"
+#include "Wasabi/Node/MembershipManager.h"
 
 #include "Wasabi/Adapters/Http/HttpClient.h"
 #include "Wasabi/Core/BootTimer.h"
@@ -23,7 +23,7 @@
 
 constexpr asio::as_tuple_t<asio::use_awaitable_t<>> Awaited;
 /// Time between two looks at suspicions; the view is published as often.
-constexpr Millis TickPeriod(100);
+constexpr Millis TickInterval(100);
 constexpr Millis ListTimeout(2000);
 constexpr Millis ExchangeTimeout(3000);
 /// First pause after a failed reading of the list.
@@ -38,7 +38,7 @@
 /// More news than a part of so many of the members is much.
 constexpr std::size_t MuchLearned = 20;
 /// How long the same random peers are told urgent news.
-constexpr Millis KeepPeers(30000);
+constexpr Millis PeerSelectionInterval(30000);
 
 /// One wait for any of several helpers.
 struct HelperWait {
@@ -52,21 +52,21 @@
 
 } // namespace
 
-std::shared_ptr<MemberWatch>
-MemberWatch::create(asio::any_io_executor Executor, Settings Setup,
-                    std::shared_ptr<PeerLinks> Links,
-                    std::shared_ptr<http::Client> Client,
-                    ControlCounters &Counters, Timeline &Events, Hooks Calls) {
-  return std::shared_ptr<MemberWatch>(
-      new MemberWatch(std::move(Executor), std::move(Setup), std::move(Links),
-                      std::move(Client), Counters, Events, std::move(Calls)));
+std::shared_ptr<MembershipManager> MembershipManager::create(
+    asio::any_io_executor Executor, Settings Setup,
+    std::shared_ptr<PeerLinks> Links, std::shared_ptr<http::Client> Client,
+    ControlCounters &Counters, Timeline &Events, Hooks Calls) {
+  return std::shared_ptr<MembershipManager>(new MembershipManager(
+      std::move(Executor), std::move(Setup), std::move(Links),
+      std::move(Client), Counters, Events, std::move(Calls)));
 }
 
-MemberWatch::MemberWatch(asio::any_io_executor Executor, Settings Setup,
-                         std::shared_ptr<PeerLinks> Links,
-                         std::shared_ptr<http::Client> Client,
-                         ControlCounters &Counters, Timeline &Events,
-                         Hooks Calls)
+MembershipManager::MembershipManager(asio::any_io_executor Executor,
+                                     Settings Setup,
+                                     std::shared_ptr<PeerLinks> Links,
+                                     std::shared_ptr<http::Client> Client,
+                                     ControlCounters &Counters,
+                                     Timeline &Events, Hooks Calls)
     : Executor(std::move(Executor)), Setup(std::move(Setup)),
       Links(std::move(Links)), Client(std::move(Client)), Counters(Counters),
       Events(Events), Calls(std::move(Calls)),
@@ -74,12 +74,12 @@
                      monotonicNow())),
       Shown(viewOf(Swim)), Random(this->Setup.Seed + 1) {}
 
-template <typename Body> void MemberWatch::spawn(Body &&What) {
+template <typename Body> void MembershipManager::spawn(Body &&What) {
   asio::co_spawn(Executor, std::forward<Body>(What), asio::detached);
 }
 
-void MemberWatch::start() {
-  std::shared_ptr<MemberWatch> self = shared_from_this();
+void MembershipManager::start() {
+  std::shared_ptr<MembershipManager> self = shared_from_this();
   spawn([self]() -> asio::awaitable<void> { return self->probeLoop(); });
   spawn([self]() -> asio::awaitable<void> { return self->tickLoop(); });
   spawn([self]() -> asio::awaitable<void> { return self->digestLoop(); });
@@ -89,9 +89,9 @@
     spawn([self, it]() -> asio::awaitable<void> { return self->join(it); });
 }
 
-void MemberWatch::stop() { Stopped = true; }
+void MembershipManager::stop() { Stopped = true; }
 
-Millis MemberWatch::jittered(Millis Span) {
+Millis MembershipManager::jittered(Millis Span) {
   // Half of it up to one and a half: nobody keeps step with anybody.
   std::uint64_t span = static_cast<std::uint64_t>(Span.count());
   return Millis(static_cast<std::int64_t>(span / 2 + Random() % (span + 1)));
@@ -99,8 +99,8 @@
 
 // ---- loops ----
 
-asio::awaitable<void> MemberWatch::probeLoop() {
-  std::shared_ptr<MemberWatch> self = shared_from_this();
+asio::awaitable<void> MembershipManager::probeLoop() {
+  std::shared_ptr<MembershipManager> self = shared_from_this();
   BootTimer timer(Executor);
   while (!Stopped) {
     // Who is not well probes less often.
@@ -113,11 +113,11 @@
   }
 }
 
-asio::awaitable<void> MemberWatch::tickLoop() {
-  std::shared_ptr<MemberWatch> self = shared_from_this();
+asio::awaitable<void> MembershipManager::tickLoop() {
+  std::shared_ptr<MembershipManager> self = shared_from_this();
   BootTimer timer(Executor);
   while (!Stopped) {
-    timer.expires_after(TickPeriod);
+    timer.expires_after(TickInterval);
     co_await timer.async_wait(Awaited);
     if (Stopped)
       break;
@@ -127,8 +127,8 @@
   }
 }
 
-asio::awaitable<void> MemberWatch::listLoop() {
-  std::shared_ptr<MemberWatch> self = shared_from_this();
+asio::awaitable<void> MembershipManager::listLoop() {
+  std::shared_ptr<MembershipManager> self = shared_from_this();
   BootTimer timer(Executor);
   Millis failing = MinListBackOff;
   while (!Stopped) {
@@ -143,20 +143,20 @@
       good = co_await readList();
     failing =
         good ? MinListBackOff : std::min(failing * 2, Setup.MaxListBackOff);
-    timer.expires_after(jittered(good ? listPeriod() : failing));
+    timer.expires_after(jittered(good ? listReadInterval() : failing));
     co_await timer.async_wait(Awaited);
   }
 }
 
-Millis MemberWatch::digestPeriod() const {
+Millis MembershipManager::digestInterval() const {
   // Digests cost by the member; while they are few, what gossip missed need not
   // wait for long.
   std::int64_t members = static_cast<std::int64_t>(Swim.Members.size());
   Millis afforded = std::max(MinDigestPeriod, members * DigestPeriodPerMember);
-  return std::min(afforded, Setup.DigestPeriod);
+  return std::min(afforded, Setup.MaxDigestInterval);
 }
 
-Millis MemberWatch::listPeriod() const {
+Millis MembershipManager::listReadInterval() const {
   // A few in each domain read it often and tell the rest, which need it only to
   // be sure: with hundreds of lines it is the largest thing on the wire.
   std::shared_ptr<const View> seen = Shown.get();
@@ -164,18 +164,18 @@
   std::int64_t spent = static_cast<std::int64_t>(ListBytes) * part;
   constexpr std::int64_t MillisPerSecond = 1000;
   Millis afforded(spent * MillisPerSecond / Setup.ListBytesPerSecond);
-  return std::max(Setup.ListPeriod, afforded);
+  return std::max(Setup.MinListReadInterval, afforded);
 }
 
-asio::awaitable<void> MemberWatch::digestLoop() {
-  std::shared_ptr<MemberWatch> self = shared_from_this();
+asio::awaitable<void> MembershipManager::digestLoop() {
+  std::shared_ptr<MembershipManager> self = shared_from_this();
   BootTimer timer(Executor);
   // The first exchange comes early: it is how a new process learns the rest.
   Millis span = Setup.Swim.ProbePeriod;
   while (!Stopped) {
     timer.expires_after(jittered(span));
     co_await timer.async_wait(Awaited);
-    std::vector<InstanceName> peer = chooseHelpers(Swim, Swim.Self, 1);
+    std::vector<InstanceName> peer = chooseRandomPeers(Swim, Swim.Self, 1);
     if (Stopped)
       break;
     if (peer.empty()) {
@@ -187,18 +187,19 @@
     std::size_t learned = co_await exchange(where, peer.front());
     // Often while there is much to learn.
     bool much = learned * MuchLearned > Swim.Members.size();
-    span = much ? Setup.Swim.ProbePeriod : std::min(span * 2, digestPeriod());
+    span = much ? Setup.Swim.ProbePeriod : std::min(span * 2, digestInterval());
   }
 }
 
-asio::awaitable<void> MemberWatch::join(Address Seed) {
-  std::shared_ptr<MemberWatch> self = shared_from_this();
+asio::awaitable<void> MembershipManager::join(Address Seed) {
+  std::shared_ptr<MembershipManager> self = shared_from_this();
   co_await exchange(std::move(Seed), InstanceName());
 }
 
 // ---- probes ----
 
-asio::awaitable<bool> MemberWatch::ping(InstanceName Target, Millis Timeout) {
+asio::awaitable<bool> MembershipManager::ping(InstanceName Target,
+                                              Millis Timeout) {
   auto found = Swim.Members.find(Target);
   if (found == Swim.Members.end() || found->second.Who.Control.empty())
     co_return false;
@@ -218,8 +219,8 @@
   co_return true;
 }
 
-asio::awaitable<void> MemberWatch::probe(InstanceName Target) {
-  std::shared_ptr<MemberWatch> self = shared_from_this();
+asio::awaitable<void> MembershipManager::probe(InstanceName Target) {
+  std::shared_ptr<MembershipManager> self = shared_from_this();
   auto found = Swim.Members.find(Target);
   if (found == Swim.Members.end() || !Probing.insert(Target).second)
     co_return;
@@ -234,7 +235,8 @@
     // Others may reach what this process cannot.
     std::shared_ptr<HelperWait> wait = std::make_shared<HelperWait>(Executor);
     wait->Timer.expires_after(3 * timeout);
-    for (const InstanceName &it : chooseHelpers(Swim, Target, Setup.Helpers)) {
+    for (const InstanceName &it :
+         chooseRandomPeers(Swim, Target, Setup.IndirectProbePeers)) {
       ++wait->Pending;
       Address where = Swim.Members.at(it).Who.Control;
       spawn([self, wait, where, Target, timeout]() -> asio::awaitable<void> {
@@ -265,8 +267,8 @@
     apply(ended);
 }
 
-void MemberWatch::receive(const PingMessage &Ping,
-                          const ControlServer::Reply &Answer) {
+void MembershipManager::receive(const PingMessage &Ping,
+                                const ControlServer::Reply &Answer) {
   // A process that took over the port must not answer for its predecessor.
   if (!Ping.Target.empty() && Ping.Target != Swim.Self.Text)
     return;
@@ -277,19 +279,19 @@
   ack.Sequence = Ping.Sequence;
   ack.From = Swim.Self.Text;
   if (Ping.Carried.Full) {
-    ack.Carried.News = newsBeyond(Swim, Ping.Carried.Digests);
-    ack.Carried.Digests = digestsOf(Swim);
+    ack.Carried.News = findMissingUpdates(Swim, Ping.Carried.Digests);
+    ack.Carried.Digests = computeDigests(Swim);
     ack.Carried.At = Events.now();
-    Calls.FillLog(ack.Carried);
+    Calls.FillLogPosition(ack.Carried);
   } else {
     ack.Carried = gossipTo(InstanceName(Ping.From));
   }
   Answer(ack);
 }
 
-void MemberWatch::receive(const PingRequestMessage &Ask,
-                          const ControlServer::Reply &Answer) {
-  std::shared_ptr<MemberWatch> self = shared_from_this();
+void MembershipManager::receive(const PingRequestMessage &Ask,
+                                const ControlServer::Reply &Answer) {
+  std::shared_ptr<MembershipManager> self = shared_from_this();
   spawn([self, Ask, Answer]() -> asio::awaitable<void> {
     InstanceName target(Ask.Target);
     bool reached = co_await self->ping(target, self->Setup.ProbeTimeout);
@@ -299,17 +301,17 @@
   });
 }
 
-asio::awaitable<std::size_t> MemberWatch::exchange(Address Where,
-                                                   InstanceName Peer) {
+asio::awaitable<std::size_t> MembershipManager::exchange(Address Where,
+                                                         InstanceName Peer) {
   PingMessage ping;
   ping.Sequence = Links->nextSequence();
   ping.From = Swim.Self.Text;
   ping.Target = Peer.Text;
   ping.Carried = gossipTo(Peer);
   ping.Carried.Full = true;
-  ping.Carried.Digests = digestsOf(Swim);
+  ping.Carried.Digests = computeDigests(Swim);
   // To be known by the other side is the first purpose of joining.
-  MemberNews self;
+  MemberUpdate self;
   self.About = Swim.Members.at(Swim.Self).Who;
   ping.Carried.News.push_back(std::move(self));
   ControlMessage question = std::move(ping);
@@ -324,9 +326,9 @@
   PingMessage notice;
   notice.From = Swim.Self.Text;
   notice.Target = ack->From;
-  notice.Carried.News = newsBeyond(Swim, ack->Carried.Digests);
+  notice.Carried.News = findMissingUpdates(Swim, ack->Carried.Digests);
   notice.Carried.At = Events.now();
-  Calls.FillLog(notice.Carried);
+  Calls.FillLogPosition(notice.Carried);
   if (!notice.Carried.News.empty())
     Links->send(Where, notice);
   co_return ack->Carried.News.size();
@@ -334,7 +336,7 @@
 
 // ---- the platform's list ----
 
-asio::awaitable<bool> MemberWatch::readList() {
+asio::awaitable<bool> MembershipManager::readList() {
   Outcome<std::string> body =
       co_await readInstanceListBody(*Client, Setup.Instances, ListTimeout);
   if (!body || Stopped)
@@ -349,7 +351,7 @@
   co_return true;
 }
 
-asio::awaitable<bool> MemberWatch::announce(bool Leaving) {
+asio::awaitable<bool> MembershipManager::announce(bool Leaving) {
   const Member &self = Swim.Members.at(Swim.Self).Who;
   ListedInstance line;
   line.Instance = self.Instance;
@@ -368,28 +370,29 @@
 
 // ---- news ----
 
-Gossip MemberWatch::gossipTo(const InstanceName &Peer) {
+Gossip MembershipManager::gossipTo(const InstanceName &Peer) {
   Gossip carried;
-  carried.News = newsFor(Swim, Peer);
+  carried.News = takeUpdatesFor(Swim, Peer);
   carried.At = Events.now();
-  Calls.FillLog(carried);
+  Calls.FillLogPosition(carried);
   return carried;
 }
 
-void MemberWatch::hear(const std::string &From, const Gossip &Carried) {
+void MembershipManager::hear(const std::string &From, const Gossip &Carried) {
   Events.hear(Carried.At);
   if (!Carried.Digests.empty())
-    noteDigests(Swim, Carried.Digests);
+    applyPeerDigests(Swim, Carried.Digests);
   if (!Carried.News.empty())
-    apply(NewsHeard{InstanceName(From), Carried.News});
-  Calls.HearLog(InstanceName(From), Carried.Next, Carried.LogAge);
+    apply(UpdatesReceived{InstanceName(From), Carried.News});
+  Calls.OnPeerLogPosition(InstanceName(From), Carried.Next,
+                          Carried.CaughtUpAge);
 }
 
-void MemberWatch::apply(const SwimEvent &Event) {
-  carryOut(decide(Swim, Event, monotonicNow()));
+void MembershipManager::apply(const SwimEvent &Event) {
+  applyEffects(decide(Swim, Event, monotonicNow()));
 }
 
-void MemberWatch::carryOut(const SwimEffects &Effects) {
+void MembershipManager::applyEffects(const SwimEffects &Effects) {
   for (const HealthChange &it : Effects.Changes) {
     std::string kind = "member." + std::string(toText(it.Now));
     Events.record(kind, {{"member", it.Instance.Text},
@@ -397,28 +400,29 @@
                          {"witness", it.Witness}});
   }
   Dirty = Dirty || Effects.ViewChanged;
-  bool lagged = monotonicNow() - AnnouncedAt > Setup.AnnounceAgain;
-  if (Effects.SelfUnlisted && lagged)
+  bool lagged = monotonicNow() - AnnouncedAt > Setup.ReannounceDelay;
+  if (Effects.SelfMissingFromList && lagged)
     Announced = false;
   if (!Effects.Urgent.empty()) {
     publish();
-    passOn(Effects.Urgent);
+    broadcastUrgent(Effects.Urgent);
   }
-  std::shared_ptr<MemberWatch> self = shared_from_this();
+  std::shared_ptr<MembershipManager> self = shared_from_this();
   for (const InstanceName &it : Effects.Probes)
     spawn([self, it]() -> asio::awaitable<void> { return self->probe(it); });
 }
 
-void MemberWatch::passOn(const std::vector<MemberNews> &Urgent) {
+void MembershipManager::broadcastUrgent(
+    const std::vector<MemberUpdate> &Urgent) {
   std::shared_ptr<const View> seen = Shown.get();
   FanoutSettings limits;
   bool own = std::any_of(Urgent.begin(), Urgent.end(), [&](const auto &it) {
     return it.About.Instance == Swim.Self;
   });
   limits.OtherDomains = own || isLogReader(*seen, RelaysPerDomain);
-  std::mt19937_64 sticky(Setup.Seed +
-                         static_cast<std::uint64_t>(
-                             monotonicNow().time_since_epoch() / KeepPeers));
+  std::mt19937_64 sticky(Setup.Seed + static_cast<std::uint64_t>(
+                                          monotonicNow().time_since_epoch() /
+                                          PeerSelectionInterval));
   for (const InstanceName &it : chooseFanout(*seen, limits, sticky)) {
     const Address &where = seen->Members.at(it).Control;
     if (where.empty())
@@ -428,26 +432,26 @@
     notice.Target = it.Text;
     notice.Carried.News = Urgent;
     notice.Carried.At = Events.now();
-    Calls.FillLog(notice.Carried);
+    Calls.FillLogPosition(notice.Carried);
     Links->send(where, notice);
   }
 }
 
-void MemberWatch::publish() {
+void MembershipManager::publish() {
   Dirty = false;
   Shown.set(viewOf(Swim));
 }
 
-void MemberWatch::setServers(std::vector<ServerStatus> Servers) {
+void MembershipManager::setServers(std::vector<ServerStatus> Servers) {
   apply(ServersChanged{std::move(Servers)});
 }
 
-void MemberWatch::noteUnreachable(const InstanceName &Target) {
+void MembershipManager::noteUnreachable(const InstanceName &Target) {
   apply(RequestFailed{Target});
 }
 
-asio::awaitable<void> MemberWatch::leave() {
-  std::shared_ptr<MemberWatch> self = shared_from_this();
+asio::awaitable<void> MembershipManager::leave() {
+  std::shared_ptr<MembershipManager> self = shared_from_this();
   apply(SelfLeaves());
   if (!Setup.Instances.empty()) {
     spawn([self]() -> asio::awaitable<void> {
@@ -457,7 +461,7 @@
   }
   // The notices are under way; an answered probe carries the news for certain.
   std::vector<InstanceName> helpers =
-      chooseHelpers(Swim, Swim.Self, Setup.Helpers);
+      chooseRandomPeers(Swim, Swim.Self, Setup.IndirectProbePeers);
   for (const InstanceName &it : helpers) {
     bool confirmed = co_await ping(it, Setup.ProbeTimeout);
     if (confirmed || Stopped)
--- a/Wasabi/Node/MemberWatch.h
+++ b/Wasabi/Node/MembershipManager.h
@@ -1,8 +1,8 @@
 /// \file
 /// Carries out what the membership decides: sends probes and news, asks others
 /// to probe, reads and feeds the platform's list, and publishes the view.
-#ifndef WASABI_NODE_MEMBERWATCH_H
-#define WASABI_NODE_MEMBERWATCH_H
+#ifndef WASABI_NODE_MEMBERSHIPMANAGER_H
+#define WASABI_NODE_MEMBERSHIPMANAGER_H
 
 #include "Wasabi/Core/BootTimer.h"
 #include "Wasabi/Core/Clock.h"
@@ -32,7 +32,8 @@
 } // namespace http
 
 /// Not thread-safe: use on the executor's thread, but for `view`.
-class MemberWatch : public std::enable_shared_from_this<MemberWatch> {
+class MembershipManager
+    : public std::enable_shared_from_this<MembershipManager> {
 public:
   struct Settings {
     Member Self;
@@ -41,29 +42,29 @@
     SwimSettings Swim;
     Millis ProbeTimeout{500};
     /// Peers asked to probe a member that does not answer.
-    std::size_t Helpers = 3;
+    std::size_t IndirectProbePeers = 3;
     /// Time between two readings of the platform's list.
-    Millis ListPeriod{3000};
+    Millis MinListReadInterval{3000};
     /// What a reader of the list spends on it, however long the list is.
     std::int64_t ListBytesPerSecond = 1000;
     /// Time between two exchanges of digests with a random member, at most;
     /// less while members are few.
-    Millis DigestPeriod{30000};
+    Millis MaxDigestInterval{30000};
     /// Bound of the back-off while the list does not answer.
     Millis MaxListBackOff{10000};
     /// A process that the list lacks for longer than its lag announces itself
     /// again.
-    Millis AnnounceAgain{30000};
+    Millis ReannounceDelay{30000};
     std::uint64_t Seed = 1;
   };
   struct Hooks {
     /// Fills in how far this process has folded the log.
-    std::function<void(Gossip &)> FillLog;
+    std::function<void(Gossip &)> FillLogPosition;
     /// Told how far a peer has folded it.
-    std::function<void(const InstanceName &, Offset, Millis)> HearLog;
+    std::function<void(const InstanceName &, Offset, Millis)> OnPeerLogPosition;
   };
 
-  static std::shared_ptr<MemberWatch>
+  static std::shared_ptr<MembershipManager>
   create(boost::asio::any_io_executor Executor, Settings Setup,
          std::shared_ptr<PeerLinks> Links, std::shared_ptr<http::Client> Client,
          ControlCounters &Counters, Timeline &Events, Hooks Calls);
@@ -88,10 +89,10 @@
   boost::asio::awaitable<void> leave();
 
 private:
-  MemberWatch(boost::asio::any_io_executor Executor, Settings Setup,
-              std::shared_ptr<PeerLinks> Links,
-              std::shared_ptr<http::Client> Client, ControlCounters &Counters,
-              Timeline &Events, Hooks Calls);
+  MembershipManager(boost::asio::any_io_executor Executor, Settings Setup,
+                    std::shared_ptr<PeerLinks> Links,
+                    std::shared_ptr<http::Client> Client,
+                    ControlCounters &Counters, Timeline &Events, Hooks Calls);
 
   boost::asio::awaitable<void> probeLoop();
   boost::asio::awaitable<void> tickLoop();
@@ -107,14 +108,14 @@
   boost::asio::awaitable<bool> announce(bool Leaving);
 
   void apply(const SwimEvent &Event);
-  void carryOut(const SwimEffects &Effects);
-  void passOn(const std::vector<MemberNews> &Urgent);
+  void applyEffects(const SwimEffects &Effects);
+  void broadcastUrgent(const std::vector<MemberUpdate> &Urgent);
   void publish();
   Gossip gossipTo(const InstanceName &Peer);
   void hear(const std::string &From, const Gossip &Carried);
   Millis jittered(Millis Span);
-  Millis digestPeriod() const;
-  Millis listPeriod() const;
+  Millis digestInterval() const;
+  Millis listReadInterval() const;
   template <typename Body> void spawn(Body &&What);
 
   boost::asio::any_io_executor Executor;
@@ -138,4 +139,4 @@
 
 } // namespace wasabi
 
-#endif // WASABI_NODE_MEMBERWATCH_H
+#endif // WASABI_NODE_MEMBERSHIPMANAGER_H
--- a/Wasabi/Node/PeerLinks.cpp
+++ b/Wasabi/Node/PeerLinks.cpp
@@ -23,8 +23,9 @@
 } // namespace
 
 /// One question that waits for its answer.
-struct PeerLinks::Question {
-  explicit Question(const asio::any_io_executor &Executor) : Timer(Executor) {}
+struct PeerLinks::PendingRequest {
+  explicit PendingRequest(const asio::any_io_executor &Executor)
+      : Timer(Executor) {}
   BootTimer Timer;
   std::optional<Outcome<ControlMessage>> Answer;
 
@@ -38,7 +39,7 @@
   /// Null while the connection is being opened.
   std::shared_ptr<FrameSocket> Socket;
   std::deque<FrameBytes> Waiting;
-  std::map<std::uint64_t, std::shared_ptr<Question>> Questions;
+  std::map<std::uint64_t, std::shared_ptr<PendingRequest>> Questions;
   TimePoint LastUsed;
   bool Dropped = false;
 };
@@ -67,7 +68,8 @@
                       "this process is stopping", Millis(0)};
   std::shared_ptr<Link> link = linkTo(Where);
   std::uint64_t sequence = sequenceOf(What);
-  std::shared_ptr<Question> question = std::make_shared<Question>(Executor);
+  std::shared_ptr<PendingRequest> question =
+      std::make_shared<PendingRequest>(Executor);
   link->Questions[sequence] = question;
   put(*link, encodeControl(What));
 
@@ -227,7 +229,7 @@
     Links.erase(found);
   if (Peer->Socket)
     Peer->Socket->close();
-  std::map<std::uint64_t, std::shared_ptr<Question>> questions =
+  std::map<std::uint64_t, std::shared_ptr<PendingRequest>> questions =
       std::exchange(Peer->Questions, {});
   for (auto &[sequence, question] : questions)
     question->settle(Why);
--- a/Wasabi/Node/PeerLinks.h
+++ b/Wasabi/Node/PeerLinks.h
@@ -55,7 +55,7 @@
   void stop();
 
 private:
-  struct Question;
+  struct PendingRequest;
   struct Link;
 
   PeerLinks(boost::asio::any_io_executor Executor, Settings Limits,
--- a/Wasabi/Node/RecordAppender.cpp
+++ b/Wasabi/Node/RecordAppender.cpp
@@ -127,16 +127,16 @@
         break;
       }
       // Not known whether it took effect: reading tells, or the next try does.
-      Follower->readSoon();
+      Follower->requestRead();
       co_await pause(std::max(backOff(failures), at.failure().RetryAfter));
       ++failures;
       continue;
     }
-    Follower->takeOwn(*at, Text);
+    Follower->applyOwnRecord(*at, Text);
     while (!Stopped && !Settled && Follower->next() <= *at) {
-      co_await pause(Setup.ReadBackPeriod);
+      co_await pause(Setup.ReadBackInterval);
       if (!Settled)
-        Follower->readSoon();
+        Follower->requestRead();
     }
     // Read past without a mark: another life of this instance is at work.
     if (!Settled && !Stopped)
@@ -148,18 +148,18 @@
 }
 
 void RecordAppender::onApplied(Offset At, const FoldState &State,
-                               const Applied &Did) {
+                               const ControlStateChange &Did) {
   if (InFlight && !Settled)
-    settleFromMark(State, &Did, At);
+    settleFromState(State, &Did, At);
 }
 
-void RecordAppender::onAdopted(const FoldState &State) {
+void RecordAppender::onStateReplaced(const FoldState &State) {
   if (InFlight && !Settled)
-    settleFromMark(State, nullptr, 0);
+    settleFromState(State, nullptr, 0);
 }
 
-void RecordAppender::settleFromMark(const FoldState &State, const Applied *Did,
-                                    Offset At) {
+void RecordAppender::settleFromState(const FoldState &State,
+                                     const ControlStateChange *Did, Offset At) {
   auto mark = State.Authors.find(Setup.Instance.Text);
   if (mark == State.Authors.end() || mark->second.Life != Setup.Life ||
       mark->second.Sequence != Sequence)
@@ -170,7 +170,7 @@
   if (Did != nullptr && mark->second.At == At)
     done.Did = *Did;
   else
-    done.Did.Fate = mark->second.Fate;
+    done.Did.ApplyStatus = mark->second.ApplyStatus;
   Settled.emplace(std::move(done));
   Wake.cancel();
 }
--- a/Wasabi/Node/RecordAppender.h
+++ b/Wasabi/Node/RecordAppender.h
@@ -29,7 +29,7 @@
 /// A record that was read back.
 struct Appended {
   Offset At = 0;
-  Applied Did;
+  ControlStateChange Did;
 };
 
 /// A lost answer is never guessed at: the record is sent again with the same id
@@ -47,7 +47,7 @@
     Millis MaxBackOff{2000};
     /// How long a record that the log took may stay unread before the log is
     /// read again.
-    Millis ReadBackPeriod{500};
+    Millis ReadBackInterval{500};
     std::uint64_t Seed = 1;
   };
   using Callback = std::function<void(Outcome<Appended>)>;
@@ -69,8 +69,9 @@
   /// process' own record is being applied.
   TimePoint firstSent() const { return FirstSent; }
   /// Takes note of the fold's progress.
-  void onApplied(Offset At, const FoldState &State, const Applied &Did);
-  void onAdopted(const FoldState &State);
+  void onApplied(Offset At, const FoldState &State,
+                 const ControlStateChange &Did);
+  void onStateReplaced(const FoldState &State);
   std::size_t waiting() const { return Queue.size(); }
 
 private:
@@ -86,7 +87,8 @@
   boost::asio::awaitable<void> run();
   boost::asio::awaitable<void> settle(std::string Text);
   boost::asio::awaitable<void> pause(Millis Span);
-  void settleFromMark(const FoldState &State, const Applied *Did, Offset At);
+  void settleFromState(const FoldState &State, const ControlStateChange *Did,
+                       Offset At);
   Millis backOff(unsigned Failures);
 
   boost::asio::any_io_executor Executor;
--- a/Wasabi/Node/SnapshotRule.h
+++ b/Wasabi/Node/SnapshotRule.h
@@ -10,15 +10,15 @@
 
 struct SnapshotSettings {
   /// Records after which a snapshot is due.
-  Offset EveryRecords = 1000;
+  Offset MaxRecordsBetween = 1000;
   /// Time after which one is due, if any record came.
   Millis MaxAge{600000};
   /// Where the log has begun to drop records: this part of what it keeps.
-  Offset RetentionParts = 3;
+  Offset RetentionDivisor = 3;
   bool operator==(const SnapshotSettings &) const = default;
 };
 
-struct SnapshotSituation {
+struct SnapshotDecisionInput {
   /// The next offset here.
   Offset Next = 0;
   /// Offset after the newest snapshot, 0 for none.
@@ -27,20 +27,20 @@
   Offset LogFirst = 0;
   /// Since the newest snapshot was seen.
   Millis Age{0};
-  bool operator==(const SnapshotSituation &) const = default;
+  bool operator==(const SnapshotDecisionInput &) const = default;
 };
 
 /// Whether to write one now. Pure.
-inline bool snapshotDue(const SnapshotSituation &Now,
+inline bool snapshotDue(const SnapshotDecisionInput &Now,
                         const SnapshotSettings &Limits) {
   Offset since = Now.Next > Now.Last ? Now.Next - Now.Last : 0;
   if (since == 0)
     return false;
-  if (since >= Limits.EveryRecords || Now.Age >= Limits.MaxAge)
+  if (since >= Limits.MaxRecordsBetween || Now.Age >= Limits.MaxAge)
     return true;
   // Well before the last one expires.
   bool drops = Now.LogFirst > 0 && Now.Next > Now.LogFirst;
-  return drops && since >= (Now.Next - Now.LogFirst) / Limits.RetentionParts;
+  return drops && since >= (Now.Next - Now.LogFirst) / Limits.RetentionDivisor;
 }
 
 } // namespace wasabi
--- a/Wasabi/Ports/EnginePort.h
+++ b/Wasabi/Ports/EnginePort.h
@@ -31,7 +31,7 @@
 };
 
 /// A whole answer. An immutable value.
-struct UpstreamAnswer {
+struct UpstreamResponse {
   AnswerProof Proof = AnswerProof::Nothing;
   http::Response Response;
   /// What signs the answer; empty if nothing does.
@@ -94,7 +94,7 @@
 };
 
 /// An order to take new weights. An immutable value.
-struct VersionOrder {
+struct WeightLoadRequest {
   ModelName Model;
   WeightVersion Version = 0;
   SwapMode Mode = SwapMode::Continue;
@@ -107,7 +107,7 @@
 };
 
 /// What became of an order.
-enum class OrderOutcome : std::uint8_t {
+enum class WeightLoadOutcome : std::uint8_t {
   /// It is being carried out.
   Begun,
   /// The server holds the version already.
@@ -117,13 +117,13 @@
   /// The server will not carry it out.
   Refused,
   /// Another server has the address.
-  OtherServer,
+  WrongServer,
 };
 
 /// What an engine reports of itself. An immutable value.
 struct EngineReport {
   /// When the engine started; 0 if it does not say.
-  ServerStart Start = 0;
+  ServerStartTime Start = 0;
   std::map<ModelName, WeightVersion> Models;
   /// Whether an order is under way.
   bool Busy = false;
@@ -134,7 +134,7 @@
 };
 
 /// Whether somebody listens at a server's address.
-enum class ServerPresence : std::uint8_t {
+enum class ServerProbeResult : std::uint8_t {
   /// A connection was taken.
   Listens,
   /// It was refused: the server's process has ended.
@@ -145,25 +145,25 @@
 /// it. Failures carry `NotRun` only where nothing can have run.
 struct EnginePort {
   /// One request, one whole answer.
-  std::function<boost::asio::awaitable<Outcome<UpstreamAnswer>>(
-      UpstreamEntry Server, http::Request Ask, SendOptions Options,
+  std::function<boost::asio::awaitable<Outcome<UpstreamResponse>>(
+      UpstreamRegistration Server, http::Request Ask, SendOptions Options,
       Millis Timeout)>
       Call;
   /// One request, a stream. `Timeout` bounds the head.
   std::function<boost::asio::awaitable<Outcome<std::unique_ptr<EngineStream>>>(
-      UpstreamEntry Server, http::Request Ask, SendOptions Options,
+      UpstreamRegistration Server, http::Request Ask, SendOptions Options,
       Millis Timeout)>
       Open;
-  std::function<boost::asio::awaitable<Outcome<OrderOutcome>>(
-      UpstreamEntry Server, VersionOrder What, Millis Timeout)>
+  std::function<boost::asio::awaitable<Outcome<WeightLoadOutcome>>(
+      UpstreamRegistration Server, WeightLoadRequest What, Millis Timeout)>
       Order;
   std::function<boost::asio::awaitable<Outcome<EngineReport>>(
-      UpstreamEntry Server, Millis Timeout)>
+      UpstreamRegistration Server, Millis Timeout)>
       Report;
   /// Connects to the server and sends nothing. Fails when neither a connection
   /// nor its refusal comes in time.
-  std::function<boost::asio::awaitable<Outcome<ServerPresence>>(
-      UpstreamEntry Server, Millis Timeout)>
+  std::function<boost::asio::awaitable<Outcome<ServerProbeResult>>(
+      UpstreamRegistration Server, Millis Timeout)>
       Probe;
 };
 
--- a/Wasabi/Ports/HttpMessage.h
+++ b/Wasabi/Ports/HttpMessage.h
@@ -28,7 +28,7 @@
   std::string Body;
   /// A client writes nothing of it after this, however long the connection took
   /// or the process was suspended: what allowed it to be sent has run out.
-  std::optional<TimePoint> SendBefore = {};
+  std::optional<TimePoint> SendDeadline = {};
 
   /// The first value of a header, compared without case; empty if absent.
   std::string_view header(std::string_view Name) const;
--- a/Wasabi/Ports/ReportPort.h
+++ b/Wasabi/Ports/ReportPort.h
@@ -13,19 +13,19 @@
 
 /// Who makes such a call, and until when it may leave. The platform may check
 /// the token, or leave all care to its callers.
-struct CallStamp {
+struct CallPermit {
   InstanceName Holder;
   FencingToken Token = 0;
   /// Nothing of the call is written after this.
-  TimePoint SendBefore;
+  TimePoint SendDeadline;
 };
 
 /// How many servers a service should have in one failure domain.
-struct ScaleOrder {
+struct ScaleRequest {
   ServiceName Service;
   DomainName Domain;
   std::uint32_t Servers = 0;
-  bool operator==(const ScaleOrder &) const = default;
+  bool operator==(const ScaleRequest &) const = default;
 };
 
 /// The calls, as plain functions; each is used on the thread that built it.
@@ -34,10 +34,10 @@
 struct ReportPort {
   /// Reports a window. An exact repeat is taken again.
   std::function<boost::asio::awaitable<Outcome<Done>>(
-      UsageDecision What, CallStamp By, Millis Timeout)>
+      UsageDecision What, CallPermit By, Millis Timeout)>
       Usage;
   std::function<boost::asio::awaitable<Outcome<Done>>(
-      ScaleOrder What, CallStamp By, Millis Timeout)>
+      ScaleRequest What, CallPermit By, Millis Timeout)>
       Scale;
 };
 
--- a/Wasabi/Ports/TrainerPort.h
+++ b/Wasabi/Ports/TrainerPort.h
@@ -37,12 +37,12 @@
 };
 
 /// A trainer's answer to a delivery.
-struct DeliveryAnswer {
+struct DeliveryResponse {
   WeightVersion Newest = 0;
   std::vector<Slot> Taken;
   std::vector<RefusedSample> Refused;
-  bool StepWhole = false;
-  bool operator==(const DeliveryAnswer &) const = default;
+  bool StepComplete = false;
+  bool operator==(const DeliveryResponse &) const = default;
 };
 
 /// One trainer, as plain functions; each is used on the thread that built it.
@@ -55,8 +55,8 @@
       Step;
   /// Delivers. Failures: `StaleFence`, `NotRun`, when the trainer has seen a
   /// greater token; `MayHaveRun` when the answer was lost.
-  std::function<boost::asio::awaitable<Outcome<DeliveryAnswer>>(Delivery What,
-                                                                Millis Timeout)>
+  std::function<boost::asio::awaitable<Outcome<DeliveryResponse>>(
+      Delivery What, Millis Timeout)>
       Deliver;
 };
 
--- a/Wasabi/Quarantine/CrashLedger.cpp
+++ b/Wasabi/Quarantine/CrashHistory.cpp
@@ -1,4 +1,4 @@
-#include "Wasabi/Quarantine/CrashLedger.h"
+#include "Wasabi/Quarantine/CrashHistory.h"
 
 #include <algorithm>
 #include <utility>
@@ -10,7 +10,7 @@
 /// Counts, for each server that has ended, the requests that it counts against.
 using EndCounts = std::map<ServerIncarnation, std::size_t>;
 
-EndCounts countEnds(const CrashLedger &Ledger) {
+EndCounts countEnds(const CrashHistory &Ledger) {
   EndCounts counts;
   for (const auto &[digest, record] : Ledger.Requests) {
     for (const ServerIncarnation &it : record.Ends)
@@ -27,12 +27,12 @@
       [&](const ServerIncarnation &It) { return Counts.contains(It); }));
 }
 
-bool convicts(const CrashLedger &Ledger, const CrashRecord &Of,
+bool convicts(const CrashHistory &Ledger, const CrashRecord &Of,
               const EndCounts &Counts) {
-  if (Of.Ends.size() >= Ledger.Limits.AnyEnds)
+  if (Of.Ends.size() >= Ledger.Limits.TotalCrashLimit)
     return true;
   std::size_t ends = unexplained(Of, Counts);
-  if (ends >= Ledger.Limits.SharedEnds)
+  if (ends >= Ledger.Limits.SharedCrashLimit)
     return true;
   bool alone = std::any_of(Of.Ends.begin(), Of.Ends.end(),
                            [&](const ServerIncarnation &It) {
@@ -44,14 +44,14 @@
 
 /// The request to convict next: of those whose ends convict them, one of
 /// `Before`, then the one with the most ends; null if there is none.
-CrashRecord *nextConvicted(CrashLedger &Ledger, const EndCounts &Counts,
+CrashRecord *nextConvicted(CrashHistory &Ledger, const EndCounts &Counts,
                            const std::set<RequestDigest> &Before) {
   CrashRecord *next = nullptr;
   std::pair<bool, std::size_t> rank;
   for (auto &[digest, record] : Ledger.Requests) {
     std::pair<bool, std::size_t> own(Before.contains(digest),
                                      record.Ends.size());
-    if (record.Convicted || own <= rank || !convicts(Ledger, record, Counts))
+    if (record.IsPoison || own <= rank || !convicts(Ledger, record, Counts))
       continue;
     next = &record;
     rank = own;
@@ -59,16 +59,16 @@
   return next;
 }
 
-void judge(CrashLedger &Ledger) {
+void judge(CrashHistory &Ledger) {
   EndCounts counts = countEnds(Ledger);
   std::set<RequestDigest> before;
   for (auto &[digest, record] : Ledger.Requests) {
-    if (record.Convicted)
+    if (record.IsPoison)
       before.insert(digest);
-    record.Convicted = false;
+    record.IsPoison = false;
   }
   while (CrashRecord *convicted = nextConvicted(Ledger, counts, before)) {
-    convicted->Convicted = true;
+    convicted->IsPoison = true;
     for (const ServerIncarnation &it : convicted->Ends)
       counts.erase(it);
   }
@@ -77,14 +77,14 @@
 /// Whether a request is the first to go: one that is not convicted, then the
 /// one whose last end is the oldest.
 bool goesBefore(const CrashRecord &Left, const CrashRecord &Right) {
-  return std::make_pair(Left.Convicted, Left.Newest) <
-         std::make_pair(Right.Convicted, Right.Newest);
+  return std::make_pair(Left.IsPoison, Left.Newest) <
+         std::make_pair(Right.IsPoison, Right.Newest);
 }
 
 } // namespace
 
-bool noteEnds(CrashLedger &Ledger, const RequestDigest &Of,
-              const std::set<ServerIncarnation> &Ends, TimePoint Now) {
+bool recordCrashes(CrashHistory &Ledger, const RequestDigest &Of,
+                   const std::set<ServerIncarnation> &Ends, TimePoint Now) {
   CrashRecord &record = Ledger.Requests[Of];
   std::size_t before = record.Ends.size();
   for (const ServerIncarnation &it : Ends) {
@@ -100,44 +100,45 @@
   return news;
 }
 
-bool forgetEnds(CrashLedger &Ledger, const RequestDigest &Of) {
+bool clearCrashes(CrashHistory &Ledger, const RequestDigest &Of) {
   if (Ledger.Requests.erase(Of) == 0)
     return false;
   judge(Ledger);
   return true;
 }
 
-CrashStanding standingOf(const CrashLedger &Ledger, const RequestDigest &Of,
-                         TimePoint Now) {
+CrashStatus findCrashStatus(const CrashHistory &Ledger, const RequestDigest &Of,
+                            TimePoint Now) {
   auto it = Ledger.Requests.find(Of);
   if (it == Ledger.Requests.end())
-    return CrashStanding::Clean;
-  if (it->second.Convicted)
-    return termLeft(Ledger, Of, Now) > Millis(0) ? CrashStanding::Quarantined
-                                                 : CrashStanding::Suspect;
+    return CrashStatus::Clean;
+  if (it->second.IsPoison)
+    return remainingQuarantine(Ledger, Of, Now) > Millis(0)
+               ? CrashStatus::Quarantined
+               : CrashStatus::Suspect;
   bool explained = true;
   for (const ServerIncarnation &end : it->second.Ends) {
     explained =
         explained && std::any_of(Ledger.Requests.begin(), Ledger.Requests.end(),
                                  [&](const auto &Other) {
-                                   return Other.second.Convicted &&
+                                   return Other.second.IsPoison &&
                                           Other.second.Ends.contains(end);
                                  });
   }
-  return explained ? CrashStanding::Clean : CrashStanding::Suspect;
+  return explained ? CrashStatus::Clean : CrashStatus::Suspect;
 }
 
-Millis termLeft(const CrashLedger &Ledger, const RequestDigest &Of,
-                TimePoint Now) {
+Millis remainingQuarantine(const CrashHistory &Ledger, const RequestDigest &Of,
+                           TimePoint Now) {
   auto it = Ledger.Requests.find(Of);
-  if (it == Ledger.Requests.end() || !it->second.Convicted)
+  if (it == Ledger.Requests.end() || !it->second.IsPoison)
     return Millis(0);
   Millis left =
       std::chrono::ceil<Millis>(it->second.Newest + Ledger.Limits.Term - Now);
   return std::max(left, Millis(0));
 }
 
-std::set<RequestDigest> forgetOld(CrashLedger &Ledger, TimePoint Now) {
+std::set<RequestDigest> evictOld(CrashHistory &Ledger, TimePoint Now) {
   std::set<RequestDigest> old;
   for (const auto &[digest, record] : Ledger.Requests) {
     if (Now - record.Newest > Ledger.Limits.Memory)
@@ -145,7 +146,7 @@
   }
   for (const RequestDigest &it : old)
     Ledger.Requests.erase(it);
-  while (Ledger.Requests.size() > Ledger.Limits.MostRequests) {
+  while (Ledger.Requests.size() > Ledger.Limits.MaxTrackedRequests) {
     auto first =
         std::min_element(Ledger.Requests.begin(), Ledger.Requests.end(),
                          [](const auto &L, const auto &R) {
--- a/Wasabi/Quarantine/CrashLedger.h
+++ b/Wasabi/Quarantine/CrashHistory.h
@@ -7,8 +7,8 @@
 /// tries an attempt it took all of them down ten times in 80 s. Others run
 /// beside it: whatever a server was running ends with it, so that an end alone
 /// convicts nobody.
-#ifndef WASABI_QUARANTINE_CRASHLEDGER_H
-#define WASABI_QUARANTINE_CRASHLEDGER_H
+#ifndef WASABI_QUARANTINE_CRASHHISTORY_H
+#define WASABI_QUARANTINE_CRASHHISTORY_H
 
 #include "Wasabi/Core/Clock.h"
 #include "Wasabi/Core/Ids.h"
@@ -27,12 +27,12 @@
   std::set<ServerIncarnation> Ends;
   /// When the newest of them became known here.
   TimePoint Newest;
-  /// Whether its ends convict it; see `CrashLedger`.
-  bool Convicted = false;
+  /// Whether its ends convict it; see `CrashHistory`.
+  bool IsPoison = false;
 };
 
 /// How a request stands. In the order of suspicion.
-enum class CrashStanding : std::uint8_t {
+enum class CrashStatus : std::uint8_t {
   /// No server has ended under it, or another request explains those that have.
   Clean,
   /// Servers have ended under it, too few to convict it.
@@ -42,19 +42,19 @@
 };
 
 /// Everything that one process knows of such requests. Owned by one thread.
-struct CrashLedger {
+struct CrashHistory {
   struct Settings {
     /// Ends that convict a request if at least one is not shared with another
     /// suspect: what the users allow to happen.
     std::size_t Ends = 3;
     /// Ends that convict it however many other suspects share them all. With
     /// suspects kept apart an innocent one is answered long before.
-    std::size_t SharedEnds = 4;
+    std::size_t SharedCrashLimit = 4;
     /// Ends that convict it whatever explains them: several requests that end
     /// servers at once share all of theirs, and one would explain the others.
     /// An innocent one would have to be beside such a request five times
     /// without an answer in between.
-    std::size_t AnyEnds = 5;
+    std::size_t TotalCrashLimit = 5;
     /// How long a convicted request gets no server after its last end; then it
     /// may run, and one more end convicts it again. Bounds what a caller who
     /// never stops costs to a server an hour, and what a wrong conviction costs
@@ -66,7 +66,7 @@
     Millis Memory{7200000};
     /// Most requests that are kept for long. Each end of a server adds those
     /// that it ran, some ten; those that are answered go again.
-    std::size_t MostRequests = 1000;
+    std::size_t MaxTrackedRequests = 1000;
     /// Most ends that are kept of one request: an hour each after the first.
     std::size_t MostEnds = 64;
   };
@@ -79,28 +79,28 @@
 /// whether any of them is news.
 ///
 /// An end that a convicted request shares counts against nobody else, up to
-/// `Settings::AnyEnds`: it explains it. Those that were convicted before are
-/// judged first, then those with the most ends.
-bool noteEnds(CrashLedger &Ledger, const RequestDigest &Of,
-              const std::set<ServerIncarnation> &Ends, TimePoint Now);
+/// `Settings::TotalCrashLimit`: it explains it. Those that were convicted
+/// before are judged first, then those with the most ends.
+bool recordCrashes(CrashHistory &Ledger, const RequestDigest &Of,
+                   const std::set<ServerIncarnation> &Ends, TimePoint Now);
 
 /// Takes back all that is known against a request: a server has answered it, or
 /// another process says so. Returns whether anything was known.
-bool forgetEnds(CrashLedger &Ledger, const RequestDigest &Of);
+bool clearCrashes(CrashHistory &Ledger, const RequestDigest &Of);
 
 /// How a request stands at `Now`. Pure.
-CrashStanding standingOf(const CrashLedger &Ledger, const RequestDigest &Of,
-                         TimePoint Now);
+CrashStatus findCrashStatus(const CrashHistory &Ledger, const RequestDigest &Of,
+                            TimePoint Now);
 
 /// How long a quarantined request still gets no server; 0 for any other. Pure.
-Millis termLeft(const CrashLedger &Ledger, const RequestDigest &Of,
-                TimePoint Now);
+Millis remainingQuarantine(const CrashHistory &Ledger, const RequestDigest &Of,
+                           TimePoint Now);
 
 /// Forgets what is older than `Settings::Memory` and what is beyond
-/// `Settings::MostRequests`, the oldest first and convicted requests last.
-/// Returns the requests that are forgotten.
-std::set<RequestDigest> forgetOld(CrashLedger &Ledger, TimePoint Now);
+/// `Settings::MaxTrackedRequests`, the oldest first and convicted requests
+/// last. Returns the requests that are forgotten.
+std::set<RequestDigest> evictOld(CrashHistory &Ledger, TimePoint Now);
 
 } // namespace wasabi
 
-#endif // WASABI_QUARANTINE_CRASHLEDGER_H
+#endif // WASABI_QUARANTINE_CRASHHISTORY_H
--- a/Wasabi/Quarantine/Quarantine.cpp
+++ b/Wasabi/Quarantine/Quarantine.cpp
@@ -21,13 +21,13 @@
 /// is back after some 10 ms.
 constexpr Millis FollowPace{10};
 
-std::string_view toText(CrashStanding Standing) {
+std::string_view toText(CrashStatus Standing) {
   switch (Standing) {
-  case CrashStanding::Clean:
+  case CrashStatus::Clean:
     return "clean";
-  case CrashStanding::Suspect:
+  case CrashStatus::Suspect:
     return "suspect";
-  case CrashStanding::Quarantined:
+  case CrashStatus::Quarantined:
     return "quarantined";
   }
   return "";
@@ -35,15 +35,15 @@
 
 } // namespace
 
-std::string encodeEnds(const std::set<ServerIncarnation> &Ends) {
+std::string encodeCrashes(const std::set<ServerIncarnation> &Ends) {
   json::array ends;
   for (const ServerIncarnation &it : Ends)
     ends.push_back({{"server", it.Server.Text}, {"start", it.Start}});
   return json::serialize(json::object{{"ends", std::move(ends)}});
 }
 
-Result<std::set<ServerIncarnation>> decodeEnds(std::string_view Text,
-                                               const std::string &Place) {
+Result<std::set<ServerIncarnation>> decodeCrashes(std::string_view Text,
+                                                  const std::string &Place) {
   BOOST_LEAF_AUTO(value, parseJson(Text, Place));
   JsonReader root(value, Place);
   root.allowUnknown();
@@ -57,12 +57,12 @@
   return ends;
 }
 
-Quarantine::Quarantine(const FeedParts &Feed, EnginePort Engines,
+Quarantine::Quarantine(const FeedContext &Feed, EnginePort Engines,
                        Metrics &Counts, Settings Limits)
     : Limits(Limits), Feed(Feed), Engines(std::move(Engines)), Counts(Counts),
       Ledger{Limits.Ledger, {}}, WriteWake(Feed.Executor) {}
 
-std::shared_ptr<Quarantine> Quarantine::create(const FeedParts &Feed,
+std::shared_ptr<Quarantine> Quarantine::create(const FeedContext &Feed,
                                                EnginePort Engines,
                                                Metrics &Counts,
                                                Settings Limits) {
@@ -88,27 +88,27 @@
       asio::detached);
 }
 
-CrashStanding Quarantine::standing(const RequestDigest &Of) const {
-  return standingOf(Ledger, Of, monotonicNow());
+CrashStatus Quarantine::crashStatus(const RequestDigest &Of) const {
+  return findCrashStatus(Ledger, Of, monotonicNow());
 }
 
 Failure Quarantine::refuse(const RequestDigest &Of) const {
   return Failure{Verdict::NotRun, FailureCode::Quarantined, Of.Text,
                  "servers have ended under this request",
-                 termLeft(Ledger, Of, monotonicNow())};
+                 remainingQuarantine(Ledger, Of, monotonicNow())};
 }
 
 //===--- Ends and answers -------------------------------------------------===//
 
 asio::awaitable<Done>
-Quarantine::connectionLost(std::shared_ptr<GuardedRequest> Of,
-                           std::shared_ptr<UpstreamServer> On) {
+Quarantine::onConnectionLost(std::shared_ptr<GuardedRequest> Of,
+                             std::shared_ptr<UpstreamServer> On) {
   std::shared_ptr<Quarantine> self = shared_from_this();
   // A server whose address nobody listens at has ended; one that takes
   // connections has lost this one only, or is back already.
-  Outcome<ServerPresence> found =
+  Outcome<ServerProbeResult> found =
       co_await Engines.Probe(On->Entry, Limits.ProbeTime);
-  bool refused = found && *found == ServerPresence::Refuses;
+  bool refused = found && *found == ServerProbeResult::Refuses;
   if (refused && !Of->Answered)
     noteEnd(*Of, On->Entry.incarnation());
   else if (!refused)
@@ -120,21 +120,21 @@
 
 asio::awaitable<void> Quarantine::watch(std::shared_ptr<GuardedRequest> Of,
                                         std::shared_ptr<UpstreamServer> On) {
-  TimePoint until = monotonicNow() + Limits.WatchTime;
+  TimePoint until = monotonicNow() + Limits.CrashWatchTimeout;
   while (monotonicNow() < until && !Of->Answered) {
-    if (On->Replaced || On->Vanished) {
+    if (On->Replaced || On->UnregisteredAt) {
       noteEnd(*Of, On->Entry.incarnation());
       co_return;
     }
-    co_await pauseFor(Feed.Executor, Limits.WatchEvery);
+    co_await pauseFor(Feed.Executor, Limits.CrashWatchInterval);
   }
 }
 
 void Quarantine::noteEnd(const GuardedRequest &Of,
                          const ServerIncarnation &Ended) {
-  CrashStanding before = standing(Of.Digest);
+  CrashStatus before = crashStatus(Of.Digest);
   Seen[Of.Digest].insert(Ended);
-  noteEnds(Ledger, Of.Digest, {Ended}, monotonicNow());
+  recordCrashes(Ledger, Of.Digest, {Ended}, monotonicNow());
   Feed.Decisions->line(
       "request.server_ended",
       {{"request", Of.Id},
@@ -142,9 +142,9 @@
        {"server", Ended.Server.Text},
        {"start", std::to_string(Ended.Start)},
        {"ends", std::to_string(Ledger.Requests[Of.Digest].Ends.size())},
-       {"standing", std::string(toText(standing(Of.Digest)))}});
+       {"standing", std::string(toText(crashStatus(Of.Digest)))}});
   Counts.counter("server_ends_total", "Ends of servers under a request").add();
-  tellStanding(Of.Digest, before);
+  logStatusChange(Of.Digest, before);
   Unwritten.insert(Of.Digest);
   WriteWake.notify();
 }
@@ -152,17 +152,17 @@
 void Quarantine::answered(GuardedRequest &Of) {
   Of.Answered = true;
   Seen.erase(Of.Digest);
-  CrashStanding before = standing(Of.Digest);
-  if (!forgetEnds(Ledger, Of.Digest))
+  CrashStatus before = crashStatus(Of.Digest);
+  if (!clearCrashes(Ledger, Of.Digest))
     return;
-  tellStanding(Of.Digest, before);
+  logStatusChange(Of.Digest, before);
   Unwritten.insert(Of.Digest);
   WriteWake.notify();
 }
 
-void Quarantine::tellStanding(const RequestDigest &Of,
-                              CrashStanding Before) const {
-  CrashStanding now = standing(Of);
+void Quarantine::logStatusChange(const RequestDigest &Of,
+                                 CrashStatus Before) const {
+  CrashStatus now = crashStatus(Of);
   if (now != Before)
     Feed.Decisions->line("request.standing",
                          {{"digest", Of.Text},
@@ -172,7 +172,7 @@
 
 //===--- Suspects at servers ----------------------------------------------===//
 
-std::set<ServerIncarnation> Quarantine::suspectsAt() const {
+std::set<ServerIncarnation> Quarantine::suspectServers() const {
   std::set<ServerIncarnation> found;
   for (const auto &[server, count] : Suspects)
     found.insert(server);
@@ -192,8 +192,9 @@
 }
 
 std::unique_ptr<Quarantine::SuspectRun>
-Quarantine::beginRun(const RequestDigest &Of, const ServerIncarnation &At) {
-  if (standing(Of) == CrashStanding::Clean)
+Quarantine::trackSuspectRun(const RequestDigest &Of,
+                            const ServerIncarnation &At) {
+  if (crashStatus(Of) == CrashStatus::Clean)
     return nullptr;
   return std::make_unique<SuspectRun>(shared_from_this(), At);
 }
@@ -202,16 +203,16 @@
 
 Result<void> Quarantine::take(const KeyedRecord &Record) {
   RequestDigest digest(Record.Key);
-  CrashStanding before = standing(digest);
+  CrashStatus before = crashStatus(digest);
   if (!Record.Value) {
     Seen.erase(digest);
-    forgetEnds(Ledger, digest);
-    tellStanding(digest, before);
+    clearCrashes(Ledger, digest);
+    logStatusChange(digest, before);
     return {};
   }
-  BOOST_LEAF_AUTO(ends, decodeEnds(*Record.Value, Record.Key));
-  noteEnds(Ledger, digest, ends, monotonicNow());
-  tellStanding(digest, before);
+  BOOST_LEAF_AUTO(ends, decodeCrashes(*Record.Value, Record.Key));
+  recordCrashes(Ledger, digest, ends, monotonicNow());
+  logStatusChange(digest, before);
   // Two processes that write at once overwrite each other.
   auto seen = Seen.find(digest);
   if (seen != Seen.end() &&
@@ -238,7 +239,7 @@
     // A key without a value is dropped.
     std::string text = known == Ledger.Requests.end()
                            ? std::string()
-                           : encodeEnds(known->second.Ends);
+                           : encodeCrashes(known->second.Ends);
     Outcome<Offset> got = co_await Feed.Store.AppendKeyed(
         CrashTopic, digest.Text, std::move(text), Limits.StoreTime);
     if (got) {
@@ -255,8 +256,8 @@
 
 asio::awaitable<void> Quarantine::sweepLoop() {
   for (;;) {
-    co_await pauseFor(Feed.Executor, Limits.SweepEvery);
-    for (const RequestDigest &it : forgetOld(Ledger, monotonicNow())) {
+    co_await pauseFor(Feed.Executor, Limits.SweepInterval);
+    for (const RequestDigest &it : evictOld(Ledger, monotonicNow())) {
       Seen.erase(it);
       Unwritten.insert(it);
     }
--- a/Wasabi/Quarantine/Quarantine.h
+++ b/Wasabi/Quarantine/Quarantine.h
@@ -7,7 +7,7 @@
 #include "Wasabi/Adapters/Telemetry/Metrics.h"
 #include "Wasabi/Core/AsyncSignal.h"
 #include "Wasabi/Ports/EnginePort.h"
-#include "Wasabi/Quarantine/CrashLedger.h"
+#include "Wasabi/Quarantine/CrashHistory.h"
 #include "Wasabi/Upstream/Feed.h"
 
 #include <map>
@@ -24,10 +24,10 @@
 inline constexpr const char *CrashTopic = "keyed.crashes";
 
 /// The text of a record. Thread-safe.
-std::string encodeEnds(const std::set<ServerIncarnation> &Ends);
+std::string encodeCrashes(const std::set<ServerIncarnation> &Ends);
 /// The reverse. Errors: `BadInput` at `Place`. Thread-safe.
-Result<std::set<ServerIncarnation>> decodeEnds(std::string_view Text,
-                                               const std::string &Place);
+Result<std::set<ServerIncarnation>> decodeCrashes(std::string_view Text,
+                                                  const std::string &Place);
 
 /// One request at servers, for as long as its caller waits. Used on the
 /// quarantine's thread.
@@ -43,29 +43,29 @@
 class Quarantine : public std::enable_shared_from_this<Quarantine> {
 public:
   struct Settings {
-    CrashLedger::Settings Ledger;
+    CrashHistory::Settings Ledger;
     /// An end this soon after a run began counts against the request even if
     /// events came before it. Requests that ended servers did so 35 to 110 ms
     /// after the run began; one that was only there runs for seconds.
-    Millis EarlyEnd{800};
+    Millis EarlyCrashThreshold{800};
     /// How long the address of a server that gave no answer is tried: a
     /// connection takes some milliseconds, and its request waits meanwhile.
     Millis ProbeTime{40};
     /// A server that neither takes nor refuses connections has ended if its
     /// registration goes within this: three heartbeats of 1.2 s and a margin.
-    Millis WatchTime{5000};
+    Millis CrashWatchTimeout{5000};
     /// Pause between two looks at its registration.
-    Millis WatchEvery{200};
+    Millis CrashWatchInterval{200};
     /// How long an answer of the store may take.
     Millis StoreTime{800};
     /// Pause after a record that the store did not take.
     Millis RetryPause{100};
     /// Pause between two looks for records that are too old.
-    Millis SweepEvery{60000};
+    Millis SweepInterval{60000};
   };
 
   /// `Feed.View` is only read, but for its contact with the store.
-  static std::shared_ptr<Quarantine> create(const FeedParts &Feed,
+  static std::shared_ptr<Quarantine> create(const FeedContext &Feed,
                                             EnginePort Engines, Metrics &Counts,
                                             Settings Limits);
 
@@ -73,7 +73,7 @@
   void start();
 
   /// How a request stands now.
-  CrashStanding standing(const RequestDigest &Of) const;
+  CrashStatus crashStatus(const RequestDigest &Of) const;
   /// Why a quarantined request gets no server, and when to come back. It has
   /// not run.
   Failure refuse(const RequestDigest &Of) const;
@@ -82,14 +82,14 @@
   /// connection. Returns once it is known whether the server has ended, or that
   /// this takes longer than the request should wait for.
   boost::asio::awaitable<Done>
-  connectionLost(std::shared_ptr<GuardedRequest> Of,
-                 std::shared_ptr<UpstreamServer> On);
+  onConnectionLost(std::shared_ptr<GuardedRequest> Of,
+                   std::shared_ptr<UpstreamServer> On);
   /// Whether a run that lost its connection may have ended its server, when it
   /// began at `Began` and has come further than the runs before it if
   /// `Progress`: a request that ends servers does so soon, or at the same event
   /// each time.
-  bool suspicious(TimePoint Began, bool Progress) const {
-    return !Progress || monotonicNow() - Began < Limits.EarlyEnd;
+  bool mayHaveCrashedServer(TimePoint Began, bool Progress) const {
+    return !Progress || monotonicNow() - Began < Limits.EarlyCrashThreshold;
   }
   /// A server has run the request and answered: it ends no servers.
   void answered(GuardedRequest &Of);
@@ -97,7 +97,7 @@
   /// Servers at which this process has suspects now. Others are better sent
   /// elsewhere: two suspects at one server can't be told apart when it ends,
   /// and whoever is beside one may lose its server.
-  std::set<ServerIncarnation> suspectsAt() const;
+  std::set<ServerIncarnation> suspectServers() const;
 
   /// Marks a server as one that a suspect runs at while it lives.
   class SuspectRun {
@@ -112,25 +112,25 @@
     const ServerIncarnation At;
   };
   /// Null unless the request is a suspect now.
-  std::unique_ptr<SuspectRun> beginRun(const RequestDigest &Of,
-                                       const ServerIncarnation &At);
+  std::unique_ptr<SuspectRun> trackSuspectRun(const RequestDigest &Of,
+                                              const ServerIncarnation &At);
 
 private:
-  Quarantine(const FeedParts &Feed, EnginePort Engines, Metrics &Counts,
+  Quarantine(const FeedContext &Feed, EnginePort Engines, Metrics &Counts,
              Settings Limits);
   Result<void> take(const KeyedRecord &Record);
   void noteEnd(const GuardedRequest &Of, const ServerIncarnation &Ended);
-  void tellStanding(const RequestDigest &Of, CrashStanding Before) const;
+  void logStatusChange(const RequestDigest &Of, CrashStatus Before) const;
   boost::asio::awaitable<void> watch(std::shared_ptr<GuardedRequest> Of,
                                      std::shared_ptr<UpstreamServer> On);
   boost::asio::awaitable<void> publishLoop();
   boost::asio::awaitable<void> sweepLoop();
 
   const Settings Limits;
-  const FeedParts Feed;
+  const FeedContext Feed;
   const EnginePort Engines;
   Metrics &Counts;
-  CrashLedger Ledger;
+  CrashHistory Ledger;
   /// Ends that this process has seen itself: it sees to it that the store
   /// knows them.
   std::map<RequestDigest, std::set<ServerIncarnation>> Seen;
--- a/Wasabi/Replay/Check.cpp
+++ b/Wasabi/Replay/Check.cpp
@@ -20,18 +20,18 @@
   return true;
 }
 
-std::optional<Finding> checkExpected(const Trace &from,
-                                     const ExpectedEvent &expected) {
+std::optional<RuleViolation> checkExpected(const Trace &from,
+                                           const ExpectedEvent &expected) {
   std::uint64_t found = 0;
   for (const TimelineEvent &it : from.Events)
     found += matches(it, expected) ? 1 : 0;
-  if (found >= expected.AtLeast)
+  if (found >= expected.MinCount)
     return std::nullopt;
-  std::string reason = "expected " + std::to_string(expected.AtLeast) + " " +
+  std::string reason = "expected " + std::to_string(expected.MinCount) + " " +
                        expected.Kind + ", found " + std::to_string(found) + ":";
   for (const EventField &it : expected.Fields)
     reason += " " + it.Key + "=" + it.Value;
-  return Finding{reason, {}};
+  return RuleViolation{reason, {}};
 }
 
 /// The fields by which one event leads to another.
@@ -42,7 +42,7 @@
                                           what.Key) != std::end(Keys);
 }
 
-std::set<std::string> linksOf(const Trace &from, const Finding &what) {
+std::set<std::string> linksOf(const Trace &from, const RuleViolation &what) {
   std::set<std::string> links;
   for (const std::size_t at : what.Events) {
     for (const EventField &it : from.Events[at].Fields) {
@@ -62,7 +62,8 @@
   return false;
 }
 
-std::vector<std::size_t> findCauses(const Trace &from, const Finding &what) {
+std::vector<std::size_t> findCauses(const Trace &from,
+                                    const RuleViolation &what) {
   if (what.Events.empty())
     return {};
   const std::set<std::string> links = linksOf(from, what);
@@ -91,27 +92,28 @@
 
 } // namespace
 
-std::optional<BrokenOutcome> check(const Trace &From, const Outcomes &Against) {
-  std::optional<BrokenOutcome> first;
+std::optional<TraceViolation> check(const Trace &From,
+                                    const TraceExpectations &Against) {
+  std::optional<TraceViolation> first;
   for (const std::string &it : Against.Rules) {
-    std::optional<Finding> found = findRule(it)(From, Against.Limits);
+    std::optional<RuleViolation> found = findRule(it)(From, Against.Limits);
     if (found && (!first || found->Events.back() < first->What.Events.back()))
-      first = BrokenOutcome{it, std::move(*found), {}};
+      first = TraceViolation{it, std::move(*found), {}};
   }
   for (const ExpectedEvent &it : Against.Expect) {
-    std::optional<Finding> found = checkExpected(From, it);
+    std::optional<RuleViolation> found = checkExpected(From, it);
     if (found && !first)
-      first = BrokenOutcome{"expect", std::move(*found), {}};
+      first = TraceViolation{"expect", std::move(*found), {}};
   }
   if (first)
-    first->Causes = findCauses(From, first->What);
+    first->RelatedEvents = findCauses(From, first->What);
   return first;
 }
 
-std::string describeBroken(const Trace &From, const BrokenOutcome &Broken) {
+std::string describeViolation(const Trace &From, const TraceViolation &Broken) {
   std::string text = "broken: " + Broken.Rule + ": " + Broken.What.Reason;
   text += "\n" + listEvents(From, "events", Broken.What.Events);
-  text += listEvents(From, "causes", Broken.Causes);
+  text += listEvents(From, "causes", Broken.RelatedEvents);
   return text;
 }
 
--- a/Wasabi/Replay/FenceRule.cpp
+++ b/Wasabi/Replay/FenceRule.cpp
@@ -6,8 +6,8 @@
 
 namespace wasabi::replay {
 
-std::optional<Finding> checkFencesNeverGoBack(const Trace &From,
-                                              const Bounds &) {
+std::optional<RuleViolation> checkFencesNeverGoBack(const Trace &From,
+                                                    const Bounds &) {
   // Position of the order with the greatest token, by daemon, server and
   // resource: one process sees its own orders in their true order.
   std::unordered_map<std::string, std::size_t> greatest;
@@ -17,18 +17,19 @@
       continue;
     const std::optional<std::uint64_t> fence = readNumber(what.field("fence"));
     if (!fence)
-      return Finding{"an order was taken without a fencing token", {at}};
+      return RuleViolation{"an order was taken without a fencing token", {at}};
     const auto [found, isFirst] = greatest.emplace(
-        what.Instance + identity(what, {"server", "resource"}), at);
+        what.Instance + joinFieldValues(what, {"server", "resource"}), at);
     if (isFirst)
       continue;
     const std::uint64_t before =
         *readNumber(From.Events[found->second].field("fence"));
     if (*fence < before)
-      return Finding{"server " + std::string(what.field("server")) +
-                         " took an order with token " + std::to_string(*fence) +
-                         " after one with " + std::to_string(before),
-                     {found->second, at}};
+      return RuleViolation{"server " + std::string(what.field("server")) +
+                               " took an order with token " +
+                               std::to_string(*fence) + " after one with " +
+                               std::to_string(before),
+                           {found->second, at}};
     found->second = at;
   }
   return std::nullopt;
--- a/Wasabi/Replay/Identity.h
+++ b/Wasabi/Replay/Identity.h
@@ -13,8 +13,9 @@
 
 /// The values of some fields, joined so that different ones never look alike.
 /// Pure, thread-safe.
-inline std::string identity(const TimelineEvent &What,
-                            std::initializer_list<std::string_view> Keys) {
+inline std::string
+joinFieldValues(const TimelineEvent &What,
+                std::initializer_list<std::string_view> Keys) {
   std::string joined;
   for (const std::string_view it : Keys) {
     joined += What.field(it);
@@ -24,13 +25,13 @@
 }
 
 /// Trainer and slot.
-inline std::string slotOf(const TimelineEvent &What) {
-  return identity(What, {"trainer", "slot"});
+inline std::string makeSlotKey(const TimelineEvent &What) {
+  return joinFieldValues(What, {"trainer", "slot"});
 }
 
 /// Request and attempt.
-inline std::string attemptOf(const TimelineEvent &What) {
-  return identity(What, {"request", "attempt"});
+inline std::string makeAttemptKey(const TimelineEvent &What) {
+  return joinFieldValues(What, {"request", "attempt"});
 }
 
 } // namespace wasabi::replay
--- a/Wasabi/Replay/IdleRule.cpp
+++ b/Wasabi/Replay/IdleRule.cpp
@@ -36,7 +36,8 @@
 
 } // namespace
 
-std::optional<Finding> checkIdleShare(const Trace &From, const Bounds &Limits) {
+std::optional<RuleViolation> checkIdleShare(const Trace &From,
+                                            const Bounds &Limits) {
   if (!Limits.IdleShare)
     return std::nullopt;
   std::map<std::string, Waiting> trainers;
@@ -51,9 +52,9 @@
     const double share =
         static_cast<double>(it.Idle) / static_cast<double>(it.Last - it.Begun);
     if (share > *Limits.IdleShare)
-      return Finding{"trainer " + name + " waited for samples " +
-                         std::to_string(share) + " of its time",
-                     {it.LastWhole}};
+      return RuleViolation{"trainer " + name + " waited for samples " +
+                               std::to_string(share) + " of its time",
+                           {it.LastWhole}};
   }
   return std::nullopt;
 }
--- a/Wasabi/Replay/LeavingRules.cpp
+++ b/Wasabi/Replay/LeavingRules.cpp
@@ -25,7 +25,7 @@
   if (what.Kind == "attempt.admit")
     return true;
   return what.Kind == "attempt.forward" &&
-         admitted.count(what.Instance + attemptOf(what)) == 0;
+         admitted.count(what.Instance + makeAttemptKey(what)) == 0;
 }
 
 /// What a process has begun and not ended: position by identity.
@@ -34,23 +34,23 @@
 /// Follows one event of a process' work.
 void follow(OpenWork &open, const TimelineEvent &what, std::size_t at) {
   if (what.Kind == "attempt.admit" || what.Kind == "attempt.forward")
-    open.emplace("attempt\n" + attemptOf(what), at);
+    open.emplace("attempt\n" + makeAttemptKey(what), at);
   else if (what.Kind == "attempt.end" || what.Kind == "attempt.refuse")
-    open.erase("attempt\n" + attemptOf(what));
+    open.erase("attempt\n" + makeAttemptKey(what));
   else if (what.Kind == "request.received")
-    open.emplace("request\n" + identity(what, {"request"}), at);
+    open.emplace("request\n" + joinFieldValues(what, {"request"}), at);
   else if (what.Kind == "request.done")
-    open.erase("request\n" + identity(what, {"request"}));
+    open.erase("request\n" + joinFieldValues(what, {"request"}));
   else if (what.Kind == "process.start")
     open.clear();
 }
 
 } // namespace
 
-std::optional<Finding> checkLeavingGetsNoNewWork(const Trace &From,
-                                                 const Bounds &Limits) {
+std::optional<RuleViolation> checkLeavingGetsNoNewWork(const Trace &From,
+                                                       const Bounds &Limits) {
   const std::uint64_t grace =
-      static_cast<std::uint64_t>(Micros(Limits.LeavingGrace).count());
+      static_cast<std::uint64_t>(Micros(Limits.LeavingGracePeriod).count());
   std::unordered_map<std::string, std::size_t> leaving;
   std::unordered_set<std::string> admitted;
   for (std::size_t at = 0; at < From.Events.size(); ++at) {
@@ -63,18 +63,19 @@
       leaving.erase(what.Instance);
     if (!takesNewWork(what, admitted))
       continue;
-    admitted.insert(what.Instance + attemptOf(what));
+    admitted.insert(what.Instance + makeAttemptKey(what));
     const auto found = leaving.find(what.Instance);
     if (found != leaving.end() &&
         what.At.Wall > From.Events[found->second].At.Wall + grace)
-      return Finding{what.Instance + " took new work after it was leaving",
-                     {found->second, at}};
+      return RuleViolation{what.Instance +
+                               " took new work after it was leaving",
+                           {found->second, at}};
   }
   return std::nullopt;
 }
 
-std::optional<Finding> checkPlannedStopCutsNothing(const Trace &From,
-                                                   const Bounds &) {
+std::optional<RuleViolation> checkPlannedStopCutsNothing(const Trace &From,
+                                                         const Bounds &) {
   std::unordered_map<std::string, OpenWork> open;
   for (std::size_t at = 0; at < From.Events.size(); ++at) {
     const TimelineEvent &what = From.Events[at];
@@ -85,9 +86,10 @@
     std::size_t first = at;
     for (const auto &[key, begun] : mine)
       first = std::min(first, begun);
-    return Finding{what.Instance + " stopped with " +
-                       std::to_string(mine.size()) + " of its work not ended",
-                   {first, at}};
+    return RuleViolation{what.Instance + " stopped with " +
+                             std::to_string(mine.size()) +
+                             " of its work not ended",
+                         {first, at}};
   }
   return std::nullopt;
 }
--- a/Wasabi/Replay/RequestRules.cpp
+++ b/Wasabi/Replay/RequestRules.cpp
@@ -67,14 +67,15 @@
   for (const TimelineEvent &it : from.Events) {
     if (it.Kind == "request.received")
       callers.emplace(std::string(it.field("request")),
-                      identity(it, {"caller", "service"}));
+                      joinFieldValues(it, {"caller", "service"}));
   }
   return callers;
 }
 
 } // namespace
 
-std::optional<Finding> checkAnswerWhole(const Trace &From, const Bounds &) {
+std::optional<RuleViolation> checkAnswerWhole(const Trace &From,
+                                              const Bounds &) {
   const ForwardsByRequest forwards = findForwards(From);
   for (std::size_t at = 0; at < From.Events.size(); ++at) {
     const TimelineEvent &what = From.Events[at];
@@ -83,8 +84,8 @@
     if (what.field("whole") != "true") {
       // An answer broken off says so; one without a verdict looks whole.
       if (what.field("verdict").empty())
-        return Finding{nameRequest(what) + " ended short without a verdict",
-                       {at}};
+        return RuleViolation{
+            nameRequest(what) + " ended short without a verdict", {at}};
       continue;
     }
     const auto found = forwards.find(std::string(what.field("request")));
@@ -92,13 +93,14 @@
       continue;
     const std::optional<std::size_t> cut = onlyCut(From, found->second);
     if (cut)
-      return Finding{nameRequest(what) + " was cut and called whole",
-                     {*cut, at}};
+      return RuleViolation{nameRequest(what) + " was cut and called whole",
+                           {*cut, at}};
   }
   return std::nullopt;
 }
 
-std::optional<Finding> checkNotRunIsTrue(const Trace &From, const Bounds &) {
+std::optional<RuleViolation> checkNotRunIsTrue(const Trace &From,
+                                               const Bounds &) {
   const ForwardsByRequest forwards = findForwards(From);
   for (std::size_t at = 0; at < From.Events.size(); ++at) {
     const TimelineEvent &what = From.Events[at];
@@ -111,14 +113,15 @@
     const std::optional<std::size_t> ran =
         mayHaveRun(found->second, *attempt, From);
     if (ran)
-      return Finding{nameRequest(what) +
-                         " was called not run, but was forwarded",
-                     {*ran, at}};
+      return RuleViolation{nameRequest(what) +
+                               " was called not run, but was forwarded",
+                           {*ran, at}};
   }
   return std::nullopt;
 }
 
-std::optional<Finding> checkAtMostOnce(const Trace &From, const Bounds &) {
+std::optional<RuleViolation> checkAtMostOnce(const Trace &From,
+                                             const Bounds &) {
   const ForwardsByRequest forwards = findForwards(From);
   const std::unordered_map<std::string, std::string> callers =
       findCallers(From);
@@ -136,8 +139,9 @@
       continue;
     const auto [one, isOne] = ran.emplace("request\n" + request, at);
     if (!isOne)
-      return Finding{nameRequest(what) + " is not idempotent and ran twice",
-                     {one->second, at}};
+      return RuleViolation{nameRequest(what) +
+                               " is not idempotent and ran twice",
+                           {one->second, at}};
     const std::string key(what.field("key"));
     if (key.empty())
       continue;
@@ -147,8 +151,8 @@
     mark += key;
     const auto [other, isOther] = ran.emplace(std::move(mark), at);
     if (!isOther)
-      return Finding{"idempotency key " + key + " ran twice",
-                     {other->second, at}};
+      return RuleViolation{"idempotency key " + key + " ran twice",
+                           {other->second, at}};
   }
   return std::nullopt;
 }
--- a/Wasabi/Replay/Rules.cpp
+++ b/Wasabi/Replay/Rules.cpp
@@ -33,7 +33,7 @@
   return nullptr;
 }
 
-std::string ruleList() {
+std::string listRuleNames() {
   std::string names;
   for (const NamedRule &it : AllRules) {
     if (!names.empty())
--- a/Wasabi/Replay/SampleRules.cpp
+++ b/Wasabi/Replay/SampleRules.cpp
@@ -47,7 +47,7 @@
 std::optional<std::size_t> contradicted(const Trace &from,
                                         const LabelSources &sources,
                                         const TimelineEvent &what) {
-  const std::string slot = slotOf(what);
+  const std::string slot = makeSlotKey(what);
   const auto commit = sources.Commits.find(slot);
   if (commit != sources.Commits.end() &&
       from.Events[commit->second].field("spans") != what.field("spans"))
@@ -65,21 +65,22 @@
 
 } // namespace
 
-std::optional<Finding> checkSampleOnce(const Trace &From, const Bounds &) {
+std::optional<RuleViolation> checkSampleOnce(const Trace &From,
+                                             const Bounds &) {
   std::unordered_map<std::string, std::size_t> delivered;
   for (std::size_t at = 0; at < From.Events.size(); ++at) {
     const TimelineEvent &what = From.Events[at];
     if (what.Kind != "sample.deliver")
       continue;
-    const auto [first, isFirst] = delivered.emplace(slotOf(what), at);
+    const auto [first, isFirst] = delivered.emplace(makeSlotKey(what), at);
     if (!isFirst)
-      return Finding{nameSlot(what) + " was delivered twice",
-                     {first->second, at}};
+      return RuleViolation{nameSlot(what) + " was delivered twice",
+                           {first->second, at}};
   }
   return std::nullopt;
 }
 
-std::optional<Finding> checkLabelTrue(const Trace &From, const Bounds &) {
+std::optional<RuleViolation> checkLabelTrue(const Trace &From, const Bounds &) {
   LabelSources sources;
   for (std::size_t at = 0; at < From.Events.size(); ++at) {
     const TimelineEvent &what = From.Events[at];
@@ -87,22 +88,23 @@
       continue;
     const std::string malformed = malformedLabel(what);
     if (!malformed.empty())
-      return Finding{nameSlot(what) + " " + malformed, {at}};
+      return RuleViolation{nameSlot(what) + " " + malformed, {at}};
     if (what.Kind == "sample.done") {
-      sources.Generated[slotOf(what) + what.Instance].push_back(at);
+      sources.Generated[makeSlotKey(what) + what.Instance].push_back(at);
       continue;
     }
     const std::optional<std::size_t> other = contradicted(From, sources, what);
     if (other)
-      return Finding{nameSlot(what) + " has another label than before",
-                     {*other, at}};
+      return RuleViolation{nameSlot(what) + " has another label than before",
+                           {*other, at}};
     if (what.Kind == "sample.commit")
-      sources.Commits.emplace(slotOf(what), at);
+      sources.Commits.emplace(makeSlotKey(what), at);
   }
   return std::nullopt;
 }
 
-std::optional<Finding> checkFresh(const Trace &From, const Bounds &Limits) {
+std::optional<RuleViolation> checkFresh(const Trace &From,
+                                        const Bounds &Limits) {
   for (std::size_t at = 0; at < From.Events.size(); ++at) {
     const TimelineEvent &what = From.Events[at];
     if (what.Kind != "sample.commit" && what.Kind != "sample.deliver")
@@ -114,16 +116,18 @@
         Limits.StalenessMax ? Limits.StalenessMax
                             : readNumber(what.field("bound"));
     if (!label || !newest || !bound)
-      return Finding{nameSlot(what) + " does not show its freshness", {at}};
+      return RuleViolation{nameSlot(what) + " does not show its freshness",
+                           {at}};
     const Freshness by{*newest,
                        static_cast<std::uint32_t>(std::min(*bound, MaxBound))};
     // The decision that the product made, made again from what it recorded.
     if (!isFresh(by, *label))
-      return Finding{nameSlot(what) + " holds version " +
-                         std::to_string(oldestVersion(*label).value_or(0)) +
-                         ", the newest is " + std::to_string(*newest) +
-                         " and the bound " + std::to_string(*bound),
-                     {at}};
+      return RuleViolation{
+          nameSlot(what) + " holds version " +
+              std::to_string(oldestVersion(*label).value_or(0)) +
+              ", the newest is " + std::to_string(*newest) + " and the bound " +
+              std::to_string(*bound),
+          {at}};
   }
   return std::nullopt;
 }
--- a/Wasabi/Replay/Outcomes.cpp
+++ b/Wasabi/Replay/TraceExpectations.cpp
@@ -1,4 +1,4 @@
-#include "Wasabi/Replay/Outcomes.h"
+#include "Wasabi/Replay/TraceExpectations.h"
 
 #include "Wasabi/Replay/Rules.h"
 
@@ -52,7 +52,8 @@
       return badInput(at, "not a text");
     const std::string name(it.as_string());
     if (findRule(name) == nullptr)
-      return badInput(at, "no rule \"" + name + "\"; there are: " + ruleList());
+      return badInput(at, "no rule \"" + name +
+                              "\"; there are: " + listRuleNames());
     rules.push_back(name);
   }
   return rules;
@@ -76,7 +77,7 @@
   }
   if (const json::value *it = members.if_contains("leaving_grace_ms")) {
     BOOST_LEAF_AUTO(grace, readCount(*it, place + "/leaving_grace_ms"));
-    limits.LeavingGrace = Millis(grace);
+    limits.LeavingGracePeriod = Millis(grace);
   }
   return limits;
 }
@@ -95,7 +96,7 @@
   expected.Kind = std::string(kind->as_string());
   if (const json::value *it = members.if_contains("at_least")) {
     BOOST_LEAF_AUTO(fewest, readCount(*it, place + "/at_least"));
-    expected.AtLeast = fewest;
+    expected.MinCount = fewest;
   }
   const json::value *fields = members.if_contains("fields");
   if (fields == nullptr)
@@ -113,7 +114,8 @@
 
 } // namespace
 
-Result<Outcomes> readOutcomes(std::string_view File, std::string_view Text) {
+Result<TraceExpectations> readExpectations(std::string_view File,
+                                           std::string_view Text) {
   const std::string place = std::string(File) + ": ";
   json::error_code ec;
   const json::value whole = json::parse(Text, ec);
@@ -124,7 +126,7 @@
   const json::object &members = whole.as_object();
   BOOST_LEAF_CHECK(
       onlyKnown(members, {"rules", "bounds", "expect"}, place + "/"));
-  Outcomes outcomes;
+  TraceExpectations outcomes;
   if (const json::value *it = members.if_contains("rules")) {
     BOOST_LEAF_AUTO(rules, readRules(*it, place + "/rules"));
     outcomes.Rules = std::move(rules);
--- a/Wasabi/Replay/Outcomes.h
+++ b/Wasabi/Replay/TraceExpectations.h
@@ -1,8 +1,8 @@
 /// \file
 /// What a replayed trace is held against: rules by name, their bounds, and
 /// events that must be there.
-#ifndef WASABI_REPLAY_OUTCOMES_H
-#define WASABI_REPLAY_OUTCOMES_H
+#ifndef WASABI_REPLAY_TRACEEXPECTATIONS_H
+#define WASABI_REPLAY_TRACEEXPECTATIONS_H
 
 #include "Wasabi/Core/Clock.h"
 #include "Wasabi/Core/Timeline.h"
@@ -25,7 +25,7 @@
   std::optional<std::uint64_t> StalenessMax;
   /// How long after the first word of its leaving an instance may still be
   /// given work.
-  Millis LeavingGrace{3000};
+  Millis LeavingGracePeriod{3000};
   bool operator==(const Bounds &) const = default;
 };
 
@@ -35,23 +35,24 @@
   /// Each must be there with this value; others may be there too.
   std::vector<EventField> Fields;
   /// The fewest such events.
-  std::uint64_t AtLeast = 1;
+  std::uint64_t MinCount = 1;
   bool operator==(const ExpectedEvent &) const = default;
 };
 
 /// All that a trace is held against. An immutable value.
-struct Outcomes {
+struct TraceExpectations {
   std::vector<std::string> Rules;
   Bounds Limits;
   std::vector<ExpectedEvent> Expect;
-  bool operator==(const Outcomes &) const = default;
+  bool operator==(const TraceExpectations &) const = default;
 };
 
 /// Reads `{"rules":[…],"bounds":{…},"expect":[…]}`, each member optional.
 /// Errors: `BadInput`, place `File: /json/path`, for what is malformed, for
 /// unknown members and for rules that do not exist. Thread-safe.
-Result<Outcomes> readOutcomes(std::string_view File, std::string_view Text);
+Result<TraceExpectations> readExpectations(std::string_view File,
+                                           std::string_view Text);
 
 } // namespace wasabi::replay
 
-#endif // WASABI_REPLAY_OUTCOMES_H
+#endif // WASABI_REPLAY_TRACEEXPECTATIONS_H
--- a/Wasabi/Rollout/Attempts.cpp
+++ b/Wasabi/Rollout/Attempts.cpp
@@ -12,16 +12,16 @@
 /// Ends an attempt; the slot waits again when it was the last one.
 void abandon(StepState &State, AttemptId Id, Draft Keep) {
   AttemptState gone = State.Attempts.at(Id);
-  State.TokensWasted += gone.SoFar.Tokens - gone.ResumedAt;
+  State.TokensWasted += gone.SoFar.Tokens - gone.ResumePosition;
   removeAttempt(State, Id);
   SlotState &which = State.Slots.at(gone.Place);
   if (!which.Running.empty() || which.Phase != SlotPhase::Running)
     return;
   // What is kept is not wasted: the next attempt goes on from it.
-  if (Keep.Tokens > gone.ResumedAt)
-    State.TokensWasted -= Keep.Tokens - gone.ResumedAt;
+  if (Keep.Tokens > gone.ResumePosition)
+    State.TokensWasted -= Keep.Tokens - gone.ResumePosition;
   which.Kept = std::move(Keep);
-  moveTo(State, which, SlotPhase::Waiting);
+  setPhase(State, which, SlotPhase::Waiting);
 }
 
 void cancelAs(StepState &State, AttemptId Id, Draft Keep,
@@ -42,7 +42,7 @@
 void restSilent(StepState &State, const SlotState &Which, TimePoint Now) {
   for (AttemptId id : Which.Running) {
     const AttemptState &loser = State.Attempts.at(id);
-    bool silent = loser.SoFar.Tokens == loser.ResumedAt &&
+    bool silent = loser.SoFar.Tokens == loser.ResumePosition &&
                   Now - loser.Started > State.Setup.StallTimeout;
     if (silent)
       rest(State, loser.On, State.Setup.StallTimeout, Now);
@@ -53,15 +53,15 @@
 
 } // namespace
 
-void onChunk(StepState &State, const ChunkSeen &What, TimePoint Now,
+void onChunk(StepState &State, const ChunkReceived &What, TimePoint Now,
              StepEffects &Out) {
   auto it = State.Attempts.find(What.Attempt);
   if (it == State.Attempts.end())
     return;
   AttemptState &attempt = it->second;
-  ChunkFate fate = append(attempt.SoFar, What.What);
-  if (fate != ChunkFate::Taken) {
-    bool unattested = fate == ChunkFate::NotAttested;
+  ChunkStatus fate = append(attempt.SoFar, What.What);
+  if (fate != ChunkStatus::Taken) {
+    bool unattested = fate == ChunkStatus::MissingVersion;
     ServerName on = attempt.On;
     // Whatever came before the doubtful chunk was attested in place.
     cancelAs(State, What.Attempt, attempt.SoFar,
@@ -70,7 +70,7 @@
     return;
   }
   attempt.LastChunk = Now;
-  State.TokensSeen += What.What.Tokens;
+  State.TokensGenerated += What.What.Tokens;
   if (!isFresh(State.Fresh, attempt.SoFar.Spans))
     cancelAs(State, What.Attempt, Draft(), "too old", Out);
   else if (State.Policy.OnVersionChange == VersionChange::Restart &&
@@ -78,8 +78,8 @@
     cancelAs(State, What.Attempt, Draft(), "version changed", Out);
 }
 
-void onEnded(StepState &State, const AttemptEnded &What, TimePoint Now,
-             StepEffects &Out) {
+void onAttemptEnded(StepState &State, const AttemptEnded &What, TimePoint Now,
+                    StepEffects &Out) {
   auto it = State.Attempts.find(What.Attempt);
   if (it == State.Attempts.end())
     return;
@@ -92,14 +92,14 @@
     return;
   }
   SlotState &which = State.Slots.at(won.Place);
-  const WantedGroup &group = State.Groups[which.GroupAt];
+  const WantedGroup &group = State.Groups[which.GroupIndex];
   removeAttempt(State, What.Attempt);
   auto engine = State.Servers.find(won.On);
   if (engine != State.Servers.end())
     engine->second.Failures = 0;
   restSilent(State, which, Now);
   observe(State.Lengths, group.Prompt, won.SoFar.Tokens);
-  cancelAll(State, which, "another attempt was first", Out);
+  cancelAttempts(State, which, "another attempt was first", Out);
   which.Kept = Draft();
   which.Whole = Sample{won.Place,
                        won.SoFar.Text,
@@ -107,8 +107,8 @@
                        won.SoFar.Spans,
                        0,
                        group.Seed + won.Place.Index};
-  moveTo(State, which, SlotPhase::Scoring);
-  which.ScoreAsked = true;
+  setPhase(State, which, SlotPhase::Scoring);
+  which.ScoreRequested = true;
   Out.emplace_back(ScoreSample{won.Place, won.SoFar.Text});
   Out.emplace_back(
       Note{"sample.done",
@@ -118,8 +118,8 @@
             field("spans", toText(won.SoFar.Spans))}});
 }
 
-void onFailed(StepState &State, const AttemptFailed &What, TimePoint Now,
-              StepEffects &Out) {
+void onAttemptFailed(StepState &State, const AttemptFailed &What, TimePoint Now,
+                     StepEffects &Out) {
   auto it = State.Attempts.find(What.Attempt);
   if (it == State.Attempts.end())
     return;
@@ -150,7 +150,7 @@
         which.Phase == SlotPhase::Scoring || which.Phase == SlotPhase::Scored;
     // What is on its way is judged by the trainer's answer.
     if (whole && !which.InDelivery && !isFresh(State.Fresh, which.Whole.Spans))
-      startOver(State, which);
+      resetSlot(State, which);
   }
 }
 
--- a/Wasabi/Rollout/Attempts.h
+++ b/Wasabi/Rollout/Attempts.h
@@ -10,16 +10,16 @@
 /// Takes a chunk into the attempt's draft, or gives the attempt up: when the
 /// chunk is out of place, names no version, is too old, or is of another
 /// version than the first under `Restart`.
-void onChunk(StepState &State, const ChunkSeen &What, TimePoint Now,
+void onChunk(StepState &State, const ChunkReceived &What, TimePoint Now,
              StepEffects &Out);
 
 /// The first whole attempt wins; the others of its slot are cancelled.
-void onEnded(StepState &State, const AttemptEnded &What, TimePoint Now,
-             StepEffects &Out);
+void onAttemptEnded(StepState &State, const AttemptEnded &What, TimePoint Now,
+                    StepEffects &Out);
 
 /// Its whole chunks are kept to go on from; its engine rests a while.
-void onFailed(StepState &State, const AttemptFailed &What, TimePoint Now,
-              StepEffects &Out);
+void onAttemptFailed(StepState &State, const AttemptFailed &What, TimePoint Now,
+                     StepEffects &Out);
 
 /// Ends whatever a newly published version made too old.
 void dropStale(StepState &State, StepEffects &Out);
--- a/Wasabi/Rollout/Delivering.cpp
+++ b/Wasabi/Rollout/Delivering.cpp
@@ -20,8 +20,8 @@
 };
 
 bool hasRoom(const Batch &Of, const StepState::Settings &Limits) {
-  return Of.Samples.size() < Limits.BatchSamples &&
-         Of.Bytes < Limits.BatchBytes;
+  return Of.Samples.size() < Limits.MaxBatchSamples &&
+         Of.Bytes < Limits.MaxBatchBytes;
 }
 
 void add(Batch &To, const Sample &What) {
@@ -31,7 +31,7 @@
 
 bool wantsCommit(const StepState &State, const SlotState &Which,
                  TimePoint Now) {
-  if (Which.Phase != SlotPhase::Scored || Which.CommitAsked)
+  if (Which.Phase != SlotPhase::Scored || Which.CommitAppended)
     return false;
   if (!State.Policy.ChecksFences)
     return true;
@@ -51,7 +51,7 @@
   }
   State.Delivering = false;
   State.RetryDelivery = false;
-  State.AskingTrainer = false;
+  State.IsQueryingTrainer = false;
   State.Pending = Delivery();
 }
 
@@ -81,12 +81,12 @@
     return;
   case RefusalReason::Stale:
     if (it->second.Phase == SlotPhase::Scored)
-      startOver(State, it->second);
+      resetSlot(State, it->second);
     return;
   case RefusalReason::Unknown:
     // The trainer is at another step, which its next answer will say.
     State.DeliverAfter = Now + DeliveryRetry;
-    Out.emplace_back(AskTrainer());
+    Out.emplace_back(QueryTrainer());
     return;
   }
 }
@@ -107,7 +107,7 @@
     SlotState &which = it.second;
     if (!wantsCommit(State, which, Now) || !hasRoom(batch, State.Setup))
       continue;
-    which.CommitAsked = true;
+    which.CommitAppended = true;
     add(batch, which.Whole);
   }
   if (batch.Samples.empty())
@@ -131,7 +131,7 @@
       continue;
     // It may have aged while an earlier delivery had it.
     if (!isFresh(State.Fresh, which.Whole.Spans)) {
-      startOver(State, which);
+      resetSlot(State, which);
       continue;
     }
     which.InDelivery = true;
@@ -147,10 +147,10 @@
   sendPending(State, Out);
 }
 
-void tellDelivered(StepState &State, TimePoint Now, StepEffects &Out) {
-  if (State.Untold.empty() || Now < State.TellAfter)
+void appendDeliveredSlots(StepState &State, TimePoint Now, StepEffects &Out) {
+  if (State.Untold.empty() || Now < State.AppendDeliveredAfter)
     return;
-  State.TellAfter = Now + TellPeriod;
+  State.AppendDeliveredAfter = Now + TellPeriod;
   Out.emplace_back(AppendRecord{
       SamplesDelivered{State.Pending.Id, std::move(State.Untold)}});
   State.Untold.clear();
@@ -160,37 +160,38 @@
   auto it = State.Slots.find(What.Place);
   // A late or second answer finds the slot further on.
   if (it == State.Slots.end() || it->second.Phase != SlotPhase::Scoring ||
-      !it->second.ScoreAsked)
+      !it->second.ScoreRequested)
     return;
   it->second.Whole.Score = What.Score;
   it->second.ScoredAt = Now;
-  moveTo(State, it->second, SlotPhase::Scored);
+  setPhase(State, it->second, SlotPhase::Scored);
 }
 
 void onScoreFailed(StepState &State, const ScoreFailed &What, TimePoint Now) {
   auto it = State.Slots.find(What.Place);
   if (it == State.Slots.end() || it->second.Phase != SlotPhase::Scoring)
     return;
-  it->second.ScoreAsked = false;
-  it->second.NotBefore = Now + State.Setup.ScoreRetry;
+  it->second.ScoreRequested = false;
+  it->second.NotBefore = Now + State.Setup.ScoreRetryDelay;
 }
 
-void scoreAgain(StepState &State, TimePoint Now, StepEffects &Out) {
+void retryScoring(StepState &State, TimePoint Now, StepEffects &Out) {
   for (auto &it : State.Slots) {
     SlotState &which = it.second;
-    if (which.Phase != SlotPhase::Scoring || which.ScoreAsked ||
+    if (which.Phase != SlotPhase::Scoring || which.ScoreRequested ||
         Now < which.NotBefore)
       continue;
-    which.ScoreAsked = true;
+    which.ScoreRequested = true;
     Out.emplace_back(ScoreSample{it.first, which.Whole.Text});
   }
 }
 
-void onCommitRead(StepState &State, const CommitRead &What, StepEffects &Out) {
+void onCommitConfirmed(StepState &State, const CommitConfirmed &What,
+                       StepEffects &Out) {
   State.Committing = false;
   for (const Slot &it : What.Filled) {
     auto slot = State.Slots.find(it);
-    if (slot == State.Slots.end() || !slot->second.CommitAsked)
+    if (slot == State.Slots.end() || !slot->second.CommitAppended)
       continue;
     slot->second.Committed = true;
     Out.emplace_back(Note{
@@ -203,17 +204,17 @@
   }
   for (const Slot &it : What.Dropped) {
     auto slot = State.Slots.find(it);
-    bool waitsForLog = slot != State.Slots.end() &&
-                       !State.Policy.ChecksFences && slot->second.CommitAsked &&
-                       slot->second.Phase == SlotPhase::Scored &&
-                       !slot->second.InDelivery;
+    bool waitsForLog =
+        slot != State.Slots.end() && !State.Policy.ChecksFences &&
+        slot->second.CommitAppended &&
+        slot->second.Phase == SlotPhase::Scored && !slot->second.InDelivery;
     if (waitsForLog)
-      startOver(State, slot->second);
+      resetSlot(State, slot->second);
   }
 }
 
-void onDelivered(StepState &State, const DeliveryAnswered &What, TimePoint Now,
-                 StepEffects &Out) {
+void onDeliveryAnswered(StepState &State, const DeliveryAnswered &What,
+                        TimePoint Now, StepEffects &Out) {
   if (!State.Delivering || What.Id != State.Pending.Id)
     return;
   for (const Slot &it : What.Answer.Taken) {
@@ -223,8 +224,8 @@
   for (const RefusedSample &it : What.Answer.Refused)
     onRefused(State, it, Now, Out);
   releasePending(State);
-  noteNewest(State, What.Answer.Newest, Now, Out);
-  closeIfWhole(State, Out);
+  recordNewestVersion(State, What.Answer.Newest, Now, Out);
+  closeIfComplete(State, Out);
 }
 
 void onDeliveryFailed(StepState &State, const DeliveryFailed &What,
@@ -246,16 +247,16 @@
     State.RetryDelivery = true;
     return;
   }
-  State.AskingTrainer = true;
-  Out.emplace_back(AskTrainer());
+  State.IsQueryingTrainer = true;
+  Out.emplace_back(QueryTrainer());
 }
 
-void settlePending(StepState &State) {
-  if (State.Delivering && State.AskingTrainer)
+void resolvePendingDelivery(StepState &State) {
+  if (State.Delivering && State.IsQueryingTrainer)
     releasePending(State);
 }
 
-void closeIfWhole(StepState &State, StepEffects &Out) {
+void closeIfComplete(StepState &State, StepEffects &Out) {
   if (!State.HasStep || State.Closed || missing(State) > 0)
     return;
   State.Closed = true;
@@ -272,8 +273,8 @@
             field("fence", State.Setup.Fence)}});
 }
 
-void noteNewest(StepState &State, WeightVersion Newest, TimePoint Now,
-                StepEffects &Out) {
+void recordNewestVersion(StepState &State, WeightVersion Newest, TimePoint Now,
+                         StepEffects &Out) {
   if (Newest <= State.Fresh.Newest)
     return;
   State.Publishing =
--- a/Wasabi/Rollout/Delivering.h
+++ b/Wasabi/Rollout/Delivering.h
@@ -17,28 +17,29 @@
 void deliverReady(StepState &State, TimePoint Now, StepEffects &Out);
 
 /// Tells the log which slots the trainer took, in batches.
-void tellDelivered(StepState &State, TimePoint Now, StepEffects &Out);
+void appendDeliveredSlots(StepState &State, TimePoint Now, StepEffects &Out);
 
 void onScored(StepState &State, const SampleScored &What, TimePoint Now);
 void onScoreFailed(StepState &State, const ScoreFailed &What, TimePoint Now);
-void onCommitRead(StepState &State, const CommitRead &What, StepEffects &Out);
-void onDelivered(StepState &State, const DeliveryAnswered &What, TimePoint Now,
-                 StepEffects &Out);
+void onCommitConfirmed(StepState &State, const CommitConfirmed &What,
+                       StepEffects &Out);
+void onDeliveryAnswered(StepState &State, const DeliveryAnswered &What,
+                        TimePoint Now, StepEffects &Out);
 void onDeliveryFailed(StepState &State, const DeliveryFailed &What,
                       TimePoint Now, StepEffects &Out);
 /// Scores again what failed to be scored.
-void scoreAgain(StepState &State, TimePoint Now, StepEffects &Out);
+void retryScoring(StepState &State, TimePoint Now, StepEffects &Out);
 
 /// The trainer answered what it holds after a lost answer: whatever it does not
 /// hold of the pending delivery may be delivered anew.
-void settlePending(StepState &State);
+void resolvePendingDelivery(StepState &State);
 
 /// Closes the step once the trainer holds all of it.
-void closeIfWhole(StepState &State, StepEffects &Out);
+void closeIfComplete(StepState &State, StepEffects &Out);
 
 /// Takes note of the newest version that the trainer published.
-void noteNewest(StepState &State, WeightVersion Newest, TimePoint Now,
-                StepEffects &Out);
+void recordNewestVersion(StepState &State, WeightVersion Newest, TimePoint Now,
+                         StepEffects &Out);
 
 } // namespace wasabi
 
--- a/Wasabi/Rollout/Dispatching.cpp
+++ b/Wasabi/Rollout/Dispatching.cpp
@@ -30,7 +30,7 @@
 
 double tokensLeft(const StepState &State, const SlotState &Which,
                   std::uint32_t SoFar) {
-  const WantedGroup &group = State.Groups[Which.GroupAt];
+  const WantedGroup &group = State.Groups[Which.GroupIndex];
   return expectedRemaining(
       expectedTokens(State.Lengths, group.Prompt, group.MaxTokens), SoFar,
       group.MaxTokens);
@@ -42,7 +42,7 @@
   for (auto &it : State.Slots) {
     SlotState &which = it.second;
     if (which.Phase != SlotPhase::Waiting)
-      begun[which.GroupAt] = true;
+      begun[which.GroupIndex] = true;
     else if (which.NotBefore <= Now)
       all.push_back(Waiter{it.first, &which, false,
                            tokensLeft(State, which, which.Kept.Tokens)});
@@ -54,7 +54,7 @@
     return all;
   }
   for (Waiter &it : all)
-    it.GroupBegun = begun[it.Which->GroupAt];
+    it.GroupBegun = begun[it.Which->GroupIndex];
   return all;
 }
 
@@ -72,7 +72,7 @@
 void dispatch(StepState &State, Slot Place, SlotState &Which,
               const Candidate &On, const Draft &Kept, bool Hedge, TimePoint Now,
               StepEffects &Out) {
-  const WantedGroup &group = State.Groups[Which.GroupAt];
+  const WantedGroup &group = State.Groups[Which.GroupIndex];
   AttemptId id = State.NextAttempt++;
   AttemptState attempt;
   attempt.Place = Place;
@@ -80,14 +80,14 @@
   attempt.Started = Now;
   attempt.LastChunk = Now;
   attempt.SoFar = draftFor(State, Kept, *On.At);
-  attempt.ResumedAt = attempt.SoFar.Tokens;
+  attempt.ResumePosition = attempt.SoFar.Tokens;
   attempt.Hedge = Hedge;
   ++On.At->Own;
-  On.At->TakenAt = ++State.Dispatches;
+  On.At->LastDispatchNumber = ++State.Dispatches;
   ++Which.Attempts;
   Which.Running.push_back(id);
   if (Which.Phase == SlotPhase::Waiting)
-    moveTo(State, Which, SlotPhase::Running);
+    setPhase(State, Which, SlotPhase::Running);
   Out.emplace_back(DispatchAttempt{
       id, Place, Which.Attempts, On.At->Seen, group.Prompt, group.MaxTokens,
       group.Seed + Place.Index, attempt.SoFar, Hedge});
@@ -106,9 +106,9 @@
   Micros ran = Now - Of.Started;
   if (ran < State.Setup.StallTimeout || Rate <= 0)
     return false;
-  double own =
-      (Of.SoFar.Tokens - Of.ResumedAt) * 1e6 / static_cast<double>(ran.count());
-  return own * State.Setup.HedgeGain < Rate;
+  double own = (Of.SoFar.Tokens - Of.ResumePosition) * 1e6 /
+               static_cast<double>(ran.count());
+  return own * State.Setup.MinHedgeSpeedup < Rate;
 }
 
 void giveUpHanging(StepState &State, TimePoint Now, StepEffects &Out) {
@@ -121,7 +121,7 @@
     AttemptState attempt = State.Attempts.at(id);
     Out.emplace_back(
         CancelAttempt{id, attempt.Place, attempt.On, "no chunk in time"});
-    State.TokensWasted += attempt.SoFar.Tokens - attempt.ResumedAt;
+    State.TokensWasted += attempt.SoFar.Tokens - attempt.ResumePosition;
     removeAttempt(State, id);
     auto engine = State.Servers.find(attempt.On);
     if (engine != State.Servers.end())
@@ -129,7 +129,7 @@
     SlotState &which = State.Slots.at(attempt.Place);
     if (which.Running.empty()) {
       which.Kept = attempt.SoFar;
-      moveTo(State, which, SlotPhase::Waiting);
+      setPhase(State, which, SlotPhase::Waiting);
     }
   }
 }
@@ -152,7 +152,7 @@
   std::partial_sort(waiting.begin(), last, waiting.end(), goesFirst);
   for (auto it = waiting.begin(); it != last; ++it) {
     std::optional<Candidate> on =
-        takeEngine(State, heap, SlotNeed{it->Tokens, {}}, Now);
+        takeEngine(State, heap, SlotRequirements{it->Tokens, {}}, Now);
     if (!on)
       return;
     dispatch(State, it->Place, *it->Which, *on, it->Which->Kept, false, Now,
@@ -177,7 +177,7 @@
       continue;
     double left = tokensLeft(State, which, running.SoFar.Tokens);
     std::optional<Candidate> on =
-        takeEngine(State, heap, SlotNeed{left, {running.On}}, Now);
+        takeEngine(State, heap, SlotRequirements{left, {running.On}}, Now);
     if (on)
       dispatch(State, it.first, which, *on, running.SoFar, true, Now, Out);
   }
--- a/Wasabi/Rollout/EngineChoice.cpp
+++ b/Wasabi/Rollout/EngineChoice.cpp
@@ -19,7 +19,7 @@
 
 double costOf(const StepState &State, const EngineState &At, double Median) {
   if (State.Setup.Order == EngineOrder::RoundRobin)
-    return static_cast<double>(At.TakenAt);
+    return static_cast<double>(At.LastDispatchNumber);
   double slots = std::max(1U, At.Seen.Slots);
   double load = std::max<double>(At.Own, At.Seen.Running);
   double slowness =
@@ -57,9 +57,9 @@
   return Now + Micros(static_cast<std::int64_t>(Tokens / Rate * 1e6));
 }
 
-bool fits(const StepState &State, const Candidate &One, const SlotNeed &Need,
-          TimePoint Now) {
-  const EngineSeen &seen = One.At->Seen;
+bool fits(const StepState &State, const Candidate &One,
+          const SlotRequirements &Need, TimePoint Now) {
+  const ReportedEngine &seen = One.At->Seen;
   if (std::find(Need.Not.begin(), Need.Not.end(), seen.Name) != Need.Not.end())
     return false;
   // Nothing fresher can be had than the newest: waiting would not help.
@@ -100,7 +100,8 @@
 
 std::optional<Candidate> takeEngine(const StepState &State,
                                     std::vector<Candidate> &Heap,
-                                    const SlotNeed &Need, TimePoint Now) {
+                                    const SlotRequirements &Need,
+                                    TimePoint Now) {
   std::vector<Candidate> unfit;
   std::optional<Candidate> taken;
   while (!Heap.empty() && !taken) {
--- a/Wasabi/Rollout/EngineChoice.h
+++ b/Wasabi/Rollout/EngineChoice.h
@@ -19,7 +19,7 @@
 };
 
 /// What may run there: a slot's needs.
-struct SlotNeed {
+struct SlotRequirements {
   double Tokens = 0;
   /// Engines that run it already; nothing is won by running twice on one.
   std::vector<ServerName> Not;
@@ -33,7 +33,8 @@
 /// `Heap`.
 std::optional<Candidate> takeEngine(const StepState &State,
                                     std::vector<Candidate> &Heap,
-                                    const SlotNeed &Need, TimePoint Now);
+                                    const SlotRequirements &Need,
+                                    TimePoint Now);
 
 /// The rate of a stream expected there, in tokens a second; 0 for unknown.
 double expectedRate(const StepState &State, const EngineState &At);
--- a/Wasabi/Rollout/Engines.cpp
+++ b/Wasabi/Rollout/Engines.cpp
@@ -24,15 +24,15 @@
 
 std::uint32_t freeSlots(const EngineState &At, const EngineShare &Part,
                         TimePoint Now) {
-  const EngineSeen &seen = At.Seen;
+  const ReportedEngine &seen = At.Seen;
   if (!seen.Serving || Now < At.NotBefore || Part.RolloutPercent == 0)
     return 0;
   std::uint32_t limit = std::max(1U, seen.Slots * Part.RolloutPercent / 100);
   if (At.Own >= limit)
     return 0;
-  std::uint32_t fair =
-      std::min(limit, partOf(limit, Part.Share, std::max(1U, Part.ShareSum)));
-  std::uint32_t others = lessOrZero(seen.Running, At.OwnAtReport);
+  std::uint32_t fair = std::min(
+      limit, partOf(limit, Part.Share, std::max(1U, Part.TotalShares)));
+  std::uint32_t others = lessOrZero(seen.Running, At.OwnAttemptsAtReport);
   // Where someone waits, what stands idle is theirs.
   std::uint32_t idle = seen.Queued > 0 ? 0 : lessOrZero(limit, At.Own + others);
   return std::max(lessOrZero(fair, At.Own), idle);
@@ -45,7 +45,7 @@
   ++At.Failures;
 }
 
-void noteRate(EngineState &At, std::uint32_t Tokens, Micros Took) {
+void recordStreamRate(EngineState &At, std::uint32_t Tokens, Micros Took) {
   if (Tokens == 0 || Took.count() <= 0)
     return;
   double rate = Tokens * 1e6 / static_cast<double>(Took.count());
--- a/Wasabi/Rollout/Engines.h
+++ b/Wasabi/Rollout/Engines.h
@@ -14,7 +14,7 @@
 namespace wasabi {
 
 /// One engine as its daemon reported it last. An immutable value.
-struct EngineSeen {
+struct ReportedEngine {
   ServerName Name;
   ServiceName Service;
   InstanceName Daemon;
@@ -31,20 +31,20 @@
   bool Serving = true;
   /// Counts the load reports: the same one again is no news.
   std::uint64_t Report = 0;
-  bool operator==(const EngineSeen &) const = default;
+  bool operator==(const ReportedEngine &) const = default;
 };
 
 /// An engine and what its owner did with it. A value.
 struct EngineState {
-  EngineSeen Seen;
+  ReportedEngine Seen;
   /// Attempts of this trainer there now, and when it was reported.
   std::uint32_t Own = 0;
-  std::uint32_t OwnAtReport = 0;
+  std::uint32_t OwnAttemptsAtReport = 0;
   /// No new attempt before this, after a refusal or a failure.
   TimePoint NotBefore;
   std::uint32_t Failures = 0;
   /// Counts the dispatches of its owner; the last one that went here.
-  std::uint64_t TakenAt = 0;
+  std::uint64_t LastDispatchNumber = 0;
   /// Tokens a second of one stream, a moving average; 0 until one ended.
   double StreamRate = 0;
   bool operator==(const EngineState &) const = default;
@@ -56,7 +56,7 @@
 struct EngineShare {
   /// Its share, and the sum of shares of all trainers on the service.
   std::uint32_t Share = 1;
-  std::uint32_t ShareSum = 1;
+  std::uint32_t TotalShares = 1;
   /// Most of an engine that rollouts may hold, in percent.
   std::uint32_t RolloutPercent = 100;
   bool operator==(const EngineShare &) const = default;
@@ -73,7 +73,7 @@
 void backOff(EngineState &At, Millis RetryAfter, TimePoint Now);
 
 /// Notes that a stream sent `Tokens` in `Took`; nothing without any.
-void noteRate(EngineState &At, std::uint32_t Tokens, Micros Took);
+void recordStreamRate(EngineState &At, std::uint32_t Tokens, Micros Took);
 
 /// The median rate of a stream over the engines that have one; 0 for none.
 /// Pure.
--- a/Wasabi/Rollout/Label.cpp
+++ b/Wasabi/Rollout/Label.cpp
@@ -4,13 +4,13 @@
 
 namespace wasabi {
 
-ChunkFate append(Draft &Into, const Chunk &What) {
+ChunkStatus append(Draft &Into, const Chunk &What) {
   if (What.Position != Into.Tokens)
-    return ChunkFate::OutOfPlace;
+    return ChunkStatus::UnexpectedPosition;
   if (!What.Version)
-    return ChunkFate::NotAttested;
+    return ChunkStatus::MissingVersion;
   if (What.Tokens == 0)
-    return ChunkFate::Taken;
+    return ChunkStatus::Taken;
   std::uint32_t end = What.Position + What.Tokens;
   // Neighbours of one version are one span, so that equal labels are equal.
   if (!Into.Spans.empty() && Into.Spans.back().Version == *What.Version)
@@ -19,7 +19,7 @@
     Into.Spans.push_back(VersionSpan{What.Position, end, *What.Version});
   Into.Text += What.Text;
   Into.Tokens = end;
-  return ChunkFate::Taken;
+  return ChunkStatus::Taken;
 }
 
 bool covers(const Label &Spans, std::uint32_t Tokens) {
--- a/Wasabi/Rollout/Label.h
+++ b/Wasabi/Rollout/Label.h
@@ -44,18 +44,18 @@
 };
 
 /// What became of a chunk.
-enum class ChunkFate : std::uint8_t {
+enum class ChunkStatus : std::uint8_t {
   Taken,
   /// Its position is not the draft's next token: the stream has a gap or a
   /// repeat.
-  OutOfPlace,
+  UnexpectedPosition,
   /// It names no version.
-  NotAttested,
+  MissingVersion,
 };
 
 /// Appends a chunk to a draft; a chunk not taken leaves it as it was. Pure but
 /// for `Into`.
-ChunkFate append(Draft &Into, const Chunk &What);
+ChunkStatus append(Draft &Into, const Chunk &What);
 
 /// Whether the spans cover [0, Tokens) in order without gap or overlap. Pure.
 bool covers(const Label &Spans, std::uint32_t Tokens);
--- a/Wasabi/Rollout/LoadReports.cpp
+++ b/Wasabi/Rollout/LoadReports.cpp
@@ -2,7 +2,7 @@
 
 namespace wasabi {
 
-void LoadReports::take(const LoadSeen &Report, TimePoint Now) {
+void LoadReports::take(const ReportedLoad &Report, TimePoint Now) {
   Held &held = Newest[Report.Server];
   held = Held{Report, Now, held.Count + 1};
 }
@@ -12,9 +12,10 @@
   return found == Newest.end() ? 0 : found->second.Count;
 }
 
-const LoadSeen *LoadReports::find(const ServerName &Of, TimePoint Now) const {
+const ReportedLoad *LoadReports::find(const ServerName &Of,
+                                      TimePoint Now) const {
   const auto found = Newest.find(Of);
-  if (found == Newest.end() || Now - found->second.At > LoadReportLife)
+  if (found == Newest.end() || Now - found->second.At > LoadReportTimeout)
     return nullptr;
   return &found->second.Report;
 }
--- a/Wasabi/Rollout/RolloutContext.cpp
+++ b/Wasabi/Rollout/RolloutContext.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-EngineSeen engineFrom(const Member &Who, const ServerStatus &Server) {
-  EngineSeen seen;
+ReportedEngine engineFrom(const Member &Who, const ServerStatus &Server) {
+  ReportedEngine seen;
   seen.Name = Server.Name;
   seen.Service = Server.Service;
   seen.Daemon = Who.Instance;
@@ -23,7 +23,7 @@
 }
 
 /// A load report is younger than the view.
-void correct(EngineSeen &Seen, const LoadSeen &Load) {
+void correct(ReportedEngine &Seen, const ReportedLoad &Load) {
   Seen.Running = Load.Running;
   Seen.Queued = Load.Queued;
   Seen.Serving = Seen.Serving && Load.Serving;
@@ -33,9 +33,9 @@
 
 } // namespace
 
-std::vector<EngineSeen> enginesOf(RolloutContext &Of,
-                                  const ServiceName &Service) {
-  std::vector<EngineSeen> all;
+std::vector<ReportedEngine> findServiceEngines(RolloutContext &Of,
+                                               const ServiceName &Service) {
+  std::vector<ReportedEngine> all;
   const TimePoint now = monotonicNow();
   std::shared_ptr<const View> view = Of.Control.view();
   for (const auto &it : view->Members) {
@@ -45,9 +45,9 @@
     for (const ServerStatus &server : who.Servers) {
       if (server.Service != Service)
         continue;
-      EngineSeen seen = engineFrom(who, server);
+      ReportedEngine seen = engineFrom(who, server);
       seen.Report = Of.Loads.count(seen.Name);
-      const LoadSeen *load = Of.Loads.find(seen.Name, now);
+      const ReportedLoad *load = Of.Loads.find(seen.Name, now);
       if (load != nullptr)
         correct(seen, *load);
       else
@@ -58,13 +58,13 @@
   return all;
 }
 
-void DutyGate::post(std::function<void()> Work) {
+void GuardedExecutor::post(std::function<void()> Work) {
   std::lock_guard<std::mutex> lock(Guard);
   if (Open)
     boost::asio::post(Executor, std::move(Work));
 }
 
-void DutyGate::close() {
+void GuardedExecutor::close() {
   std::lock_guard<std::mutex> lock(Guard);
   Open = false;
 }
--- a/Wasabi/Rollout/RolloutContext.h
+++ b/Wasabi/Rollout/RolloutContext.h
@@ -12,7 +12,7 @@
 #include "Wasabi/Ports/WeightStorePort.h"
 #include "Wasabi/Rollout/Engines.h"
 #include "Wasabi/Rollout/LoadReports.h"
-#include "Wasabi/Rollout/RolloutDuty.h"
+#include "Wasabi/Rollout/RolloutService.h"
 
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/awaitable.hpp>
@@ -28,9 +28,9 @@
 
 /// Lets other threads' answers onto the duty's thread while that is there.
 /// Thread-safe.
-class DutyGate {
+class GuardedExecutor {
 public:
-  explicit DutyGate(boost::asio::any_io_executor Executor)
+  explicit GuardedExecutor(boost::asio::any_io_executor Executor)
       : Executor(std::move(Executor)) {}
   /// Runs `Work` on the duty's thread, or drops it once the duty has ended.
   void post(std::function<void()> Work);
@@ -45,11 +45,11 @@
 
 /// Shared by all owners of one duty; used on the duty's thread only.
 struct RolloutContext {
-  RolloutDuty::Settings Setup;
+  RolloutService::Settings Setup;
   ControlPlane &Control;
   Timeline &Events;
   boost::asio::any_io_executor Executor;
-  std::shared_ptr<DutyGate> Gate;
+  std::shared_ptr<GuardedExecutor> Gate;
   std::shared_ptr<http::Client> Http;
   std::shared_ptr<RequestClient> Requests;
   LogPort Log;
@@ -62,8 +62,8 @@
 
 /// Engines of a service behind daemons that take work, with their loads. The
 /// connections to daemons that do not report are prepared. Not thread-safe.
-std::vector<EngineSeen> enginesOf(RolloutContext &Of,
-                                  const ServiceName &Service);
+std::vector<ReportedEngine> findServiceEngines(RolloutContext &Of,
+                                               const ServiceName &Service);
 
 /// Waits on the duty's thread.
 boost::asio::awaitable<void> pause(Millis HowLong);
--- a/Wasabi/Rollout/RolloutPolicyOf.cpp
+++ b/Wasabi/Rollout/RolloutPolicyOf.cpp
@@ -15,10 +15,10 @@
   if (own == nullptr)
     return part;
   part.Share = own->Share;
-  part.ShareSum = 0;
+  part.TotalShares = 0;
   for (const auto &it : From.Attachments) {
     if (it.second.Service == own->Service)
-      part.ShareSum += it.second.Share;
+      part.TotalShares += it.second.Share;
   }
   return part;
 }
@@ -41,8 +41,8 @@
   return policy;
 }
 
-std::vector<ServiceName> servicesOf(const Configuration &From,
-                                    const TrainerName &Trainer) {
+std::vector<ServiceName> findAttachedServices(const Configuration &From,
+                                              const TrainerName &Trainer) {
   std::vector<ServiceName> services;
   for (const auto &it : From.Attachments) {
     if (it.second.Trainer == Trainer)
--- a/Wasabi/Rollout/RolloutPolicyOf.h
+++ b/Wasabi/Rollout/RolloutPolicyOf.h
@@ -17,8 +17,8 @@
                                       const TrainerName &Trainer);
 
 /// The services that a trainer is attached to. Pure.
-std::vector<ServiceName> servicesOf(const Configuration &From,
-                                    const TrainerName &Trainer);
+std::vector<ServiceName> findAttachedServices(const Configuration &From,
+                                              const TrainerName &Trainer);
 
 } // namespace wasabi
 
--- a/Wasabi/Rollout/RolloutDuty.cpp
+++ b/Wasabi/Rollout/RolloutService.cpp
@@ -1,4 +1,4 @@
-#include "Wasabi/Rollout/RolloutDuty.h"
+#include "Wasabi/Rollout/RolloutService.h"
 
 #include "Wasabi/Adapters/Platform/HttpScorer.h"
 #include "Wasabi/Adapters/Platform/HttpWeightStore.h"
@@ -30,7 +30,7 @@
   return "trainer/" + Trainer.Text;
 }
 
-RolloutContext makeContext(const RolloutDuty::Settings &Setup,
+RolloutContext makeContext(const RolloutService::Settings &Setup,
                            ControlPlane &Control, Timeline &Events,
                            const boost::asio::any_io_executor &Executor) {
   std::shared_ptr<http::Client> client =
@@ -44,34 +44,34 @@
                         Control,
                         Events,
                         Executor,
-                        std::make_shared<DutyGate>(Executor),
+                        std::make_shared<GuardedExecutor>(Executor),
                         client,
                         RequestClient::create(Executor, std::move(asking)),
-                        httpLog(client, Setup.Log),
-                        httpScorer(client, Setup.Scorer),
-                        httpWeightStore(client, Setup.Weights),
+                        makeHttpLog(client, Setup.Log),
+                        makeHttpScorer(client, Setup.Scorer),
+                        makeHttpWeightStore(client, Setup.Weights),
                         {},
                         1};
 }
 
-class RolloutDutyImpl : public RolloutDuty {
+class RolloutServiceImpl : public RolloutService {
 public:
-  RolloutDutyImpl(const Settings &Setup, ControlPlane &Control,
-                  Timeline &Events)
+  RolloutServiceImpl(const Settings &Setup, ControlPlane &Control,
+                     Timeline &Events)
       : Work(boost::asio::make_work_guard(Loop)),
         Context(makeContext(Setup, Control, Events, Loop.get_executor())) {
     Context.Requests->onLoad(
-        [this](const Address &, const std::vector<LoadSeen> &loads, bool) {
-          for (const LoadSeen &it : loads)
+        [this](const Address &, const std::vector<ReportedLoad> &loads, bool) {
+          for (const ReportedLoad &it : loads)
             Context.Loads.take(it, monotonicNow());
         });
     boost::asio::co_spawn(Loop, supervise(), boost::asio::detached);
     Thread = std::thread([this] { Loop.run(); });
   }
-  RolloutDutyImpl(const RolloutDutyImpl &) = delete;
-  RolloutDutyImpl &operator=(const RolloutDutyImpl &) = delete;
+  RolloutServiceImpl(const RolloutServiceImpl &) = delete;
+  RolloutServiceImpl &operator=(const RolloutServiceImpl &) = delete;
 
-  ~RolloutDutyImpl() override {
+  ~RolloutServiceImpl() override {
     // Answers of the control plane may still be on their way.
     Context.Gate->close();
     Loop.stop();
@@ -126,7 +126,7 @@
     }
     for (const std::string &it : Wanted) {
       if (!wanted.contains(it))
-        Context.Control.unwant(it);
+        Context.Control.withdrawClaim(it);
     }
     Wanted = std::move(wanted);
   }
@@ -213,7 +213,7 @@
     for (auto &it : Trainers)
       it.second->stop();
     for (const std::string &it : Wanted)
-      Context.Control.unwant(it);
+      Context.Control.withdrawClaim(it);
     Wanted.clear();
     Callback();
   }
@@ -233,14 +233,14 @@
 
 } // namespace
 
-Result<std::unique_ptr<RolloutDuty>> RolloutDuty::create(const Settings &Setup,
-                                                         ControlPlane &Control,
-                                                         Timeline &Events) {
+Result<std::unique_ptr<RolloutService>>
+RolloutService::create(const Settings &Setup, ControlPlane &Control,
+                       Timeline &Events) {
   if (Setup.Log.empty() || Setup.Weights.empty() || Setup.Scorer.empty())
     return badInput("rollout settings",
                     "the log, the weight store and the scorer are needed");
-  return std::unique_ptr<RolloutDuty>(
-      std::make_unique<RolloutDutyImpl>(Setup, Control, Events));
+  return std::unique_ptr<RolloutService>(
+      std::make_unique<RolloutServiceImpl>(Setup, Control, Events));
 }
 
 } // namespace wasabi
--- a/Wasabi/Rollout/RolloutDuty.h
+++ b/Wasabi/Rollout/RolloutService.h
@@ -2,8 +2,8 @@
 /// The rollout duty of a daemon, on a thread of its own: owns the steps of the
 /// trainers, and the weight rollouts of the models, whose claims this process
 /// holds. Any daemon may own any of them, and loses it without harm.
-#ifndef WASABI_ROLLOUT_ROLLOUTDUTY_H
-#define WASABI_ROLLOUT_ROLLOUTDUTY_H
+#ifndef WASABI_ROLLOUT_ROLLOUTSERVICE_H
+#define WASABI_ROLLOUT_ROLLOUTSERVICE_H
 
 #include "Wasabi/Core/Address.h"
 #include "Wasabi/Core/Ids.h"
@@ -18,7 +18,7 @@
 
 class ControlPlane;
 
-class RolloutDuty {
+class RolloutService {
 public:
   struct Settings {
     InstanceName Instance;
@@ -34,10 +34,10 @@
   };
 
   /// Starts the thread. `Control` and `Events` must outlive the duty.
-  static Result<std::unique_ptr<RolloutDuty>>
+  static Result<std::unique_ptr<RolloutService>>
   create(const Settings &Setup, ControlPlane &Control, Timeline &Events);
   /// Stops the thread at once.
-  virtual ~RolloutDuty() = default;
+  virtual ~RolloutService() = default;
   /// Graceful: takes no new work, finishes commits and deliveries at hand,
   /// gives its claims up, and calls back. Thread-safe.
   virtual void leave(std::function<void()> Callback) = 0;
@@ -47,4 +47,4 @@
 
 } // namespace wasabi
 
-#endif // WASABI_ROLLOUT_ROLLOUTDUTY_H
+#endif // WASABI_ROLLOUT_ROLLOUTSERVICE_H
--- a/Wasabi/Rollout/SampleRequest.cpp
+++ b/Wasabi/Rollout/SampleRequest.cpp
@@ -27,8 +27,8 @@
 
 } // namespace
 
-RequestAttempt sampleRequest(const DispatchAttempt &What,
-                             const SampleOrigin &From) {
+RequestAttempt makeSampleRequest(const DispatchAttempt &What,
+                                 const SampleOrigin &From) {
   RequestAttempt attempt;
   // Engines know a request by this id: it is another one for each attempt.
   attempt.Request = From.Trainer.Text + ":" + std::to_string(From.Fence) + ":" +
--- a/Wasabi/Rollout/SampleRequest.h
+++ b/Wasabi/Rollout/SampleRequest.h
@@ -19,8 +19,8 @@
 };
 
 /// The attempt as sent to the daemon in front of its engine. Pure.
-RequestAttempt sampleRequest(const DispatchAttempt &What,
-                             const SampleOrigin &From);
+RequestAttempt makeSampleRequest(const DispatchAttempt &What,
+                                 const SampleOrigin &From);
 
 } // namespace wasabi
 
--- a/Wasabi/Rollout/SlotMoves.cpp
+++ b/Wasabi/Rollout/SlotMoves.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-void moveTo(StepState &State, SlotState &Which, SlotPhase Phase) {
+void setPhase(StepState &State, SlotState &Which, SlotPhase Phase) {
   if (std::size_t *n = countOf(State, Which.Phase))
     --*n;
   if (std::size_t *n = countOf(State, Phase))
@@ -31,15 +31,15 @@
   Which.Phase = Phase;
 }
 
-void startOver(StepState &State, SlotState &Which) {
+void resetSlot(StepState &State, SlotState &Which) {
   State.TokensWasted += Which.Whole.Tokens;
   Which.Whole = Sample();
   Which.Kept = Draft();
-  Which.ScoreAsked = false;
-  Which.CommitAsked = false;
+  Which.ScoreRequested = false;
+  Which.CommitAppended = false;
   Which.Committed = false;
   Which.InDelivery = false;
-  moveTo(State, Which, SlotPhase::Waiting);
+  setPhase(State, Which, SlotPhase::Waiting);
 }
 
 void removeAttempt(StepState &State, AttemptId Id) {
@@ -51,8 +51,9 @@
     --engine->second.Own;
     // Attempts that lost tell as much of an engine as those that won: a slow
     // engine would never be known by its ended ones.
-    noteRate(engine->second, it->second.SoFar.Tokens - it->second.ResumedAt,
-             it->second.LastChunk - it->second.Started);
+    recordStreamRate(engine->second,
+                     it->second.SoFar.Tokens - it->second.ResumePosition,
+                     it->second.LastChunk - it->second.Started);
   }
   auto slot = State.Slots.find(it->second.Place);
   if (slot != State.Slots.end())
@@ -60,12 +61,12 @@
   State.Attempts.erase(it);
 }
 
-void cancelAll(StepState &State, SlotState &Which, const std::string &Reason,
-               StepEffects &Out) {
+void cancelAttempts(StepState &State, SlotState &Which,
+                    const std::string &Reason, StepEffects &Out) {
   const std::vector<AttemptId> running = Which.Running;
   for (AttemptId id : running) {
     const AttemptState &one = State.Attempts.at(id);
-    State.TokensWasted += one.SoFar.Tokens - one.ResumedAt;
+    State.TokensWasted += one.SoFar.Tokens - one.ResumePosition;
     Out.emplace_back(CancelAttempt{id, one.Place, one.On, Reason});
     removeAttempt(State, id);
   }
@@ -76,8 +77,8 @@
   if (it == State.Slots.end() || it->second.Phase == SlotPhase::Delivered)
     return;
   SlotState &which = it->second;
-  cancelAll(State, which, "delivered", Out);
-  moveTo(State, which, SlotPhase::Delivered);
+  cancelAttempts(State, which, "delivered", Out);
+  setPhase(State, which, SlotPhase::Delivered);
   which.InDelivery = false;
   // The text is the trainer's now.
   which.Whole.Text = std::string();
--- a/Wasabi/Rollout/SlotMoves.h
+++ b/Wasabi/Rollout/SlotMoves.h
@@ -8,17 +8,17 @@
 namespace wasabi {
 
 /// Sets a slot's phase and adjusts the state's counts.
-void moveTo(StepState &State, SlotState &Which, SlotPhase Phase);
+void setPhase(StepState &State, SlotState &Which, SlotPhase Phase);
 
 /// Forgets the slot's sample, so that it is generated again.
-void startOver(StepState &State, SlotState &Which);
+void resetSlot(StepState &State, SlotState &Which);
 
 /// Ends an attempt's books: its engine, its slot. Its id is unknown afterwards.
 void removeAttempt(StepState &State, AttemptId Id);
 
 /// Cancels every attempt of a slot, with their tokens counted as wasted.
-void cancelAll(StepState &State, SlotState &Which, const std::string &Reason,
-               StepEffects &Out);
+void cancelAttempts(StepState &State, SlotState &Which,
+                    const std::string &Reason, StepEffects &Out);
 
 /// The trainer holds the slot: whatever else was under way for it ends.
 void markDelivered(StepState &State, Slot Place, StepEffects &Out);
--- a/Wasabi/Rollout/Staleness.cpp
+++ b/Wasabi/Rollout/Staleness.cpp
@@ -21,18 +21,19 @@
   if (first || !StepOpen)
     return Of;
   // A slow average: one early publication must not stop all dispatching.
-  Of.MeanGap = Of.MeanGap.count() == 0 ? gap : (Of.MeanGap * 3 + gap) / 4;
+  Of.MeanInterval =
+      Of.MeanInterval.count() == 0 ? gap : (Of.MeanInterval * 3 + gap) / 4;
   return Of;
 }
 
 std::uint64_t expectedPublications(const Cadence &Of, TimePoint Now,
                                    TimePoint Finish) {
-  if (Of.MeanGap.count() <= 0 || Finish <= Now)
+  if (Of.MeanInterval.count() <= 0 || Finish <= Now)
     return 0;
   // A publication that is overdue may come at once, but counts as one.
-  Micros since = std::min(Micros(Now - Of.Last), Of.MeanGap);
+  Micros since = std::min(Micros(Now - Of.Last), Of.MeanInterval);
   return static_cast<std::uint64_t>((since + Micros(Finish - Now)).count() /
-                                    Of.MeanGap.count());
+                                    Of.MeanInterval.count());
 }
 
 bool willBeFresh(const Freshness &By, WeightVersion Version,
--- a/Wasabi/Rollout/Staleness.h
+++ b/Wasabi/Rollout/Staleness.h
@@ -28,7 +28,7 @@
 /// only between steps cannot make a running sample of the open step stale.
 struct Cadence {
   /// Mean time between publications within open steps; zero until one is seen.
-  Micros MeanGap{0};
+  Micros MeanInterval{0};
   /// When the newest version was seen first.
   TimePoint Last;
   bool operator==(const Cadence &) const = default;
--- a/Wasabi/Rollout/StepEvent.h
+++ b/Wasabi/Rollout/StepEvent.h
@@ -36,22 +36,22 @@
 
 /// \name Events
 /// @{
-struct PolicySeen {
+struct PolicyChanged {
   RolloutPolicy Policy;
 };
 /// The fold of the trainer's stream when this owner's start was read back.
 struct LogRecovered {
   TrainerState State;
 };
-/// The trainer's word. `Asked` when it answers an `AskTrainer`.
-struct StepSeen {
+/// The trainer's word. `Asked` when it answers an `QueryTrainer`.
+struct StepReceived {
   WantedStep Wanted;
   bool Asked = false;
 };
-struct EnginesSeen {
-  std::vector<EngineSeen> All;
+struct EnginesUpdated {
+  std::vector<ReportedEngine> All;
 };
-struct ChunkSeen {
+struct ChunkReceived {
   AttemptId Attempt = 0;
   Chunk What;
 };
@@ -73,14 +73,14 @@
   Failure Why;
 };
 /// A commit record of this owner was folded.
-struct CommitRead {
+struct CommitConfirmed {
   Offset At = 0;
   std::vector<Slot> Filled;
   std::vector<Slot> Dropped;
 };
 struct DeliveryAnswered {
   std::string Id;
-  DeliveryAnswer Answer;
+  DeliveryResponse Answer;
 };
 struct DeliveryFailed {
   std::string Id;
@@ -91,9 +91,10 @@
 /// @}
 
 using StepEvent =
-    std::variant<PolicySeen, LogRecovered, StepSeen, EnginesSeen, ChunkSeen,
-                 AttemptEnded, AttemptFailed, SampleScored, ScoreFailed,
-                 CommitRead, DeliveryAnswered, DeliveryFailed, Tick>;
+    std::variant<PolicyChanged, LogRecovered, StepReceived, EnginesUpdated,
+                 ChunkReceived, AttemptEnded, AttemptFailed, SampleScored,
+                 ScoreFailed, CommitConfirmed, DeliveryAnswered, DeliveryFailed,
+                 Tick>;
 
 /// \name Effects
 /// @{
@@ -103,7 +104,7 @@
   Slot Place;
   /// From 1, of this slot and owner.
   std::uint32_t Number = 1;
-  EngineSeen On;
+  ReportedEngine On;
   std::string Prompt;
   std::uint32_t MaxTokens = 0;
   std::uint64_t Seed = 0;
@@ -128,7 +129,7 @@
   Delivery What;
 };
 /// Ask the trainer afresh which slots it holds.
-struct AskTrainer {};
+struct QueryTrainer {};
 /// A newer owner's token was seen: this owner must stop.
 struct StopOwning {
   std::string Reason;
@@ -142,7 +143,7 @@
 
 using StepEffect =
     std::variant<DispatchAttempt, CancelAttempt, ScoreSample, AppendRecord,
-                 DeliverSamples, AskTrainer, StopOwning, Note>;
+                 DeliverSamples, QueryTrainer, StopOwning, Note>;
 
 } // namespace wasabi
 
--- a/Wasabi/Rollout/StepState.cpp
+++ b/Wasabi/Rollout/StepState.cpp
@@ -12,19 +12,19 @@
 /// Samples that a dead owner committed and the trainer does not hold are
 /// delivered, not generated again.
 void takeFromLog(StepState &State) {
-  if (State.FromLog.Step != State.Step)
+  if (State.RecoveredState.Step != State.Step)
     return;
-  for (const auto &it : State.FromLog.Committed) {
+  for (const auto &it : State.RecoveredState.Committed) {
     auto slot = State.Slots.find(it.first);
     if (slot == State.Slots.end() || slot->second.Phase != SlotPhase::Waiting ||
         !isFresh(State.Fresh, it.second.What.Spans))
       continue;
     slot->second.Whole = it.second.What;
-    slot->second.CommitAsked = true;
+    slot->second.CommitAppended = true;
     slot->second.Committed = true;
-    moveTo(State, slot->second, SlotPhase::Scored);
+    setPhase(State, slot->second, SlotPhase::Scored);
   }
-  State.FromLog = TrainerState();
+  State.RecoveredState = TrainerState();
 }
 
 void makeSlots(StepState &State) {
@@ -32,7 +32,7 @@
     const WantedGroup &group = State.Groups[at];
     for (std::uint32_t i = 0; i < group.Samples; ++i) {
       SlotState slot;
-      slot.GroupAt = at;
+      slot.GroupIndex = at;
       State.Slots.emplace(Slot{State.Step, group.Group, i}, std::move(slot));
     }
   }
@@ -43,14 +43,14 @@
 
 void openStep(StepState &State, const WantedStep &Wanted, StepEffects &Out) {
   for (auto &it : State.Slots)
-    cancelAll(State, it.second, "its step is over", Out);
+    cancelAttempts(State, it.second, "its step is over", Out);
   State.HasStep = true;
   State.Step = Wanted.Step;
   State.Closed = false;
   State.Groups = Wanted.Groups;
   State.Slots.clear();
   State.Delivering = false;
-  State.AskingTrainer = false;
+  State.IsQueryingTrainer = false;
   State.RetryDelivery = false;
   State.Pending = Delivery();
   State.Untold.clear();
@@ -78,7 +78,7 @@
   TimePoint Now;
   StepEffects &Out;
 
-  void operator()(const PolicySeen &What) const {
+  void operator()(const PolicyChanged &What) const {
     bool known = State.Fresh.Bound == What.Policy.StalenessBound;
     State.Policy = What.Policy;
     State.Fresh.Bound = What.Policy.StalenessBound;
@@ -89,17 +89,17 @@
     }
   }
   void operator()(const LogRecovered &What) const {
-    State.FromLog = What.State;
+    State.RecoveredState = What.State;
     State.Fresh.Newest = std::max(State.Fresh.Newest, What.State.Fresh.Newest);
   }
-  void operator()(const StepSeen &What) const {
+  void operator()(const StepReceived &What) const {
     const WantedStep &wanted = What.Wanted;
     if (State.Policy.ChecksFences && wanted.Fence > State.Setup.Fence) {
       Out.emplace_back(StopOwning{"the trainer has seen token " +
                                   std::to_string(wanted.Fence)});
       return;
     }
-    noteNewest(State, wanted.Newest, Now, Out);
+    recordNewestVersion(State, wanted.Newest, Now, Out);
     // An answer that was long on its way is no news.
     if (State.HasStep && wanted.Step < State.Step)
       return;
@@ -111,12 +111,12 @@
     if (opens)
       takeFromLog(State);
     if (What.Asked)
-      settlePending(State);
-    closeIfWhole(State, Out);
+      resolvePendingDelivery(State);
+    closeIfComplete(State, Out);
   }
-  void operator()(const EnginesSeen &What) const {
+  void operator()(const EnginesUpdated &What) const {
     Engines seen;
-    for (const EngineSeen &it : What.All) {
+    for (const ReportedEngine &it : What.All) {
       auto had = State.Servers.find(it.Name);
       EngineState &at = seen[it.Name];
       if (had != State.Servers.end())
@@ -126,19 +126,19 @@
       // Own attempts correct the lag since the report, not since this look.
       bool news = had == State.Servers.end() || it.Report != at.Seen.Report;
       if (news)
-        at.OwnAtReport = at.Own;
+        at.OwnAttemptsAtReport = at.Own;
       at.Seen = it;
     }
     State.Servers = std::move(seen);
   }
-  void operator()(const ChunkSeen &What) const {
+  void operator()(const ChunkReceived &What) const {
     onChunk(State, What, Now, Out);
   }
   void operator()(const AttemptEnded &What) const {
-    onEnded(State, What, Now, Out);
+    onAttemptEnded(State, What, Now, Out);
   }
   void operator()(const AttemptFailed &What) const {
-    onFailed(State, What, Now, Out);
+    onAttemptFailed(State, What, Now, Out);
   }
   void operator()(const SampleScored &What) const {
     onScored(State, What, Now);
@@ -146,18 +146,18 @@
   void operator()(const ScoreFailed &What) const {
     onScoreFailed(State, What, Now);
   }
-  void operator()(const CommitRead &What) const {
-    onCommitRead(State, What, Out);
+  void operator()(const CommitConfirmed &What) const {
+    onCommitConfirmed(State, What, Out);
   }
   void operator()(const DeliveryAnswered &What) const {
-    onDelivered(State, What, Now, Out);
+    onDeliveryAnswered(State, What, Now, Out);
   }
   void operator()(const DeliveryFailed &What) const {
     onDeliveryFailed(State, What, Now, Out);
   }
   void operator()(const Tick &) const {
     State.MedianRate = medianRate(State.Servers);
-    scoreAgain(State, Now, Out);
+    retryScoring(State, Now, Out);
     hedgeTail(State, Now, Out);
   }
 };
@@ -172,11 +172,11 @@
   StepEffects out;
   std::visit(Decider{State, Now, out}, Event);
   // Chunks free no engine and make no sample: most events end here.
-  if (std::holds_alternative<ChunkSeen>(Event) && out.empty())
+  if (std::holds_alternative<ChunkReceived>(Event) && out.empty())
     return out;
   commitReady(State, Now, out);
   deliverReady(State, Now, out);
-  tellDelivered(State, Now, out);
+  appendDeliveredSlots(State, Now, out);
   dispatchWaiting(State, Now, out);
   return out;
 }
--- a/Wasabi/Rollout/TrainerFold.cpp
+++ b/Wasabi/Rollout/TrainerFold.cpp
@@ -18,7 +18,7 @@
 struct BodyFold {
   TrainerState &State;
   Offset At;
-  TrainerApplied &Did;
+  TrainerApplyResult &Did;
 
   void operator()(const OwnerStart &What) const {
     State.Fresh.Bound = What.StalenessBound;
@@ -68,7 +68,7 @@
            isFresh(State.Fresh, What.Spans);
   }
   void refuse(std::string Why) const {
-    Did.Fate = RecordFate::Refused;
+    Did.ApplyStatus = RecordStatus::Refused;
     Did.Reason = std::move(Why);
   }
 };
@@ -79,15 +79,15 @@
   auto it = State.Authors.find(Id.Author);
   if (it == State.Authors.end())
     return false;
-  const TakenMark &last = it->second;
+  const AuthorProgress &last = it->second;
   return std::pair(Id.Life, Id.Sequence) <= std::pair(last.Life, last.Sequence);
 }
 
-TrainerApplied applyRecord(TrainerState &State, Offset At,
-                           const TrainerRecord &What) {
-  TrainerApplied did;
+TrainerApplyResult applyRecord(TrainerState &State, Offset At,
+                               const TrainerRecord &What) {
+  TrainerApplyResult did;
   if (isRepeat(State, What.Id)) {
-    did.Fate = RecordFate::Repeated;
+    did.ApplyStatus = RecordStatus::Repeated;
     return did;
   }
   State.Authors[What.Id.Author] = {What.Id.Life, What.Id.Sequence};
@@ -95,7 +95,7 @@
   // Only a start raises the token: nobody acts before saying so. A second
   // start of the same owner changes the bound.
   if (starts ? What.Fence < State.Fence : What.Fence != State.Fence) {
-    did.Fate = RecordFate::Refused;
+    did.ApplyStatus = RecordStatus::Refused;
     did.Reason = "fence " + std::to_string(What.Fence) + " against " +
                  std::to_string(State.Fence);
     return did;
@@ -107,15 +107,16 @@
 
 } // namespace
 
-TrainerApplied apply(TrainerState &State, Offset At, std::string_view Text) {
+TrainerApplyResult apply(TrainerState &State, Offset At,
+                         std::string_view Text) {
   State.Next = At + 1;
   Outcome<TrainerRecord> record =
       toOutcome<TrainerRecord>([&] { return decodeTrainerRecord(Text); });
   if (!record) {
-    TrainerApplied did;
-    did.Fate = record.failure().Code == FailureCode::NewerSchema
-                   ? RecordFate::Newer
-                   : RecordFate::Malformed;
+    TrainerApplyResult did;
+    did.ApplyStatus = record.failure().Code == FailureCode::NewerSchema
+                          ? RecordStatus::Newer
+                          : RecordStatus::Malformed;
     did.Reason = describe(record.failure());
     return did;
   }
--- a/Wasabi/Rollout/TrainerFold.h
+++ b/Wasabi/Rollout/TrainerFold.h
@@ -19,10 +19,10 @@
 namespace wasabi {
 
 /// The last record taken of one author.
-struct TakenMark {
+struct AuthorProgress {
   Incarnation Life = 0;
   std::uint64_t Sequence = 0;
-  bool operator==(const TakenMark &) const = default;
+  bool operator==(const AuthorProgress &) const = default;
 };
 
 /// A committed sample and the record that committed it.
@@ -47,26 +47,26 @@
   std::map<Slot, CommittedSample> Committed;
   /// Slots of the open step that the trainer took.
   std::set<Slot> Delivered;
-  std::map<std::string, TakenMark> Authors;
+  std::map<std::string, AuthorProgress> Authors;
   bool operator==(const TrainerState &) const = default;
 };
 
 /// What became of one record of a trainer's stream.
-struct TrainerApplied {
-  RecordFate Fate = RecordFate::Accepted;
+struct TrainerApplyResult {
+  RecordStatus ApplyStatus = RecordStatus::Accepted;
   /// Empty when accepted.
   std::string Reason;
   /// For commits: the slots that this record filled, and those it did not,
   /// because they were filled, delivered, too old or of another step.
   std::vector<Slot> Filled;
   std::vector<Slot> Dropped;
-  bool operator==(const TrainerApplied &) const = default;
+  bool operator==(const TrainerApplyResult &) const = default;
 };
 
 /// Applies the record at offset `At` to `State`. Pure but for `State`; never
 /// fails: what is bad is skipped by all alike. An undelivered commit that a
 /// published version makes too old gives its slot free again.
-TrainerApplied apply(TrainerState &State, Offset At, std::string_view Text);
+TrainerApplyResult apply(TrainerState &State, Offset At, std::string_view Text);
 
 } // namespace wasabi
 
--- a/Wasabi/Rollout/TrainerLog.cpp
+++ b/Wasabi/Rollout/TrainerLog.cpp
@@ -9,18 +9,20 @@
 namespace wasabi {
 
 std::shared_ptr<TrainerLog> TrainerLog::create(RolloutContext &Context,
-                                               Settings Setup, Authority MayAct,
-                                               ReadBack Callback) {
+                                               Settings Setup,
+                                               Authority MayAppend,
+                                               ConfirmCallback Callback) {
   return std::shared_ptr<TrainerLog>(new TrainerLog(
-      Context, std::move(Setup), std::move(MayAct), std::move(Callback)));
+      Context, std::move(Setup), std::move(MayAppend), std::move(Callback)));
 }
 
 TrainerLog::TrainerLog(RolloutContext &Context, Settings Setup,
-                       Authority MayAct, ReadBack Callback)
-    : Context(Context), Setup(std::move(Setup)), MayAct(std::move(MayAct)),
-      Callback(std::move(Callback)), Wake(Context.Executor) {}
+                       Authority MayAppend, ConfirmCallback Callback)
+    : Context(Context), Setup(std::move(Setup)),
+      MayAppend(std::move(MayAppend)), Callback(std::move(Callback)),
+      Wake(Context.Executor) {}
 
-bool TrainerLog::mergeDelivered(const TrainerBody &Body) {
+bool TrainerLog::mergeDeliveredSlots(const TrainerBody &Body) {
   const auto *more = std::get_if<SamplesDelivered>(&Body);
   if (more == nullptr || Waiting.empty() || (FirstSent && Waiting.size() == 1))
     return false;
@@ -33,7 +35,7 @@
 
 void TrainerLog::append(TrainerBody Body) {
   // An outage piles these up: one record may tell of many deliveries.
-  if (mergeDelivered(Body))
+  if (mergeDeliveredSlots(Body))
     return;
   bool telling = std::holds_alternative<SamplesDelivered>(Body);
   if (telling && Waiting.size() >= Setup.MaxWaiting)
@@ -59,7 +61,7 @@
           boost::asio::redirect_error(boost::asio::use_awaitable, ec));
       continue;
     }
-    if (!MayAct()) {
+    if (!MayAppend()) {
       co_await pause(Setup.Retry);
       continue;
     }
@@ -92,13 +94,13 @@
     Context.Events.record("log.up", {{"trainer", Setup.Trainer.Text}});
   Down = false;
   while (!Stopped && Fold.Next <= *at) {
-    bool read = co_await readPast(*at);
+    bool read = co_await readUntil(*at);
     if (!read)
       co_await pause(Setup.Retry);
   }
 }
 
-boost::asio::awaitable<bool> TrainerLog::readPast(Offset At) {
+boost::asio::awaitable<bool> TrainerLog::readUntil(Offset At) {
   Outcome<LogRange> range = co_await Context.Log.Read(
       trainerStream(Setup.Trainer), Fold.Next, Setup.ReadMax, Setup.ReadWait);
   if (!range)
@@ -114,9 +116,10 @@
 }
 
 void TrainerLog::fold(const LogEntry &Entry) {
-  TrainerApplied did = apply(Fold, Entry.At, Entry.Text);
-  if (Waiting.empty() || did.Fate == RecordFate::Malformed ||
-      did.Fate == RecordFate::Newer || did.Fate == RecordFate::Repeated)
+  TrainerApplyResult did = apply(Fold, Entry.At, Entry.Text);
+  if (Waiting.empty() || did.ApplyStatus == RecordStatus::Malformed ||
+      did.ApplyStatus == RecordStatus::Newer ||
+      did.ApplyStatus == RecordStatus::Repeated)
     return;
   // Only the first waiting record can be on the log.
   const TrainerRecord &own = Waiting.front();
--- a/Wasabi/Rollout/TrainerLog.h
+++ b/Wasabi/Rollout/TrainerLog.h
@@ -28,14 +28,14 @@
     std::size_t ReadMax = 256;
   };
   /// Called for each record of this owner that was folded.
-  using ReadBack = std::function<void(const TrainerRecord &, Offset,
-                                      const TrainerApplied &)>;
+  using ConfirmCallback = std::function<void(const TrainerRecord &, Offset,
+                                             const TrainerApplyResult &)>;
   /// Whether this owner may still append.
   using Authority = std::function<bool()>;
 
   static std::shared_ptr<TrainerLog> create(RolloutContext &Context,
-                                            Settings Setup, Authority MayAct,
-                                            ReadBack Callback);
+                                            Settings Setup, Authority MayAppend,
+                                            ConfirmCallback Callback);
 
   /// Queues a record.
   void append(TrainerBody Body);
@@ -48,17 +48,17 @@
   std::size_t waiting() const { return Waiting.size(); }
 
 private:
-  TrainerLog(RolloutContext &Context, Settings Setup, Authority MayAct,
-             ReadBack Callback);
-  bool mergeDelivered(const TrainerBody &Body);
+  TrainerLog(RolloutContext &Context, Settings Setup, Authority MayAppend,
+             ConfirmCallback Callback);
+  bool mergeDeliveredSlots(const TrainerBody &Body);
   boost::asio::awaitable<void> appendOne(std::string Text);
-  boost::asio::awaitable<bool> readPast(Offset At);
+  boost::asio::awaitable<bool> readUntil(Offset At);
   void fold(const LogEntry &Entry);
 
   RolloutContext &Context;
   const Settings Setup;
-  const Authority MayAct;
-  const ReadBack Callback;
+  const Authority MayAppend;
+  const ConfirmCallback Callback;
   TrainerState Fold;
   std::deque<TrainerRecord> Waiting;
   /// Whether the first waiting record was sent: it must not change any more.
--- a/Wasabi/Rollout/TrainerOwner.cpp
+++ b/Wasabi/Rollout/TrainerOwner.cpp
@@ -73,14 +73,14 @@
         return self && !self->Stopped && self->authority() > Millis(0);
       },
       [weak](const TrainerRecord &record, Offset at,
-             const TrainerApplied &did) {
+             const TrainerApplyResult &did) {
         std::shared_ptr<TrainerOwner> self = weak.lock();
         if (!self)
           return;
         if (std::holds_alternative<OwnerStart>(record.Body))
-          self->StartRead = true;
+          self->StartConfirmed = true;
         if (std::holds_alternative<SampleCommit>(record.Body))
-          self->feed(CommitRead{at, did.Filled, did.Dropped});
+          self->feed(CommitConfirmed{at, did.Filled, did.Dropped});
       });
   spawn(run());
 }
@@ -90,7 +90,7 @@
   if (Endpoint == To.Endpoint)
     return;
   Endpoint = To.Endpoint;
-  Trainer = httpTrainer(Context.Http, Endpoint);
+  Trainer = makeHttpTrainer(Context.Http, Endpoint);
 }
 
 void TrainerOwner::stop() {
@@ -99,7 +99,7 @@
   Stopped = true;
   if (Log)
     Log->stop();
-  for (auto &it : Flights) {
+  for (auto &it : InFlightAttempts) {
     it.second->Cancelled = true;
     if (it.second->Answer)
       it.second->Answer->cancel();
@@ -148,8 +148,8 @@
 
 void TrainerOwner::perform(StepEffect &What) {
   if (auto *begin = std::get_if<DispatchAttempt>(&What)) {
-    noteDispatch(*begin);
-    Flights[begin->Attempt] = std::make_shared<Flight>();
+    recordDispatch(*begin);
+    InFlightAttempts[begin->Attempt] = std::make_shared<InFlightAttempt>();
     spawn(generate(std::move(*begin)));
   } else if (const auto *gone = std::get_if<CancelAttempt>(&What)) {
     cancel(*gone);
@@ -159,7 +159,7 @@
     Log->append(std::move(record->Body));
   } else if (auto *samples = std::get_if<DeliverSamples>(&What)) {
     spawn(deliver(std::move(samples->What)));
-  } else if (std::holds_alternative<AskTrainer>(What)) {
+  } else if (std::holds_alternative<QueryTrainer>(What)) {
     spawn(ask());
   } else if (const auto *over = std::get_if<StopOwning>(&What)) {
     Context.Events.record("step.abandon", {{"trainer", Setup.Trainer.Text},
@@ -170,7 +170,7 @@
   }
 }
 
-void TrainerOwner::noteDispatch(const DispatchAttempt &What) {
+void TrainerOwner::recordDispatch(const DispatchAttempt &What) {
   Context.Events.record(
       "sample.dispatch",
       {field("trainer", Setup.Trainer.Text), field("slot", toText(What.Place)),
@@ -185,8 +185,8 @@
                                           field("attempt", What.Attempt),
                                           field("server", What.On.Text),
                                           field("reason", What.Reason)});
-  auto it = Flights.find(What.Attempt);
-  if (it == Flights.end())
+  auto it = InFlightAttempts.find(What.Attempt);
+  if (it == InFlightAttempts.end())
     return;
   it->second->Cancelled = true;
   if (it->second->Answer)
@@ -204,10 +204,10 @@
   Priority = config->preset().RolloutPriority;
   policy->AdmitRollouts = policy->AdmitRollouts && !Draining;
   if (!(*policy == State.Policy))
-    feed(PolicySeen{*policy});
-  EnginesSeen seen;
-  for (const ServiceName &it : servicesOf(*config, Setup.Trainer)) {
-    std::vector<EngineSeen> more = enginesOf(Context, it);
+    feed(PolicyChanged{*policy});
+  EnginesUpdated seen;
+  for (const ServiceName &it : findAttachedServices(*config, Setup.Trainer)) {
+    std::vector<ReportedEngine> more = findServiceEngines(Context, it);
     seen.All.insert(seen.All.end(), more.begin(), more.end());
   }
   feed(seen);
@@ -229,13 +229,13 @@
   spawn(Log->run());
   TimePoint until = monotonicNow() + Setup.RecoveryPatience;
   constexpr Millis look{5};
-  while (!Stopped && !StartRead) {
+  while (!Stopped && !StartConfirmed) {
     // What the log would tell, a trainer that checks tokens knows as well.
     if (State.Policy.ChecksFences && monotonicNow() > until)
       break;
     co_await pause(look);
   }
-  feed(LogRecovered{StartRead ? Log->state() : TrainerState()});
+  feed(LogRecovered{StartConfirmed ? Log->state() : TrainerState()});
 }
 
 boost::asio::awaitable<void> TrainerOwner::pollTrainer() {
@@ -243,15 +243,16 @@
     std::optional<std::uint64_t> after;
     if (State.HasStep)
       after = State.Step;
-    Outcome<WantedStep> wanted = co_await Trainer.Step(after, Setup.PollWait);
+    Outcome<WantedStep> wanted =
+        co_await Trainer.Step(after, Setup.PollTimeout);
     if (!wanted) {
       Context.Events.record("trainer.unreachable",
                             {{"trainer", Setup.Trainer.Text},
                              {"reason", describe(wanted.failure())}});
-      co_await pause(Setup.PollRetry);
+      co_await pause(Setup.PollRetryDelay);
       continue;
     }
-    feed(StepSeen{std::move(*wanted), false});
+    feed(StepReceived{std::move(*wanted), false});
     // An answer that does not wait must not make this loop spin.
     constexpr Millis breath{5};
     co_await pause(breath);
@@ -262,24 +263,24 @@
   while (!Stopped) {
     refresh();
     feed(Tick());
-    co_await pause(Setup.TickPeriod);
+    co_await pause(Setup.TickInterval);
   }
 }
 
 boost::asio::awaitable<void> TrainerOwner::generate(DispatchAttempt What) {
-  std::shared_ptr<Flight> flight = Flights[What.Attempt];
-  RequestAttempt attempt = sampleRequest(
+  std::shared_ptr<InFlightAttempt> flight = InFlightAttempts[What.Attempt];
+  RequestAttempt attempt = makeSampleRequest(
       What, SampleOrigin{Setup.Trainer, Setup.Fence, Model, Priority});
-  Outcome<std::unique_ptr<AnswerStream>> opened =
+  Outcome<std::unique_ptr<DaemonResponseStream>> opened =
       co_await Context.Requests->open(What.On.Where, std::move(attempt));
   if (!opened) {
-    Flights.erase(What.Attempt);
+    InFlightAttempts.erase(What.Attempt);
     feed(AttemptFailed{What.Attempt, opened.failure()});
     co_return;
   }
   constexpr unsigned statusOk = 200;
   if (!flight->Cancelled && (*opened)->head().Status != statusOk) {
-    Flights.erase(What.Attempt);
+    InFlightAttempts.erase(What.Attempt);
     feed(AttemptFailed{What.Attempt, refusedHead((*opened)->head())});
     co_return;
   }
@@ -288,11 +289,11 @@
     flight->Answer = std::move(*opened);
     co_await readStream(What.Attempt, flight);
   }
-  Flights.erase(What.Attempt);
+  InFlightAttempts.erase(What.Attempt);
 }
 
 boost::asio::awaitable<void>
-TrainerOwner::readStream(AttemptId Id, std::shared_ptr<Flight> Of) {
+TrainerOwner::readStream(AttemptId Id, std::shared_ptr<InFlightAttempt> Of) {
   StreamParser parser;
   std::optional<StreamDone> done;
   while (!Of->Cancelled) {
@@ -311,7 +312,7 @@
     }
     for (const StreamItem &it : *items) {
       if (const auto *chunk = std::get_if<Chunk>(&it))
-        feed(ChunkSeen{Id, *chunk});
+        feed(ChunkReceived{Id, *chunk});
       else if (const auto *end = std::get_if<StreamDone>(&it))
         done = *end;
     }
@@ -334,13 +335,13 @@
 boost::asio::awaitable<void> TrainerOwner::deliver(Delivery What) {
   std::string id = What.Id;
   // Its last byte must leave before the term ends.
-  Millis left = authority() - Setup.TermMargin;
-  if (left <= Setup.TermMargin) {
-    co_await pause(Setup.PollRetry);
+  Millis left = authority() - Setup.ClaimExpiryMargin;
+  if (left <= Setup.ClaimExpiryMargin) {
+    co_await pause(Setup.PollRetryDelay);
     feed(DeliveryFailed{id, notNow()});
     co_return;
   }
-  Outcome<DeliveryAnswer> answer = co_await Trainer.Deliver(
+  Outcome<DeliveryResponse> answer = co_await Trainer.Deliver(
       std::move(What), std::min(left, Setup.DeliveryTimeout));
   if (answer)
     feed(DeliveryAnswered{id, std::move(*answer)});
@@ -352,10 +353,10 @@
   while (!Stopped) {
     Outcome<WantedStep> wanted = co_await Trainer.Step(std::nullopt, Millis(0));
     if (wanted) {
-      feed(StepSeen{std::move(*wanted), true});
+      feed(StepReceived{std::move(*wanted), true});
       co_return;
     }
-    co_await pause(Setup.PollRetry);
+    co_await pause(Setup.PollRetryDelay);
   }
 }
 
@@ -371,7 +372,7 @@
                           {"newest", State.Fresh.Newest},
                           {"engines", State.Servers.size()},
                           {"log_waiting", Log ? Log->waiting() : 0},
-                          {"tokens", State.TokensSeen},
+                          {"tokens", State.TokensGenerated},
                           {"tokens_wasted", State.TokensWasted}});
 }
 
--- a/Wasabi/Rollout/TrainerOwner.h
+++ b/Wasabi/Rollout/TrainerOwner.h
@@ -23,16 +23,16 @@
   struct Settings {
     TrainerName Trainer;
     FencingToken Fence = 0;
-    Millis TickPeriod{100};
+    Millis TickInterval{100};
     /// How often the step is asked for while one is open.
-    Millis PollWait{1000};
-    Millis PollRetry{200};
+    Millis PollTimeout{1000};
+    Millis PollRetryDelay{200};
     Millis DeliveryTimeout{5000};
     Millis ScoreTimeout{5000};
     /// How long a trainer that checks tokens waits for the log at a takeover.
     Millis RecoveryPatience{2000};
     /// Without checked tokens nothing is sent this near to the claim's end.
-    Millis TermMargin{200};
+    Millis ClaimExpiryMargin{200};
   };
 
   static std::shared_ptr<TrainerOwner> create(RolloutContext &Context,
@@ -54,8 +54,8 @@
 
 private:
   /// An attempt under way.
-  struct Flight {
-    std::unique_ptr<AnswerStream> Answer;
+  struct InFlightAttempt {
+    std::unique_ptr<DaemonResponseStream> Answer;
     bool Cancelled = false;
   };
 
@@ -65,7 +65,7 @@
   void feed(const StepEvent &Event);
   void perform(StepEffect &What);
   void cancel(const CancelAttempt &What);
-  void noteDispatch(const DispatchAttempt &What);
+  void recordDispatch(const DispatchAttempt &What);
   void refresh();
   /// Follows the trainer to where its declaration says that it listens.
   void connect(const TrainerDeclaration &To);
@@ -78,7 +78,7 @@
   boost::asio::awaitable<void> tick();
   boost::asio::awaitable<void> generate(DispatchAttempt What);
   boost::asio::awaitable<void> readStream(AttemptId Id,
-                                          std::shared_ptr<Flight> Of);
+                                          std::shared_ptr<InFlightAttempt> Of);
   boost::asio::awaitable<void> score(ScoreSample What);
   boost::asio::awaitable<void> deliver(Delivery What);
   boost::asio::awaitable<void> ask();
@@ -92,9 +92,9 @@
   StepState State;
   ModelName Model;
   std::int32_t Priority = 0;
-  std::map<AttemptId, std::shared_ptr<Flight>> Flights;
+  std::map<AttemptId, std::shared_ptr<InFlightAttempt>> InFlightAttempts;
   /// Set when the start of this owner was read back.
-  bool StartRead = false;
+  bool StartConfirmed = false;
   bool Draining = false;
   bool Stopped = false;
 };
--- a/Wasabi/Routing/Admission.cpp
+++ b/Wasabi/Routing/Admission.cpp
@@ -10,8 +10,9 @@
       Limit(makeConcurrencyLimit(Setup.Concurrency, Now)) {}
 
 double Admission::serviceMicros() const {
-  return AverageMicros > 0 ? AverageMicros
-                           : static_cast<double>(Setup.UnknownService.count());
+  return AverageMicros > 0
+             ? AverageMicros
+             : static_cast<double>(Setup.DefaultServiceTime.count());
 }
 
 Failure Admission::overloaded(std::string Reason, Micros Wait) const {
@@ -23,13 +24,13 @@
 Micros Admission::expectedWait(std::int32_t Priority) const {
   std::ptrdiff_t ahead = std::count_if(
       Waiting.begin(), Waiting.end(),
-      [&](const AdmissionAsk &it) { return it.Priority >= Priority; });
+      [&](const AdmissionRequest &it) { return it.Priority >= Priority; });
   double limit = std::max(1.0, Limit.Limit);
   double wait = (static_cast<double>(ahead) + 1.0) / limit * serviceMicros();
   return Micros(static_cast<std::int64_t>(wait));
 }
 
-bool Admission::mayStart(const AdmissionAsk &Ask) const {
+bool Admission::canStart(const AdmissionRequest &Ask) const {
   if (Running.size() >= Limit.whole())
     return false;
   if (!Ask.Rollout)
@@ -42,13 +43,13 @@
   return !Held && RunningRollouts < most;
 }
 
-AdmissionChange Admission::offer(AdmissionAsk Ask, TimePoint Now) {
+AdmissionChange Admission::offer(AdmissionRequest Ask, TimePoint Now) {
   AdmissionChange change;
-  bool first =
-      std::none_of(Waiting.begin(), Waiting.end(), [&](const AdmissionAsk &it) {
-        return it.Priority >= Ask.Priority && mayStart(it);
+  bool first = std::none_of(
+      Waiting.begin(), Waiting.end(), [&](const AdmissionRequest &it) {
+        return it.Priority >= Ask.Priority && canStart(it);
       });
-  if (first && mayStart(Ask)) {
+  if (first && canStart(Ask)) {
     join(Ask);
     change.Started.push_back(Ask.Id);
     start(Ask, Now);
@@ -72,15 +73,15 @@
 
 /// True when the queue has a place, which one of lower priority, or of a flow
 /// that holds more than its part, may have lost.
-bool Admission::makeRoom(const AdmissionAsk &For, AdmissionChange &Change) {
-  double most = std::max(static_cast<double>(Setup.LeastQueue),
+bool Admission::makeRoom(const AdmissionRequest &For, AdmissionChange &Change) {
+  double most = std::max(static_cast<double>(Setup.MinQueueCapacity),
                          Setup.QueueFactor * Limit.Limit);
   if (static_cast<double>(Waiting.size()) < most)
     return true;
-  Queue::iterator loser = lastOfLowest();
+  Queue::iterator loser = findLastOfLowestPriority();
   std::string reason = "it gave way to a higher priority";
   if (loser != Waiting.end() && loser->Priority == For.Priority) {
-    loser = lastOfGreediest(For);
+    loser = findLastOfLargestFlow(For);
     reason = "its queue is full, and others have less of it";
   }
   if (loser == Waiting.end() || loser->Priority > For.Priority)
@@ -94,7 +95,7 @@
 }
 
 /// The last to come of the lowest priority.
-Admission::Queue::iterator Admission::lastOfLowest() {
+Admission::Queue::iterator Admission::findLastOfLowestPriority() {
   Queue::iterator lowest = Waiting.end();
   for (Queue::iterator it = Waiting.begin(); it != Waiting.end(); ++it) {
     if (lowest == Waiting.end() || it->Priority <= lowest->Priority)
@@ -105,7 +106,8 @@
 
 /// The last to come of the flow that holds most of the queue over its weight,
 /// in the priority of `For`; none if `For`'s own would then hold as much.
-Admission::Queue::iterator Admission::lastOfGreediest(const AdmissionAsk &For) {
+Admission::Queue::iterator
+Admission::findLastOfLargestFlow(const AdmissionRequest &For) {
   struct Part {
     double Held = 0;
     Queue::iterator Last;
@@ -132,32 +134,32 @@
   return greediest;
 }
 
-void Admission::join(const AdmissionAsk &Ask) {
+void Admission::join(const AdmissionRequest &Ask) {
   Flow &flow = Flows[Ask.Flow];
   // Service not asked for earlier is not owed later.
   if (flow.Members == 0)
-    flow.Served = std::max(flow.Served, VirtualNow);
+    flow.Served = std::max(flow.Served, VirtualTime);
   ++flow.Members;
 }
 
-void Admission::part(const AdmissionAsk &Ask) {
+void Admission::part(const AdmissionRequest &Ask) {
   std::map<std::string, Flow>::iterator it = Flows.find(Ask.Flow);
   if (it == Flows.end())
     return;
   --it->second.Members;
-  if (it->second.Members == 0 && it->second.Served <= VirtualNow)
+  if (it->second.Members == 0 && it->second.Served <= VirtualTime)
     Flows.erase(it);
 }
 
-void Admission::start(const AdmissionAsk &Ask, TimePoint Now) {
+void Admission::start(const AdmissionRequest &Ask, TimePoint Now) {
   Flow &flow = Flows[Ask.Flow];
-  VirtualNow = std::max(VirtualNow, flow.Served);
+  VirtualTime = std::max(VirtualTime, flow.Served);
   double charged = serviceMicros() / std::max(1u, Ask.Share);
   flow.Served += charged;
   if (Ask.Rollout)
     ++RunningRollouts;
   std::uint64_t id = Ask.Id;
-  Running.emplace(id, RunningOne{Ask, Now, charged});
+  Running.emplace(id, RunningRequest{Ask, Now, charged});
   Limit = withRunning(Limit, running(), Now);
 }
 
@@ -166,7 +168,7 @@
 Admission::Queue::iterator Admission::next() {
   Queue::iterator best = Waiting.end();
   for (Queue::iterator it = Waiting.begin(); it != Waiting.end(); ++it) {
-    if (!mayStart(*it))
+    if (!canStart(*it))
       continue;
     if (best == Waiting.end() || it->Priority > best->Priority) {
       best = it;
@@ -184,7 +186,7 @@
     Queue::iterator it = next();
     if (it == Waiting.end())
       return;
-    AdmissionAsk ask = std::move(*it);
+    AdmissionRequest ask = std::move(*it);
     Waiting.erase(it);
     if (ask.Until <= Now) {
       part(ask);
@@ -197,7 +199,7 @@
   }
 }
 
-void Admission::end(const RunningOne &Ended, TimePoint Now) {
+void Admission::end(const RunningRequest &Ended, TimePoint Now) {
   if (Ended.Ask.Rollout)
     --RunningRollouts;
   // What it really took replaces what was assumed.
@@ -209,7 +211,8 @@
 
 AdmissionChange Admission::finish(std::uint64_t Id, TimePoint Now) {
   AdmissionChange change;
-  std::unordered_map<std::uint64_t, RunningOne>::iterator it = Running.find(Id);
+  std::unordered_map<std::uint64_t, RunningRequest>::iterator it =
+      Running.find(Id);
   if (it == Running.end())
     return change;
   Micros took = Now - it->second.Began;
@@ -230,7 +233,8 @@
   AdmissionChange change;
   if (Overloaded)
     Limit = afterOverload(Limit, Now);
-  std::unordered_map<std::uint64_t, RunningOne>::iterator it = Running.find(Id);
+  std::unordered_map<std::uint64_t, RunningRequest>::iterator it =
+      Running.find(Id);
   if (it != Running.end()) {
     end(it->second, Now);
     Running.erase(it);
--- a/Wasabi/Routing/Admission.h
+++ b/Wasabi/Routing/Admission.h
@@ -21,7 +21,7 @@
 namespace wasabi {
 
 /// One request that asks to run. An immutable value.
-struct AdmissionAsk {
+struct AdmissionRequest {
   /// Names it within this admission.
   std::uint64_t Id = 0;
   /// Higher goes first.
@@ -34,7 +34,7 @@
   std::uint32_t Share = 1;
   /// Its deadline.
   TimePoint Until;
-  bool operator==(const AdmissionAsk &) const = default;
+  bool operator==(const AdmissionRequest &) const = default;
 };
 
 /// One that waited and is refused after all.
@@ -59,11 +59,11 @@
     /// The queue holds this many times the limit,
     double QueueFactor = 2.0;
     /// and at least this many.
-    std::uint32_t LeastQueue = 16;
+    std::uint32_t MinQueueCapacity = 16;
     /// Weight of a new sample in the average service time.
     double SampleWeight = 0.1;
     /// Assumed service time before there is a sample.
-    Micros UnknownService{5000};
+    Micros DefaultServiceTime{5000};
   };
 
   /// Names the server in refusals.
@@ -72,7 +72,7 @@
   /// A request asks to run: it starts, waits, or is refused; another one with a
   /// lower priority, or of a flow that holds more of the queue, may be refused
   /// for it.
-  AdmissionChange offer(AdmissionAsk Ask, TimePoint Now);
+  AdmissionChange offer(AdmissionRequest Ask, TimePoint Now);
   /// A running request ended with a whole answer.
   AdmissionChange finish(std::uint64_t Id, TimePoint Now);
   /// A running or waiting request ended otherwise. `Overloaded` says that the
@@ -97,15 +97,15 @@
   }
   std::uint32_t limit() const { return Limit.whole(); }
   /// The limit apart from a measurement at hand, which lowers it for a moment.
-  std::uint32_t steadyLimit() const {
+  std::uint32_t limitIgnoringProbe() const {
     return static_cast<std::uint32_t>(Limit.Limit);
   }
   /// The wait to be expected by one that comes now.
   Micros expectedWait(std::int32_t Priority) const;
 
 private:
-  struct RunningOne {
-    AdmissionAsk Ask;
+  struct RunningRequest {
+    AdmissionRequest Ask;
     TimePoint Began;
     double Charged = 0;
   };
@@ -114,25 +114,25 @@
     double Served = 0;
     std::uint32_t Members = 0;
   };
-  using Queue = std::list<AdmissionAsk>;
+  using Queue = std::list<AdmissionRequest>;
 
   double serviceMicros() const;
-  bool mayStart(const AdmissionAsk &Ask) const;
+  bool canStart(const AdmissionRequest &Ask) const;
   Queue::iterator next();
-  void start(const AdmissionAsk &Ask, TimePoint Now);
-  void join(const AdmissionAsk &Ask);
-  void part(const AdmissionAsk &Ask);
-  void end(const RunningOne &Ended, TimePoint Now);
+  void start(const AdmissionRequest &Ask, TimePoint Now);
+  void join(const AdmissionRequest &Ask);
+  void part(const AdmissionRequest &Ask);
+  void end(const RunningRequest &Ended, TimePoint Now);
   void startWaiting(AdmissionChange &Change, TimePoint Now);
-  Queue::iterator lastOfLowest();
-  Queue::iterator lastOfGreediest(const AdmissionAsk &For);
-  bool makeRoom(const AdmissionAsk &For, AdmissionChange &Change);
+  Queue::iterator findLastOfLowestPriority();
+  Queue::iterator findLastOfLargestFlow(const AdmissionRequest &For);
+  bool makeRoom(const AdmissionRequest &For, AdmissionChange &Change);
   Failure overloaded(std::string Reason, Micros Wait) const;
 
   const std::string Server;
   const Settings Setup;
   ConcurrencyLimit Limit;
-  std::unordered_map<std::uint64_t, RunningOne> Running;
+  std::unordered_map<std::uint64_t, RunningRequest> Running;
   std::uint32_t RunningRollouts = 0;
   std::uint32_t RolloutPercent = 100;
   bool Held = false;
@@ -140,7 +140,7 @@
   Queue Waiting;
   std::map<std::string, Flow> Flows;
   /// The least service of those that ran last: where a new flow begins.
-  double VirtualNow = 0;
+  double VirtualTime = 0;
   double AverageMicros = 0;
 };
 
--- a/Wasabi/Routing/AdmissionGate.cpp
+++ b/Wasabi/Routing/AdmissionGate.cpp
@@ -28,7 +28,7 @@
 AdmissionGate::~AdmissionGate() = default;
 
 asio::awaitable<Outcome<Done>>
-AdmissionGate::enter(AdmissionAsk Ask, std::function<bool()> Gone) {
+AdmissionGate::enter(AdmissionRequest Ask, std::function<bool()> Gone) {
   const std::uint64_t id = Ask.Id;
   const TimePoint until = Ask.Until;
   AdmissionChange change = Rules.offer(std::move(Ask), monotonicNow());
@@ -94,12 +94,12 @@
   apply(Rules.abandon(Id, Overloaded, monotonicNow()));
 }
 
-void AdmissionPass::finish() {
+void AdmissionPermit::finish() {
   Ended = true;
   In->finish(Id);
 }
 
-void AdmissionPass::leave(bool Overloaded) {
+void AdmissionPermit::leave(bool Overloaded) {
   if (!Ended)
     In->abandon(Id, Overloaded);
 }
--- a/Wasabi/Routing/AdmissionGate.h
+++ b/Wasabi/Routing/AdmissionGate.h
@@ -28,7 +28,7 @@
   /// Waits until `Ask` may run. Failures: `Overloaded`, `NotRun`; `Cancelled`,
   /// `NotRun`, when the asker left meanwhile (`wake` it then). After a success
   /// call `leave` once.
-  boost::asio::awaitable<Outcome<Done>> enter(AdmissionAsk Ask,
+  boost::asio::awaitable<Outcome<Done>> enter(AdmissionRequest Ask,
                                               std::function<bool()> Gone);
   /// Lets one that waits ask again whether its asker is gone.
   void wake(std::uint64_t Id);
@@ -54,14 +54,14 @@
 
 /// A request's place in a gate, which it leaves with this at the latest: also
 /// when the coroutine that waits for it is ended. Used on the gate's thread.
-class AdmissionPass {
+class AdmissionPermit {
 public:
   /// `Id` asks for a place from now on.
-  AdmissionPass(std::shared_ptr<AdmissionGate> In, std::uint64_t Id)
+  AdmissionPermit(std::shared_ptr<AdmissionGate> In, std::uint64_t Id)
       : In(std::move(In)), Id(Id) {}
-  AdmissionPass(const AdmissionPass &) = delete;
-  AdmissionPass &operator=(const AdmissionPass &) = delete;
-  ~AdmissionPass() { leave(false); }
+  AdmissionPermit(const AdmissionPermit &) = delete;
+  AdmissionPermit &operator=(const AdmissionPermit &) = delete;
+  ~AdmissionPermit() { leave(false); }
 
   /// It has its whole answer.
   void finish();
--- a/Wasabi/Routing/CallerLimits.cpp
+++ b/Wasabi/Routing/CallerLimits.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-std::size_t liveEntries(const View &Members) {
+std::size_t countLiveEntries(const View &Members) {
   std::size_t count = 0;
   for (const std::pair<const InstanceName, Member> &it : Members.Members) {
     if (it.second.Kind == Role::Entry && takesWork(it.second))
@@ -36,7 +36,7 @@
   const CallerLimit *limit = limitOf(Declared, Caller);
   if (!limit)
     return std::nullopt;
-  forgetIdle(Now);
+  evictIdleBuckets(Now);
 
   double rate = static_cast<double>(limit->RequestsPerSecond) /
                 static_cast<double>(Entries);
@@ -57,10 +57,10 @@
   return Millis(static_cast<std::int64_t>(std::ceil(wait)));
 }
 
-void CallerLimits::forgetIdle(TimePoint Now) {
-  if (Now - LastForget < IdleSpan)
+void CallerLimits::evictIdleBuckets(TimePoint Now) {
+  if (Now - LastEviction < IdleSpan)
     return;
-  LastForget = Now;
+  LastEviction = Now;
   std::erase_if(Buckets, [&](const std::pair<const std::string, Bucket> &it) {
     return Now - it.second.At > IdleSpan;
   });
--- a/Wasabi/Routing/CallerLimits.h
+++ b/Wasabi/Routing/CallerLimits.h
@@ -16,7 +16,7 @@
 namespace wasabi {
 
 /// The entries that take callers, self included; at least 1. Pure.
-std::size_t liveEntries(const View &Members);
+std::size_t countLiveEntries(const View &Members);
 
 /// One token bucket a caller. Not thread-safe.
 class CallerLimits {
@@ -34,10 +34,10 @@
     double Tokens = 1.0;
     TimePoint At;
   };
-  void forgetIdle(TimePoint Now);
+  void evictIdleBuckets(TimePoint Now);
 
   std::map<std::string, Bucket> Buckets;
-  TimePoint LastForget;
+  TimePoint LastEviction;
 };
 
 } // namespace wasabi
--- a/Wasabi/Routing/CompletionStream.cpp
+++ b/Wasabi/Routing/CompletionStream.cpp
@@ -82,7 +82,7 @@
   return events;
 }
 
-Outcome<CompletionProgress> startOf(std::string_view RequestBody) {
+Outcome<CompletionProgress> parseInitialProgress(std::string_view RequestBody) {
   Failure bad{Verdict::NotRun,
               FailureCode::BadInput,
               "body",
@@ -107,8 +107,8 @@
   return progress;
 }
 
-Outcome<CompletionProgress> followEvent(CompletionProgress Progress,
-                                        std::string_view Event) {
+Outcome<CompletionProgress> applyStreamEvent(CompletionProgress Progress,
+                                             std::string_view Event) {
   // Comments and other fields of an event carry nothing that is counted.
   if (!Event.starts_with(DataPrefix))
     return Progress;
@@ -132,8 +132,8 @@
   return takeChunk(std::move(Progress), object);
 }
 
-std::string resumeBody(std::string_view RequestBody,
-                       const CompletionProgress &Progress) {
+std::string makeResumeBody(std::string_view RequestBody,
+                           const CompletionProgress &Progress) {
   boost::system::error_code ec;
   json::value parsed = json::parse(RequestBody, ec);
   if (ec || !parsed.is_object())
--- a/Wasabi/Routing/CompletionStream.h
+++ b/Wasabi/Routing/CompletionStream.h
@@ -19,7 +19,7 @@
   /// The events that `Bytes` completes, each with its closing blank line.
   std::vector<std::string> feed(std::string_view Bytes);
   /// Whether bytes of an unfinished event are held.
-  bool partial() const { return !Held.empty(); }
+  bool hasPartialEvent() const { return !Held.empty(); }
 
 private:
   std::string Held;
@@ -40,18 +40,18 @@
 
 /// The progress at the start, after the request's own `resume` if it has one.
 /// Failures: `BadInput`, `NotRun`. Pure.
-Outcome<CompletionProgress> startOf(std::string_view RequestBody);
+Outcome<CompletionProgress> parseInitialProgress(std::string_view RequestBody);
 
 /// Takes one whole event. Failures: `ConnectionLost`, `Ran`, for one out of its
 /// order or a count that does not match, after which nothing of the event may
 /// be passed on. Pure.
-Outcome<CompletionProgress> followEvent(CompletionProgress Progress,
-                                        std::string_view Event);
+Outcome<CompletionProgress> applyStreamEvent(CompletionProgress Progress,
+                                             std::string_view Event);
 
 /// The request's body that goes on from `Progress`.
-/// Precondition: `startOf(RequestBody)` succeeded. Pure.
-std::string resumeBody(std::string_view RequestBody,
-                       const CompletionProgress &Progress);
+/// Precondition: `parseInitialProgress(RequestBody)` succeeded. Pure.
+std::string makeResumeBody(std::string_view RequestBody,
+                           const CompletionProgress &Progress);
 
 } // namespace wasabi
 
--- a/Wasabi/Routing/ConcurrencyLimit.cpp
+++ b/Wasabi/Routing/ConcurrencyLimit.cpp
@@ -17,7 +17,7 @@
 
 ConcurrencyLimit freshWindow(ConcurrencyLimit Limit, TimePoint Now) {
   Limit.WindowBegan = Now;
-  Limit.WindowArea = 0;
+  Limit.WindowRequestMicros = 0;
   Limit.WindowSamples = 0;
   Limit.WindowPeak = Limit.Running;
   return Limit;
@@ -44,16 +44,16 @@
 
 bool windowIsWhole(const ConcurrencyLimit &Limit, TimePoint Now) {
   return Now - Limit.WindowBegan >= Limit.Limits.Window &&
-         Limit.WindowSamples >= Limit.Limits.LeastSamples;
+         Limit.WindowSamples >= Limit.Limits.MinWindowSamples;
 }
 
 double meanMicros(const ConcurrencyLimit &Limit) {
-  return Limit.WindowArea / std::max(1u, Limit.WindowSamples);
+  return Limit.WindowRequestMicros / std::max(1u, Limit.WindowSamples);
 }
 
 /// One answer while the unloaded time is measured.
 ConcurrencyLimit probe(ConcurrencyLimit Limit, TimePoint Now) {
-  bool late = Now - Limit.ProbeBegan > Limit.Limits.LongestProbe;
+  bool late = Now - Limit.ProbeBegan > Limit.Limits.LimitProbeTimeout;
   if (Limit.Probe == ProbeStage::Draining) {
     if (late)
       return endProbe(Limit, Now);
@@ -73,7 +73,7 @@
 void judge(ConcurrencyLimit &Limit) {
   double average = meanMicros(Limit);
   learnFaster(Limit, average);
-  bool slow = Limit.Limits.ByLatency &&
+  bool slow = Limit.Limits.AdaptToLatency &&
               average > Limit.Limits.Tolerance * Limit.UnloadedMicros;
   if (slow && Limit.WindowPeak > BusyShare * Limit.Limit)
     Limit.Limit *= Limit.Limits.Decrease;
@@ -96,7 +96,7 @@
   limit.Limit = Limits.Start;
   limit.WindowBegan = Now;
   limit.RunningSince = Now;
-  limit.NextProbe = Now + Limits.FirstProbe;
+  limit.NextProbe = Now + Limits.FirstProbeDelay;
   clamp(limit);
   return limit;
 }
@@ -104,7 +104,7 @@
 ConcurrencyLimit withRunning(ConcurrencyLimit Limit, std::uint32_t Running,
                              TimePoint Now) {
   double passed = static_cast<double>((Now - Limit.RunningSince).count());
-  Limit.WindowArea += passed * Limit.Running;
+  Limit.WindowRequestMicros += passed * Limit.Running;
   Limit.Running = Running;
   Limit.RunningSince = Now;
   Limit.WindowPeak = std::max(Limit.WindowPeak, Running);
@@ -114,7 +114,7 @@
 ConcurrencyLimit afterAnswer(ConcurrencyLimit Limit, TimePoint Now) {
   if (Limit.Probe != ProbeStage::None)
     return probe(Limit, Now);
-  if (Limit.Limits.ByLatency && Now >= Limit.NextProbe) {
+  if (Limit.Limits.AdaptToLatency && Now >= Limit.NextProbe) {
     Limit.Probe = ProbeStage::Draining;
     Limit.ProbeBegan = Now;
     return Limit;
@@ -131,7 +131,7 @@
       Now - Limit.WindowBegan < Limit.Limits.Window && Limit.WindowSamples == 0;
   if (again)
     return Limit;
-  if (Limit.Limits.FromRunning)
+  if (Limit.Limits.DecreaseFromRunning)
     Limit.Limit = std::min(Limit.Limit, static_cast<double>(Limit.Running));
   Limit.Limit *= Limit.Limits.Decrease;
   clamp(Limit);
@@ -141,8 +141,9 @@
 ConcurrencyLimit withSlots(ConcurrencyLimit Limit, std::uint32_t Slots) {
   double most = std::max(1.0, static_cast<double>(Slots));
   // A limit that stood at its bound follows it.
-  bool follows = Limit.Limits.ByLatency || Limit.Limit >= Limit.Limits.Most;
-  Limit.Limits.ByLatency = false;
+  bool follows =
+      Limit.Limits.AdaptToLatency || Limit.Limit >= Limit.Limits.Most;
+  Limit.Limits.AdaptToLatency = false;
   Limit.Probe = ProbeStage::None;
   Limit.Limits.Most = most;
   if (follows)
--- a/Wasabi/Routing/ConcurrencyLimit.h
+++ b/Wasabi/Routing/ConcurrencyLimit.h
@@ -29,24 +29,24 @@
     double Most = 1024;
     /// Whether slower answers lower the limit. Off for engines, whose answers
     /// differ in length: they say how many they run at once.
-    bool ByLatency = true;
+    bool AdaptToLatency = true;
     /// Answers slower than this many times the unloaded ones are too slow.
     double Tolerance = 2.0;
     /// Factor of a decrease.
     double Decrease = 0.9;
     /// Whether a refusal for overload lowers the limit from what runs, if that
     /// is less: for a limit that is far above what runs as long as all is well.
-    bool FromRunning = false;
+    bool DecreaseFromRunning = false;
     /// Samples are judged together over at least this long.
     Millis Window{100};
     /// and at least this many of them.
-    std::uint32_t LeastSamples = 10;
+    std::uint32_t MinWindowSamples = 10;
     /// How often the unloaded time is measured anew, at a quarter of the limit.
     Millis ProbePeriod{10000};
     /// The first time, since the limit at the start is a guess.
-    Millis FirstProbe{1000};
+    Millis FirstProbeDelay{1000};
     /// A measurement that takes longer ends with what it has.
-    Millis LongestProbe{2000};
+    Millis LimitProbeTimeout{2000};
     bool operator==(const Settings &) const = default;
   };
 
@@ -59,7 +59,7 @@
   /// Time spent at the server by all requests together, in microseconds. Over
   /// the answers it is an answer's mean time by Little's law, which counts also
   /// those that an unfair server lets wait and never answers.
-  double WindowArea = 0;
+  double WindowRequestMicros = 0;
   std::uint32_t WindowSamples = 0;
   /// Requests at the server, and since when.
   std::uint32_t Running = 0;
