--- a/Bench/FoldBench.cpp
+++ b/Bench/FoldBench.cpp
@@ -271,7 +271,7 @@
   declareAll(out);
   for (int i = 0; i < Claims; ++i)
     add(out, holderName(i), 1,
-        takeOver(resourceName(i), nullptr, Millis(10000)));
+        makeClaimAcquire(resourceName(i), nullptr, Millis(10000)));
 
   const std::size_t renewals =
       static_cast<std::size_t>(DaySeconds / RenewSeconds) * Claims;
--- a/Bench/RolloutDecisions.cpp
+++ b/Bench/RolloutDecisions.cpp
@@ -109,7 +109,7 @@
     auto [attempt, slot] = running[at];
     auto found = State.Attempts.find(attempt);
     std::uint32_t have =
-        found == State.Attempts.end() ? 0 : found->second.SoFar.Tokens;
+        found == State.Attempts.end() ? 0 : found->second.GeneratedDraft.Tokens;
     constexpr std::uint64_t endOdds = 8;
     if (random() % endOdds != 0 || have == 0) {
       timed(Into.ChunkTimes, State,
--- a/Ctl/Fleet.cpp
+++ b/Ctl/Fleet.cpp
@@ -28,8 +28,8 @@
 
 void addListed(ByAddress &Into, const std::vector<ListedInstance> &From) {
   for (const ListedInstance &it : From)
-    if (!it.Http.empty())
-      Into[it.Http] = {it.Instance.Text, it.Http, it.Leaving};
+    if (!it.AdminAddress.empty())
+      Into[it.AdminAddress] = {it.Instance.Text, it.AdminAddress, it.Leaving};
 }
 
 /// Adds the living members that a process' status shows.
--- a/Ctl/ReportCommands.cpp
+++ b/Ctl/ReportCommands.cpp
@@ -25,7 +25,7 @@
   if (State.BlockedOffset)
     std::cout << "log: offset " << *State.BlockedOffset
               << " is a record of a newer program\n";
-  const std::string preset = State.Config->InForce.Text;
+  const std::string preset = State.Config->ActivePreset.Text;
   std::cout << "preset: " << (preset.empty() ? "(defaults)" : preset) << "\n";
   std::cout << "objects: " << State.Objects.size() << "\n";
   for (const auto &[resource, claim] : State.Claims)
--- a/Daemon/Main.cpp
+++ b/Daemon/Main.cpp
@@ -47,7 +47,7 @@
 
 constexpr std::size_t TimelineEvents = 65536;
 /// Time between two looks whether the last request has ended.
-constexpr Millis DrainPause{10};
+constexpr Millis DrainPollInterval{10};
 /// How long a leaving daemon goes on refusing at least.
 constexpr Millis LeaveGrace{500};
 /// Time between two refreshes of what load reports say.
@@ -109,7 +109,7 @@
     return Done{};
   }
 
-  Result<Done> startProxy(std::vector<UpstreamServer> Upstreams,
+  Result<Done> startProxy(std::vector<ProxiedServer> Upstreams,
                           Address Listen) {
     DaemonProxy::Settings setup;
     setup.Instance = Settings.Instance;
@@ -201,7 +201,7 @@
                                       encodeServerLoads(*Shown.get()),
                                       statusJson(status())};
     };
-    Admin->show(std::move(sources));
+    Admin->setSources(std::move(sources));
   }
 
   /// The others are told first, over frames and control alike; new work is
@@ -214,7 +214,7 @@
     Front->setLoads(Proxy->loads(), true);
     // Owned steps and rollouts are handed over before the claims go.
     if (Rollouts)
-      Rollouts->leave([this] { tellLeaving(); });
+      Rollouts->shutDown([this] { tellLeaving(); });
     else
       tellLeaving();
   }
@@ -233,7 +233,8 @@
     // Requests that were sent before their sender heard of the leaving must
     // still find somebody who refuses them.
     bool heard = monotonicNow() - LeftAt >= LeaveGrace;
-    bool idle = Told && heard && Proxy->inFlight() == 0 && Front->unsent() == 0;
+    bool idle =
+        Told && heard && Proxy->inFlight() == 0 && Front->unsentBytes() == 0;
     if (idle && !HandedOver) {
       // What ran under a key must not run again when this process is gone.
       Proxy->handOver([this] {
@@ -250,7 +251,7 @@
       Context.stop();
       return;
     }
-    Drain.expires_after(DrainPause);
+    Drain.expires_after(DrainPollInterval);
     Drain.async_wait([this](boost::system::error_code) { endWhenIdle(); });
   }
 
--- a/Entry/Main.cpp
+++ b/Entry/Main.cpp
@@ -42,7 +42,7 @@
 /// How long connections without a request may stay open at the end.
 constexpr Millis CloseGrace{2000};
 /// Time between two looks whether the last request has ended.
-constexpr Millis DrainPause{10};
+constexpr Millis DrainPollInterval{10};
 /// Longest that a fresh entry waits to know a server of each service.
 constexpr Millis WarmUpLimit{5000};
 
@@ -158,7 +158,7 @@
       return std::vector<std::string>{Control->statusJson(),
                                       statusJson(status())};
     };
-    Admin->show(std::move(sources));
+    Admin->setSources(std::move(sources));
   }
 
   /// Readiness goes first; the balancer is given its time, then the listener
@@ -187,7 +187,7 @@
       Context.stop();
       return;
     }
-    Grace.expires_after(DrainPause);
+    Grace.expires_after(DrainPollInterval);
     Grace.async_wait([this](boost::system::error_code) { endWhenIdle(); });
   }
 
--- a/IntegrationTests/Cases/ChaosJudgeTest.cpp
+++ b/IntegrationTests/Cases/ChaosJudgeTest.cpp
@@ -44,14 +44,14 @@
   CHECK(sum.Whole == 1);
   CHECK(sum.MayHaveRun == 1);
   CHECK(sum.NotRun == 1);
-  CHECK(holds(sum));
+  CHECK(hasNoViolations(sum));
 }
 
 TEST_CASE("A false not-run is found, also one that runs later", "[judge]") {
   const CallerRecord said = ask(CallKind::Write, Seen::NotRun, Begin);
   CHECK(judged({said}, {run(Begin + 10)}).FalseNotRun == 1);
   CHECK(judged({said}, {run(Begin + 9000000)}).FalseNotRun == 1);
-  CHECK_FALSE(holds(judged({said}, {run(Begin + 10)})));
+  CHECK_FALSE(hasNoViolations(judged({said}, {run(Begin + 10)})));
   // A second ask with the key may run it; the first must not have.
   const CallerRecord again =
       ask(CallKind::KeyedWrite, Seen::Whole, Begin + 5000);
@@ -95,13 +95,13 @@
   stop.ExitedCleanly = false;
   Tally hung;
   checkPlannedStops(hung, {stop}, {}, {});
-  CHECK_FALSE(holds(hung));
+  CHECK_FALSE(hasNoViolations(hung));
 }
 
 TEST_CASE("A trainer's record is taken as it is", "[judge]") {
   Tally sum;
   checkTrainerTruth(sum, TrainerTruth{64, 0, 0, 0, 5, 4});
-  CHECK(holds(sum));
+  CHECK(hasNoViolations(sum));
   checkTrainerTruth(sum, TrainerTruth{64, 1, 2, 3, 6, 4});
   CHECK(sum.Samples == 128);
   CHECK(sum.Duplicates == 1);
--- a/IntegrationTests/Cases/CrashingRequestTest.cpp
+++ b/IntegrationTests/Cases/CrashingRequestTest.cpp
@@ -46,7 +46,8 @@
 
 /// Waits long enough for several more tries, if there were any.
 void letMoreTriesCome(PlatformFixture &World) {
-  harness::waitUntil([&] { return World.ends() > MostEnds; }, Millis(2500));
+  harness::waitUntil([&] { return World.crashCount() > MostEnds; },
+                     Millis(2500));
 }
 
 } // namespace
@@ -56,7 +57,7 @@
   REQUIRE(world.waitUntilAllReady());
   world.setCrashMarker("poison");
   for (const char *path : {"/desk/poison", "/once/poison"}) {
-    int before = world.ends();
+    int before = world.crashCount();
     for (std::size_t i = 0; i < 4 * Processes; ++i) {
       std::string id = path + std::to_string(i);
       // Another caller's request, the same each time, on the same servers.
@@ -70,9 +71,9 @@
       CHECK(got.Status >= 502);
       beside.get();
       REQUIRE(world.waitForRestarts());
-      CHECK(world.ends() - before <= MostEnds);
+      CHECK(world.crashCount() - before <= MostEnds);
     }
-    CHECK(world.ends() - before > 0);
+    CHECK(world.crashCount() - before > 0);
     for (std::size_t i = 0; i < Processes; ++i) {
       INFO(linesOf(world));
       CHECK(harness::waitUntil(
@@ -95,7 +96,7 @@
                            Patience));
   letMoreTriesCome(world);
   INFO(linesOf(world));
-  CHECK(world.ends() <= MostEnds);
+  CHECK(world.crashCount() <= MostEnds);
   // Whoever dispatches next knows of it.
   for (std::size_t i = 0; i < Processes; ++i) {
     world.edge(i).Running->signal(SIGKILL);
@@ -104,9 +105,9 @@
   }
   REQUIRE(world.waitUntilAllReady());
   REQUIRE(world.submit(1, "next", Items) == Accepted);
-  REQUIRE(world.finishes(1, "next", Items));
+  REQUIRE(world.waitForResults(1, "next", Items));
   letMoreTriesCome(world);
-  CHECK(world.ends() <= MostEnds);
+  CHECK(world.crashCount() <= MostEnds);
   CHECK(listed(world, "job") == Items - 1);
 }
 
@@ -120,8 +121,8 @@
                            Patience));
   letMoreTriesCome(world);
   INFO(linesOf(world));
-  CHECK(world.ends() <= MostEnds);
-  CHECK(world.end(0, "job") == Ok);
+  CHECK(world.crashCount() <= MostEnds);
+  CHECK(world.endJob(0, "job") == Ok);
 }
 
 } // namespace wasabi::test
--- a/IntegrationTests/Cases/CustomerTest.cpp
+++ b/IntegrationTests/Cases/CustomerTest.cpp
@@ -70,21 +70,21 @@
   }
   checkRuns(world->plainServerRuns(), "anna");
   world->setCustomerKey(KeyOfBert);
-  http::Response stream = world->ask(0, "/stream/s", "s1");
+  http::Response stream = world->postRequest(0, "/stream/s", "s1");
   CHECK(stream.Status == Ok);
   checkRuns(world->engineRuns(), "bert");
 }
 
 TEST_CASE("Customers: a request without a customer's key is refused at once") {
   std::unique_ptr<PlatformFixture> world = customerWorld(1);
-  CHECK(world->ask(0, "/desk/x", "r1").Status == Unauthorized);
+  CHECK(world->postRequest(0, "/desk/x", "r1").Status == Unauthorized);
   world->setCustomerKey("nobodys");
-  CHECK(world->ask(0, "/desk/x", "r2").Status == Unauthorized);
-  CHECK(world->ask(0, "/stream/x", "r3").Status == Unauthorized);
+  CHECK(world->postRequest(0, "/desk/x", "r2").Status == Unauthorized);
+  CHECK(world->postRequest(0, "/stream/x", "r3").Status == Unauthorized);
   CHECK(world->submit(0, "job", 2) == Unauthorized);
-  CHECK(world->end(0, "job") == Unauthorized);
+  CHECK(world->endJob(0, "job") == Unauthorized);
   CHECK(world->getItemBodyStatus(0, "job", "job-0") == Unauthorized);
-  CHECK(world->ask(0, "/nowhere/", "r4").Status == NotFound);
+  CHECK(world->postRequest(0, "/nowhere/", "r4").Status == NotFound);
   // Two keys are no key.
   http::Request two;
   two.Method = "POST";
@@ -100,13 +100,13 @@
 
 TEST_CASE("Customers: a public route asks for no key and passes on none") {
   std::unique_ptr<PlatformFixture> world = customerWorld(1);
-  CHECK(world->ask(0, "/open/x", "r1").Status == Ok);
+  CHECK(world->postRequest(0, "/open/x", "r1").Status == Ok);
   world->setCustomerKey("nobodys");
-  CHECK(world->ask(0, "/open/x", "r2").Status == Ok);
+  CHECK(world->postRequest(0, "/open/x", "r2").Status == Ok);
   checkRuns(world->plainServerRuns(), "");
   // Whose request it is stays true where somebody's key comes with it.
   world->setCustomerKey(KeyOfBert);
-  CHECK(world->ask(0, "/open/x", "r3").Status == Ok);
+  CHECK(world->postRequest(0, "/open/x", "r3").Status == Ok);
   ServerCall last;
   for (const ServerCall &it : world->plainServerRuns()) {
     if (it.Id == "r3")
@@ -120,7 +120,7 @@
           "open connections") {
   std::unique_ptr<PlatformFixture> world = customerWorld(1);
   world->setCustomerKey(KeyOfBert);
-  CHECK(world->ask(0, "/desk/x", "r1").Status == Ok);
+  CHECK(world->postRequest(0, "/desk/x", "r1").Status == Ok);
   std::string head = std::string("POST /desk/x HTTP/1.1\r\n"
                                  "Host: host.example\r\n"
                                  "Wasabisail-Key: ") +
@@ -131,14 +131,14 @@
       0, head + "r2\r\n\r\n" + head + "r3\r\n\r\n", Patience, "answer to r3");
   CHECK(first.find("answer to r3") != std::string::npos);
   world->configureCustomers(3, {{"anna", {KeyOfAnna}, 1}, {"bert", {}, 1}});
-  CHECK(world->ask(0, "/desk/x", "r4").Status == Unauthorized);
+  CHECK(world->postRequest(0, "/desk/x", "r4").Status == Unauthorized);
   world->setCustomerKey(SecondKeyOfAnna);
-  CHECK(world->ask(0, "/desk/x", "r5").Status == Unauthorized);
+  CHECK(world->postRequest(0, "/desk/x", "r5").Status == Unauthorized);
   world->setCustomerKey(KeyOfAnna);
-  CHECK(world->ask(0, "/desk/x", "r6").Status == Ok);
+  CHECK(world->postRequest(0, "/desk/x", "r6").Status == Ok);
   world->configureCustomers(4, annaAndBert());
   world->setCustomerKey(KeyOfBert);
-  CHECK(world->ask(0, "/desk/x", "r7").Status == Ok);
+  CHECK(world->postRequest(0, "/desk/x", "r7").Status == Ok);
 }
 
 TEST_CASE("Customers: a process that may have missed a configuration refuses "
@@ -149,15 +149,16 @@
   REQUIRE(harness::waitUntil(
       [&] {
         world->setCustomerKey("a-new-one");
-        return world->ask(0, "/desk/x", "r1").Status == ServiceUnavailable;
+        return world->postRequest(0, "/desk/x", "r1").Status ==
+               ServiceUnavailable;
       },
       Patience));
-  CHECK(world->ask(0, "/nowhere/", "r2").Status == ServiceUnavailable);
+  CHECK(world->postRequest(0, "/nowhere/", "r2").Status == ServiceUnavailable);
   // No configuration makes a request without a key a good one.
   world->setCustomerKey("");
-  CHECK(world->ask(0, "/desk/x", "r3").Status == Unauthorized);
+  CHECK(world->postRequest(0, "/desk/x", "r3").Status == Unauthorized);
   world->setCustomerKey(KeyOfAnna);
-  CHECK(world->ask(0, "/desk/x", "r4").Status == Ok);
+  CHECK(world->postRequest(0, "/desk/x", "r4").Status == Ok);
 }
 
 TEST_CASE("Customers: a job is its customer's, and nobody else learns of it") {
@@ -165,7 +166,7 @@
   std::unique_ptr<PlatformFixture> world = customerWorld(2);
   world->setCustomerKey(KeyOfAnna);
   REQUIRE(world->submit(0, "job", Items) == Accepted);
-  REQUIRE(world->finishes(0, "job", Items));
+  REQUIRE(world->waitForResults(0, "job", Items));
   unsigned status = 0;
   // The other key of the same customer does as well.
   world->setCustomerKey(SecondKeyOfAnna);
@@ -181,12 +182,12 @@
     world->results(1, job, status);
     CHECK(status == NotFound);
     CHECK(world->getItemBodyStatus(0, job, "job-0") == NotFound);
-    CHECK(world->end(0, job) == NotFound);
+    CHECK(world->endJob(0, job) == NotFound);
   }
   // Under the same name he gets a job of his own.
   REQUIRE(world->submit(1, "job", 2) == Accepted);
-  REQUIRE(world->finishes(0, "job", 2));
-  CHECK(world->end(0, "job") == Ok);
+  REQUIRE(world->waitForResults(0, "job", 2));
+  CHECK(world->endJob(0, "job") == Ok);
   world->setCustomerKey(KeyOfAnna);
   boost::json::value page = world->results(1, "job", status);
   CHECK(status == Ok);
@@ -198,8 +199,8 @@
   constexpr std::size_t Items = 6;
   std::unique_ptr<PlatformFixture> world = customerWorld(2);
   world->runOnPlatformThread([&] {
-    world->engine(0).Full = true;
-    world->engine(1).Full = true;
+    world->engine(0).RefusesAsFull = true;
+    world->engine(1).RefusesAsFull = true;
   });
   world->setCustomerKey(KeyOfBert);
   REQUIRE(world->submit(0, "job", Items) == Accepted);
@@ -211,31 +212,31 @@
   }
   REQUIRE(world->waitUntilAllReady());
   world->runOnPlatformThread([&] {
-    world->engine(0).Full = false;
-    world->engine(1).Full = false;
+    world->engine(0).RefusesAsFull = false;
+    world->engine(1).RefusesAsFull = false;
   });
   REQUIRE(harness::waitUntil(
       [&] { return world->plainServerRuns().size() == Items; }, Patience));
   checkRuns(world->engineRuns(), "bert");
-  CHECK(world->end(0, "job") == Unauthorized);
+  CHECK(world->endJob(0, "job") == Unauthorized);
   // With another key of his he sees his job again.
   world->configureCustomers(
       4, {{"anna", {KeyOfAnna}, 1}, {"bert", {"k3y9fbert"}, 1}});
   world->setCustomerKey("k3y9fbert");
-  CHECK(world->finishes(1, "job", Items));
+  CHECK(world->waitForResults(1, "job", Items));
 }
 
 TEST_CASE("Customers: no key is written anywhere") {
   std::unique_ptr<PlatformFixture> world = customerWorld(1);
   for (const char *key : {KeyOfAnna, KeyOfBert, "k3y-of-nobody"}) {
     world->setCustomerKey(key);
-    world->ask(0, "/desk/x", "r1");
-    world->ask(0, "/stream/x", "r2");
-    world->ask(0, "/once/x", "r3");
-    world->ask(0, "/open/x", "r4");
+    world->postRequest(0, "/desk/x", "r1");
+    world->postRequest(0, "/stream/x", "r2");
+    world->postRequest(0, "/once/x", "r3");
+    world->postRequest(0, "/open/x", "r4");
     world->submit(0, "job", 2);
     world->getItemBodyStatus(0, "job", "job-0");
-    world->end(0, "job");
+    world->endJob(0, "job");
   }
   // Neither of a job that carries keys in its items' headers.
   http::Request submission;
@@ -250,7 +251,7 @@
        "Wasabisail-Tenant":"bert"},"body":""}]})";
   REQUIRE(world->send(0, submission).Status == Accepted);
   world->setCustomerKey(KeyOfAnna);
-  REQUIRE(world->finishes(0, "keyed", 1));
+  REQUIRE(world->waitForResults(0, "keyed", 1));
   for (const ServerCall &it : world->engineRuns()) {
     CHECK_FALSE(it.KeyForwarded);
     CHECK((it.Id != "keyed-0" || it.Customer == "anna"));
--- a/IntegrationTests/Cases/PlatformPathTest.cpp
+++ b/IntegrationTests/Cases/PlatformPathTest.cpp
@@ -52,32 +52,32 @@
 TEST_CASE("Platform: a request is answered by a server, unchanged") {
   PlatformFixture world(1);
   REQUIRE(world.waitUntilAllReady());
-  http::Response got = world.ask(0, "/desk/lots?id=7", "r1");
+  http::Response got = world.postRequest(0, "/desk/lots?id=7", "r1");
   CHECK(got.Status == Ok);
   CHECK(got.Body == "answer to r1");
   CHECK(got.header("Wasabisail-Server-Stamp") == "stamp-r1");
   CHECK(got.header("Wasabisail-Request-Id") == "r1");
   std::vector<ServerCall> runs =
       world.runOnPlatformThread<std::vector<ServerCall>>([&] {
-        std::vector<ServerCall> all = world.desk(0).Runs;
-        all.insert(all.end(), world.desk(1).Runs.begin(),
-                   world.desk(1).Runs.end());
+        std::vector<ServerCall> all = world.plainServer(0).Runs;
+        all.insert(all.end(), world.plainServer(1).Runs.begin(),
+                   world.plainServer(1).Runs.end());
         return all;
       });
   REQUIRE(runs.size() == 1);
   CHECK(runs[0].Path == "/desk/lots?id=7");
   CHECK(runs[0].Body == "body of r1");
-  CHECK(world.ask(0, "/nowhere/", "r2").Status == 404);
+  CHECK(world.postRequest(0, "/nowhere/", "r2").Status == 404);
 }
 
 TEST_CASE("Platform: full servers make a refusal that says when to come back") {
   PlatformFixture world(1);
   REQUIRE(world.waitUntilAllReady());
   world.runOnPlatformThread([&] {
-    world.desk(0).Full = true;
-    world.desk(1).Full = true;
+    world.plainServer(0).RefusesAsFull = true;
+    world.plainServer(1).RefusesAsFull = true;
   });
-  http::Response got = world.ask(0, "/once/x", "r1");
+  http::Response got = world.postRequest(0, "/once/x", "r1");
   CHECK(got.Status == 503);
   CHECK_FALSE(got.header("Retry-After").empty());
 }
@@ -88,13 +88,13 @@
   REQUIRE(world.waitUntilAllReady());
   CHECK(world.submit(0, "job", Items) == Accepted);
   CHECK(world.submit(1, "job", Items) == Accepted);
-  REQUIRE(world.finishes(2, "job", Items));
+  REQUIRE(world.waitForResults(2, "job", Items));
   json::array first = checkWhole(world, 2, "job", Items, 6);
-  REQUIRE(world.finishes(0, "job", Items));
+  REQUIRE(world.waitForResults(0, "job", Items));
   CHECK(checkWhole(world, 0, "job", Items, 6) == first);
-  CHECK(world.end(1, "job") == Ok);
-  CHECK(world.end(2, "job") == Ok);
-  CHECK(world.end(2, "no-job") == 404);
+  CHECK(world.endJob(1, "job") == Ok);
+  CHECK(world.endJob(2, "job") == Ok);
+  CHECK(world.endJob(2, "no-job") == 404);
 }
 
 TEST_CASE("Platform: texts that break off go on, and none is joined wrongly") {
@@ -106,7 +106,7 @@
     world.engine(1).StreamsToBreak = 3;
   });
   REQUIRE(world.submit(0, "job", Items) == Accepted);
-  REQUIRE(world.finishes(0, "job", Items));
+  REQUIRE(world.waitForResults(0, "job", Items));
   checkWhole(world, 0, "job", Items, 6);
 }
 
@@ -121,11 +121,11 @@
     });
   };
   bool done = harness::waitUntil(loaded, Patience);
-  INFO(world.side(0).output() + world.side(1).output() +
+  INFO(world.sidecar(0).output() + world.sidecar(1).output() +
        world.edge(0).Running->output() + world.edge(1).Running->output());
   REQUIRE(done);
   REQUIRE(world.submit(0, "job", 4, 2) == Accepted);
-  REQUIRE(world.finishes(0, "job", 4));
+  REQUIRE(world.waitForResults(0, "job", 4));
   for (const json::value &it : checkWhole(world, 0, "job", 4, 6))
     CHECK(it.at("versions") == json::array{2});
   for (std::size_t i = 0; i < 2; ++i) {
@@ -158,17 +158,17 @@
         [&] { world.engine(0).restart(world.engine(0).id()); });
     world.registerServer(0, false);
   }
-  REQUIRE(world.finishes(0, "job", Items));
+  REQUIRE(world.waitForResults(0, "job", Items));
   checkWhole(world, 0, "job", Items, 6);
   // The new start takes orders and items.
   world.nameVersion(3);
   bool done = harness::waitUntil([&] { return holds(3); }, Patience);
-  INFO(world.side(0).output() + world.edge(0).Running->output() +
+  INFO(world.sidecar(0).output() + world.edge(0).Running->output() +
        world.edge(1).Running->output());
   REQUIRE(done);
   world.runOnPlatformThread([&] { world.engine(0).Runs.clear(); });
   REQUIRE(world.submit(1, "next", Items, 3) == Accepted);
-  REQUIRE(world.finishes(1, "next", Items));
+  REQUIRE(world.waitForResults(1, "next", Items));
   CHECK(world.runOnPlatformThread<bool>(
       [&] { return !world.engine(0).Runs.empty(); }));
 }
@@ -178,7 +178,7 @@
   PlatformFixture world(1);
   REQUIRE(world.waitUntilAllReady());
   std::string odd = world.runOnPlatformThread<std::string>([&] {
-    std::string text = world.desk(0).registration("desk", false);
+    std::string text = world.plainServer(0).registration("desk", false);
     const std::string_view ready = R"("ready")";
     return text.replace(text.find(ready), ready.size(), R"("warming")");
   });
@@ -189,7 +189,7 @@
       world.store().write("keyed.servers", "x-" + std::to_string(i),
                           entries[i]);
     // One over a server's own: it is not used until it registers again.
-    world.store().write("keyed.servers", world.desk(1).id(), odd);
+    world.store().write("keyed.servers", world.plainServer(1).id(), odd);
     // What the topic's whole reading tells is the same.
     world.store().compact("keyed.servers");
   });
@@ -202,17 +202,20 @@
     return count;
   };
   REQUIRE(harness::waitUntil([&] { return rejected() == 6; }, Patience));
-  world.runOnPlatformThread([&] { world.desk(1).Runs.clear(); });
+  world.runOnPlatformThread([&] { world.plainServer(1).Runs.clear(); });
   for (int i = 0; i < 6; ++i)
-    CHECK(world.ask(0, "/desk/x", "r" + std::to_string(i)).Status == Ok);
+    CHECK(world.postRequest(0, "/desk/x", "r" + std::to_string(i)).Status ==
+          Ok);
   CHECK(world.runOnPlatformThread<bool>(
-      [&] { return world.desk(1).Runs.empty(); }));
+      [&] { return world.plainServer(1).Runs.empty(); }));
   REQUIRE(world.submit(0, "job", Items) == Accepted);
-  REQUIRE(world.finishes(0, "job", Items));
+  REQUIRE(world.waitForResults(0, "job", Items));
   // It registers again, and is the only one that has room.
   world.registerServer(3, false);
-  world.runOnPlatformThread([&] { world.desk(0).Full = true; });
-  auto served = [&] { return world.ask(0, "/desk/x", "again").Status == Ok; };
+  world.runOnPlatformThread([&] { world.plainServer(0).RefusesAsFull = true; });
+  auto served = [&] {
+    return world.postRequest(0, "/desk/x", "again").Status == Ok;
+  };
   CHECK(harness::waitUntil(served, Patience));
 }
 
@@ -221,11 +224,11 @@
   PlatformFixture world(2);
   REQUIRE(world.waitUntilAllReady());
   REQUIRE(world.submit(0, "before", Items) == Accepted);
-  REQUIRE(world.finishes(1, "before", Items));
+  REQUIRE(world.waitForResults(1, "before", Items));
   json::array read = checkWhole(world, 1, "before", Items, 6);
   world.runOnPlatformThread([&] {
-    world.engine(0).Length = 20;
-    world.engine(1).Length = 20;
+    world.engine(0).MinEvents = 20;
+    world.engine(1).MinEvents = 20;
   });
   REQUIRE(world.submit(1, "after", Items) == Accepted);
   for (std::size_t i = 0; i < 2; ++i) {
@@ -236,7 +239,7 @@
     world.startEdge(i);
   REQUIRE(world.waitUntilAllReady());
   CHECK(checkWhole(world, 0, "before", Items, 6) == read);
-  REQUIRE(world.finishes(0, "after", Items));
+  REQUIRE(world.waitForResults(0, "after", Items));
   checkWhole(world, 0, "after", Items, 20);
 }
 
@@ -246,8 +249,8 @@
   REQUIRE(world.waitUntilAllReady());
   world.runOnPlatformThread([&] {
     for (std::size_t i = 0; i < 2; ++i) {
-      world.engine(i).Length = 60;
-      world.engine(i).Pace = Millis(10);
+      world.engine(i).MinEvents = 60;
+      world.engine(i).EventDelay = Millis(10);
     }
   });
   REQUIRE(world.submit(0, "job", Items) == Accepted);
@@ -268,7 +271,7 @@
   REQUIRE(end.has_value());
   CHECK(end->Code == 0);
   std::size_t other = 1 - holder;
-  REQUIRE(world.finishes(other, "job", Items));
+  REQUIRE(world.waitForResults(other, "job", Items));
   checkWhole(world, other, "job", Items, 60);
 }
 
@@ -277,9 +280,9 @@
   PlatformFixture world(2);
   REQUIRE(world.waitUntilAllReady());
   REQUIRE(world.submit(0, "known", 2) == Accepted);
-  REQUIRE(world.finishes(1, "known", 2));
+  REQUIRE(world.waitForResults(1, "known", 2));
   for (StoreBehavior mood :
-       {StoreBehavior::Busy, StoreBehavior::Silent, StoreBehavior::Reset,
+       {StoreBehavior::Busy, StoreBehavior::Unresponsive, StoreBehavior::Reset,
         StoreBehavior::LosesAnswers}) {
     world.runOnPlatformThread([&] { world.store().setBehavior(mood); });
     std::string job = "job-" + std::to_string(static_cast<int>(mood));
@@ -311,7 +314,8 @@
   world.configure(2);
   auto served = [&](std::size_t Edge, const std::string &Path) {
     return harness::waitUntil(
-        [&] { return world.ask(Edge, Path, "r").Status == Ok; }, Patience);
+        [&] { return world.postRequest(Edge, Path, "r").Status == Ok; },
+        Patience);
   };
   for (std::size_t i = 0; i < 2; ++i)
     CHECK(served(i, "/desk-2/"));
@@ -321,8 +325,8 @@
   world.configure(4);
   for (std::size_t i = 0; i < 2; ++i) {
     CHECK(served(i, "/desk-4/"));
-    CHECK(world.ask(i, "/desk-1/", "r").Status == 404);
-    CHECK(world.ask(i, "/desk-2/", "r").Status == 404);
+    CHECK(world.postRequest(i, "/desk-1/", "r").Status == 404);
+    CHECK(world.postRequest(i, "/desk-2/", "r").Status == 404);
   }
 }
 
@@ -331,7 +335,7 @@
   REQUIRE(world.waitUntilAllReady());
   world.runOnPlatformThread([&] {
     world.store().write("keyed.servers", "i-desk-1",
-                        world.desk(0).registration("desk", true));
+                        world.plainServer(0).registration("desk", true));
     world.store().write("keyed.servers", "i-engine-1", std::nullopt);
   });
   auto noted = [&] {
@@ -344,15 +348,15 @@
   // outage; it is kept for a moment.
   harness::waitUntil([] { return false; }, Millis(2500));
   world.runOnPlatformThread([&] {
-    world.desk(0).Runs.clear();
+    world.plainServer(0).Runs.clear();
     world.engine(0).Runs.clear();
   });
   for (int i = 0; i < 10; ++i)
-    CHECK(world.ask(0, "/desk/", "r" + std::to_string(i)).Status == Ok);
+    CHECK(world.postRequest(0, "/desk/", "r" + std::to_string(i)).Status == Ok);
   REQUIRE(world.submit(0, "job", 4) == Accepted);
-  REQUIRE(world.finishes(0, "job", 4));
+  REQUIRE(world.waitForResults(0, "job", 4));
   CHECK(world.runOnPlatformThread<std::size_t>([&] {
-    return world.desk(0).Runs.size() + world.engine(0).Runs.size();
+    return world.plainServer(0).Runs.size() + world.engine(0).Runs.size();
   }) == 0);
 }
 
@@ -360,14 +364,17 @@
   PlatformFixture world(1);
   REQUIRE(world.waitUntilAllReady());
   world.runOnPlatformThread([&] {
-    world.desk(0).Pace = Millis(600);
-    world.desk(1).Pace = Millis(600);
+    world.plainServer(0).EventDelay = Millis(600);
+    world.plainServer(1).EventDelay = Millis(600);
+  });
+  std::future<http::Response> answer = std::async(std::launch::async, [&] {
+    return world.postRequest(0, "/desk/", "slow");
   });
-  std::future<http::Response> answer = std::async(
-      std::launch::async, [&] { return world.ask(0, "/desk/", "slow"); });
   auto running = [&] {
     return world.runOnPlatformThread<bool>([&] {
-      return world.desk(0).Runs.size() + world.desk(1).Runs.size() == 1;
+      return world.plainServer(0).Runs.size() +
+                 world.plainServer(1).Runs.size() ==
+             1;
     });
   };
   REQUIRE(harness::waitUntil(running, Patience));
@@ -438,14 +445,14 @@
   REQUIRE(world.waitUntilAllReady());
   world.runOnPlatformThread([&] {
     for (std::size_t i = 0; i < world.servers(); ++i)
-      world.server(i).Pace = Millis(300);
+      world.server(i).EventDelay = Millis(300);
   });
   constexpr Millis UsersBound{500};
   std::string plain = "POST /desk/x HTTP/1.1\r\nHost: host.example\r\n"
                       "Wasabisail-Request-Id: p\r\nContent-Length: 0\r\n\r\n";
   world.runOnPlatformThread([&] {
-    world.desk(0).Pace = Millis(5000);
-    world.desk(1).Pace = Millis(5000);
+    world.plainServer(0).EventDelay = Millis(5000);
+    world.plainServer(1).EventDelay = Millis(5000);
   });
   world.sendRaw(0, plain, Millis(200));
   CHECK(harness::waitUntil([&] { return running(world) == 0; }, UsersBound));
@@ -467,8 +474,8 @@
   CHECK(got.find("answer to c") != std::string::npos);
   std::vector<ServerCall> runs =
       world.runOnPlatformThread<std::vector<ServerCall>>([&] {
-        return world.desk(0).Runs.empty() ? world.desk(1).Runs
-                                          : world.desk(0).Runs;
+        return world.plainServer(0).Runs.empty() ? world.plainServer(1).Runs
+                                                 : world.plainServer(0).Runs;
       });
   REQUIRE(runs.size() == 1);
   CHECK(runs[0].Body == "first second");
@@ -479,11 +486,12 @@
   REQUIRE(world.waitUntilAllReady());
   for (const char *text : {"", "{", R"({"node_name":3})"}) {
     world.runOnPlatformThread([&] {
-      world.desk(0).Pace = Millis(150);
-      world.desk(1).Pace = Millis(150);
+      world.plainServer(0).EventDelay = Millis(150);
+      world.plainServer(1).EventDelay = Millis(150);
+    });
+    std::future<http::Response> answer = std::async(std::launch::async, [&] {
+      return world.postRequest(0, "/desk/", "h");
     });
-    std::future<http::Response> answer = std::async(
-        std::launch::async, [&] { return world.ask(0, "/desk/", "h"); });
     world.overwriteSettingsFile("edge-0", text);
     world.edge(0).Running->signal(SIGHUP);
     CHECK(answer.get().Status == Ok);
--- a/IntegrationTests/Cases/SoakTest.cpp
+++ b/IntegrationTests/Cases/SoakTest.cpp
@@ -60,7 +60,7 @@
 /// Whether the judge finds exactly one fault, and one that says so.
 bool finds(const SoakObservations &Seen, const SoakGroundTruth &Truth,
            const std::string &What) {
-  std::vector<std::string> faults = judge(Seen, Truth);
+  std::vector<std::string> faults = findViolations(Seen, Truth);
   for (const std::string &it : faults)
     UNSCOPED_INFO(it);
   return faults.size() == 1 && faults[0].find(What) != std::string::npos;
@@ -87,8 +87,8 @@
 TEST_CASE("Soak judge: a request that says it has not run, and has", "[soak]") {
   SoakObservations seen;
   SoakGroundTruth truth;
-  seen.Asks = {asked(ClientRequestKind::Once, 0, 10, 503)};
-  CHECK(judge(seen, truth).empty());
+  seen.Requests = {asked(ClientRequestKind::Once, 0, 10, 503)};
+  CHECK(findViolations(seen, truth).empty());
   truth.PlainRuns = {runAt(5, "r")};
   CHECK(finds(seen, truth, "was answered 503 and has run"));
 }
@@ -96,11 +96,11 @@
 TEST_CASE("Soak judge: what may run once and ran twice", "[soak]") {
   SoakObservations seen;
   SoakGroundTruth truth;
-  seen.Asks = {asked(ClientRequestKind::Once, 0, 10, 200)};
+  seen.Requests = {asked(ClientRequestKind::Once, 0, 10, 200)};
   truth.PlainRuns = {runAt(5, "r"), runAt(7, "r")};
   CHECK(finds(seen, truth, "ran 2 times"));
-  seen.Asks[0].Kind = ClientRequestKind::Repeatable;
-  CHECK(judge(seen, truth).empty());
+  seen.Requests[0].Kind = ClientRequestKind::Repeatable;
+  CHECK(findViolations(seen, truth).empty());
   truth.PlainRuns.insert(truth.PlainRuns.end(), 2, runAt(8, "r"));
   CHECK(finds(seen, truth, "sent to 4 servers"));
 }
@@ -109,10 +109,10 @@
           "[soak]") {
   SoakObservations seen;
   SoakGroundTruth truth;
-  seen.Asks = {asked(ClientRequestKind::Repeatable, 0, 10, 200)};
-  seen.Asks[0].Wrong = "body: other";
+  seen.Requests = {asked(ClientRequestKind::Repeatable, 0, 10, 200)};
+  seen.Requests[0].Error = "body: other";
   CHECK(finds(seen, truth, "wrong answer"));
-  seen.Asks[0].Wrong.clear();
+  seen.Requests[0].Error.clear();
   truth.EngineRuns = {runAt(5, "stranger")};
   CHECK(finds(seen, truth, "nobody asked for stranger"));
 }
@@ -122,28 +122,28 @@
   SoakGroundTruth truth;
   seen.Jobs = {endedJob()};
   truth.EngineRuns = {runAt(4300, "i")};
-  CHECK(judge(seen, truth).empty());
+  CHECK(findViolations(seen, truth).empty());
   truth.EngineRuns = {runAt(4500, "i")};
   CHECK(finds(seen, truth, "after its job had ended"));
   // Under a fault the time does not count.
   truth.Faults = {{SoakFault::StoreBusy, at(4400), at(4450)}};
-  CHECK(judge(seen, truth).empty());
+  CHECK(findViolations(seen, truth).empty());
   seen.Jobs[0].Accepted = false;
   seen.Jobs[0].EndAccepted = false;
   CHECK(finds(seen, truth, "its job was refused"));
   seen.Jobs[0].RefusalsGuaranteed = false;
-  CHECK(judge(seen, truth).empty());
-  seen.Jobs[0].Wrong = {"position 1 changed"};
+  CHECK(findViolations(seen, truth).empty());
+  seen.Jobs[0].Errors = {"position 1 changed"};
   CHECK(finds(seen, truth, "position 1 changed"));
 }
 
 TEST_CASE("Soak judge: work that reaches a leaving server", "[soak]") {
   SoakObservations seen;
   SoakGroundTruth truth;
-  seen.Asks = {asked(ClientRequestKind::Repeatable, 0, 5000, 200)};
+  seen.Requests = {asked(ClientRequestKind::Repeatable, 0, 5000, 200)};
   truth.Drains = {{"leaving", at(0)}};
   truth.PlainRuns = {runAt(2300, "r", "leaving")};
-  CHECK(judge(seen, truth).empty());
+  CHECK(findViolations(seen, truth).empty());
   truth.PlainRuns = {runAt(2500, "r", "leaving")};
   CHECK(finds(seen, truth, "reached the leaving"));
 }
@@ -152,17 +152,17 @@
   SoakObservations seen;
   SoakGroundTruth truth;
   truth.Stops = {{0, 0, at(100)}};
-  seen.Asks = {asked(ClientRequestKind::Repeatable, 50, 150, 0)};
+  seen.Requests = {asked(ClientRequestKind::Repeatable, 50, 150, 0)};
   // A request that crossed the close and reached nobody is sent again.
-  CHECK(judge(seen, truth).empty());
-  seen.Asks[0].Done = at(400);
+  CHECK(findViolations(seen, truth).empty());
+  seen.Requests[0].Done = at(400);
   CHECK(finds(seen, truth, "cut off by a planned stop"));
   truth.Faults = {{SoakFault::KillEdge, at(0), at(10)}};
-  CHECK(judge(seen, truth).empty());
+  CHECK(findViolations(seen, truth).empty());
   truth.Faults = {{SoakFault::Configure, at(0), at(10)}};
   CHECK(finds(seen, truth, "cut off by a planned stop"));
   truth.UnstoppedEdges = {0};
-  seen.Asks.clear();
+  seen.Requests.clear();
   CHECK(finds(seen, truth, "did not stop"));
 }
 
@@ -170,18 +170,18 @@
           "[soak]") {
   SoakObservations seen;
   SoakGroundTruth truth;
-  seen.Asks = {probed(2, 0, 200), probed(1, 100, 200)};
-  CHECK(judge(seen, truth).empty());
-  seen.Asks[1].Sent = at(400);
+  seen.Requests = {probed(2, 0, 200), probed(1, 100, 200)};
+  CHECK(findViolations(seen, truth).empty());
+  seen.Requests[1].Sent = at(400);
   CHECK(finds(seen, truth, "went back"));
-  seen.Asks[1].Life = 1;
-  CHECK(judge(seen, truth).empty());
+  seen.Requests[1].Life = 1;
+  CHECK(findViolations(seen, truth).empty());
   truth.Publications = {{2, at(0)}};
-  seen.Asks = {probed(2, 2300, 404), probed(1, 2300, 200)};
-  CHECK(judge(seen, truth).empty());
-  seen.Asks = {probed(2, 2500, 404)};
+  seen.Requests = {probed(2, 2300, 404), probed(1, 2300, 200)};
+  CHECK(findViolations(seen, truth).empty());
+  seen.Requests = {probed(2, 2500, 404)};
   CHECK(finds(seen, truth, "not in force"));
-  seen.Asks = {probed(1, 2500, 200)};
+  seen.Requests = {probed(1, 2500, 200)};
   CHECK(finds(seen, truth, "not in force"));
 }
 
@@ -192,7 +192,7 @@
   order.Holder = "side-0";
   order.Token = 5;
   truth.Orders = {{order, order}};
-  CHECK(judge({}, truth).empty());
+  CHECK(findViolations({}, truth).empty());
   truth.Orders[0][1].Token = 4;
   CHECK(finds({}, truth, "older fencing token"));
   truth.Orders[0][1] = order;
@@ -219,7 +219,7 @@
     CHECK(plan == makeSoakPlan(seed, Length));
     CHECK_FALSE(plan == makeSoakPlan(seed + 3, Length));
     for (const ScheduledFault &it : plan)
-      CHECK(it.At + it.For <= Length);
+      CHECK(it.At + it.Duration <= Length);
     // Each third plan has planned work only.
     bool planned =
         std::all_of(plan.begin(), plan.end(), [](const ScheduledFault &It) {
@@ -236,19 +236,19 @@
     ClientRequestRecord ask =
         asked(ClientRequestKind::Crashing, Ms - 1, Ms + 1, 502);
     ask.Id += std::to_string(Ms);
-    seen.Asks.push_back(ask);
+    seen.Requests.push_back(ask);
     ServerCall run = runAt(Ms, ask.Id);
     run.Path = std::string(CrashPathPrefix) + "0";
     truth.PlainRuns.push_back(run);
   };
   for (int ms : {0, 10, 20, 30, 40, 50, 5000, 5010, 5020})
     endAt(ms);
-  CHECK(judge(seen, truth).empty());
+  CHECK(findViolations(seen, truth).empty());
   endAt(5030);
   CHECK(finds(seen, truth, "4 of them long after it was known"));
   // A process that was ill just before need not have known.
   truth.Faults = {{SoakFault::KillEdge, at(4000), at(4500)}};
-  CHECK(judge(seen, truth).empty());
+  CHECK(findViolations(seen, truth).empty());
 }
 
 namespace {
@@ -259,8 +259,8 @@
   SoakGroundTruth Truth;
 
   CustomerCase() {
-    Seen.Asks = {asked(ClientRequestKind::Repeatable, 10000, 10010, 200)};
-    Seen.Asks[0].Customer = "customer-0";
+    Seen.Requests = {asked(ClientRequestKind::Repeatable, 10000, 10010, 200)};
+    Seen.Requests[0].Customer = "customer-0";
     ServerCall run = runAt(10005, "r");
     run.Customer = "customer-0";
     Truth.PlainRuns = {run};
@@ -305,7 +305,7 @@
 TEST_CASE("Soak judge: a key that is taken away, and one that is good",
           "[soak]") {
   CustomerCase it;
-  it.Seen.Asks[0].UsesRevocableKey = true;
+  it.Seen.Requests[0].UsesRevocableKey = true;
   it.Truth.KeyChanges = {{0, true, at(7000)}};
   CHECK(it.finds("for a key that is taken away"));
   it.Truth.Faults = {{SoakFault::StoreBusy, at(6000), at(8000)}};
@@ -316,9 +316,9 @@
   it.Truth.KeyChanges = {{0, true, at(9000)}};
   CHECK(findCustomerViolations(it.Seen, it.Truth, {}).empty());
   CustomerCase denied;
-  denied.Seen.Asks.push_back(
+  denied.Seen.Requests.push_back(
       asked(ClientRequestKind::Repeatable, 100, 110, 401));
-  denied.Seen.Asks[1].Id = "r2";
+  denied.Seen.Requests[1].Id = "r2";
   CHECK(denied.finds("denied though its key is good"));
 }
 
--- a/IntegrationTests/Cases/UsageTest.cpp
+++ b/IntegrationTests/Cases/UsageTest.cpp
@@ -62,7 +62,8 @@
               std::size_t Edge) {
   World.setCustomerKey(Key);
   for (std::size_t i = 0; i < Times; ++i)
-    CHECK(World.ask(Edge, "/desk/x", Key + std::to_string(i)).Status == Ok);
+    CHECK(World.postRequest(Edge, "/desk/x", Key + std::to_string(i)).Status ==
+          Ok);
 }
 
 void restart(PlatformFixture &World, std::size_t Edge) {
@@ -78,19 +79,19 @@
   askTimes(*world, "key-a", 5, 0);
   askTimes(*world, "key-a", 2, 1);
   askTimes(*world, "key-b", 3, 1);
-  CHECK(world->ask(0, "/stream/s", "s1").Status == Ok);
+  CHECK(world->postRequest(0, "/stream/s", "s1").Status == Ok);
   // Public requests, batch items and their scoring calls count for nobody.
   world->setCustomerKey("");
-  CHECK(world->ask(0, "/open/x", "o1").Status == Ok);
+  CHECK(world->postRequest(0, "/open/x", "o1").Status == Ok);
   world->setCustomerKey("key-a");
   CHECK(world->submit(0, "job", 2) == 202);
-  CHECK(world->finishes(0, "job", 2));
+  CHECK(world->waitForResults(0, "job", 2));
   // Nor what no server began to run.
   world->runOnPlatformThread([&] {
-    world->desk(0).Full = true;
-    world->desk(1).Full = true;
+    world->plainServer(0).RefusesAsFull = true;
+    world->plainServer(1).RefusesAsFull = true;
   });
-  CHECK(world->ask(0, "/desk/x", "full").Status == 503);
+  CHECK(world->postRequest(0, "/desk/x", "full").Status == 503);
   CHECK(reported(*world, {{"anna", 7}, {"bert", 4}}));
   std::this_thread::sleep_for(Millis(2500));
   CHECK(sumReportedUsage(calls(*world)) == Sums{{"anna", 7}, {"bert", 4}});
@@ -189,7 +190,7 @@
   std::uint64_t asked = 0;
   for (ReportBehavior mood :
        {ReportBehavior::Busy, ReportBehavior::LosesAnswers,
-        ReportBehavior::Silent}) {
+        ReportBehavior::Unresponsive}) {
     world->runOnPlatformThread([&] { world->reports().setBehavior(mood); });
     askTimes(*world, "key-a", 2, 0);
     asked += 2;
--- a/IntegrationTests/Chaos/CallerRecord.h
+++ b/IntegrationTests/Chaos/CallerRecord.h
@@ -22,7 +22,7 @@
 };
 
 /// How an ask ended for its caller.
-enum class Seen : std::uint8_t {
+enum class CallOutcome : std::uint8_t {
   /// A whole answer, and the right one.
   Whole,
   /// A whole answer that is not its own request's.
--- a/IntegrationTests/Chaos/Recovery.cpp
+++ b/IntegrationTests/Chaos/Recovery.cpp
@@ -79,7 +79,7 @@
       return it->Instance + " has no answer of " + of.Plan.EngineService;
   }
   const Outcome<boost::json::value> truth = of.Trainer->truth();
-  if (!truth || readTrainer(*truth).StepsComplete <= wholeSteps)
+  if (!truth || parseTrainerTruth(*truth).StepsComplete <= wholeSteps)
     return "the trainer's step is not whole";
   return {};
 }
@@ -91,7 +91,8 @@
   // The step that is open now may have been whole but for a moment: one more
   // must follow.
   const Outcome<boost::json::value> truth = Of.Trainer->truth();
-  const std::uint64_t before = truth ? readTrainer(*truth).StepsComplete : 0;
+  const std::uint64_t before =
+      truth ? parseTrainerTruth(*truth).StepsComplete : 0;
   const bool recovered = harness::waitUntil(
       [&] {
         Missing = missingOf(Of, before);
--- a/IntegrationTests/Chaos/Run.cpp
+++ b/IntegrationTests/Chaos/Run.cpp
@@ -28,8 +28,8 @@
   const auto take = [&](const harness::StandIn &from, const std::string &name) {
     const Outcome<boost::json::value> truth = from.truth();
     if (!truth) {
-      sum.Faults.push_back("no truth of " + name + ": " +
-                           describe(truth.failure()));
+      sum.Violations.push_back("no truth of " + name + ": " +
+                               describe(truth.failure()));
       return;
     }
     const std::vector<UpstreamRun> found = parseUpstreamRuns(*truth, name);
@@ -50,17 +50,17 @@
                       truth->as_object().contains("connections") &&
                       truth->at("connections").to_number<std::uint64_t>() > 0;
     if (!used)
-      sum.Faults.push_back("nothing went through the link at " +
-                           toText(it->address()));
+      sum.Violations.push_back("nothing went through the link at " +
+                               toText(it->address()));
   }
 }
 
 void gatherTrainer(Cluster &of, Tally &sum) {
   const Outcome<boost::json::value> truth = of.Trainer->truth();
   if (truth)
-    checkTrainerTruth(sum, readTrainer(*truth));
+    checkTrainerTruth(sum, parseTrainerTruth(*truth));
   else
-    sum.Faults.push_back("no truth of the trainer");
+    sum.Violations.push_back("no truth of the trainer");
 }
 
 /// What an operator was told is what is in force in the end: the limit has the
@@ -87,8 +87,8 @@
         history.Output.find(offset + " accepted") != std::string::npos)
       continue;
     ++sum.ConfigReverts;
-    sum.Faults.push_back("an accepted change is not in the history: " +
-                         it.Output);
+    sum.Violations.push_back("an accepted change is not in the history: " +
+                             it.Output);
   }
 }
 
@@ -100,7 +100,7 @@
   if (!broken)
     return;
   ++sum.ConfigReverts;
-  sum.Faults.push_back(replay::describeViolation(trace, *broken));
+  sum.Violations.push_back(replay::describeViolation(trace, *broken));
 }
 
 /// The other rules say where to look; the stand-ins' records decide.
@@ -152,10 +152,10 @@
 }
 
 void printFaults(const Tally &sum) {
-  for (std::size_t n = 0; n < sum.Faults.size() && n < MaxPrinted; ++n)
-    std::cout << "wrong: " << sum.Faults[n] << "\n";
-  if (sum.Faults.size() > MaxPrinted)
-    std::cout << "wrong: " << sum.Faults.size() - MaxPrinted << " more\n";
+  for (std::size_t n = 0; n < sum.Violations.size() && n < MaxPrinted; ++n)
+    std::cout << "wrong: " << sum.Violations[n] << "\n";
+  if (sum.Violations.size() > MaxPrinted)
+    std::cout << "wrong: " << sum.Violations.size() - MaxPrinted << " more\n";
 }
 
 } // namespace
@@ -201,18 +201,18 @@
   judgeOperators(sum, cluster, injector.acts());
   judgeLinks(sum, cluster);
   for (const std::string &it : injector.problems())
-    sum.Faults.push_back(it);
+    sum.Violations.push_back(it);
   if (!recovered)
-    sum.Faults.push_back("no recovery: " + missing);
+    sum.Violations.push_back("no recovery: " + missing);
   else if (*recovered > MaxRecoveryTime)
-    sum.Faults.push_back("recovery took too long");
+    sum.Violations.push_back("recovery took too long");
   const replay::Trace trace = replay::makeTrace(observer.finish());
   injector.stopAll();
   gatherTrainer(cluster, sum);
   judgeTimeline(sum, trace);
 
   printFaults(sum);
-  const bool held = holds(sum);
+  const bool held = hasNoViolations(sum);
   printTimelineHints(trace);
   if (!held || Keep) {
     writeTrace(folder->file("timeline.jsonl"), trace);
--- a/IntegrationTests/Chaos/Tally.cpp
+++ b/IntegrationTests/Chaos/Tally.cpp
@@ -31,7 +31,7 @@
     break;
   case Seen::Wrong:
     ++sum.WrongAnswers;
-    sum.Faults.push_back("wrong answer: " + describe(what));
+    sum.Violations.push_back("wrong answer: " + describe(what));
     break;
   case Seen::NotRun:
     ++sum.NotRun;
@@ -55,8 +55,9 @@
       if (!isLast && run->Started > it->Ended)
         continue;
       ++sum.FalseNotRun;
-      sum.Faults.push_back("false not-run: " + describe(*it) + " ran on " +
-                           run->Server + " at " + std::to_string(run->Started));
+      sum.Violations.push_back("false not-run: " + describe(*it) + " ran on " +
+                               run->Server + " at " +
+                               std::to_string(run->Started));
       return;
     }
   }
@@ -80,8 +81,9 @@
     if (isIdempotent(sent.front()->Kind) || found->second.size() < 2)
       continue;
     ++Sum.DoubleRuns;
-    Sum.Faults.push_back("double run: " + describe(*sent.front()) + " ran " +
-                         std::to_string(found->second.size()) + " times");
+    Sum.Violations.push_back("double run: " + describe(*sent.front()) +
+                             " ran " + std::to_string(found->second.size()) +
+                             " times");
   }
 }
 
@@ -96,7 +98,7 @@
       if (!stop.WithoutOtherFaults || !isCut)
         continue;
       ++Sum.InterruptedByPlannedStop;
-      Sum.Faults.push_back("cut by a planned stop: " + describe(it));
+      Sum.Violations.push_back("cut by a planned stop: " + describe(it));
     }
     for (const UpstreamRun &it : Runs) {
       const bool isMine = std::find(stop.Servers.begin(), stop.Servers.end(),
@@ -105,12 +107,13 @@
           it.Started >= stop.Ended)
         continue;
       ++Sum.RunsAfterDrain;
-      Sum.Faults.push_back("work to a leaving upstream: " + it.Mark + " on " +
-                           it.Server + " at " + std::to_string(it.Started));
+      Sum.Violations.push_back("work to a leaving upstream: " + it.Mark +
+                               " on " + it.Server + " at " +
+                               std::to_string(it.Started));
     }
     if (stop.WithoutOtherFaults && !stop.ExitedCleanly)
-      Sum.Faults.push_back("a planned stop did not end in order, at " +
-                           std::to_string(stop.SignalMicros));
+      Sum.Violations.push_back("a planned stop did not end in order, at " +
+                               std::to_string(stop.SignalMicros));
   }
 }
 
@@ -124,12 +127,12 @@
     Sum.Missing += Truth.StepsOpened - Truth.StepsComplete - 1;
 }
 
-bool holds(const Tally &Sum) {
+bool hasNoViolations(const Tally &Sum) {
   const std::uint64_t wrong =
       Sum.FalseNotRun + Sum.DoubleRuns + Sum.WrongAnswers +
       Sum.InterruptedByPlannedStop + Sum.Duplicates + Sum.Missing +
       Sum.Mislabelled + Sum.Stale + Sum.ConfigReverts + Sum.RunsAfterDrain;
-  return wrong == 0 && Sum.Faults.empty();
+  return wrong == 0 && Sum.Violations.empty();
 }
 
 std::string describe(const Tally &Sum) {
--- a/IntegrationTests/Chaos/Tally.h
+++ b/IntegrationTests/Chaos/Tally.h
@@ -43,7 +43,7 @@
   std::uint64_t ConfigReverts = 0;
   std::uint64_t RunsAfterDrain = 0;
   /// One line for each thing that is wrong, for a person.
-  std::vector<std::string> Faults;
+  std::vector<std::string> Violations;
 };
 
 /// How long after the signal an instance may still be given work.
@@ -60,7 +60,7 @@
 void checkTrainerTruth(Tally &Sum, const TrainerTruth &Truth);
 
 /// Whether all promises hold.
-bool holds(const Tally &Sum);
+bool hasNoViolations(const Tally &Sum);
 
 /// The counts, from `requests=` to `late_to_leaving=`.
 std::string describe(const Tally &Sum);
--- a/IntegrationTests/Chaos/Truth.cpp
+++ b/IntegrationTests/Chaos/Truth.cpp
@@ -44,7 +44,7 @@
   return runs;
 }
 
-TrainerTruth readTrainer(const json::value &Truth) {
+TrainerTruth parseTrainerTruth(const json::value &Truth) {
   TrainerTruth truth;
   truth.Samples = arrayAt(Truth, "deliveries").size();
   truth.Duplicates = countAt(Truth, "duplicates");
--- a/IntegrationTests/Chaos/Truth.h
+++ b/IntegrationTests/Chaos/Truth.h
@@ -36,7 +36,7 @@
                                            const std::string &Server);
 
 /// A trainer's record. Pure.
-TrainerTruth readTrainer(const boost::json::value &Truth);
+TrainerTruth parseTrainerTruth(const boost::json::value &Truth);
 
 } // namespace wasabi::chaos
 
--- a/IntegrationTests/Demo/Demo.cpp
+++ b/IntegrationTests/Demo/Demo.cpp
@@ -115,8 +115,8 @@
   bool delivered =
       Report.Samples > 0 && Report.Trainer.Samples == Report.Samples;
   bool spread = Report.InForce <= InForceLimit;
-  return answered && delivered && spread && chaos::holds(Report.Callers) &&
-         Report.Faults.empty();
+  return answered && delivered && spread &&
+         chaos::hasNoViolations(Report.Callers) && Report.Faults.empty();
 }
 
 std::string describe(const DemoReport &Report) {
@@ -193,7 +193,7 @@
 chaos::TrainerTruth Demo::trainerTruth() const {
   Outcome<boost::json::value> truth =
       Running->trainers().begin()->second->truth();
-  return truth ? chaos::readTrainer(*truth) : chaos::TrainerTruth{};
+  return truth ? chaos::parseTrainerTruth(*truth) : chaos::TrainerTruth{};
 }
 
 void Demo::publish() {
@@ -324,7 +324,7 @@
   checkRequests();
   sayRefusals(Records);
   Report.Samples = Setup.Steps * Setup.Groups * Setup.GroupSize;
-  for (const std::string &it : Report.Callers.Faults)
+  for (const std::string &it : Report.Callers.Violations)
     say("FAULT: " + it);
 }
 
--- a/IntegrationTests/Platform/PlatformFixture.cpp
+++ b/IntegrationTests/Platform/PlatformFixture.cpp
@@ -70,8 +70,8 @@
   Edges.resize(Size.Edges);
   for (EdgeProcess &it : Edges) {
     it.Listens = harness::freePort().value();
-    it.Callers = it.Listens;
-    it.Readiness = harness::freePort().value();
+    it.CallerAddress = it.Listens;
+    it.ReadinessAddress = harness::freePort().value();
   }
   if (Size.UsesFaultProxies)
     makeLinks();
@@ -109,7 +109,7 @@
   }
   for (EdgeProcess &it : Edges) {
     CallerLinks.push_back(makeLink(it.Listens));
-    it.Callers = CallerLinks.back()->address();
+    it.CallerAddress = CallerLinks.back()->address();
   }
   for (std::size_t i = 0; i < Size.Edges + Size.Engines; ++i)
     StoreLinks.push_back(makeLink(Store->address()));
@@ -120,7 +120,7 @@
 void PlatformFixture::setFaults(const Proxy &Of,
                                 const boost::json::object &Changes) {
   runOnPlatformThread([&] {
-    Of->Told.merge(Changes);
+    Of->InjectedFaults.merge(Changes);
     Of->onFaultsChanged();
   });
 }
@@ -149,7 +149,7 @@
   });
 }
 
-int PlatformFixture::ends() {
+int PlatformFixture::crashCount() {
   return runOnPlatformThread<int>([&] {
     int sum = 0;
     for (std::size_t i = 0; i < servers(); ++i)
@@ -163,7 +163,7 @@
       [this] {
         int returned =
             runOnPlatformThread<int>([&] { return RestartedServers; });
-        return returned == ends();
+        return returned == crashCount();
       },
       Patience);
 }
@@ -222,7 +222,7 @@
   EdgeProcess &edge = Edges[Index];
   std::string listen =
       fmt::format(R"("listen":{{"front":"{}","ready_addr":"{}"}},)",
-                  toText(edge.Listens), toText(edge.Readiness));
+                  toText(edge.Listens), toText(edge.ReadinessAddress));
   harness::Process::Settings setup;
   setup.Program = "wasabi-edge";
   setup.Arguments = {"--metrics_port=0", "--drain_notice_ms=300"};
@@ -283,7 +283,7 @@
 
 bool PlatformFixture::ready(std::size_t Index) {
   Outcome<http::Response> got = harness::call(
-      Edges[Index].Readiness, request("GET", "/api/readiness", ""));
+      Edges[Index].ReadinessAddress, request("GET", "/api/readiness", ""));
   return got && got->Status == Ok;
 }
 
@@ -301,14 +301,15 @@
 
 http::Response PlatformFixture::send(std::size_t Edge, http::Request Ask) {
   Outcome<http::Response> got =
-      harness::call(Edges[Edge].Callers, std::move(Ask));
+      harness::call(Edges[Edge].CallerAddress, std::move(Ask));
   if (got)
     return *got;
   return http::Response{0, {}, describe(got.failure())};
 }
 
-http::Response PlatformFixture::ask(std::size_t Edge, const std::string &Path,
-                                    const std::string &Id) {
+http::Response PlatformFixture::postRequest(std::size_t Edge,
+                                            const std::string &Path,
+                                            const std::string &Id) {
   return sendWithBody(Edge, Path, Id, "body of " + Id);
 }
 
@@ -329,7 +330,7 @@
   boost::asio::io_context context;
   Tcp::socket socket(context);
   socket.connect(Tcp::endpoint(boost::asio::ip::address_v4::loopback(),
-                               Edges[Edge].Callers.Port));
+                               Edges[Edge].CallerAddress.Port));
   boost::asio::write(socket, boost::asio::buffer(Bytes));
   std::string got;
   bool ended = false;
@@ -385,21 +386,21 @@
   http::Request ask = request("POST", "/rollout/" + Job, Job);
   ask.Body = makeJobBody(Job, names, MinVersion);
   Outcome<http::Response> got =
-      harness::call(Edges[Edge].Callers, std::move(ask));
+      harness::call(Edges[Edge].CallerAddress, std::move(ask));
   return got ? got->Status : 0;
 }
 
 json::value PlatformFixture::results(std::size_t Edge, const std::string &Job,
                                      unsigned &Status) {
   Outcome<http::Response> got =
-      harness::call(Edges[Edge].Callers,
+      harness::call(Edges[Edge].CallerAddress,
                     request("GET", "/api/lots/" + Job + "?after=0", "read"));
   Status = got ? got->Status : 0;
   return Status == Ok ? json::parse(got->Body) : json::value();
 }
 
-bool PlatformFixture::finishes(std::size_t Edge, const std::string &Job,
-                               std::size_t Items) {
+bool PlatformFixture::waitForResults(std::size_t Edge, const std::string &Job,
+                                     std::size_t Items) {
   return harness::waitUntil(
       [&] {
         unsigned status = 0;
@@ -443,9 +444,9 @@
   return all;
 }
 
-unsigned PlatformFixture::end(std::size_t Edge, const std::string &Job) {
+unsigned PlatformFixture::endJob(std::size_t Edge, const std::string &Job) {
   Outcome<http::Response> got = harness::call(
-      Edges[Edge].Callers, request("DELETE", "/api/lots/" + Job, "end"));
+      Edges[Edge].CallerAddress, request("DELETE", "/api/lots/" + Job, "end"));
   return got ? got->Status : 0;
 }
 
--- a/IntegrationTests/Platform/PlatformFixture.h
+++ b/IntegrationTests/Platform/PlatformFixture.h
@@ -53,10 +53,10 @@
 /// An edge process and where it listens.
 struct EdgeProcess {
   /// Where callers reach it.
-  Address Callers;
+  Address CallerAddress;
   /// Where it listens for them; the same unless a proxy lies between.
   Address Listens;
-  Address Readiness;
+  Address ReadinessAddress;
   std::unique_ptr<harness::Process> Running;
 };
 
@@ -90,9 +90,9 @@
   PlatformStore &store() { return *Store; }
   PlatformReportEndpoint &reports() { return *Reports; }
   PlatformServer &engine(std::size_t Index) { return *Engines[Index]; }
-  PlatformServer &desk(std::size_t Index) { return *Desks[Index]; }
+  PlatformServer &plainServer(std::size_t Index) { return *Desks[Index]; }
   EdgeProcess &edge(std::size_t Index) { return Edges[Index]; }
-  harness::Process &side(std::size_t Index) { return *Sidecars[Index]; }
+  harness::Process &sidecar(std::size_t Index) { return *Sidecars[Index]; }
   std::size_t edges() const { return Edges.size(); }
   const PlatformFixtureSettings &size() const { return Size; }
   /// Engines first, then plain servers.
@@ -145,15 +145,15 @@
   void setCustomerKey(std::string Key) { CustomerKey = std::move(Key); }
   /// Sends a request as it is.
   http::Response send(std::size_t Edge, http::Request Ask);
-  http::Response ask(std::size_t Edge, const std::string &Path,
-                     const std::string &Id);
+  http::Response postRequest(std::size_t Edge, const std::string &Path,
+                             const std::string &Id);
   /// The same with a body that does not tell one attempt from another.
   http::Response sendWithBody(std::size_t Edge, const std::string &Path,
                               const std::string &Id, const std::string &Body);
   /// Lets all servers end that begin to run what has `Text` in it.
   void setCrashMarker(const std::string &Text);
   /// How many servers have ended so.
-  int ends();
+  int crashCount();
   /// Waits until no server is down.
   bool waitForRestarts();
   /// Sends bytes as they are and gives all that comes until the connection
@@ -167,8 +167,9 @@
   boost::json::value results(std::size_t Edge, const std::string &Job,
                              unsigned &Status);
   /// Waits until a job's results are whole at an edge process.
-  bool finishes(std::size_t Edge, const std::string &Job, std::size_t Items);
-  unsigned end(std::size_t Edge, const std::string &Job);
+  bool waitForResults(std::size_t Edge, const std::string &Job,
+                      std::size_t Items);
+  unsigned endJob(std::size_t Edge, const std::string &Job);
   /// The status of asking for the body of an item.
   unsigned getItemBodyStatus(std::size_t Edge, const std::string &Job,
                              const std::string &Item);
--- a/IntegrationTests/Platform/PlatformReportEndpoint.cpp
+++ b/IntegrationTests/Platform/PlatformReportEndpoint.cpp
@@ -82,7 +82,7 @@
                           Behavior == ReportBehavior::LosesAnswers);
   Greatest = std::max(Greatest, call.Token);
   Calls.push_back(call);
-  if (Behavior == ReportBehavior::Silent) {
+  if (Behavior == ReportBehavior::Unresponsive) {
     co_await pauseFor(Context.get_executor(), VeryLong);
     co_return;
   }
--- a/IntegrationTests/Platform/PlatformReportEndpoint.h
+++ b/IntegrationTests/Platform/PlatformReportEndpoint.h
@@ -39,7 +39,7 @@
   /// Takes the call and resets the connection.
   LosesAnswers,
   /// Neither takes nor answers it.
-  Silent,
+  Unresponsive,
 };
 
 /// The address. Everything happens on the context's thread.
--- a/IntegrationTests/Platform/PlatformServers.cpp
+++ b/IntegrationTests/Platform/PlatformServers.cpp
@@ -115,9 +115,10 @@
   Loading = false;
 }
 
-std::uint64_t PlatformServer::lengthOf(const std::string &Item) const {
-  return Spread == 0 ? Length
-                     : Length + std::hash<std::string>()(Item) % Spread;
+std::uint64_t PlatformServer::eventCount(const std::string &Item) const {
+  return ExtraEvents == 0
+             ? MinEvents
+             : MinEvents + std::hash<std::string>()(Item) % ExtraEvents;
 }
 
 http::Response PlatformServer::order(const http::Request &Ask) {
@@ -173,7 +174,7 @@
     co_await Out->send(order(Ask));
     co_return;
   }
-  if (Full || (Slots > 0 && Running >= Slots)) {
+  if (RefusesAsFull || (Slots > 0 && Running >= Slots)) {
     answer.Status = Unavailable;
     answer.Headers.push_back({"Wasabisail-Not-Executed", "1"});
     answer.Headers.push_back(echo(Ask));
@@ -194,7 +195,7 @@
                            Ask.Body.find(CrashOn) != std::string::npos);
   if (crashes) {
     std::uint64_t life = Life;
-    co_await pauseFor(Context.get_executor(), Pace);
+    co_await pauseFor(Context.get_executor(), EventDelay);
     // Beside another such request it has ended meanwhile.
     if (life == Life)
       asio::co_spawn(
@@ -203,8 +204,8 @@
       Out->abort();
     co_return;
   }
-  if (Fails > 0) {
-    --Fails;
+  if (RequestsToFail > 0) {
+    --RequestsToFail;
     answer.Status = InternalError;
     answer.Headers.push_back(echo(Ask));
     answer.Headers.push_back({"Wasabisail-Server-Stamp", "stamp-" + call.Id});
@@ -218,7 +219,7 @@
     co_return;
   }
   std::uint64_t life = Life;
-  TimePoint until = monotonicNow() + Pace;
+  TimePoint until = monotonicNow() + EventDelay;
   // A server drops a request whose connection has closed.
   while (monotonicNow() < until && !Out->gone())
     co_await pauseFor(Context.get_executor(),
@@ -251,11 +252,11 @@
       {"Wasabisail-Weight-Versions", std::to_string(version)});
   co_await Out->begin(std::move(head));
   std::uint64_t life = Life;
-  std::uint64_t length = lengthOf(id);
+  std::uint64_t length = eventCount(id);
   bool breaks = StreamsToBreak > 0;
   StreamsToBreak -= breaks ? 1 : 0;
   for (std::uint64_t sent = 0; next < length && !Out->gone(); ++sent) {
-    co_await pauseFor(Context.get_executor(), Pace);
+    co_await pauseFor(Context.get_executor(), EventDelay);
     if (life != Life || (breaks && sent == 2)) {
       Out->abort();
       co_return;
--- a/IntegrationTests/Platform/PlatformServers.h
+++ b/IntegrationTests/Platform/PlatformServers.h
@@ -56,7 +56,7 @@
   /// `NewId` may be the id that it had.
   void restart(std::string NewId);
   /// Events of an item's text.
-  std::uint64_t lengthOf(const std::string &Item) const;
+  std::uint64_t eventCount(const std::string &Item) const;
   /// Its registration as the store holds it.
   std::string registration(const std::string &Service, bool Draining) const;
 
@@ -64,11 +64,12 @@
   std::uint64_t Born = wallMicros() / 1000;
   /// Weights by model.
   std::map<std::string, std::uint64_t> Models;
-  /// Events of a text: at least `Length`, and up to `Spread` more by its item.
-  std::uint64_t Length = 6;
-  std::uint64_t Spread = 0;
+  /// Events of a text: at least `MinEvents`, and up to `ExtraEvents` more by
+  /// its item.
+  std::uint64_t MinEvents = 6;
+  std::uint64_t ExtraEvents = 0;
   /// The pause before each event.
-  Millis Pace{5};
+  Millis EventDelay{5};
   /// Whether each event tells the version that made it.
   bool IncludesVersion = false;
   /// How long an order takes.
@@ -76,11 +77,11 @@
   /// Runs at once; more are refused as not run. 0 for any number.
   std::size_t Slots = 0;
   /// The next so many requests run and fail.
-  int Fails = 0;
+  int RequestsToFail = 0;
   /// The next so many runs break off after their second event.
   int StreamsToBreak = 0;
   /// Whether it answers that it is full.
-  bool Full = false;
+  bool RefusesAsFull = false;
   /// A request with this in its target or body ends the server that begins to
   /// run it; empty for none. The server is back as another incarnation after
   /// `CrashDownTime`, and refuses connections until then.
--- a/IntegrationTests/Platform/PlatformStore.cpp
+++ b/IntegrationTests/Platform/PlatformStore.cpp
@@ -98,7 +98,7 @@
 asio::awaitable<void>
 PlatformStore::handle(http::Request Ask, std::shared_ptr<http::Responder> Out) {
   constexpr Millis VeryLong{60000};
-  if (Behavior == StoreBehavior::Silent) {
+  if (Behavior == StoreBehavior::Unresponsive) {
     co_await pauseFor(Context.get_executor(), VeryLong);
     co_return;
   }
--- a/IntegrationTests/Platform/PlatformStore.h
+++ b/IntegrationTests/Platform/PlatformStore.h
@@ -23,7 +23,7 @@
   /// 503, and nothing is done.
   Busy,
   /// No answer, and nothing is done.
-  Silent,
+  Unresponsive,
   /// The connection is reset, and nothing is done.
   Reset,
   /// Done, but appends are not answered.
--- a/IntegrationTests/Soak/SoakClients.cpp
+++ b/IntegrationTests/Soak/SoakClients.cpp
@@ -172,7 +172,7 @@
       co_await ask(ClientRequestKind::Stream,
                    "/stream/" + std::to_string(Number), edge, 0);
     // A client stays with its connection until that fails it.
-    if (Record.Asks.back().Status != Ok ||
+    if (Record.Requests.back().Status != Ok ||
         MissedReadinessChecks[edge] > MissesAllowed)
       edge = pickEdge();
     co_await pauseFor(Context.get_executor(), Millis(draw(MostPauseMs)));
@@ -238,13 +238,13 @@
   if (*got) {
     record.Status = (*got)->Status;
     if (record.Status == Ok && stream)
-      record.Wrong = findTextError(dataOf((*got)->Body), record.Id,
+      record.Error = findTextError(dataOf((*got)->Body), record.Id,
                                    Setup.ExpectedEventCount(record.Id), {});
     else if (record.Status == Ok)
-      record.Wrong = findAnswerError(**got, record.Id);
+      record.Error = findAnswerError(**got, record.Id);
   } else
     record.CallerTimedOut = got->failure().Code == FailureCode::TimedOut;
-  Record.Asks.push_back(std::move(record));
+  Record.Requests.push_back(std::move(record));
 }
 
 SoakClients::Task<Outcome<http::Response>>
@@ -342,7 +342,7 @@
   Outcome<http::Response> got = co_await Client->call(
       Edges[pickEdge()].Callers, std::move(ask), Setup.Deadline + Slack);
   if (got && got->Status == Ok)
-    Record.Jobs[Job].Wrong.push_back("another customer could read it");
+    Record.Jobs[Job].Errors.push_back("another customer could read it");
 }
 
 /// Reads a page and holds it against what was read before.
@@ -360,22 +360,22 @@
   // The platform's own time for all processes to agree.
   constexpr Millis Settle{1000};
   if (got && got->Status == NotFound && sent > job.AcceptedAt + Settle)
-    job.Wrong.push_back("there is no such job, it says");
+    job.Errors.push_back("there is no such job, it says");
   if (!got || got->Status != Ok)
     co_return false;
   json::value page = json::parse(got->Body);
   if (page.at("total").to_number<std::size_t>() != job.Items.size())
-    job.Wrong.push_back("total is wrong");
+    job.Errors.push_back("total is wrong");
   std::size_t position = After;
   for (const json::value &it : page.at("results").as_array()) {
     std::string text = json::serialize(it);
     auto [seen, fresh] = job.Seen.emplace(position, text);
     if (!fresh && seen->second != text)
-      job.Wrong.push_back("position " + std::to_string(position) + " changed");
+      job.Errors.push_back("position " + std::to_string(position) + " changed");
     if (fresh) {
       std::string fault = findResultError(job, it);
       if (!fault.empty())
-        job.Wrong.push_back(fault);
+        job.Errors.push_back(fault);
     }
     ++position;
   }
--- a/IntegrationTests/Soak/SoakCustomers.cpp
+++ b/IntegrationTests/Soak/SoakCustomers.cpp
@@ -61,7 +61,7 @@
 void judgeRuns(const SoakObservations &Seen, const SoakGroundTruth &Truth,
                std::vector<std::string> &Faults) {
   std::unordered_map<std::string, std::string> owners;
-  for (const ClientRequestRecord &it : Seen.Asks)
+  for (const ClientRequestRecord &it : Seen.Requests)
     owners[it.Id] = it.Customer;
   for (const JobRecord &job : Seen.Jobs) {
     for (const std::string &item : job.Items)
@@ -97,7 +97,7 @@
 
 void judgeKeys(const SoakObservations &Seen, const SoakGroundTruth &Truth,
                const SoakBounds &Bounds, std::vector<std::string> &Faults) {
-  for (const ClientRequestRecord &it : Seen.Asks) {
+  for (const ClientRequestRecord &it : Seen.Requests) {
     if (!it.UsesRevocableKey && it.Status == Unauthorized)
       Faults.push_back(it.Id + " was denied though its key is good");
     TimePoint since = it.Sent - Bounds.Configure - Bounds.Slack;
@@ -119,7 +119,7 @@
       ++runs[it.Id];
   }
   std::map<std::string, Tally> tallies;
-  for (const ClientRequestRecord &it : Seen.Asks) {
+  for (const ClientRequestRecord &it : Seen.Requests) {
     bool ran = runs.contains(it.Id);
     bool lost =
         it.Status != Ok && it.Status != 503 && it.Status != Unauthorized;
@@ -198,11 +198,12 @@
     step.At = at;
     step.Kind = static_cast<SoakFault>(First + random() % Kinds);
     step.Target = static_cast<std::uint32_t>(random() % 1000);
-    step.For = Millis(300 + static_cast<std::int64_t>(random() % 4000));
+    step.Duration = Millis(300 + static_cast<std::int64_t>(random() % 4000));
     // Keys are taken away in series.
     std::uint64_t times =
         step.Kind == SoakFault::RevokeKey ? 1 + random() % 3 : 1;
-    for (std::uint64_t i = 0; i < times && step.At + step.For < Length; ++i) {
+    for (std::uint64_t i = 0; i < times && step.At + step.Duration < Length;
+         ++i) {
       Plan.push_back(step);
       step.At += Millis(100 + static_cast<std::int64_t>(random() % 900));
       ++step.Target;
--- a/IntegrationTests/Soak/SoakInjector.cpp
+++ b/IntegrationTests/Soak/SoakInjector.cpp
@@ -41,7 +41,7 @@
 
 void SoakInjector::begin(const ScheduledFault &Step) {
   TimePoint now = monotonicNow();
-  Done.Faults.push_back({Step.Kind, now, now + Step.For});
+  Done.Faults.push_back({Step.Kind, now, now + Step.Duration});
   recordStoreOutage(Step, now);
   if (injectPlannedWork(Step) || injectProcessFault(Step) ||
       injectStoreFault(Step) || injectLinkFault(Step) || injectKeyFault(Step) ||
@@ -129,27 +129,27 @@
   std::size_t side = Step.Target % World.size().Engines;
   switch (Step.Kind) {
   case SoakFault::KillEdge:
-    killEdge(edge, Step.For);
+    killEdge(edge, Step.Duration);
     return true;
   case SoakFault::KillAllEdges:
     for (std::size_t i = 0; i < World.edges(); ++i)
-      killEdge(i, Step.For);
+      killEdge(i, Step.Duration);
     return true;
   case SoakFault::PauseEdge:
-    pauseEdge(edge, Step.For);
+    pauseEdge(edge, Step.Duration);
     return true;
   case SoakFault::KillSidecar:
     if (!UnavailableSidecars.insert(side).second)
       return true;
-    World.side(side).signal(SIGKILL);
-    later(Step.For, [this, side] {
+    World.sidecar(side).signal(SIGKILL);
+    later(Step.Duration, [this, side] {
       UnavailableSidecars.erase(side);
       World.startSidecar(side);
     });
     return true;
   case SoakFault::PauseSidecar:
-    World.side(side).signal(SIGSTOP);
-    later(Step.For, [this, side] { World.side(side).signal(SIGCONT); });
+    World.sidecar(side).signal(SIGSTOP);
+    later(Step.Duration, [this, side] { World.sidecar(side).signal(SIGCONT); });
     return true;
   default:
     return false;
@@ -196,22 +196,22 @@
   using test::StoreBehavior;
   switch (Step.Kind) {
   case SoakFault::StoreBusy:
-    mood(StoreBehavior::Busy, Step.For);
+    mood(StoreBehavior::Busy, Step.Duration);
     return true;
   case SoakFault::StoreSilent:
-    mood(StoreBehavior::Silent, Step.For);
+    mood(StoreBehavior::Unresponsive, Step.Duration);
     return true;
   case SoakFault::StoreResets:
-    mood(StoreBehavior::Reset, Step.For);
+    mood(StoreBehavior::Reset, Step.Duration);
     return true;
   case SoakFault::StoreLosesAnswers:
-    mood(StoreBehavior::LosesAnswers, Step.For);
+    mood(StoreBehavior::LosesAnswers, Step.Duration);
     return true;
   case SoakFault::StoreLate:
-    mood(StoreBehavior::Late, Step.For);
+    mood(StoreBehavior::Late, Step.Duration);
     return true;
   case SoakFault::StoreSlow:
-    mood(StoreBehavior::Slow, Step.For);
+    mood(StoreBehavior::Slow, Step.Duration);
     return true;
   case SoakFault::StoreCompacts:
     World.runOnPlatformThread([&] {
@@ -253,17 +253,17 @@
 /// in it within two seconds of its return.
 void SoakInjector::lapse(const ScheduledFault &Step) {
   constexpr Millis BackAfter{1200};
-  mood(test::StoreBehavior::Busy, Step.For);
+  mood(test::StoreBehavior::Busy, Step.Duration);
   std::vector<std::size_t> lapsed;
   for (std::size_t i = 0; i < World.servers(); ++i) {
     if (!UnavailableServers.contains(i))
       lapsed.push_back(i);
   }
-  later(Step.For / 2, [this, lapsed] {
+  later(Step.Duration / 2, [this, lapsed] {
     for (std::size_t it : lapsed)
       World.unregisterServer(World.server(it).id());
   });
-  later(Step.For + BackAfter, [this, lapsed] {
+  later(Step.Duration + BackAfter, [this, lapsed] {
     for (std::size_t it : lapsed) {
       if (!UnavailableServers.contains(it))
         World.registerServer(it, false);
@@ -289,22 +289,22 @@
   switch (Step.Kind) {
   case SoakFault::StoreLinkRefuses:
     World.setFaults(store, {{"cut_now", true}});
-    fault(store, "refuse", true, false, Step.For);
+    fault(store, "refuse", true, false, Step.Duration);
     return true;
   case SoakFault::StoreLinkSilent:
-    fault(store, "half_open", true, false, Step.For);
+    fault(store, "half_open", true, false, Step.Duration);
     return true;
   case SoakFault::StoreLinkOneWay:
-    fault(store, "one_way", true, false, Step.For);
+    fault(store, "one_way", true, false, Step.Duration);
     return true;
   case SoakFault::StoreLinkDelays:
-    fault(store, "delay_ms", DelayMs, 0.0, Step.For);
+    fault(store, "delay_ms", DelayMs, 0.0, Step.Duration);
     return true;
   case SoakFault::CallerLinkCut:
     World.setFaults(caller, {{"cut_now", true}});
     return true;
   case SoakFault::CallerLinkDelays:
-    fault(caller, "delay_ms", DelayMs, 0.0, Step.For);
+    fault(caller, "delay_ms", DelayMs, 0.0, Step.Duration);
     return true;
   default:
     return false;
@@ -323,7 +323,7 @@
   World.setCustomers(makeSoakCustomers(Customers, Revoked));
   publish();
   Done.KeyChanges.push_back({customer, true, monotonicNow()});
-  later(Step.For + Millis(3000), [this, customer] {
+  later(Step.Duration + Millis(3000), [this, customer] {
     Revoked.erase(customer);
     World.setCustomers(makeSoakCustomers(Customers, Revoked));
     Done.KeyChanges.push_back({customer, false, monotonicNow()});
@@ -347,7 +347,7 @@
   if (ofLink)
     edge = Step.Target % (World.edges() + World.size().Engines);
   if (ofAll || edge)
-    Done.StoreOutagePeriods.push_back({edge, {Now, Now + Step.For}});
+    Done.StoreOutagePeriods.push_back({edge, {Now, Now + Step.Duration}});
 }
 
 /// The edge process that reported last; empty if none has.
@@ -373,23 +373,23 @@
   test::PlatformFixture::Proxy store = World.storeLink(*found);
   switch (Step.Kind) {
   case SoakFault::KillReporter:
-    killEdge(*found, Step.For);
+    killEdge(*found, Step.Duration);
     break;
   case SoakFault::PauseReporter:
-    pauseEdge(*found, Step.For);
+    pauseEdge(*found, Step.Duration);
     break;
   case SoakFault::StopReporter:
     stopEdge(*found);
     break;
   case SoakFault::ReporterStoreRefuses:
     World.setFaults(store, {{"cut_now", true}});
-    fault(store, "refuse", true, false, Step.For);
+    fault(store, "refuse", true, false, Step.Duration);
     break;
   case SoakFault::ReporterStoreSilent:
-    fault(store, "half_open", true, false, Step.For);
+    fault(store, "half_open", true, false, Step.Duration);
     break;
   default:
-    fault(store, "delay_ms", DelayMs, 0.0, Step.For);
+    fault(store, "delay_ms", DelayMs, 0.0, Step.Duration);
   }
   return true;
 }
@@ -415,20 +415,20 @@
       World.reportLink(Step.Target % World.edges());
   switch (Step.Kind) {
   case SoakFault::ReportsBusy:
-    setReportFault(test::ReportBehavior::Busy, Step.For);
+    setReportFault(test::ReportBehavior::Busy, Step.Duration);
     return true;
   case SoakFault::ReportsLoseAnswers:
-    setReportFault(test::ReportBehavior::LosesAnswers, Step.For);
+    setReportFault(test::ReportBehavior::LosesAnswers, Step.Duration);
     return true;
   case SoakFault::ReportsSilent:
-    setReportFault(test::ReportBehavior::Silent, Step.For);
+    setReportFault(test::ReportBehavior::Unresponsive, Step.Duration);
     return true;
   case SoakFault::ReportLinkSilent:
-    fault(link, "half_open", true, false, Step.For);
-    later(Step.For, [this] { recordReportDelay(Millis(0)); });
+    fault(link, "half_open", true, false, Step.Duration);
+    later(Step.Duration, [this] { recordReportDelay(Millis(0)); });
     return true;
   case SoakFault::ReportLinkDelays:
-    fault(link, "delay_ms", DelayMs, 0.0, Step.For);
+    fault(link, "delay_ms", DelayMs, 0.0, Step.Duration);
     return true;
   default:
     return false;
@@ -444,31 +444,31 @@
   constexpr int Few = 3;
   switch (Step.Kind) {
   case SoakFault::ServerCrashes:
-    crashServer(index, Step.For);
+    crashServer(index, Step.Duration);
     return;
   case SoakFault::ServerSilent:
-    fault(link, "half_open", true, false, Step.For);
+    fault(link, "half_open", true, false, Step.Duration);
     return;
   case SoakFault::ServerOneWay:
-    fault(link, "one_way", true, false, Step.For);
+    fault(link, "one_way", true, false, Step.Duration);
     return;
   case SoakFault::ServerLinkCut:
     World.setFaults(link, {{"cut_now", true}});
     return;
   case SoakFault::ServerLosesAnswers:
-    fault(link, "answer_loss", Few, 0, Step.For);
+    fault(link, "answer_loss", Few, 0, Step.Duration);
     return;
   case SoakFault::ServerSlow:
-    World.runOnPlatformThread([&] { server.Pace = SlowPace; });
-    later(Step.For, [this, &server] {
-      World.runOnPlatformThread([&] { server.Pace = UsualPace; });
+    World.runOnPlatformThread([&] { server.EventDelay = SlowPace; });
+    later(Step.Duration, [this, &server] {
+      World.runOnPlatformThread([&] { server.EventDelay = UsualPace; });
     });
     return;
   case SoakFault::ServerBreaksStreams:
     World.runOnPlatformThread([&] { server.StreamsToBreak = Few; });
     return;
   case SoakFault::ServerFails:
-    World.runOnPlatformThread([&] { server.Fails = Few; });
+    World.runOnPlatformThread([&] { server.RequestsToFail = Few; });
     return;
   default:
     return;
--- a/IntegrationTests/Soak/SoakJudge.cpp
+++ b/IntegrationTests/Soak/SoakJudge.cpp
@@ -36,11 +36,11 @@
 }
 
 void judgeAsks(Case &Of) {
-  for (const ClientRequestRecord &it : Of.Seen.Asks) {
+  for (const ClientRequestRecord &it : Of.Seen.Requests) {
     std::size_t runs = Of.runsOf(it.Id);
-    if (!it.Wrong.empty())
+    if (!it.Error.empty())
       Of.Faults.push_back(
-          fmt::format("wrong answer to {}: {}", it.Id, it.Wrong));
+          fmt::format("wrong answer to {}: {}", it.Id, it.Error));
     if (promisesNotRun(it.Status) && runs > 0)
       Of.Faults.push_back(
           fmt::format("{} was answered {} and has run", it.Id, it.Status));
@@ -54,7 +54,7 @@
 
 void judgeIds(Case &Of) {
   std::set<std::string> known;
-  for (const ClientRequestRecord &it : Of.Seen.Asks)
+  for (const ClientRequestRecord &it : Of.Seen.Requests)
     known.insert(it.Id);
   for (const JobRecord &job : Of.Seen.Jobs) {
     for (const std::string &item : job.Items) {
@@ -71,7 +71,7 @@
 
 void judgeJobs(Case &Of) {
   for (const JobRecord &job : Of.Seen.Jobs) {
-    for (const std::string &it : job.Wrong)
+    for (const std::string &it : job.Errors)
       Of.Faults.push_back(job.Id + ": " + it);
     for (const std::string &item : job.Items) {
       auto runs = Of.Runs.find(item);
@@ -108,7 +108,7 @@
   for (std::size_t it : Of.Truth.UnstoppedEdges)
     Of.Faults.push_back("edge " + std::to_string(it) + " did not stop");
   for (const EdgeStop &stop : Of.Truth.Stops) {
-    for (const ClientRequestRecord &it : Of.Seen.Asks) {
+    for (const ClientRequestRecord &it : Of.Seen.Requests) {
       bool cut = it.Edge == stop.Edge && it.Life == stop.Life &&
                  it.Status == 0 && !it.CallerTimedOut && it.Done >= stop.At;
       bool owed = it.Done - it.Sent > Crossing || Of.runsOf(it.Id) > 0;
@@ -126,7 +126,7 @@
   /// By edge process and start: the newest in force, and since when it was
   /// seen.
   std::map<std::pair<std::size_t, std::uint64_t>, Publication> newest;
-  for (const ClientRequestRecord &it : Of.Seen.Asks) {
+  for (const ClientRequestRecord &it : Of.Seen.Requests) {
     if (it.Kind != ClientRequestKind::Probe || it.Status != Ok)
       continue;
     Publication &known = newest[{it.Edge, it.Life}];
@@ -145,7 +145,7 @@
   constexpr unsigned NotFound = 404;
   for (const Publication &it : Of.Truth.Publications) {
     TimePoint latest = it.At + Of.Bounds.Configure + Of.Bounds.Slack;
-    for (const ClientRequestRecord &probe : Of.Seen.Asks) {
+    for (const ClientRequestRecord &probe : Of.Seen.Requests) {
       if (probe.Kind != ClientRequestKind::Probe || probe.Sent < latest ||
           !Of.calm(it.At, probe.Done))
         continue;
@@ -211,9 +211,9 @@
       });
 }
 
-std::vector<std::string> judge(const SoakObservations &Seen,
-                               const SoakGroundTruth &Truth,
-                               const SoakBounds &Bounds) {
+std::vector<std::string> findViolations(const SoakObservations &Seen,
+                                        const SoakGroundTruth &Truth,
+                                        const SoakBounds &Bounds) {
   Case all{Seen, Truth, Bounds, {}, {}};
   for (const ServerCall &it : Truth.PlainRuns)
     all.Runs[it.Id].push_back(&it);
--- a/IntegrationTests/Soak/SoakJudge.h
+++ b/IntegrationTests/Soak/SoakJudge.h
@@ -101,9 +101,9 @@
                  TimePoint From, TimePoint To);
 
 /// Each broken promise, one line each.
-std::vector<std::string> judge(const SoakObservations &Seen,
-                               const SoakGroundTruth &Truth,
-                               const SoakBounds &Bounds = {});
+std::vector<std::string> findViolations(const SoakObservations &Seen,
+                                        const SoakGroundTruth &Truth,
+                                        const SoakBounds &Bounds = {});
 
 } // namespace wasabi::soak
 
--- a/IntegrationTests/Soak/SoakObservations.h
+++ b/IntegrationTests/Soak/SoakObservations.h
@@ -48,7 +48,7 @@
   /// The caller's own limit was up.
   bool CallerTimedOut = false;
   /// What is wrong with an answer that looks whole; empty if nothing is.
-  std::string Wrong;
+  std::string Error;
 };
 
 /// One batch job and what its trainer saw.
@@ -70,12 +70,12 @@
   /// Results by position, as they were read first.
   std::map<std::size_t, std::string> Seen;
   /// What was read and must not be.
-  std::vector<std::string> Wrong;
+  std::vector<std::string> Errors;
 };
 
 /// All of a run.
 struct SoakObservations {
-  std::vector<ClientRequestRecord> Asks;
+  std::vector<ClientRequestRecord> Requests;
   std::vector<JobRecord> Jobs;
 };
 
--- a/IntegrationTests/Soak/SoakPlan.cpp
+++ b/IntegrationTests/Soak/SoakPlan.cpp
@@ -105,14 +105,14 @@
   step.At = At;
   step.Kind = From.kind(Style.PlannedOnly);
   step.Target = static_cast<std::uint32_t>(From.between(0, 1000));
-  step.For = Millis(From.between(ShortMs, Style.LongMs));
+  step.Duration = Millis(From.between(ShortMs, Style.LongMs));
   std::vector<ScheduledFault> series{step};
   if (!From.oneIn(4))
     return series;
   std::int64_t more = From.between(1, 3);
   for (std::int64_t i = 0; i < more; ++i) {
     step.At += Millis(From.between(200, 1600));
-    step.For = Millis(From.between(ShortMs, Style.LongMs / 2));
+    step.Duration = Millis(From.between(ShortMs, Style.LongMs / 2));
     step.Target += From.oneIn(2) ? 1 : 0;
     series.push_back(step);
   }
@@ -140,7 +140,7 @@
     at += Millis(from.between(style.LeastGapMs, style.MostGapMs));
   }
   std::erase_if(plan, [Length](const ScheduledFault &It) {
-    return It.At + It.For > Length;
+    return It.At + It.Duration > Length;
   });
   std::stable_sort(plan.begin(), plan.end(),
                    [](const ScheduledFault &L, const ScheduledFault &R) {
@@ -154,7 +154,8 @@
   for (const ScheduledFault &it : Plan)
     fmt::format_to(std::back_inserter(text),
                    "step: at_ms={} for_ms={} kind={} target={}\n",
-                   it.At.count(), it.For.count(), toText(it.Kind), it.Target);
+                   it.At.count(), it.Duration.count(), toText(it.Kind),
+                   it.Target);
   return text;
 }
 
--- a/IntegrationTests/Soak/SoakPlan.h
+++ b/IntegrationTests/Soak/SoakPlan.h
@@ -80,7 +80,7 @@
 struct ScheduledFault {
   /// From the beginning of the load.
   Millis At{0};
-  Millis For{0};
+  Millis Duration{0};
   SoakFault Kind = SoakFault::Configure;
   /// Which of its kind of target, modulo how many there are.
   std::uint32_t Target = 0;
--- a/IntegrationTests/Soak/SoakRun.cpp
+++ b/IntegrationTests/Soak/SoakRun.cpp
@@ -19,7 +19,8 @@
 std::vector<EdgeEndpoints> clientEdges(test::PlatformFixture &World) {
   std::vector<EdgeEndpoints> edges;
   for (std::size_t i = 0; i < World.edges(); ++i)
-    edges.push_back({World.edge(i).Callers, World.edge(i).Readiness});
+    edges.push_back(
+        {World.edge(i).CallerAddress, World.edge(i).ReadinessAddress});
   return edges;
 }
 
@@ -28,9 +29,9 @@
     for (std::size_t i = 0; i < World.servers(); ++i) {
       test::PlatformServer &it = World.server(i);
       it.IncludesVersion = true;
-      it.Length = 5;
-      it.Spread = 30;
-      it.Pace = Millis(15);
+      it.MinEvents = 5;
+      it.ExtraEvents = 30;
+      it.EventDelay = Millis(15);
       it.LoadTime = Millis(300);
       it.Slots = 6;
     }
@@ -64,7 +65,7 @@
   auto serves = [&] {
     for (std::size_t i = 0; i < World.edges(); ++i) {
       if (!World.ready(i) ||
-          World.ask(i, route, HarnessRequestName).Status != Ok)
+          World.postRequest(i, route, HarnessRequestName).Status != Ok)
         return false;
     }
     return true;
@@ -74,7 +75,7 @@
   auto submitted = [&] { return World.submit(0, Job, Items, 1) == Accepted; };
   if (!harness::waitUntil(submitted, RecoveryLimit))
     return false;
-  return World.finishes(World.edges() - 1, Job, Items);
+  return World.waitForResults(World.edges() - 1, Job, Items);
 }
 
 /// What was accepted can be read at every process, as it was read before.
@@ -113,7 +114,7 @@
         [&] { return World.reports().Calls; });
   };
   TimePoint last;
-  for (const ClientRequestRecord &it : Seen.Asks)
+  for (const ClientRequestRecord &it : Seen.Requests)
     last = std::max(last, it.Done);
   // A report that leaves late enough holds all that was counted before it.
   TimePoint until = last + World.reportDueDelay() + Millis(1000);
@@ -130,7 +131,7 @@
   for (std::size_t i = 0; i < World.edges(); ++i)
     file << World.edge(i).Running->output();
   for (std::size_t i = 0; i < World.size().Engines; ++i)
-    file << World.side(i).output();
+    file << World.sidecar(i).output();
 }
 
 } // namespace
@@ -161,7 +162,7 @@
   if (Size.Crashing > 0)
     world.setCrashMarker(CrashPathPrefix);
   setup.ExpectedEventCount = [&world](const std::string &Item) {
-    return world.server(0).lengthOf(Item);
+    return world.server(0).eventCount(Item);
   };
   SoakClients clients(setup, clientEdges(world));
   SoakInjector injector(world, clients, Size.Customers);
@@ -175,7 +176,7 @@
 
   SoakGroundTruth truth = gather(world, injector.done());
   const SoakObservations &seen = clients.record();
-  std::vector<std::string> faults = judge(seen, truth);
+  std::vector<std::string> faults = findViolations(seen, truth);
   if (Size.Customers > 0) {
     truth.Reports = lastReports(world, seen);
     std::vector<std::string> more = findCustomerViolations(seen, truth, {});
@@ -183,9 +184,9 @@
   }
   result.Faults.insert(result.Faults.end(), faults.begin(), faults.end());
   checkKept(world, seen, result.Faults);
-  for (const ClientRequestRecord &it : seen.Asks)
+  for (const ClientRequestRecord &it : seen.Requests)
     result.Served += it.Status == Ok ? 1 : 0;
-  result.Asks = seen.Asks.size();
+  result.Asks = seen.Requests.size();
   for (const JobRecord &it : seen.Jobs)
     result.CompleteJobs += it.Seen.size() == it.Items.size() ? 1 : 0;
   result.Jobs = seen.Jobs.size();
--- a/StandIns/EngineRole.cpp
+++ b/StandIns/EngineRole.cpp
@@ -183,7 +183,7 @@
   state["tokens_per_s"] = Settings.TokensPerSecond;
   state["fence"] = Fence;
   state["checks_fences"] = Settings.ChecksFences;
-  state["draining"] = Told.isOn("draining");
+  state["draining"] = InjectedFaults.isOn("draining");
   state["role"] = Duty;
   return state;
 }
@@ -212,7 +212,7 @@
 boost::asio::awaitable<void> EngineRole::answer(const http::Request &Ask,
                                                 const Answer &To) {
   std::string_view path = Ask.path();
-  if (Told.isOn("hang")) {
+  if (InjectedFaults.isOn("hang")) {
     co_await waitForDisconnect(To);
   } else if (path == "/v1/completions") {
     co_await complete(Ask, To);
@@ -262,7 +262,7 @@
     co_await sendError(To, NotFound, "the model is not loaded");
     co_return;
   }
-  if (Told.isOn("draining")) {
+  if (InjectedFaults.isOn("draining")) {
     co_await sendError(To, Unavailable, "draining", 1);
     co_return;
   }
@@ -295,9 +295,9 @@
   if (imported != Imports.end() && imported->second >= ask.Start)
     bytes = 0;
   // Milliseconds for 1,000 bytes are microseconds for one.
-  job.RemainingPrefillMicros = static_cast<double>(bytes) *
-                               Settings.PrefillMillis *
-                               std::max(1.0, Told.real("slow_factor"));
+  job.RemainingPrefillMicros =
+      static_cast<double>(bytes) * Settings.PrefillMillis *
+      std::max(1.0, InjectedFaults.real("slow_factor"));
   job.StartedUs = wallMicros();
   if (!Batch.submit(Work->Job))
     return false;
@@ -330,7 +330,7 @@
 boost::asio::awaitable<void> EngineRole::generate() {
   TimePoint last = monotonicNow();
   while (Batch.running() > 0) {
-    double slow = std::max(1.0, Told.real("slow_factor"));
+    double slow = std::max(1.0, InjectedFaults.real("slow_factor"));
     double rate = Settings.TokensPerSecond / slow;
     constexpr double MicrosPerSecond = 1e6;
     double tick = std::clamp(TokensPerTick * MicrosPerSecond / rate,
@@ -339,7 +339,7 @@
     TimePoint now = monotonicNow();
     Micros elapsed = now - last;
     last = now;
-    if (Told.isOn("hang"))
+    if (InjectedFaults.isOn("hang"))
       continue;
     for (const EngineBatch::Job &it : Batch.advance(elapsed, rate, Version)) {
       if (it->Ended)
@@ -357,7 +357,7 @@
 }
 
 void EngineRole::crashIfTold() const {
-  std::uint64_t most = Told.number("crash_after_tokens");
+  std::uint64_t most = InjectedFaults.number("crash_after_tokens");
   if (most > 0 && Batch.generated() - GeneratedBefore >= most)
     std::_Exit(EXIT_FAILURE);
 }
@@ -375,7 +375,7 @@
     for (std::uint64_t i = Work.Sent; i < it.To; ++i)
       job.Writer.append(events, i, it.Version);
     events += '"';
-    if (!Told.isOn("no_version_report"))
+    if (!InjectedFaults.isOn("no_version_report"))
       events += ",\"weights_version\":" + std::to_string(it.Version);
     events += "}\n\n";
     Work.Sent = it.To;
@@ -418,7 +418,7 @@
   boost::json::object answer;
   answer["text"] = text;
   answer["tokens"] = job.Position;
-  if (!Told.isOn("no_version_report"))
+  if (!InjectedFaults.isOn("no_version_report"))
     answer["spans"] = toJson(job.Spans);
   answer["finish"] = "length";
   co_await sendJson(To, Ok, std::move(answer));
@@ -477,16 +477,16 @@
   Loading = false;
   Loaded.notify();
 
-  if (Told.takeOne("fail_next_load")) {
+  if (InjectedFaults.takeOne("fail_next_load")) {
     Version = strayVersion(wanted);
     fetched = false;
-  } else if (fetched && Told.takeOne("wrong_version_next_load")) {
+  } else if (fetched && InjectedFaults.takeOne("wrong_version_next_load")) {
     Version = strayVersion(wanted);
   } else if (fetched) {
     Version = wanted;
     ModelName = model;
   }
-  if (Told.takeOne("lose_order_answers")) {
+  if (InjectedFaults.takeOne("lose_order_answers")) {
     To->abort();
     co_return;
   }
--- a/StandIns/FaultProxy.cpp
+++ b/StandIns/FaultProxy.cpp
@@ -90,12 +90,14 @@
 
 void FaultProxyImpl::prepareFaults() {
   LinkFaults.Delay = [this] { return delay(); };
-  LinkFaults.Rate = [this] { return Told.number("bytes_per_s"); };
-  LinkFaults.CutAfterBytes = [this] { return Told.number("cut_after_bytes"); };
-  LinkFaults.HalfOpen = [this] { return Told.isOn("half_open"); };
-  LinkFaults.OneWay = [this] { return Told.isOn("one_way"); };
+  LinkFaults.Rate = [this] { return InjectedFaults.number("bytes_per_s"); };
+  LinkFaults.CutAfterBytes = [this] {
+    return InjectedFaults.number("cut_after_bytes");
+  };
+  LinkFaults.HalfOpen = [this] { return InjectedFaults.isOn("half_open"); };
+  LinkFaults.OneWay = [this] { return InjectedFaults.isOn("one_way"); };
   LinkFaults.DropResponse = [this] {
-    bool lost = Told.takeOne("answer_loss");
+    bool lost = InjectedFaults.takeOne("answer_loss");
     Lost += lost ? 1 : 0;
     return lost;
   };
@@ -103,16 +105,16 @@
 
 Micros FaultProxyImpl::delay() {
   constexpr double MicrosPerMilli = 1000;
-  double jitter = Told.real("jitter_ms");
+  double jitter = InjectedFaults.real("jitter_ms");
   std::uniform_real_distribution<double> share(0, 1);
-  double millis = Told.real("delay_ms");
+  double millis = InjectedFaults.real("delay_ms");
   if (jitter > 0)
     millis += jitter * share(Random);
   return Micros(static_cast<std::int64_t>(millis * MicrosPerMilli));
 }
 
 bool FaultProxyImpl::losesConnection() {
-  double percent = Told.real("loss_percent");
+  double percent = InjectedFaults.real("loss_percent");
   std::uniform_real_distribution<double> share(0, Percent);
   return percent > 0 && share(Random) < percent;
 }
@@ -205,8 +207,9 @@
 }
 
 void FaultProxyImpl::pointUpstream() {
-  const Outcome<Address> told = toOutcome<Address>(
-      [this] { return parseAddress(Told.text("upstream"), "upstream"); });
+  const Outcome<Address> told = toOutcome<Address>([this] {
+    return parseAddress(InjectedFaults.text("upstream"), "upstream");
+  });
   if (!told)
     throw InvalidBody(describe(told.failure()));
   Upstream = *told;
@@ -214,25 +217,25 @@
 
 void FaultProxyImpl::onFaultsChanged() {
   pointUpstream();
-  if (Told.number("seed") != Seed) {
-    Seed = Told.number("seed");
+  if (InjectedFaults.number("seed") != Seed) {
+    Seed = InjectedFaults.number("seed");
     Random.seed(static_cast<std::minstd_rand::result_type>(Seed));
   }
-  if (Told.number("cut_after_bytes") != CutAfterBytes) {
-    CutAfterBytes = Told.number("cut_after_bytes");
+  if (InjectedFaults.number("cut_after_bytes") != CutAfterBytes) {
+    CutAfterBytes = InjectedFaults.number("cut_after_bytes");
     for (const std::shared_ptr<ProxyLink> &it : Links)
       it->resetByteCount();
   }
-  if (Told.isOn("cut_now")) {
+  if (InjectedFaults.isOn("cut_now")) {
     cutAll(false);
-    Told.turnOff("cut_now");
+    InjectedFaults.turnOff("cut_now");
   }
   // What was swallowed cannot be brought back.
-  if (!Told.isOn("half_open") && !Told.isOn("one_way"))
+  if (!InjectedFaults.isOn("half_open") && !InjectedFaults.isOn("one_way"))
     cutAll(true);
 
   ErrorCode ec;
-  if (Told.isOn("refuse")) {
+  if (InjectedFaults.isOn("refuse")) {
     ++Turns;
     Acceptor.close(ec);
   } else if (!Acceptor.is_open()) {
--- a/StandIns/InstancesRole.cpp
+++ b/StandIns/InstancesRole.cpp
@@ -106,7 +106,7 @@
 }
 
 boost::json::object InstancesRole::listNow() {
-  Millis lag = Told.millis("lag_ms");
+  Millis lag = InjectedFaults.millis("lag_ms");
   TimePoint seen = monotonicNow() - lag;
   while (!Changes.empty() && Changes.front().At <= seen) {
     applyTo(Lagging, Changes.front());
--- a/StandIns/LogRole.cpp
+++ b/StandIns/LogRole.cpp
@@ -130,7 +130,7 @@
   ++Appends;
   trim(Into);
   Changed.notify();
-  if (Told.takeOne("lose_answers")) {
+  if (InjectedFaults.takeOne("lose_answers")) {
     To->abort();
     co_return;
   }
@@ -146,7 +146,7 @@
   TimePoint deadline = monotonicNow() + Millis(wait);
   while (visibleEnd(From) <= from && monotonicNow() < deadline && !To->gone())
     co_await Changed.wait(deadline);
-  if (Told.isOn("outage")) {
+  if (InjectedFaults.isOn("outage")) {
     To->abort();
     co_return;
   }
@@ -167,7 +167,7 @@
 bool LogRole::takeAllowance() {
   constexpr double BurstSeconds = 0.1;
   constexpr double MicrosPerSecond = 1e6;
-  double rate = static_cast<double>(Told.number("appends_per_s"));
+  double rate = static_cast<double>(InjectedFaults.number("appends_per_s"));
   if (rate == 0)
     return true;
   TimePoint now = monotonicNow();
@@ -182,7 +182,7 @@
 }
 
 void LogRole::trim(Stream &Kept) {
-  std::uint64_t most = Told.number("retention_records");
+  std::uint64_t most = InjectedFaults.number("retention_records");
   while (most > 0 && Kept.Records.size() > most) {
     Kept.Records.pop_front();
     ++Kept.First;
@@ -190,7 +190,7 @@
 }
 
 std::uint64_t LogRole::visibleEnd(const Stream &From) const {
-  std::uint64_t hidden = Told.number("stale_tail");
+  std::uint64_t hidden = InjectedFaults.number("stale_tail");
   return From.end() - std::min<std::uint64_t>(hidden, From.Records.size());
 }
 
--- a/StandIns/RoleServer.cpp
+++ b/StandIns/RoleServer.cpp
@@ -9,15 +9,15 @@
 boost::asio::awaitable<void>
 answerFaults(Role &Subject, const http::Request &Ask, const Answer &To) {
   if (Ask.Method == "POST") {
-    Subject.Told.merge(readObject(Ask.Body));
+    Subject.InjectedFaults.merge(readObject(Ask.Body));
     Subject.onFaultsChanged();
   }
-  co_await sendJson(To, Ok, Subject.Told.values());
+  co_await sendJson(To, Ok, Subject.InjectedFaults.values());
 }
 
 boost::asio::awaitable<void> answerRole(Role &Subject, const http::Request &Ask,
                                         const Answer &To) {
-  const Faults &told = Subject.Told;
+  const Faults &told = Subject.InjectedFaults;
   if (told.knows("slow_ms") && told.number("slow_ms") > 0)
     co_await pause(told.millis("slow_ms"));
   if (told.knows("outage") && told.isOn("outage")) {
--- a/StandIns/RoleServer.h
+++ b/StandIns/RoleServer.h
@@ -20,7 +20,7 @@
 class Role {
 public:
   explicit Role(boost::json::object KnownFaults)
-      : Told(std::move(KnownFaults)) {}
+      : InjectedFaults(std::move(KnownFaults)) {}
   Role(const Role &) = delete;
   Role &operator=(const Role &) = delete;
   virtual ~Role() = default;
@@ -34,7 +34,7 @@
   /// Called after the faults have changed.
   virtual void onFaultsChanged() {}
 
-  Faults Told;
+  Faults InjectedFaults;
 };
 
 /// Serves a role. Errors: as `http::Server::create`.
--- a/StandIns/ScorerRole.cpp
+++ b/StandIns/ScorerRole.cpp
@@ -29,12 +29,12 @@
     boost::json::object body = readObject(Ask.Body);
     std::string slot = readText(body, "slot");
     double score = computeScore(readText(body, "text"));
-    if (Told.takeOne("fail_next")) {
+    if (InjectedFaults.takeOne("fail_next")) {
       co_await sendError(To, InternalError, "told to fail");
       co_return;
     }
     ++Scored[slot];
-    if (Told.takeOne("lose_answers")) {
+    if (InjectedFaults.takeOne("lose_answers")) {
       To->abort();
       co_return;
     }
--- a/StandIns/ServiceRole.cpp
+++ b/StandIns/ServiceRole.cpp
@@ -77,7 +77,7 @@
 
 boost::asio::awaitable<void> ServiceRole::answer(const http::Request &Ask,
                                                  const Answer &To) {
-  if (Told.isOn("hang")) {
+  if (InjectedFaults.isOn("hang")) {
     co_await waitForDisconnect(To);
     co_return;
   }
@@ -103,14 +103,14 @@
 boost::asio::awaitable<bool> ServiceRole::sendAnswer(const http::Request &Ask,
                                                      const Answer &To,
                                                      std::uint64_t Count) {
-  if (Told.takeOne("reset_before_answer")) {
+  if (InjectedFaults.takeOne("reset_before_answer")) {
     To->abort();
     co_return false;
   }
   boost::json::object body = bodyFor(Ask, Count);
-  std::uint64_t told = Told.number("status");
+  std::uint64_t told = InjectedFaults.number("status");
   unsigned status = told == 0 ? unsigned{Ok} : static_cast<unsigned>(told);
-  if (!Told.takeOne("reset_mid_answer"))
+  if (!InjectedFaults.takeOne("reset_mid_answer"))
     co_return co_await sendJson(To, status, std::move(body));
 
   std::string text = boost::json::serialize(body);
--- a/StandIns/TrainerRole.cpp
+++ b/StandIns/TrainerRole.cpp
@@ -186,7 +186,7 @@
   while (Simulator.step() <= after && !hasEnded() &&
          monotonicNow() < deadline && !To->gone())
     co_await Opened.wait(deadline);
-  if (Told.isOn("outage")) {
+  if (InjectedFaults.isOn("outage")) {
     To->abort();
     co_return;
   }
@@ -232,7 +232,7 @@
     co_return;
   }
   boost::json::object answer = deliverAll(body);
-  if (Told.takeOne("lose_answers")) {
+  if (InjectedFaults.takeOne("lose_answers")) {
     To->abort();
     co_return;
   }
--- a/StandIns/WeightsRole.cpp
+++ b/StandIns/WeightsRole.cpp
@@ -155,7 +155,7 @@
   while (Models[Name].Newest <= after && monotonicNow() < deadline &&
          !To->gone())
     co_await Changed.wait(deadline);
-  if (Told.isOn("outage")) {
+  if (InjectedFaults.isOn("outage")) {
     To->abort();
     co_return;
   }
@@ -189,11 +189,11 @@
         Executor, [self = shared_from_this()] { return self->serveFetches(); },
         boost::asio::detached);
   }
-  while (fetch->BytesLeft > 0 && !To->gone() && !Told.isOn("outage"))
+  while (fetch->BytesLeft > 0 && !To->gone() && !InjectedFaults.isOn("outage"))
     co_await Progress.wait();
   Running.erase(fetch);
   fetch->EndedUs = wallMicros();
-  if (Told.isOn("outage")) {
+  if (InjectedFaults.isOn("outage")) {
     To->abort();
     co_return;
   }
@@ -213,7 +213,7 @@
     double seconds =
         static_cast<double>((now - last).count()) / MicrosPerSecond;
     last = now;
-    double slow = std::max(1.0, Told.real("slow_factor"));
+    double slow = std::max(1.0, InjectedFaults.real("slow_factor"));
     double rate = static_cast<double>(Settings.BytesPerSecond) / slow;
     double share = rate * seconds / static_cast<double>(Running.size());
     for (const std::shared_ptr<Fetch> &it : Running)
--- a/UnitTests/Adapters/Frames/RequestFramesTest.cpp
+++ b/UnitTests/Adapters/Frames/RequestFramesTest.cpp
@@ -466,7 +466,7 @@
     bool leaving = false;
     client->onLoad([&](const Address &, const std::vector<ReportedLoad> &,
                        bool Leaving) { leaving = Leaving; });
-    client->prepare(server->address());
+    client->connectAhead(server->address());
     server->drain();
     server->setLoads({}, true);
     CHECK(co_await eventually(context, [&] { return leaving; }));
@@ -491,7 +491,7 @@
     std::vector<ReportedLoad> seen;
     client->onLoad([&](const Address &, const std::vector<ReportedLoad> &Loads,
                        bool) { seen = Loads; });
-    client->prepare(server->address());
+    client->connectAhead(server->address());
     server->setLoads({load}, false);
     CHECK(co_await eventually(context, [&] { return !seen.empty(); }));
     CHECK(seen == std::vector<ReportedLoad>{load});
--- a/UnitTests/Adapters/Proxy/OrderTest.cpp
+++ b/UnitTests/Adapters/Proxy/OrderTest.cpp
@@ -40,7 +40,7 @@
     preset.Name = PresetName("p");
     preset.OnVersionChange = Change;
     config.Presets[preset.Name] = preset;
-    config.InForce = preset.Name;
+    config.ActivePreset = preset.Name;
     State = std::make_shared<FoldState>();
     State->Config = std::make_shared<const Configuration>(config);
 
@@ -226,8 +226,8 @@
 }
 
 TEST_CASE("Upstreams are read from their setting", "[order]") {
-  Outcome<std::vector<UpstreamServer>> good =
-      toOutcome<std::vector<UpstreamServer>>([] {
+  Outcome<std::vector<ProxiedServer>> good =
+      toOutcome<std::vector<ProxiedServer>>([] {
         return parseUpstreams("a=s@127.0.0.1:1,b=t@127.0.0.1:2", "--upstreams");
       });
   REQUIRE(good);
@@ -236,7 +236,7 @@
   for (const char *it : {"a", "a=s", "=s@127.0.0.1:1", "a=@127.0.0.1:1",
                          "a=s@host:1", "a=s@127.0.0.1:1,a=s@127.0.0.1:2"}) {
     INFO(it);
-    CHECK_FALSE(toOutcome<std::vector<UpstreamServer>>(
+    CHECK_FALSE(toOutcome<std::vector<ProxiedServer>>(
         [&] { return parseUpstreams(it, "--upstreams"); }));
   }
 }
--- a/UnitTests/Batch/BatchFixture.h
+++ b/UnitTests/Batch/BatchFixture.h
@@ -61,11 +61,11 @@
     return DecisionLog::create(Context, limits);
   }
 
-  std::shared_ptr<RolloutLog> follow(RecordStore Port) {
+  std::shared_ptr<RolloutLog> startLog(RecordStore Port) {
     RolloutLog::Settings limits;
-    limits.Wait = Millis(50);
-    limits.Pace = Millis(1);
-    limits.RetryPause = Millis(5);
+    limits.PollTimeout = Millis(50);
+    limits.PollDelay = Millis(1);
+    limits.RetryDelay = Millis(5);
     std::shared_ptr<RolloutLog> log = RolloutLog::create(
         Context.get_executor(), std::move(Port), Decisions, limits);
     log->start();
--- a/UnitTests/Batch/BatchRecordTest.cpp
+++ b/UnitTests/Batch/BatchRecordTest.cpp
@@ -124,11 +124,11 @@
   }
   std::shared_ptr<JobState> known = findJob(fold, job.Id);
   REQUIRE(known != nullptr);
-  REQUIRE(known->Places.size() == job.Items.size());
+  REQUIRE(known->ItemLocations.size() == job.Items.size());
   for (std::size_t i = 0; i < job.Items.size(); ++i) {
     CHECK(known->Job.Items[i].Id == job.Items[i].Id);
     CHECK(known->Job.Items[i].Group == job.Items[i].Group);
-    const ItemLocation &place = known->Places[i];
+    const ItemLocation &place = known->ItemLocations[i];
     REQUIRE(place.Items.size() == 1);
     Outcome<std::vector<BatchItem>> items = toOutcome<std::vector<BatchItem>>(
         [&] { return decodeItems(payloads.at(place.Items[0].At - 100), "p"); });
--- a/UnitTests/Batch/BatchServiceTest.cpp
+++ b/UnitTests/Batch/BatchServiceTest.cpp
@@ -11,9 +11,9 @@
 /// Two processes over one store.
 struct DeskWorld : BatchTestFixture {
   Millis ResultTimeout{0};
-  std::shared_ptr<bool> Cut = std::make_shared<bool>(false);
-  std::shared_ptr<RolloutLog> Log = follow(Store.port(Cut));
-  std::shared_ptr<RolloutLog> OtherLog = follow(Store.port());
+  std::shared_ptr<bool> Disconnected = std::make_shared<bool>(false);
+  std::shared_ptr<RolloutLog> Log = startLog(Store.port(Disconnected));
+  std::shared_ptr<RolloutLog> OtherLog = startLog(Store.port());
   std::shared_ptr<BatchService> Desk = makeDesk(Log);
   std::shared_ptr<BatchService> Other = makeDesk(OtherLog);
 
@@ -26,8 +26,8 @@
     BatchService::Settings limits;
     limits.MaxStateAge = Millis(30);
     return BatchService::create(
-        {std::move(Of), PayloadStore::create(Store.port(Cut), {}), Decisions,
-         [this](const BatchJob &) { return ResultTimeout; }},
+        {std::move(Of), PayloadStore::create(Store.port(Disconnected), {}),
+         Decisions, [this](const BatchJob &) { return ResultTimeout; }},
         limits);
   }
 
@@ -61,11 +61,11 @@
           "[batch]") {
   DeskWorld world;
   BatchJob job = makeJob("a", 2);
-  CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
+  CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
   Outcome<ResultPage> page = world.read(*world.Other, job, 0);
   REQUIRE(page);
   CHECK(page->Total == 2);
-  CHECK(world.submit(*world.Other, job) == JobRequestStatus::Taken);
+  CHECK(world.submit(*world.Other, job) == JobRequestStatus::Accepted);
 }
 
 TEST_CASE("A submission whose items are not stored is refused, truly",
@@ -77,13 +77,13 @@
   CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Refused);
   CHECK(world.Store.Topics["rollout"].empty());
   world.Store.PayloadAppendFaults = {AppendFault::AnswerLost};
-  CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
+  CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
 }
 
 TEST_CASE("Bodies of items come from where they lie", "[batch]") {
   DeskWorld world;
   BatchJob job = makeJob("a", 3);
-  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
+  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
   auto body = [&](BatchService &At) {
     std::optional<Outcome<std::string>> got;
     world.run([&]() -> asio::awaitable<void> {
@@ -94,7 +94,7 @@
   Outcome<std::string> first = body(*world.Other);
   REQUIRE(first);
   CHECK(*first == job.Items[2].Body);
-  *world.Cut = true;
+  *world.Disconnected = true;
   Outcome<std::string> cut = body(*world.Desk);
   REQUIRE_FALSE(cut);
   CHECK(cut.failure().Code == FailureCode::Unavailable);
@@ -104,7 +104,7 @@
           "[batch]") {
   DeskWorld world;
   BatchJob job = makeJob("a", 2);
-  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
+  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
   std::string longText(3000, 'x');
   world.Store.append("payload", longText);
   ResultRecord record{job.Id, makeResult(job, 0, "")};
@@ -116,18 +116,18 @@
     std::shared_ptr<JobState> known = findJob(world.Log->fold(), job.Id);
     return known && known->Results.size() == 2;
   }));
-  *world.Cut = true;
+  *world.Disconnected = true;
   Outcome<ResultPage> away = world.read(*world.Desk, job, 0);
   REQUIRE_FALSE(away);
   CHECK(away.failure().Code == FailureCode::Unavailable);
-  *world.Cut = false;
+  *world.Disconnected = false;
   Outcome<ResultPage> page = world.read(*world.Desk, job, 0);
   REQUIRE(page);
   REQUIRE(page->Results.size() == 2);
   CHECK(page->Results[0].Output == longText);
   CHECK(page->Results[1].Output == "short");
   // What was read once stays at hand.
-  *world.Cut = true;
+  *world.Disconnected = true;
   CHECK(world.read(*world.Desk, job, 0));
 }
 
@@ -139,13 +139,13 @@
   RecordStore blind = world.Store.port();
   std::shared_ptr<bool> cut = std::make_shared<bool>(false);
   blind.Read = world.Store.port(cut).Read;
-  std::shared_ptr<RolloutLog> log = world.follow(blind);
+  std::shared_ptr<RolloutLog> log = world.startLog(blind);
   std::shared_ptr<BatchService> desk = world.makeDesk(log);
   REQUIRE(world.runUntil([&] { return log->caughtUp(); }));
   *cut = true;
-  REQUIRE(world.submit(*world.Other, job) == JobRequestStatus::Taken);
+  REQUIRE(world.submit(*world.Other, job) == JobRequestStatus::Accepted);
   CHECK(findJob(log->fold(), job.Id) == nullptr);
-  CHECK(world.end(*desk, job) == JobRequestStatus::Taken);
+  CHECK(world.end(*desk, job) == JobRequestStatus::Accepted);
   CHECK(world.runUntil(
       [&] { return findJob(world.OtherLog->fold(), job.Id)->Ended; }));
 }
@@ -153,7 +153,7 @@
 TEST_CASE("A refused submission is not in the topic", "[batch]") {
   DeskWorld world;
   BatchJob job = makeJob("a", 1);
-  world.Store.Fates = {AppendFault::Refused};
+  world.Store.AppendFaults = {AppendFault::Refused};
   CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Refused);
   CHECK(world.Store.Topics["rollout"].empty());
 }
@@ -162,8 +162,8 @@
           "[batch]") {
   DeskWorld world;
   BatchJob job = makeJob("a", 1);
-  world.Store.Fates = {AppendFault::AnswerLost};
-  CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
+  world.Store.AppendFaults = {AppendFault::AnswerLost};
+  CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
 }
 
 TEST_CASE("A submission of which nobody can say is never called refused",
@@ -171,19 +171,19 @@
   DeskWorld world;
   BatchJob job = makeJob("a", 1);
   // It may still be carried out later, so "not run" would be a lie.
-  world.Store.Fates = {AppendFault::Lost};
+  world.Store.AppendFaults = {AppendFault::Lost};
   CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Unknown);
 }
 
 TEST_CASE("A process out of reach of the store refuses without sending",
           "[batch]") {
   DeskWorld world;
-  *world.Cut = true;
+  *world.Disconnected = true;
   REQUIRE(world.runUntil([&] { return world.Log->contact().Lost; }));
   BatchJob job = makeJob("a", 1);
-  world.Store.Fates = {AppendFault::AnswerLost};
+  world.Store.AppendFaults = {AppendFault::AnswerLost};
   CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Refused);
-  CHECK(world.Store.Fates.size() == 1);
+  CHECK(world.Store.AppendFaults.size() == 1);
   CHECK(world.Store.Topics["rollout"].empty());
 }
 
@@ -194,7 +194,7 @@
   Outcome<ResultPage> page = world.read(*world.Desk, job, 0);
   REQUIRE_FALSE(page);
   CHECK(page.failure().Code == FailureCode::Expired);
-  *world.Cut = true;
+  *world.Disconnected = true;
   page = world.read(*world.Desk, job, 0);
   REQUIRE_FALSE(page);
   CHECK(page.failure().Code == FailureCode::Unavailable);
@@ -203,13 +203,13 @@
 TEST_CASE("A process without news does not call a position empty", "[batch]") {
   DeskWorld world;
   BatchJob job = makeJob("a", 2);
-  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
+  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
   world.list(job, 0, "x");
   REQUIRE(world.runUntil([&] {
     std::shared_ptr<JobState> known = findJob(world.Log->fold(), job.Id);
     return known && !known->Results.empty();
   }));
-  *world.Cut = true;
+  *world.Disconnected = true;
   world.list(job, 1, "y");
   REQUIRE(world.runUntil([&] {
     return unreachableFor(world.Log->contact(), Millis(40), monotonicNow());
@@ -233,7 +233,7 @@
   // The topic comes record by record, so that the job is known before what
   // stands at its positions.
   world.Store.MaxEntries = 1;
-  std::shared_ptr<RolloutLog> log = world.follow(world.Store.port());
+  std::shared_ptr<RolloutLog> log = world.startLog(world.Store.port());
   std::shared_ptr<BatchService> desk = world.makeDesk(log);
   REQUIRE(
       world.runUntil([&] { return findJob(log->fold(), job.Id) != nullptr; }));
@@ -246,15 +246,15 @@
           "[batch]") {
   DeskWorld world;
   BatchJob job = makeJob("a", 4);
-  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
+  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
   REQUIRE(world.runUntil(
       [&] { return findJob(world.Log->fold(), job.Id) != nullptr; }));
-  *world.Cut = true;
+  *world.Disconnected = true;
   world.Context.run_for(Millis(100));
   for (std::size_t i = 0; i < 4; ++i)
     world.list(job, i, "x");
   world.Store.MaxEntries = 1;
-  *world.Cut = false;
+  *world.Disconnected = false;
   REQUIRE(world.runUntil([&] { return !world.Log->contact().Lost; }));
   Outcome<ResultPage> page = world.read(*world.Desk, job, 2);
   REQUIRE(page);
@@ -264,7 +264,7 @@
 TEST_CASE("A reader waits for a result and gets it when it comes", "[batch]") {
   DeskWorld world;
   BatchJob job = makeJob("a", 2);
-  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
+  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
   BootTimer timer(world.Context, Millis(40));
   timer.async_wait([&](boost::system::error_code) { world.list(job, 1, "x"); });
   Outcome<ResultPage> page = world.read(*world.Other, job, 0, Millis(5000));
@@ -309,7 +309,7 @@
   BatchJob job = makeJob("a", 4);
   job.TargetGroups = 2;
   DeskWorld world;
-  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
+  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
   auto [count, took] = readWhile(
       world, job,
       {{Millis(20), 0}, {Millis(60), 1}, {Millis(90), 2}, {Millis(120), 3}},
@@ -324,7 +324,7 @@
   BatchJob job = makeJob("a", 4);
   job.TargetGroups = 2;
   DeskWorld world;
-  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
+  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
   auto [count, took] =
       readWhile(world, job, {{Millis(20), 0}, {Millis(250), 1}}, Millis(400));
   CHECK(count == 2);
@@ -345,7 +345,7 @@
   job.TargetGroups = 2;
   DeskWorld world;
   world.ResultTimeout = Millis(1);
-  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
+  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
   world.Context.run_for(Millis(750));
   auto [count, took] =
       readWhile(world, job, {{Millis(20), 0}, {Millis(700), 1}}, Millis(1000));
@@ -360,7 +360,7 @@
           "[batch]") {
   BatchJob job = makeJob("a", 4);
   DeskWorld world;
-  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
+  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
   auto [count, took] =
       readWhile(world, job, {{Millis(20), 0}, {Millis(500), 1}}, Millis(1000));
   CHECK(count == 1);
@@ -371,7 +371,7 @@
   CHECK(world.read(*world.Desk, job, 0, Millis(1000))->Results.size() == 1);
   CHECK(monotonicNow() - begin < Millis(100));
   DeskWorld other;
-  REQUIRE(other.submit(*other.Desk, job) == JobRequestStatus::Taken);
+  REQUIRE(other.submit(*other.Desk, job) == JobRequestStatus::Accepted);
   CHECK(readWhile(other, job, {{Millis(20), 0}}, Millis(100)).second <
         Millis(200));
 }
@@ -380,10 +380,10 @@
   DeskWorld world;
   BatchJob job = makeJob("a", 1);
   CHECK(world.end(*world.Desk, job) == JobRequestStatus::JobNotFound);
-  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Taken);
-  CHECK(world.end(*world.Other, job) == JobRequestStatus::Taken);
-  CHECK(world.end(*world.Desk, job) == JobRequestStatus::Taken);
-  CHECK(world.end(*world.Desk, job) == JobRequestStatus::Taken);
+  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
+  CHECK(world.end(*world.Other, job) == JobRequestStatus::Accepted);
+  CHECK(world.end(*world.Desk, job) == JobRequestStatus::Accepted);
+  CHECK(world.end(*world.Desk, job) == JobRequestStatus::Accepted);
 }
 
 TEST_CASE("A topic whose first records have expired is read on from there",
@@ -394,7 +394,7 @@
   world.Store.append("rollout", encodeRecord(JobPart{old, 0, 1}));
   world.Store.append("rollout", encodeRecord(JobPart{job, 0, 1}));
   world.Store.First["rollout"] = 1;
-  std::shared_ptr<RolloutLog> log = world.follow(world.Store.port());
+  std::shared_ptr<RolloutLog> log = world.startLog(world.Store.port());
   CHECK(world.runUntil([&] { return log->caughtUp(); }));
   CHECK(findJob(log->fold(), job.Id) != nullptr);
   CHECK(findJob(log->fold(), old.Id) == nullptr);
@@ -405,7 +405,7 @@
   BatchJob job = makeJob("a", 1);
   world.Store.append("rollout", "no record");
   world.Store.append("rollout", encodeRecord(JobPart{job, 0, 1}));
-  std::shared_ptr<RolloutLog> log = world.follow(world.Store.port());
+  std::shared_ptr<RolloutLog> log = world.startLog(world.Store.port());
   CHECK(
       world.runUntil([&] { return findJob(log->fold(), job.Id) != nullptr; }));
 }
--- a/UnitTests/Batch/BatchStateTest.cpp
+++ b/UnitTests/Batch/BatchStateTest.cpp
@@ -183,7 +183,7 @@
     PartialText saved = findJob(fold, job.Id)->Texts.at(0).Text;
     CHECK(saved.Output.empty());
     for (const TextPiece &it : findJob(fold, job.Id)->Texts.at(0).Pieces)
-      saved.Output += it.Here;
+      saved.Output += it.Inline;
     return saved;
   };
   CHECK(save(1, 7, 0, "a", 1).Output == "a");
--- a/UnitTests/Batch/FakeStore.cpp
+++ b/UnitTests/Batch/FakeStore.cpp
@@ -27,27 +27,31 @@
 
 RecordStore FakeStore::port() { return port(std::make_shared<bool>(false)); }
 
-RecordStore FakeStore::port(const std::shared_ptr<bool> &Cut) {
+RecordStore FakeStore::port(const std::shared_ptr<bool> &Disconnected) {
   RecordStore port;
-  port.Append = [this, Cut](std::string Topic, std::vector<std::string> Records,
-                            std::optional<Offset> At, Millis) {
-    return take(Cut, std::move(Topic), std::move(Records), At);
+  port.Append = [this, Disconnected](std::string Topic,
+                                     std::vector<std::string> Records,
+                                     std::optional<Offset> At, Millis) {
+    return take(Disconnected, std::move(Topic), std::move(Records), At);
   };
-  port.AppendKeyed = [this, Cut](std::string Topic, const std::string &Key,
-                                 const std::string &Value, Millis) {
+  port.AppendKeyed = [this, Disconnected](std::string Topic,
+                                          const std::string &Key,
+                                          const std::string &Value, Millis) {
     // Without a value the key is dropped.
     std::vector<std::string> records{Value.empty() ? Key : Key + "|" + Value};
-    return take(Cut, std::move(Topic), std::move(records), std::nullopt);
+    return take(Disconnected, std::move(Topic), std::move(records),
+                std::nullopt);
   };
-  port.Read = [this, Cut](std::string Topic, Offset From, Millis Wait,
-                          std::size_t) {
-    return read(Cut, std::move(Topic), From, Wait);
+  port.Read = [this, Disconnected](std::string Topic, Offset From, Millis Wait,
+                                   std::size_t) {
+    return read(Disconnected, std::move(Topic), From, Wait);
   };
-  port.ReadKeyed = [this, Cut](std::string Topic, Offset From, Millis Wait) {
-    return readKeyed(Cut, std::move(Topic), From, Wait);
+  port.ReadKeyed = [this, Disconnected](std::string Topic, Offset From,
+                                        Millis Wait) {
+    return readKeyed(Disconnected, std::move(Topic), From, Wait);
   };
-  port.Newest = [this, Cut](std::string Topic) {
-    return newest(Cut, std::move(Topic));
+  port.Newest = [this, Disconnected](std::string Topic) {
+    return newest(Disconnected, std::move(Topic));
   };
   return port;
 }
@@ -58,21 +62,21 @@
 }
 
 asio::awaitable<Outcome<Offset>>
-FakeStore::take(std::shared_ptr<bool> Cut, std::string Topic,
+FakeStore::take(std::shared_ptr<bool> Disconnected, std::string Topic,
                 std::vector<std::string> Records, std::optional<Offset> At) {
   co_await pauseFor(Context.get_executor(), Millis(1));
-  if (Silent) {
+  if (Unresponsive) {
     co_await hang();
     co_return unreachable();
   }
   AppendFault fate = AppendFault::Taken;
   std::deque<AppendFault> &fates =
-      Topic == "payload" ? PayloadAppendFaults : Fates;
+      Topic == "payload" ? PayloadAppendFaults : AppendFaults;
   if (!fates.empty()) {
     fate = fates.front();
     fates.pop_front();
   }
-  if (Down || *Cut || fate == AppendFault::Lost)
+  if (Down || *Disconnected || fate == AppendFault::Lost)
     co_return unreachable();
   if (fate == AppendFault::Refused)
     co_return failure(Verdict::NotRun, FailureCode::Overloaded);
@@ -93,19 +97,19 @@
   co_await never.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-asio::awaitable<Outcome<LogRange>> FakeStore::read(std::shared_ptr<bool> Cut,
-                                                   std::string Topic,
-                                                   Offset From, Millis Wait) {
-  if (Silent) {
+asio::awaitable<Outcome<LogRange>>
+FakeStore::read(std::shared_ptr<bool> Disconnected, std::string Topic,
+                Offset From, Millis Wait) {
+  if (Unresponsive) {
     co_await pauseFor(Context.get_executor(), SilentReadTimeout);
     co_return unreachable();
   }
   TimePoint until = monotonicNow() + Wait;
-  while (!Down && !*Cut && Topics[Topic].size() <= From &&
+  while (!Down && !*Disconnected && Topics[Topic].size() <= From &&
          monotonicNow() < until)
     co_await Grown.wait(until);
   co_await pauseFor(Context.get_executor(), Millis(1));
-  if (Down || *Cut)
+  if (Down || *Disconnected)
     co_return unreachable();
   const std::vector<std::string> &all = Topics[Topic];
   LogRange range;
@@ -119,9 +123,9 @@
 }
 
 asio::awaitable<Outcome<KeyedRange>>
-FakeStore::readKeyed(std::shared_ptr<bool> Cut, std::string Topic, Offset From,
-                     Millis Wait) {
-  Outcome<LogRange> got = co_await read(Cut, Topic, From, Wait);
+FakeStore::readKeyed(std::shared_ptr<bool> Disconnected, std::string Topic,
+                     Offset From, Millis Wait) {
+  Outcome<LogRange> got = co_await read(Disconnected, Topic, From, Wait);
   if (!got)
     co_return got.failure();
   KeyedRange range;
@@ -133,9 +137,9 @@
 }
 
 asio::awaitable<Outcome<KeyedRange>>
-FakeStore::newest(std::shared_ptr<bool> Cut, std::string Topic) {
+FakeStore::newest(std::shared_ptr<bool> Disconnected, std::string Topic) {
   co_await pauseFor(Context.get_executor(), Millis(1));
-  if (Down || *Cut)
+  if (Down || *Disconnected)
     co_return unreachable();
   const std::vector<std::string> &all = Topics[Topic];
   std::map<std::string, KeyedRecord> last;
--- a/UnitTests/Batch/FakeStore.h
+++ b/UnitTests/Batch/FakeStore.h
@@ -33,10 +33,11 @@
   FakeStore(const FakeStore &) = delete;
   FakeStore &operator=(const FakeStore &) = delete;
 
-  /// The port of one process; `Cut` of it is the process's own.
+  /// The port of one process; `Disconnected` of it is the process's own.
   RecordStore port();
-  /// The port of a process that is out of reach of the store while `*Cut`.
-  RecordStore port(const std::shared_ptr<bool> &Cut);
+  /// The port of a process that is out of reach of the store while
+  /// `*Disconnected`.
+  RecordStore port(const std::shared_ptr<bool> &Disconnected);
   void append(const std::string &Topic, std::string Record);
 
   boost::asio::io_context &Context;
@@ -44,31 +45,31 @@
   std::map<std::string, std::vector<std::string>> Topics;
   /// The oldest offset kept of each topic.
   std::map<std::string, Offset> First;
-  /// Fates of the next appends; `Taken` when there are none.
-  std::deque<AppendFault> Fates;
+  /// Faults of the next appends; `Taken` when there are none.
+  std::deque<AppendFault> AppendFaults;
   /// The same for the topic of payloads.
   std::deque<AppendFault> PayloadAppendFaults;
   bool Down = false;
   /// Connections are taken and nothing is answered: appends hang for good,
   /// reads until their time limit, `SilentReadTimeout`.
-  bool Silent = false;
+  bool Unresponsive = false;
   Millis SilentReadTimeout{30};
   /// Most records of one read.
   std::size_t MaxEntries = 1000;
 
 private:
-  boost::asio::awaitable<Outcome<Offset>> take(std::shared_ptr<bool> Cut,
-                                               std::string Topic,
-                                               std::vector<std::string> Records,
-                                               std::optional<Offset> At);
+  boost::asio::awaitable<Outcome<Offset>>
+  take(std::shared_ptr<bool> Disconnected, std::string Topic,
+       std::vector<std::string> Records, std::optional<Offset> At);
   boost::asio::awaitable<Outcome<LogRange>>
-  read(std::shared_ptr<bool> Cut, std::string Topic, Offset From, Millis Wait);
+  read(std::shared_ptr<bool> Disconnected, std::string Topic, Offset From,
+       Millis Wait);
   boost::asio::awaitable<Outcome<KeyedRange>>
-  readKeyed(std::shared_ptr<bool> Cut, std::string Topic, Offset From,
+  readKeyed(std::shared_ptr<bool> Disconnected, std::string Topic, Offset From,
             Millis Wait);
   boost::asio::awaitable<void> hang();
-  boost::asio::awaitable<Outcome<KeyedRange>> newest(std::shared_ptr<bool> Cut,
-                                                     std::string Topic);
+  boost::asio::awaitable<Outcome<KeyedRange>>
+  newest(std::shared_ptr<bool> Disconnected, std::string Topic);
 };
 
 } // namespace wasabi::batchtest
--- a/UnitTests/Batch/PayloadStoreTest.cpp
+++ b/UnitTests/Batch/PayloadStoreTest.cpp
@@ -9,9 +9,9 @@
 
 /// One process that stores payloads, with small limits.
 struct PayloadWorld : BatchTestFixture {
-  std::shared_ptr<bool> Cut = std::make_shared<bool>(false);
+  std::shared_ptr<bool> Disconnected = std::make_shared<bool>(false);
   std::shared_ptr<PayloadStore> Payloads = PayloadStore::create(
-      Store.port(Cut),
+      Store.port(Disconnected),
       PayloadStore::Settings{"payload", Millis(100), 10, 30, 1000, 40});
 
   std::vector<PayloadLocation> put(std::vector<std::string> What) {
--- a/UnitTests/Batch/RolloutLogTest.cpp
+++ b/UnitTests/Batch/RolloutLogTest.cpp
@@ -7,11 +7,11 @@
 
 std::shared_ptr<RolloutLog> startLog(BatchTestFixture &World, Millis Delay) {
   RolloutLog::Settings limits;
-  limits.Wait = Millis(50);
-  limits.Pace = Millis(1);
+  limits.PollTimeout = Millis(50);
+  limits.PollDelay = Millis(1);
   limits.ReplayDelay = Delay;
   // Some thirty of the records here.
-  limits.ReadBytes = 1000;
+  limits.MaxReadBytes = 1000;
   std::shared_ptr<RolloutLog> log =
       RolloutLog::create(World.Context.get_executor(), World.Store.port(),
                          World.Decisions, limits);
--- a/UnitTests/Customers/AccessTest.cpp
+++ b/UnitTests/Customers/AccessTest.cpp
@@ -21,7 +21,7 @@
     Known = CustomerTable::create({anna});
     noteAnswer(Contact, Now);
   }
-  Access decide(const std::string &Key, bool Public) const {
+  AccessDecision decide(const std::string &Key, bool Public) const {
     AccessRequest ask;
     if (!Key.empty())
       ask.Key = Keys.digest(Key);
@@ -38,7 +38,7 @@
 
 TEST_CASE("A key that is known passes and names its customer", "[customers]") {
   AccessCase it;
-  Access got = it.decide("known", false);
+  AccessDecision got = it.decide("known", false);
   CHECK(got.Verdict == AccessVerdict::Granted);
   REQUIRE(got.By);
   CHECK(got.By->Name.Text == "anna");
@@ -51,7 +51,7 @@
   AccessCase it;
   for (const char *key : {"", "other"}) {
     CHECK(it.decide(key, false).Verdict == AccessVerdict::UnknownKey);
-    Access open = it.decide(key, true);
+    AccessDecision open = it.decide(key, true);
     CHECK(open.Verdict == AccessVerdict::Granted);
     CHECK_FALSE(open.By);
   }
@@ -67,7 +67,7 @@
           "[customers]") {
   AccessCase it;
   it.loseStore(Millis(600));
-  CHECK(it.decide("other", false).Verdict == AccessVerdict::Unsure);
+  CHECK(it.decide("other", false).Verdict == AccessVerdict::Uncertain);
   CHECK(it.decide("", false).Verdict == AccessVerdict::UnknownKey);
   CHECK(it.decide("other", true).Verdict == AccessVerdict::Granted);
   CHECK(it.decide("known", false).Verdict == AccessVerdict::Granted);
@@ -81,8 +81,8 @@
   it.loseStore(it.Limits.MaxRevocationDelay - Millis(1));
   CHECK(it.decide("known", false).Verdict == AccessVerdict::Granted);
   it.loseStore(it.Limits.MaxRevocationDelay + Millis(1));
-  CHECK(it.decide("known", false).Verdict == AccessVerdict::Unsure);
-  Access open = it.decide("known", true);
+  CHECK(it.decide("known", false).Verdict == AccessVerdict::Uncertain);
+  AccessDecision open = it.decide("known", true);
   CHECK(open.Verdict == AccessVerdict::Granted);
   CHECK_FALSE(open.By);
 }
--- a/UnitTests/Customers/ServedSharesTest.cpp
+++ b/UnitTests/Customers/ServedSharesTest.cpp
@@ -14,7 +14,7 @@
 void note(ServedShares &Of, const CustomerName &Who, int Times, int Served,
           TimePoint Now) {
   for (int i = 0; i < Times; ++i)
-    noteEnd(Of, Who, i < Served, Now);
+    recordOutcome(Of, Who, i < Served, Now);
 }
 
 } // namespace
--- a/UnitTests/Dispatch/DispatcherTest.cpp
+++ b/UnitTests/Dispatch/DispatcherTest.cpp
@@ -38,7 +38,7 @@
   FakeEngines Engines{Context};
   FleetView View;
   Metrics Counts;
-  std::shared_ptr<RolloutLog> Log = follow(Store.port());
+  std::shared_ptr<RolloutLog> Log = startLog(Store.port());
   std::shared_ptr<PayloadStore> Payloads =
       PayloadStore::create(Store.port(), {});
   std::shared_ptr<Dispatcher> Dispatch;
@@ -68,7 +68,7 @@
     limits.EventTimeout = std::max(limits.EventTimeout, Stall);
     limits.FirstEventTimeout = Millis(120);
     limits.LoadStallTimeout = Millis(3000);
-    limits.RetryPause = Millis(2);
+    limits.RetryDelay = Millis(2);
     limits.SwapTimeout = Millis(150);
     limits.SaveInterval = SaveInterval;
     limits.MinSaveEvents = 4;
@@ -144,7 +144,7 @@
   world.submit(job);
   REQUIRE(world.finishes(job));
   for (const ItemResult &it : world.results(job)) {
-    CHECK(it.End == ItemStatus::Completed);
+    CHECK(it.Status == ItemStatus::Completed);
     CHECK(it.Output == wholeText(it.Item.Text, 5));
     CHECK(it.Versions == std::vector<WeightVersion>{1});
     CHECK(it.Score == "sig-score-" + it.Item.Text);
@@ -239,7 +239,7 @@
 
 TEST_CASE("Items of a silent engine are run by another", "[dispatch]") {
   DispatcherFixture world;
-  world.server("e1").Dark = true;
+  world.server("e1").Unresponsive = true;
   BatchJob job = makeJob("a", 6);
   world.submit(job);
   REQUIRE(world.finishes(job));
@@ -266,8 +266,8 @@
 TEST_CASE("A run without a first event does not wait as long as a load takes",
           "[dispatch]") {
   DispatcherFixture world;
-  world.server("e1").Dark = true;
-  world.server("e2").Dark = true;
+  world.server("e1").Unresponsive = true;
+  world.server("e2").Unresponsive = true;
   BatchJob job = makeJob("a", 1);
   world.submit(job);
   auto runs = [&] {
@@ -283,16 +283,16 @@
           "[dispatch]") {
   DispatcherFixture world;
   world.addServer("j2", Judge);
-  world.server("j1").Dark = true;
-  world.server("j2").Dark = true;
+  world.server("j1").Unresponsive = true;
+  world.server("j2").Unresponsive = true;
   BatchJob job = scoredJob("a", 1);
   world.submit(job);
   REQUIRE(
       world.runUntil([&] { return world.Engines.ScoreDeadlines.size() >= 2; }));
-  world.server("j1").Dark = false;
-  world.server("j2").Dark = false;
+  world.server("j1").Unresponsive = false;
+  world.server("j2").Unresponsive = false;
   REQUIRE(world.finishes(job));
-  CHECK(world.results(job)[0].End == ItemStatus::Completed);
+  CHECK(world.results(job)[0].Status == ItemStatus::Completed);
   CHECK(world.Engines.ScoreDeadlines[0] <= Millis(450));
   CHECK(world.Engines.ScoreDeadlines[1] > Millis(1000));
 }
@@ -304,7 +304,7 @@
   BatchJob job = makeJob("a", 1);
   world.submit(job);
   REQUIRE(world.finishes(job));
-  CHECK(world.results(job)[0].End == ItemStatus::Terminated);
+  CHECK(world.results(job)[0].Status == ItemStatus::Terminated);
   CHECK(world.server("e1").Runs.size() + world.server("e2").Runs.size() == 3);
 }
 
@@ -315,7 +315,7 @@
   BatchJob job = makeJob("a", 1);
   world.submit(job);
   REQUIRE(world.finishes(job));
-  CHECK(world.results(job)[0].End == ItemStatus::Terminated);
+  CHECK(world.results(job)[0].Status == ItemStatus::Terminated);
   CHECK(world.server("e1").Runs.size() + world.server("e2").Runs.size() == 1);
 }
 
@@ -326,12 +326,12 @@
   BatchJob job = scoredJob("a", 1);
   world.submit(job);
   REQUIRE(world.finishes(job));
-  CHECK(world.results(job)[0].End == ItemStatus::Completed);
+  CHECK(world.results(job)[0].Status == ItemStatus::Completed);
   world.Engines.ScoreStatuses = {500, 500};
   BatchJob next = scoredJob("b", 1);
   world.submit(next);
   REQUIRE(world.finishes(next));
-  CHECK(world.results(next)[0].End == ItemStatus::Terminated);
+  CHECK(world.results(next)[0].Status == ItemStatus::Terminated);
 }
 
 TEST_CASE("An ended job's items go to no engine any more", "[dispatch]") {
@@ -418,7 +418,7 @@
 TEST_CASE("A carried-over text that lacks only its score is not run again",
           "[dispatch]") {
   DispatcherFixture world;
-  world.server("j1").Dark = true;
+  world.server("j1").Unresponsive = true;
   BatchJob job = scoredJob("a", 1);
   world.submit(job);
   auto runs = [&] {
@@ -428,7 +428,7 @@
   world.Context.run_for(Millis(60));
   world.Store.append("rollout", encodeRecord(JobEnd{job.Id}));
   world.Context.run_for(Millis(30));
-  world.server("j1").Dark = false;
+  world.server("j1").Unresponsive = false;
   BatchJob next = job;
   next.Id = JobId("b");
   world.submit(next);
@@ -483,8 +483,8 @@
 
 TEST_CASE("A result whose append is lost is appended again", "[dispatch]") {
   DispatcherFixture world;
-  world.Store.Fates = {AppendFault::Lost, AppendFault::AnswerLost,
-                       AppendFault::Refused};
+  world.Store.AppendFaults = {AppendFault::Lost, AppendFault::AnswerLost,
+                              AppendFault::Refused};
   BatchJob job = makeJob("a", 3);
   world.submit(job);
   REQUIRE(world.finishes(job));
@@ -496,7 +496,7 @@
   DispatcherFixture world;
   world.addServer("e3", Llm);
   world.addServer("e4", Llm);
-  world.View.Named[Model] = 2;
+  world.View.NewestVersions[Model] = 2;
   world.Dispatch->onFleetChange();
   auto wanted = [&] { return world.Store.Topics[WantedTopic].size(); };
   REQUIRE(world.runUntil([&] { return wanted() == 2; }));
@@ -518,13 +518,13 @@
     world.server(id).Version = 2;
     world.Dispatch->onHeldWeights(ServerName(id), {{{Model, 2}}, false});
   }
-  world.View.Named[Model] = 2;
+  world.View.NewestVersions[Model] = 2;
   BatchJob before = makeJob("a", 2);
   before.MinVersion = 1;
   world.submit(before);
   REQUIRE(world.finishes(before));
   auto wanted = [&] { return world.Store.Topics[WantedTopic].size(); };
-  world.View.Named[Model] = 3;
+  world.View.NewestVersions[Model] = 3;
   world.Dispatch->onFleetChange();
   world.Context.run_for(Millis(60));
   CHECK(wanted() == 0);
@@ -551,7 +551,7 @@
     HeldWeights now{{{Model, 2}}, false, 1000};
     world.Dispatch->onHeldWeights(ServerName(id), now);
   }
-  world.View.Named[Model] = 2;
+  world.View.NewestVersions[Model] = 2;
   world.Dispatch->onFleetChange();
   world.Context.run_for(Millis(60));
   auto wanted = [&] { return world.Store.Topics[WantedTopic]; };
@@ -589,14 +589,14 @@
   }));
   world.Context.run_for(Millis(20));
   // The crash is seen by nobody: connections stay open and silent.
-  world.server("e1").Dark = true;
+  world.server("e1").Unresponsive = true;
   UpstreamRegistration entry =
       world.View.Servers.Servers[ServerName("e1")]->Entry;
   entry.Start = 2000;
   registerServer(world.View.Servers, entry);
   world.Dispatch->onFleetChange();
   REQUIRE(world.runUntil([&] { return !world.Engines.Resumed.empty(); }));
-  world.server("e1").Dark = false;
+  world.server("e1").Unresponsive = false;
   REQUIRE(world.finishes(job));
 }
 
@@ -676,10 +676,10 @@
   world.submit(job);
   REQUIRE(world.runUntil(
       [&] { return findJob(world.Log->fold(), job.Id) != nullptr; }));
-  world.Store.Fates = {AppendFault::AnswerLost, AppendFault::Lost,
-                       AppendFault::AnswerLost, AppendFault::Refused,
-                       AppendFault::AnswerLost};
-  REQUIRE(world.runUntil([&] { return world.Store.Fates.empty(); }));
+  world.Store.AppendFaults = {AppendFault::AnswerLost, AppendFault::Lost,
+                              AppendFault::AnswerLost, AppendFault::Refused,
+                              AppendFault::AnswerLost};
+  REQUIRE(world.runUntil([&] { return world.Store.AppendFaults.empty(); }));
   world.Dispatch->deactivate();
   world.Context.run_for(Millis(20));
   world.Dispatch->activate();
@@ -703,7 +703,7 @@
   };
   REQUIRE(world.runUntil(running));
   TimePoint begun = monotonicNow();
-  world.Store.Fates = {AppendFault::Refused, AppendFault::Refused};
+  world.Store.AppendFaults = {AppendFault::Refused, AppendFault::Refused};
   auto saved = [&] {
     std::shared_ptr<JobState> known = findJob(world.Log->fold(), job.Id);
     return known && known->Texts.size() == 3;
@@ -735,7 +735,7 @@
 TEST_CASE("An engine that takes no weights does not hold up the others",
           "[dispatch]") {
   DispatcherFixture world;
-  world.View.Named[Model] = 2;
+  world.View.NewestVersions[Model] = 2;
   world.Dispatch->onFleetChange();
   // Nobody is beside either engine, so each is wanted in turn.
   std::set<std::string> asked;
--- a/UnitTests/Dispatch/EnginePoolTest.cpp
+++ b/UnitTests/Dispatch/EnginePoolTest.cpp
@@ -9,9 +9,9 @@
 const ModelName Red("red");
 const ModelName Blue("blue");
 
-std::shared_ptr<EngineState> engine(const std::string &Id, WeightVersion OfRed,
-                                    WeightVersion OfBlue) {
-  std::shared_ptr<EngineState> made = std::make_shared<EngineState>();
+std::shared_ptr<DispatchEngine>
+engine(const std::string &Id, WeightVersion OfRed, WeightVersion OfBlue) {
+  std::shared_ptr<DispatchEngine> made = std::make_shared<DispatchEngine>();
   made->Server = std::make_shared<UpstreamServer>();
   made->Server->Entry.Id = ServerName(Id);
   made->Server->Entry.Slots = 4;
@@ -21,13 +21,13 @@
 
 std::uint32_t count(const EngineList &Engines, const ModelName &Model) {
   std::uint32_t n = 0;
-  for (const std::shared_ptr<EngineState> &it : Engines)
+  for (const std::shared_ptr<DispatchEngine> &it : Engines)
     n += it->Model == Model ? 1 : 0;
   return n;
 }
 
-std::shared_ptr<EngineState> choose(const EngineList &Engines,
-                                    const EngineRequirements &Need) {
+std::shared_ptr<DispatchEngine> choose(const EngineList &Engines,
+                                       const EngineRequirements &Need) {
   return chooseEngine(Engines, Need,
                       computePaceBaseline(Engines, EnginePoolSettings()),
                       EnginePoolSettings(), TimePoint() + Millis(1000));
@@ -92,7 +92,7 @@
 TEST_CASE("At most one engine crosses over at a time, an idle one",
           "[dispatch]") {
   EngineList engines{engine("a", 1, 1), engine("b", 1, 1), engine("c", 1, 1)};
-  for (const std::shared_ptr<EngineState> &it : engines)
+  for (const std::shared_ptr<DispatchEngine> &it : engines)
     it->Model = Red;
   engines[0]->Running = 3;
   engines[2]->Running = 1;
@@ -132,7 +132,7 @@
           "[dispatch]") {
   EngineList engines{engine("near", 1, 1), engine("fast", 1, 1)};
   double ms = 98;
-  for (const std::shared_ptr<EngineState> &it : engines) {
+  for (const std::shared_ptr<DispatchEngine> &it : engines) {
     it->Model = Red;
     for (int i = 0; i < 60; ++i)
       recordEventInterval(it->Pace, ms, TimePoint(), EnginePaceSettings());
@@ -143,7 +143,7 @@
   need.Model = Red;
   need.Preferred = {ServerName("near"), 0};
   CHECK(choose(engines, need) == engines[0]);
-  need.Long = true;
+  need.IsLong = true;
   CHECK(choose(engines, need) == engines[1]);
   engines[1]->Running = 4;
   CHECK(choose(engines, need) == engines[0]);
@@ -153,7 +153,7 @@
           "[dispatch]") {
   EngineList engines{engine("slow", 1, 1), engine("ill", 1, 1),
                      engine("far", 1, 1), engine("near", 1, 1)};
-  for (const std::shared_ptr<EngineState> &it : engines) {
+  for (const std::shared_ptr<DispatchEngine> &it : engines) {
     it->Model = Red;
     it->Pace.RecentMs = 40;
   }
--- a/UnitTests/Dispatch/FakeEngines.cpp
+++ b/UnitTests/Dispatch/FakeEngines.cpp
@@ -29,17 +29,18 @@
   asio::awaitable<Outcome<std::optional<EngineEvent>>>
   next(Millis Timeout) override {
     FakeServer &server = All.Servers[Where];
-    TimePoint until = monotonicNow() + (server.Dark ? Timeout : server.Pace);
+    TimePoint until =
+        monotonicNow() + (server.Unresponsive ? Timeout : server.Pace);
     if (!Cancelled)
       co_await Wake.wait(until);
     // It fell silent while the event was on its way.
-    if (!Cancelled && server.Dark)
+    if (!Cancelled && server.Unresponsive)
       co_await Wake.wait(monotonicNow() + Timeout);
     server.Ended =
         server.Ended || (Item == All.CrashOn && Made >= All.CrashAfterEvents);
     if (server.Ended)
       co_return lost(FailureCode::ConnectionLost);
-    if (Cancelled || server.Dark)
+    if (Cancelled || server.Unresponsive)
       co_return lost(FailureCode::Cancelled);
     if (Next >= All.Length)
       co_return std::optional<EngineEvent>();
@@ -89,7 +90,7 @@
 asio::awaitable<Outcome<ServerProbeResult>>
 FakeEngines::probe(UpstreamRegistration Server) {
   co_await pauseFor(Context.get_executor(), Millis(1));
-  co_return Servers[Server.Id].Ended ? ServerProbeResult::Refuses
+  co_return Servers[Server.Id].Ended ? ServerProbeResult::RefusesConnections
                                      : ServerProbeResult::Listens;
 }
 
@@ -120,7 +121,7 @@
 FakeEngines::call(UpstreamRegistration Server, SendOptions Options) {
   co_await pauseFor(Context.get_executor(), Millis(1));
   ScoreDeadlines.push_back(Options.Deadline.value_or(Millis(0)));
-  if (Servers[Server.Id].Dark)
+  if (Servers[Server.Id].Unresponsive)
     co_return lost(FailureCode::TimedOut);
   UpstreamResponse answer;
   answer.Proof = AnswerProof::Ran;
--- a/UnitTests/Dispatch/FakeEngines.h
+++ b/UnitTests/Dispatch/FakeEngines.h
@@ -29,7 +29,7 @@
   /// Its process has ended: it refuses connections.
   bool Ended = false;
   /// Neither answers nor sends events.
-  bool Dark = false;
+  bool Unresponsive = false;
   /// Runs that began here, by item.
   std::vector<std::string> Runs;
 };
--- a/UnitTests/Dispatch/LeaseManagerTest.cpp
+++ b/UnitTests/Dispatch/LeaseManagerTest.cpp
@@ -7,7 +7,7 @@
 
 /// One process that may dispatch.
 struct DutyProcess {
-  std::shared_ptr<bool> Cut = std::make_shared<bool>(false);
+  std::shared_ptr<bool> Disconnected = std::make_shared<bool>(false);
   std::shared_ptr<RolloutLog> Log;
   std::shared_ptr<LeaseManager> Duty;
   int Gained = 0;
@@ -15,7 +15,7 @@
 
   DutyProcess(BatchTestFixture &World, const std::string &Name,
               Incarnation Life) {
-    Log = World.follow(World.Store.port(Cut));
+    Log = World.startLog(World.Store.port(Disconnected));
     LeaseSettings limits;
     limits.Self = LeaseHolder{InstanceName(Name), Life};
     limits.LeaseTimeout = Millis(120);
@@ -47,9 +47,9 @@
   DutyProcess one(world, "one", 1);
   REQUIRE(world.runUntil([&] { return one.Duty->held(); }));
   DutyProcess two(world, "two", 2);
-  *one.Cut = true;
+  *one.Disconnected = true;
   REQUIRE(world.runUntil([&] { return two.Duty->held(); }));
-  *one.Cut = false;
+  *one.Disconnected = false;
   // Its renewals are taken by the store all the same; they hold nothing.
   REQUIRE(world.runUntil([&] { return !one.Duty->held(); }));
   world.Context.run_for(Millis(300));
@@ -79,7 +79,7 @@
   REQUIRE(world.runUntil([&] { return one.Duty->held(); }));
   // The topic says for a while that the lease is held, or for ever when the
   // release is lost.
-  world.Store.Fates = {AppendFault::Lost};
+  world.Store.AppendFaults = {AppendFault::Lost};
   world.run([&]() -> boost::asio::awaitable<void> {
     std::vector<std::string> none;
     co_await one.Duty->release(std::move(none));
--- a/UnitTests/Dispatch/LeasePermitTest.cpp
+++ b/UnitTests/Dispatch/LeasePermitTest.cpp
@@ -99,7 +99,7 @@
   void start(std::size_t Who, TimePoint Now) {
     ModelProcess fresh;
     fresh.Self = LeaseHolder{InstanceName(std::to_string(Who)), ++Lives};
-    fresh.Contact.Since = Now;
+    fresh.Contact.ReachableSince = Now;
     All[Who] = std::move(fresh);
   }
 
--- a/UnitTests/Dispatch/LoadOrderTest.cpp
+++ b/UnitTests/Dispatch/LoadOrderTest.cpp
@@ -9,10 +9,10 @@
 const ModelName Red("red");
 const ModelName Blue("blue");
 
-std::shared_ptr<EngineState> engineOf(const ModelName &Model,
-                                      WeightVersion Version,
-                                      std::uint32_t Running = 0) {
-  std::shared_ptr<EngineState> made = std::make_shared<EngineState>();
+std::shared_ptr<DispatchEngine> engineOf(const ModelName &Model,
+                                         WeightVersion Version,
+                                         std::uint32_t Running = 0) {
+  std::shared_ptr<DispatchEngine> made = std::make_shared<DispatchEngine>();
   made->Server = std::make_shared<UpstreamServer>();
   made->Model = Model;
   made->Versions = {{Model, Version}};
--- a/UnitTests/Dispatch/WeightReconcilerTest.cpp
+++ b/UnitTests/Dispatch/WeightReconcilerTest.cpp
@@ -25,8 +25,8 @@
     port.Report = [this](const UpstreamRegistration &, Millis) {
       return report();
     };
-    port.Order = [this](UpstreamRegistration Server, WeightLoadRequest What,
-                        Millis) {
+    port.LoadWeights = [this](UpstreamRegistration Server,
+                              WeightLoadRequest What, Millis) {
       return order(std::move(Server), std::move(What));
     };
     return port;
@@ -51,7 +51,7 @@
       co_return WeightLoadOutcome::Busy;
     ++Now.Accepted;
     Now.Models[What.Model] = What.Version;
-    co_return WeightLoadOutcome::Begun;
+    co_return WeightLoadOutcome::Started;
   }
   static Failure silence() {
     return Failure{
@@ -61,7 +61,7 @@
 
 struct OrderWorld : BatchTestFixture {
   FakeEngine Engine{Context};
-  std::shared_ptr<bool> Cut = std::make_shared<bool>(false);
+  std::shared_ptr<bool> Disconnected = std::make_shared<bool>(false);
   std::shared_ptr<WeightReconciler> Keeper = makeKeeper();
 
   std::shared_ptr<WeightReconciler> makeKeeper() {
@@ -69,9 +69,9 @@
     limits.Holder = "side-1";
     limits.PollInterval = Millis(2);
     limits.IdlePollInterval = Millis(5);
-    std::shared_ptr<WeightReconciler> keeper =
-        WeightReconciler::create(Context.get_executor(), Store.port(Cut),
-                                 Engine.port(), Decisions, limits);
+    std::shared_ptr<WeightReconciler> keeper = WeightReconciler::create(
+        Context.get_executor(), Store.port(Disconnected), Engine.port(),
+        Decisions, limits);
     UpstreamRegistration entry;
     entry.Id = Server;
     keeper->setRegistrations({entry});
@@ -129,11 +129,11 @@
 TEST_CASE("A life that the store does not know yet gives no order",
           "[dispatch]") {
   OrderWorld world;
-  *world.Cut = true;
+  *world.Disconnected = true;
   world.Keeper->setWanted(Server, {Red, 2, SwapMode::Continue}, 0);
   world.Context.run_for(Millis(60));
   CHECK(world.Engine.Orders.empty());
-  *world.Cut = false;
+  *world.Disconnected = false;
   CHECK(world.comesTo(2));
 }
 
--- a/UnitTests/Fuzz/ControlMutationTest.cpp
+++ b/UnitTests/Fuzz/ControlMutationTest.cpp
@@ -16,11 +16,11 @@
 std::vector<ControlMessage> goodMessages() {
   Gossip gossip;
   MemberUpdate news;
-  news.About.Instance = InstanceName("lulea-1");
-  news.About.Control = Address{"127.0.0.1", 2};
-  news.About.Servers.push_back(
+  news.Subject.Instance = InstanceName("lulea-1");
+  news.Subject.Control = Address{"127.0.0.1", 2};
+  news.Subject.Servers.push_back(
       ServerStatus{ServerName("llm-1"), ServiceName("llm"), 9, 4, false});
-  gossip.News = {news};
+  gossip.Updates = {news};
   gossip.Digests = {1, 2, 3};
   return {PingMessage{3, "a", "b", gossip}, PingRequestMessage{4, "a", "c"},
           LogPushMessage{9, "a", {LogEntry{7, "text"}}, 8, 1, Millis(20)}};
--- a/UnitTests/Fuzz/TextMutationTest.cpp
+++ b/UnitTests/Fuzz/TextMutationTest.cpp
@@ -62,7 +62,7 @@
     REQUIRE(first.ApplyStatus == second.ApplyStatus);
     if (!read)
       CHECK((first.ApplyStatus == RecordStatus::Malformed ||
-             first.ApplyStatus == RecordStatus::Newer));
+             first.ApplyStatus == RecordStatus::NewerSchema));
   }
   CHECK(hashState(left) == hashState(right));
 }
--- a/UnitTests/Membership/SwimTest.cpp
+++ b/UnitTests/Membership/SwimTest.cpp
@@ -46,7 +46,7 @@
   SwimState state = startSwim(SwimSettings(), named("self"), 7, Start);
   UpdatesReceived heard;
   for (const std::string &it : Names)
-    heard.News.push_back(alive(it));
+    heard.Updates.push_back(alive(it));
   decide(state, heard, Start);
   return state;
 }
@@ -59,7 +59,7 @@
                  const std::string &From = "b") {
   UpdatesReceived heard;
   heard.From = InstanceName(From);
-  heard.News.push_back(std::move(News));
+  heard.Updates.push_back(std::move(News));
   return decide(State, heard, At);
 }
 
@@ -82,7 +82,7 @@
   ListedInstance line;
   line.Instance = InstanceName(Name);
   line.Domain = DomainName("lulea-hall");
-  line.Frames = Address{"127.0.0.1", 1000};
+  line.ControlAddress = Address{"127.0.0.1", 1000};
   line.Leaving = Leaving;
   line.Life = 1;
   return line;
@@ -144,7 +144,7 @@
     CHECK(state.Members.at(state.Self).Who.Stamp > before);
     std::vector<MemberUpdate> news = takeUpdatesFor(state, InstanceName("a"));
     CHECK(std::any_of(news.begin(), news.end(), [&](const MemberUpdate &it) {
-      return it.About.Instance == state.Self && it.About.Stamp > before;
+      return it.Subject.Instance == state.Self && it.Subject.Stamp > before;
     }));
   }
 }
@@ -289,7 +289,7 @@
   SwimState state = knowing({});
   UpdatesReceived heard;
   for (int n = 0; n < 100; ++n)
-    heard.News.push_back(alive("m" + std::to_string(n)));
+    heard.Updates.push_back(alive("m" + std::to_string(n)));
   decide(state, heard, Start);
   std::map<InstanceName, int> times;
   std::size_t frames = 0;
@@ -297,7 +297,7 @@
   while (!news.empty()) {
     REQUIRE(news.size() <= state.Limits.MaxUpdatesPerFrame);
     for (const MemberUpdate &it : news)
-      ++times[it.About.Instance];
+      ++times[it.Subject.Instance];
     ++frames;
     REQUIRE(frames < 10000);
     news = takeUpdatesFor(state, InstanceName("peer"));
@@ -316,7 +316,7 @@
          Start);
   std::vector<MemberUpdate> news = takeUpdatesFor(sender, InstanceName("peer"));
   REQUIRE(news.size() == 1);
-  CHECK(news.front().About.Control.empty());
+  CHECK(news.front().Subject.Control.empty());
 
   SwimState stranger = startSwim(SwimSettings(), named("peer"), 3, Start);
   decide(stranger, UpdatesReceived{sender.Self, news}, Start);
@@ -349,7 +349,7 @@
   std::vector<MemberUpdate> news =
       findMissingUpdates(left, computeDigests(right));
   REQUIRE(news.size() == 1);
-  CHECK(news.front().About.Instance == InstanceName("c"));
+  CHECK(news.front().Subject.Instance == InstanceName("c"));
   decide(right, UpdatesReceived{InstanceName("left"), news}, Start);
   CHECK(computeDigests(right) == computeDigests(left));
 }
--- a/UnitTests/Node/ControlMessageTest.cpp
+++ b/UnitTests/Node/ControlMessageTest.cpp
@@ -21,21 +21,21 @@
 
 Gossip someGossip() {
   MemberUpdate news;
-  news.About.Instance = InstanceName("daemon-1");
-  news.About.Domain = DomainName("pasig-a");
-  news.About.Life = 77;
-  news.About.Requests = Address{"127.0.0.1", 1};
-  news.About.Control = Address{"127.0.0.1", 2};
-  news.About.Admin = Address{"127.0.0.1", 3};
-  news.About.Stamp = 5;
-  news.About.Servers.push_back(ServerStatus{
+  news.Subject.Instance = InstanceName("daemon-1");
+  news.Subject.Domain = DomainName("pasig-a");
+  news.Subject.Life = 77;
+  news.Subject.Requests = Address{"127.0.0.1", 1};
+  news.Subject.Control = Address{"127.0.0.1", 2};
+  news.Subject.Admin = Address{"127.0.0.1", 3};
+  news.Subject.Stamp = 5;
+  news.Subject.Servers.push_back(ServerStatus{
       ServerName("inspect-1"), ServiceName("inspect-llm"), 9, 4, false});
   MemberUpdate suspect;
-  suspect.About.Instance = InstanceName("daemon-2");
-  suspect.About.State = Health::Suspect;
+  suspect.Subject.Instance = InstanceName("daemon-2");
+  suspect.Subject.State = Health::Suspect;
   suspect.Accuser = InstanceName("daemon-3");
   Gossip carried;
-  carried.News = {news, suspect};
+  carried.Updates = {news, suspect};
   carried.Digests = {1, 2, 3};
   carried.Full = true;
   carried.Next = 42;
@@ -98,7 +98,7 @@
   CHECK(!decodeControl(none));
 
   PingMessage ping{3, "a", "b", someGossip()};
-  ping.Carried.News.front().About.State = static_cast<Health>(9);
+  ping.Piggybacked.Updates.front().Subject.State = static_cast<Health>(9);
   CHECK(!decodeControl(encodeControl(ping)));
 }
 
--- a/UnitTests/Node/ControlPlaneTest.cpp
+++ b/UnitTests/Node/ControlPlaneTest.cpp
@@ -180,7 +180,7 @@
   Cluster cluster;
   cluster.start(4);
   for (const std::unique_ptr<Node> &it : cluster.Nodes)
-    it->Plane->want("trainer/drafts");
+    it->Plane->requestClaim("trainer/drafts");
   REQUIRE(eventually([&]() { return cluster.holder("trainer/drafts"); }));
   Node *first = cluster.holder("trainer/drafts");
   FencingToken token = first->Plane->held("trainer/drafts")->Token;
@@ -218,7 +218,7 @@
   Cluster cluster;
   cluster.start(3);
   for (const std::unique_ptr<Node> &it : cluster.Nodes)
-    it->Plane->want("weights/drafts");
+    it->Plane->requestClaim("weights/drafts");
   REQUIRE(eventually([&]() { return cluster.holder("weights/drafts"); }));
   Node *owner = cluster.holder("weights/drafts");
   FencingToken token = owner->Plane->held("weights/drafts")->Token;
@@ -305,7 +305,7 @@
   }
   REQUIRE(eventually([&]() { return cluster.allSee(2); }));
   for (const std::unique_ptr<Node> &it : cluster.Nodes)
-    it->Plane->want("trainer/notes");
+    it->Plane->requestClaim("trainer/notes");
   REQUIRE(eventually([&]() { return cluster.holder("trainer/notes"); }));
   Node *first = cluster.holder("trainer/notes");
   first->Plane->leave([]() {});
--- a/UnitTests/Node/DutyRulesTest.cpp
+++ b/UnitTests/Node/DutyRulesTest.cpp
@@ -131,7 +131,7 @@
                        true,
                        12};
   CHECK(lines->front() == first);
-  CHECK(lines->back().Frames.empty());
+  CHECK(lines->back().ControlAddress.empty());
   CHECK(!parseInstanceList("[]"));
   CHECK(!parseInstanceList("{"));
 }
--- a/UnitTests/Platform/DecodingMutationTest.cpp
+++ b/UnitTests/Platform/DecodingMutationTest.cpp
@@ -48,7 +48,7 @@
     INFO(text);
     CHECK(got->Slots > 0);
     CHECK_FALSE(got->Service.empty());
-    CHECK_FALSE(got->Where.Host.empty());
+    CHECK_FALSE(got->Endpoint.Host.empty());
     // The id stands in headers.
     for (char it : got->Id.Text)
       CHECK((it > ' ' && it <= '~'));
--- a/UnitTests/Platform/TranslationTest.cpp
+++ b/UnitTests/Platform/TranslationTest.cpp
@@ -245,7 +245,7 @@
   REQUIRE(got);
   CHECK(got->Draining);
   CHECK(got->Models.at(ModelName("m0")) == 3);
-  CHECK(got->Where == Address{"10.128.0.9", 8080});
+  CHECK(got->Endpoint == Address{"10.128.0.9", 8080});
   CHECK_FALSE(outcomeOf<UpstreamRegistration>(
       [&] { return decodeRegistration("i-1", R"({"service":"s"})", "x"); }));
 }
@@ -418,9 +418,9 @@
   http::Header stamp{"Wasabisail-Server-Stamp", "sig"};
   http::Header unrun{"Wasabisail-Not-Executed", "1"};
   CHECK(computeAnswerProof(answer(200, {id, stamp}), "r1") == AnswerProof::Ran);
-  CHECK(computeAnswerProof(answer(200, {id}), "r1") == AnswerProof::Nothing);
+  CHECK(computeAnswerProof(answer(200, {id}), "r1") == AnswerProof::Unknown);
   CHECK(computeAnswerProof(answer(200, {id, stamp}), "r2") ==
-        AnswerProof::Nothing);
+        AnswerProof::Unknown);
   CHECK(computeAnswerProof(answer(503, {id, unrun}), "r1") ==
         AnswerProof::NotRun);
   CHECK(computeAnswerProof(answer(503, {id}), "r1") == AnswerProof::Ran);
--- a/UnitTests/Rollout/OwnerSimulation.cpp
+++ b/UnitTests/Rollout/OwnerSimulation.cpp
@@ -50,7 +50,7 @@
   now.Newest = Newest;
   now.Fence = Fence;
   for (const auto &it : Have)
-    now.Have.push_back(it.first);
+    now.HeldSlots.push_back(it.first);
   return now;
 }
 
@@ -78,7 +78,7 @@
                     it.Tokens == lengthOf(it.Seed);
     Mislabelled += truthful ? 0 : 1;
     Have.emplace(it.Place, it);
-    answer.Taken.push_back(it.Place);
+    answer.AcceptedSlots.push_back(it.Place);
   }
   if (Have.size() == Groups * GroupSize) {
     answer.StepComplete = true;
--- a/UnitTests/Rollout/TrainerFoldTest.cpp
+++ b/UnitTests/Rollout/TrainerFoldTest.cpp
@@ -82,7 +82,7 @@
   TrainerRecord record{RecordId{"a", 1, 4}, 5,
                        SampleCommit{{sampleOf({7, 0, 0}, 3)}}};
   CHECK(stream.repeat(record).ApplyStatus == RecordStatus::Accepted);
-  CHECK(stream.repeat(record).ApplyStatus == RecordStatus::Repeated);
+  CHECK(stream.repeat(record).ApplyStatus == RecordStatus::Duplicate);
 }
 
 TEST_CASE("a commit is judged by the version before it in the log",
@@ -129,7 +129,7 @@
     CHECK(apply(stream.State, stream.State.Next, bad).ApplyStatus ==
           RecordStatus::Malformed);
   CHECK(apply(stream.State, stream.State.Next, "{\"schema\":99,\"kind\":\"x\"}")
-            .ApplyStatus == RecordStatus::Newer);
+            .ApplyStatus == RecordStatus::NewerSchema);
   before.Next = stream.State.Next;
   CHECK(stream.State == before);
 }
--- a/UnitTests/Rollout/TrainerInputsTest.cpp
+++ b/UnitTests/Rollout/TrainerInputsTest.cpp
@@ -31,7 +31,7 @@
   preset.RolloutPercent = 50;
   preset.OnVersionChange = VersionChange::Finish;
   config.Presets[preset.Name] = preset;
-  config.InForce = preset.Name;
+  config.ActivePreset = preset.Name;
   return config;
 }
 
--- a/UnitTests/Routing/AdmissionTest.cpp
+++ b/UnitTests/Routing/AdmissionTest.cpp
@@ -13,8 +13,8 @@
 
 Admission::Settings fixedLimit(double Limit) {
   Admission::Settings setup;
-  setup.Concurrency.Start = Limit;
-  setup.Concurrency.Most = Limit;
+  setup.Concurrency.InitialLimit = Limit;
+  setup.Concurrency.MaxLimit = Limit;
   setup.Concurrency.AdaptToLatency = false;
   setup.DefaultServiceTime = Service;
   return setup;
@@ -24,7 +24,7 @@
   AdmissionRequest made;
   made.Id = Id;
   made.Flow = std::move(Flow);
-  made.Until = Start + Millis(60000);
+  made.Deadline = Start + Millis(60000);
   return made;
 }
 
@@ -32,7 +32,7 @@
                         std::uint32_t Share) {
   AdmissionRequest made = ask(Id, "trainer/" + Trainer);
   made.Rollout = true;
-  made.Share = Share;
+  made.FlowWeight = Share;
   return made;
 }
 
@@ -59,7 +59,7 @@
     gate.offer(ask(n), Start);
   // Five wait for 10 ms each.
   AdmissionRequest hurried = ask(7);
-  hurried.Until = Start + Millis(30);
+  hurried.Deadline = Start + Millis(30);
   AdmissionChange change = gate.offer(hurried, Start);
   REQUIRE(change.Refused.size() == 1);
   CHECK(change.Refused[0].Why.Run == Verdict::NotRun);
@@ -112,7 +112,7 @@
   CHECK(gate.queued() == 4);
   // A weight counts as that many.
   AdmissionRequest heavy = ask(21, "caller/heavy");
-  heavy.Share = 4;
+  heavy.FlowWeight = 4;
   CHECK(gate.offer(heavy, Start).Refused.size() == 1);
   CHECK(gate.queued() == 4);
 }
@@ -121,7 +121,7 @@
   Admission gate("a", fixedLimit(1), Start);
   gate.offer(ask(1), Start);
   AdmissionRequest hurried = ask(2);
-  hurried.Until = Start + Millis(15);
+  hurried.Deadline = Start + Millis(15);
   CHECK(gate.offer(hurried, Start) == AdmissionChange{});
   CHECK(gate.tick(Start + Millis(14)) == AdmissionChange{});
   AdmissionChange late = gate.tick(Start + Millis(15));
@@ -161,7 +161,7 @@
   TimePoint now = Start;
   auto offerOne = [&](const std::string &Trainer, std::uint32_t Share) {
     AdmissionRequest made = sample(++next, Trainer, Share);
-    made.Until = now + Millis(3600000);
+    made.Deadline = now + Millis(3600000);
     owner[made.Id] = Trainer;
     for (std::uint64_t it : gate.offer(made, now).Started)
       running.push_back(it);
@@ -189,7 +189,7 @@
 TEST_CASE("A limit falls when answers slow down, and grows when used",
           "[admission]") {
   ConcurrencyLimit::Settings settings;
-  settings.Start = 8;
+  settings.InitialLimit = 8;
   settings.FirstProbeDelay = Millis(3600000);
   ConcurrencyLimit limit = makeConcurrencyLimit(settings, Start);
   TimePoint now = Start;
--- a/UnitTests/Routing/IdempotencyKeysTest.cpp
+++ b/UnitTests/Routing/IdempotencyKeysTest.cpp
@@ -38,12 +38,12 @@
 
 TEST_CASE("A repeat waits, then gets the first one's answer", "[keys]") {
   IdempotencyKeys keys(settings());
-  CHECK(keys.begin("k", 7, Start).Step == KeyAction::Run);
-  CHECK(keys.begin("k", 7, Start).Step == KeyAction::Wait);
+  CHECK(keys.begin("k", 7, Start).Action == KeyAction::Run);
+  CHECK(keys.begin("k", 7, Start).Action == KeyAction::Wait);
   http::Response answer{201, {}, "done"};
-  keys.answered("k", answer);
+  keys.recordAnswer("k", answer);
   KeyDecision again = keys.begin("k", 7, Start);
-  CHECK(again.Step == KeyAction::Answer);
+  CHECK(again.Action == KeyAction::Answer);
   CHECK(again.Answer.Status == answer.Status);
   CHECK(again.Answer.Body == answer.Body);
 }
@@ -53,24 +53,24 @@
   keys.begin("k", 7, Start);
   SECTION("another request with the same key did not run") {
     KeyDecision decision = keys.begin("k", 8, Start);
-    CHECK(decision.Step == KeyAction::Refuse);
+    CHECK(decision.Action == KeyAction::Refuse);
     CHECK(decision.Why.Run == Verdict::NotRun);
     CHECK(decision.Why.Code == FailureCode::Conflict);
   }
   SECTION("a first one that broke may have run") {
     Failure why{Verdict::MayHaveRun, FailureCode::ConnectionLost, "a", "b", {}};
-    keys.broken("k", why);
+    keys.recordFailure("k", why);
     CHECK(keys.begin("k", 7, Start).Why == why);
   }
   SECTION("a first one that did not run frees its key") {
-    keys.broken("k",
-                Failure{Verdict::NotRun, FailureCode::Unreachable, "", "", {}});
-    CHECK(keys.begin("k", 7, Start).Step == KeyAction::Run);
+    keys.recordFailure(
+        "k", Failure{Verdict::NotRun, FailureCode::Unreachable, "", "", {}});
+    CHECK(keys.begin("k", 7, Start).Action == KeyAction::Run);
   }
   SECTION("an answer too large to keep is told as run") {
-    keys.answered("k", http::Response{200, {}, std::string(11, 'x')});
+    keys.recordAnswer("k", http::Response{200, {}, std::string(11, 'x')});
     KeyDecision decision = keys.begin("k", 7, Start);
-    CHECK(decision.Step == KeyAction::Refuse);
+    CHECK(decision.Action == KeyAction::Refuse);
     CHECK(decision.Why.Run == Verdict::Ran);
   }
 }
@@ -78,20 +78,20 @@
 TEST_CASE("The table is bounded and forgets with time only", "[keys]") {
   IdempotencyKeys keys(settings());
   for (const char *it : {"a", "b", "c"}) {
-    CHECK(keys.begin(it, 1, Start).Step == KeyAction::Run);
-    keys.answered(it, http::Response{});
+    CHECK(keys.begin(it, 1, Start).Action == KeyAction::Run);
+    keys.recordAnswer(it, http::Response{});
   }
   KeyDecision full = keys.begin("d", 1, Start + Millis(1000));
-  CHECK(full.Step == KeyAction::Refuse);
+  CHECK(full.Action == KeyAction::Refuse);
   CHECK(full.Why.Run == Verdict::NotRun);
-  CHECK(keys.begin("d", 1, Start + Millis(1001)).Step == KeyAction::Run);
+  CHECK(keys.begin("d", 1, Start + Millis(1001)).Action == KeyAction::Run);
   CHECK(keys.size() == 1);
 }
 
 TEST_CASE("A running key outlives its span", "[keys]") {
   IdempotencyKeys keys(settings());
   keys.begin("a", 1, Start);
-  CHECK(keys.begin("a", 1, Start + Millis(5000)).Step == KeyAction::Wait);
+  CHECK(keys.begin("a", 1, Start + Millis(5000)).Action == KeyAction::Wait);
 }
 
 TEST_CASE("A witness lets the same runner ask again and no other", "[keys]") {
--- a/UnitTests/Routing/LoadBalancingTest.cpp
+++ b/UnitTests/Routing/LoadBalancingTest.cpp
@@ -42,7 +42,7 @@
   std::map<std::string, int> counts;
   for (int n = 0; n < 1000; ++n) {
     std::optional<Candidate> chosen =
-        choose(State, Of, {}, std::nullopt, Now, random);
+        chooseCandidate(State, Of, {}, std::nullopt, Now, random);
     REQUIRE(chosen);
     ++counts[chosen->Key.Server.Text];
   }
@@ -129,14 +129,14 @@
   BalancerState state = makeState(all);
   std::mt19937_64 random(1);
   std::optional<Candidate> second =
-      choose(state, all, {all[0]}, std::nullopt, Start, random);
+      chooseCandidate(state, all, {all[0]}, std::nullopt, Start, random);
   REQUIRE(second);
   CHECK(second->Key == all[2].Key);
-  std::optional<Candidate> third =
-      choose(state, all, {all[0], all[2]}, std::nullopt, Start, random);
+  std::optional<Candidate> third = chooseCandidate(state, all, {all[0], all[2]},
+                                                   std::nullopt, Start, random);
   REQUIRE(third);
   CHECK(third->Key == all[1].Key);
-  CHECK_FALSE(choose(state, all, all, std::nullopt, Start, random));
+  CHECK_FALSE(chooseCandidate(state, all, all, std::nullopt, Start, random));
 }
 
 TEST_CASE("Ejection of outliers is bounded and ends", "[choice]") {
@@ -179,9 +179,10 @@
   noteStart(state, all[0], Start);
   noteFailure(state, all[0], full, all, Start, "greedy");
   std::mt19937_64 random(1);
-  CHECK_FALSE(choose(state, all, {}, std::nullopt, Start, random, "greedy"));
+  CHECK_FALSE(
+      chooseCandidate(state, all, {}, std::nullopt, Start, random, "greedy"));
   CHECK(timeUntilAvailable(state, all, Start, "greedy") == Millis(20));
-  CHECK(choose(state, all, {}, std::nullopt, Start, random, "modest"));
+  CHECK(chooseCandidate(state, all, {}, std::nullopt, Start, random, "modest"));
   CHECK(timeUntilAvailable(state, all, Start, "modest") == Millis(0));
   // Beyond a bound it is full for everyone, and forgotten later.
   for (int n = 0; n < 100; ++n) {
@@ -189,9 +190,10 @@
     noteFailure(state, all[0], full, all, Start, std::to_string(n));
   }
   CHECK(state.Servers[all[0].Key].OverloadedUntil.size() <= 64);
-  CHECK_FALSE(choose(state, all, {}, std::nullopt, Start, random, "modest"));
-  CHECK(choose(state, all, {}, std::nullopt, Start + Millis(21), random,
-               "greedy"));
+  CHECK_FALSE(
+      chooseCandidate(state, all, {}, std::nullopt, Start, random, "modest"));
+  CHECK(chooseCandidate(state, all, {}, std::nullopt, Start + Millis(21),
+                        random, "greedy"));
 }
 
 TEST_CASE("A slow server in the own domain leaves a choice", "[choice]") {
@@ -236,11 +238,13 @@
   BalancerState state = makeState(all);
   std::mt19937_64 random(3);
   for (int n = 0; n < 100; ++n)
-    CHECK(choose(state, all, {}, all[1].Key, Start, random)->Key == all[1].Key);
+    CHECK(chooseCandidate(state, all, {}, all[1].Key, Start, random)->Key ==
+          all[1].Key);
   for (int n = 0; n < 8; ++n)
     noteStart(state, all[1], Start);
   for (int n = 0; n < 100; ++n)
-    CHECK(choose(state, all, {}, all[1].Key, Start, random)->Key != all[1].Key);
+    CHECK(chooseCandidate(state, all, {}, all[1].Key, Start, random)->Key !=
+          all[1].Key);
 }
 
 TEST_CASE("Candidates are the serving servers of members that take work",
@@ -318,7 +322,7 @@
   }
   CHECK(retries == 2);
   for (int n = 0; n < 100; ++n)
-    budget = earn(budget);
+    budget = addSuccess(budget);
   CHECK(budget.Tokens == Approx(2.0));
 }
 
--- a/UnitTests/StandIns/FaultProxyTests.cpp
+++ b/UnitTests/StandIns/FaultProxyTests.cpp
@@ -27,7 +27,7 @@
   }
 
   void tell(const boost::json::object &Faults) {
-    Proxy->Told.merge(Faults);
+    Proxy->InjectedFaults.merge(Faults);
     Proxy->onFaultsChanged();
   }
 
--- a/UnitTests/State/ChangePlanTests.cpp
+++ b/UnitTests/State/ChangePlanTests.cpp
@@ -58,7 +58,7 @@
   plan = wasabi::toOutcome<ChangePlan>(
       [&] { return planPreset(log.State, PresetName("peak")); });
   log.by("bo", makeChange(*plan, "bo", ""));
-  CHECK(log.State.Config->InForce == PresetName("peak"));
+  CHECK(log.State.Config->ActivePreset == PresetName("peak"));
 }
 
 TEST_CASE("A rollback is a new change that brings all objects back") {
--- a/UnitTests/State/FoldPropertyTests.cpp
+++ b/UnitTests/State/FoldPropertyTests.cpp
@@ -124,8 +124,8 @@
       who.Id.Sequence = 0;
       break;
     case 8:
-      append(who,
-             wasabi::takeOver("snapshots", Log.claim("snapshots"), Millis(10)));
+      append(who, wasabi::makeClaimAcquire("snapshots", Log.claim("snapshots"),
+                                           Millis(10)));
       break;
     case 9:
       append(who, wasabi::ClaimRenew{"snapshots", token()});
@@ -224,7 +224,7 @@
     std::vector<Judged> before;
     for (const Judged &it : judgedChanges(history.Log)) {
       const ConfigChange &change = std::get<ConfigChange>(it.What.Body);
-      if (it.Done.ApplyStatus != RecordStatus::Repeated) {
+      if (it.Done.ApplyStatus != RecordStatus::Duplicate) {
         bool conflict = conflicts(before, change);
         RC_ASSERT(conflict == it.Done.Reason.starts_with("conflict: "));
         if (!conflict && it.Done.ApplyStatus == RecordStatus::Refused)
--- a/UnitTests/State/FoldTests.cpp
+++ b/UnitTests/State/FoldTests.cpp
@@ -76,7 +76,7 @@
   wasabi::ConfigChange change{0, {}, {limit("a", 1)}, "anna", ""};
   CHECK(log.add({"ctl", 5, 1}, change).ApplyStatus == RecordStatus::Accepted);
   ControlStateChange again = log.add({"ctl", 5, 1}, change);
-  CHECK(again.ApplyStatus == RecordStatus::Repeated);
+  CHECK(again.ApplyStatus == RecordStatus::Duplicate);
   CHECK(again.IsSameId);
   CHECK(again.PriorOffset == 0);
   CHECK(again.PriorStatus == RecordStatus::Accepted);
@@ -86,7 +86,7 @@
   CHECK(log.add({"ctl", 5, 2}, change).PriorStatus == RecordStatus::Refused);
   CHECK_FALSE(log.add({"ctl", 5, 1}, change).IsSameId);
   change.Base = 5;
-  CHECK(log.add({"ctl", 4, 9}, change).ApplyStatus == RecordStatus::Repeated);
+  CHECK(log.add({"ctl", 4, 9}, change).ApplyStatus == RecordStatus::Duplicate);
   CHECK(log.add({"ctl", 6, 0}, change).ApplyStatus == RecordStatus::Accepted);
 }
 
@@ -112,12 +112,12 @@
   FoldedLog log;
   log.by("d1", ClaimAcquire{"trainer/t", 0, Millis(10), 0});
   ClaimAcquire late =
-      wasabi::takeOver("trainer/t", log.claim("trainer/t"), Millis(10));
+      wasabi::makeClaimAcquire("trainer/t", log.claim("trainer/t"), Millis(10));
   log.by("d1", ClaimRenew{"trainer/t", 1});
   CHECK_THAT(log.by("d2", late).Reason,
              Contains("renewed by d1 since token 1"));
-  CHECK(log.by("d2", wasabi::takeOver("trainer/t", log.claim("trainer/t"),
-                                      Millis(10)))
+  CHECK(log.by("d2", wasabi::makeClaimAcquire(
+                         "trainer/t", log.claim("trainer/t"), Millis(10)))
             .ApplyStatus == RecordStatus::Accepted);
   CHECK(log.claim("trainer/t")->Token == 4);
   CHECK(log.claim("trainer/t")->Holder.Text == "d2");
@@ -156,9 +156,10 @@
   FoldedLog log;
   log.change("anna", 0, {limit("a", 1)});
   std::string before = encodeState(log.State);
-  CHECK(log.appendText(R"({"schema":2})").ApplyStatus == RecordStatus::Newer);
+  CHECK(log.appendText(R"({"schema":2})").ApplyStatus ==
+        RecordStatus::NewerSchema);
   CHECK(log.State.BlockedOffset == Offset(1));
-  CHECK(apply(log.State, 1, "").ApplyStatus == RecordStatus::Newer);
+  CHECK(apply(log.State, 1, "").ApplyStatus == RecordStatus::NewerSchema);
   CHECK(encodeState(log.State) == before);
   CHECK(log.State.Next == 1);
 }
--- a/UnitTests/Upstream/ForwarderTest.cpp
+++ b/UnitTests/Upstream/ForwarderTest.cpp
@@ -91,7 +91,7 @@
     FeedContext feed{Context.get_executor(), std::move(At), Decisions, View};
     Quarantine::Settings limits;
     limits.CrashWatchInterval = Millis(5);
-    limits.RetryPause = Millis(5);
+    limits.RetryDelay = Millis(5);
     std::shared_ptr<Quarantine> crashes =
         Quarantine::create(feed, Port, Counts, limits);
     crashes->start();
@@ -142,7 +142,8 @@
     co_await pauseFor(Context.get_executor(), ProbeTime);
     Answering how = Servers[Server.Id];
     bool refuses = how == Answering::Crashes || how == Answering::Unreachable;
-    co_return refuses ? ServerProbeResult::Refuses : ServerProbeResult::Listens;
+    co_return refuses ? ServerProbeResult::RefusesConnections
+                      : ServerProbeResult::Listens;
   }
   static Failure failure(Verdict Run) {
     return Failure{Run, FailureCode::ConnectionLost, "server", "as told", {}};
@@ -153,10 +154,10 @@
     run([&]() -> asio::awaitable<void> {
       ForwardRequest what;
       what.Id = "r1";
-      what.Ask = request();
-      what.Arrived = monotonicNow();
-      what.Patience = Patience;
-      what.By = By;
+      what.HttpRequest = request();
+      what.ArrivedAt = monotonicNow();
+      what.CallerTimeout = Patience;
+      what.Caller = By;
       Outcome<UpstreamResponse> answer =
           co_await Forward->answer(std::move(what), Route, stop);
       got.emplace(std::move(answer));
@@ -331,7 +332,7 @@
   world.ask();
   world.ask();
   world.Store.Down = false;
-  world.Store.Fates = {AppendFault::Lost, AppendFault::Refused};
+  world.Store.AppendFaults = {AppendFault::Lost, AppendFault::Refused};
   std::shared_ptr<Quarantine> other = world.quarantine(world.Store.port());
   RequestDigest digest = digestOf(world.request());
   CHECK(world.runUntil(
@@ -381,8 +382,8 @@
       world.Context,
       [&]() -> asio::awaitable<void> {
         ForwardRequest what;
-        what.Arrived = monotonicNow();
-        what.Ask = world.request();
+        what.ArrivedAt = monotonicNow();
+        what.HttpRequest = world.request();
         Outcome<UpstreamResponse> answer =
             co_await world.Forward->answer(std::move(what), world.Route, stop);
         got.emplace(std::move(answer));
@@ -453,7 +454,7 @@
 }
 
 TEST_CASE("A refusal tells when to come back", "[upstream]") {
-  http::Response answer = refusal("full", Millis(250));
+  http::Response answer = makeRefusalResponse("full", Millis(250));
   CHECK(answer.Status == 503);
   CHECK(answer.header("Retry-After") == "0.250");
 }
--- a/UnitTests/Upstream/OverloadTest.cpp
+++ b/UnitTests/Upstream/OverloadTest.cpp
@@ -85,12 +85,13 @@
     asio::cancellation_signal stop;
     ForwardRequest what;
     what.Id = "r";
-    what.Ask.Method = "POST";
-    what.Ask.Target = "/desk/" + std::to_string(Tallies[By.Name].Asked++);
-    what.By = By;
-    what.Arrived = monotonicNow();
-    what.Patience = Millis(600);
-    TimePoint began = what.Arrived;
+    what.HttpRequest.Method = "POST";
+    what.HttpRequest.Target =
+        "/desk/" + std::to_string(Tallies[By.Name].Asked++);
+    what.Caller = By;
+    what.ArrivedAt = monotonicNow();
+    what.CallerTimeout = Millis(600);
+    TimePoint began = what.ArrivedAt;
     ++Open;
     Outcome<UpstreamResponse> got =
         co_await Processes[Process]->answer(std::move(what), Route, stop);
--- a/UnitTests/Upstream/StoreRecoveryTest.cpp
+++ b/UnitTests/Upstream/StoreRecoveryTest.cpp
@@ -12,7 +12,7 @@
     limits.ProbeInterval = Millis(5);
     limits.MinOutage = Millis(40);
     limits.AnswerTime = Millis(10);
-    limits.Contact.Patience = Millis(20);
+    limits.Contact.OutageTimeout = Millis(20);
     return limits;
   }
 
@@ -36,7 +36,7 @@
   RecoveryWorld world;
   RecordStore store = world.port();
   std::optional<Outcome<Offset>> hanging;
-  world.Store.Silent = true;
+  world.Store.Unresponsive = true;
   boost::asio::co_spawn(world.Context, append(store, hanging),
                         boost::asio::detached);
   // Nobody calls after the read that shows that the store is away.
@@ -46,7 +46,7 @@
     CHECK_FALSE(got);
   });
   CHECK_FALSE(hanging);
-  world.Store.Silent = false;
+  world.Store.Unresponsive = false;
   REQUIRE(world.runUntil([&] { return hanging.has_value(); }));
   REQUIRE_FALSE(*hanging);
   CHECK(hanging->failure().Code == FailureCode::Cancelled);
@@ -57,13 +57,13 @@
   RecoveryWorld world;
   RecordStore store = world.port();
   std::optional<Outcome<Offset>> hanging;
-  world.Store.Silent = true;
+  world.Store.Unresponsive = true;
   boost::asio::co_spawn(world.Context, append(store, hanging),
                         boost::asio::detached);
   world.run([&]() -> boost::asio::awaitable<void> {
     co_await pauseFor(world.Context.get_executor(), Millis(3));
-    world.Store.Silent = false;
-    world.Store.Fates = {AppendFault::AnswerLost};
+    world.Store.Unresponsive = false;
+    world.Store.AppendFaults = {AppendFault::AnswerLost};
     std::vector<std::string> records{"other"};
     Outcome<Offset> lost = co_await store.Append("topic", std::move(records),
                                                  std::nullopt, Millis(1000));
@@ -79,15 +79,15 @@
   RecoveryWorld world;
   // Its reads alone would not see the return for a long time.
   world.Store.SilentReadTimeout = Millis(60);
-  std::shared_ptr<RolloutLog> log = world.follow(world.port());
+  std::shared_ptr<RolloutLog> log = world.startLog(world.port());
   REQUIRE(world.runUntil([&] { return log->caughtUp(); }));
-  world.Store.Silent = true;
+  world.Store.Unresponsive = true;
   REQUIRE(world.runUntil([&] { return log->contact().Lost; }));
   world.Store.SilentReadTimeout = Millis(60000);
   world.run([&]() -> boost::asio::awaitable<void> {
     co_await pauseFor(world.Context.get_executor(), Millis(100));
   });
-  world.Store.Silent = false;
+  world.Store.Unresponsive = false;
   CHECK(world.runUntil([&] { return !log->contact().Lost; }));
 }
 
--- a/UnitTests/Upstream/UpstreamTest.cpp
+++ b/UnitTests/Upstream/UpstreamTest.cpp
@@ -23,7 +23,7 @@
 StoreContact contactSince(TimePoint Since) {
   StoreContact contact;
   contact.Lost = false;
-  contact.Since = Since;
+  contact.ReachableSince = Since;
   contact.LastAnswer = Since;
   return contact;
 }
@@ -73,7 +73,7 @@
   CHECK(registerServer(table, leaving) == RegistrationChange::Changed);
   unregisterServer(table, ServerName("b"), Start);
   CHECK(findUsableServers(table, Desk, contact, Start).empty());
-  sweep(table, contact, Start);
+  removeUnregisteredServers(table, contact, Start);
   CHECK(table.Servers.size() == 1);
 }
 
@@ -86,7 +86,7 @@
   unregisterServer(table, ServerName("a"), Start + Millis(20));
   CHECK(findUsableServers(table, Desk, contact, Start + Millis(1000)).size() ==
         1);
-  sweep(table, contact, Start + Millis(1000));
+  removeUnregisteredServers(table, contact, Start + Millis(1000));
   CHECK(table.Servers.size() == 1);
   CHECK(findUsableServers(table, Desk, contact, Start + Millis(2300)).empty());
   CHECK(registerServer(table, entry("a")) == RegistrationChange::Changed);
@@ -133,12 +133,12 @@
   CHECK(after != before);
   CHECK(after->InFlight == 0);
   CHECK(after->SmoothedLatencyMs == 0);
-  CHECK(after->FirstSeen == 7);
+  CHECK(after->FirstOffset == 7);
   CHECK(after->SuspectUntil == TimePoint());
   StoreContact contact = contactSince(Start - Millis(60000));
-  CHECK(usable(table, *after, contact, Start));
+  CHECK(isUsable(table, *after, contact, Start));
   // Whoever still holds the one before sends it nothing more.
-  CHECK_FALSE(usable(table, *before, contact, Start));
+  CHECK_FALSE(isUsable(table, *before, contact, Start));
   // A request that the one before has had may go to this one.
   std::set<ServerIncarnation> tried{before->Entry.incarnation()};
   CHECK(chooseServer(table, Desk, DomainName(), tried, contact, Start) ==
@@ -169,7 +169,7 @@
   CHECK(findUsableServers(table, Desk, contact, Start).size() == 1);
   // Another server has answered where it was, not where it is now.
   UpstreamRegistration moved = entry("a");
-  moved.Where = Address{"10.0.0.9", 80};
+  moved.Endpoint = Address{"10.0.0.9", 80};
   CHECK(registerServer(table, moved) == RegistrationChange::Changed);
   CHECK(findUsableServers(table, Desk, contact, Start).size() == 2);
 }
@@ -183,7 +183,7 @@
   CHECK(rejectRegistration(table, ServerName("a"), "no JSON"));
   StoreContact contact = contactSince(Start);
   CHECK(findUsableServers(table, Desk, contact, Start).size() == 1);
-  CHECK_FALSE(usable(table, *before, contact, Start));
+  CHECK_FALSE(isUsable(table, *before, contact, Start));
   // A writer that goes on is counted, and told of once a reason.
   CHECK_FALSE(rejectRegistration(table, ServerName("a"), "no JSON"));
   CHECK(rejectRegistration(table, ServerName("a"), "no address"));
--- a/UnitTests/Usage/UsageMeterTest.cpp
+++ b/UnitTests/Usage/UsageMeterTest.cpp
@@ -11,7 +11,7 @@
 struct MeterWorld : BatchTestFixture {
   Metrics Counts;
   StoreContact Contact;
-  std::shared_ptr<bool> Cut = std::make_shared<bool>(false);
+  std::shared_ptr<bool> Disconnected = std::make_shared<bool>(false);
   std::shared_ptr<UsageMeter> Meter;
 
   explicit MeterWorld(Millis Window = Millis(3600000)) {
@@ -22,11 +22,11 @@
     limits.AppendIntervalFactor = 0;
     limits.MaxAppendInterval = Millis(20);
     limits.BurstSpan = Millis(40);
-    limits.RetryPause = Millis(5);
+    limits.RetryDelay = Millis(5);
     limits.EndSpread = Millis(5);
     Meter =
-        UsageMeter::create({Context.get_executor(), Store.port(Cut), Decisions,
-                            Counts, WallClock::create(), Contact},
+        UsageMeter::create({Context.get_executor(), Store.port(Disconnected),
+                            Decisions, Counts, WallClock::create(), Contact},
                            limits);
     Meter->start();
   }
@@ -113,7 +113,7 @@
        {AppendFault::Refused, AppendFault::AnswerLost, AppendFault::Lost}) {
     MeterWorld world;
     REQUIRE(world.runUntil([&] { return world.Meter->known(); }));
-    world.Store.Fates = {fate, fate, fate};
+    world.Store.AppendFaults = {fate, fate, fate};
     UsageCounts truth;
     for (int i = 0; i < 40; ++i) {
       const CustomerName &who = i % 3 == 0 ? Anna : Bert;
@@ -127,12 +127,12 @@
   }
   MeterWorld away;
   REQUIRE(away.runUntil([&] { return away.Meter->known(); }));
-  *away.Cut = true;
+  *away.Disconnected = true;
   away.Meter->began(Anna);
   away.Context.run_for(Millis(50));
   away.Meter->began(Bert);
   CHECK(away.counted().empty());
-  *away.Cut = false;
+  *away.Disconnected = false;
   REQUIRE(away.runUntil([&] {
     return away.counted() == UsageCounts{{Anna, 1}, {Bert, 1}};
   }));
@@ -143,7 +143,7 @@
   MeterWorld world;
   REQUIRE(world.runUntil([&] { return world.Meter->known(); }));
   world.Context.run_for(Millis(10));
-  world.Store.Fates = {AppendFault::AnswerLost};
+  world.Store.AppendFaults = {AppendFault::AnswerLost};
   world.Meter->began(Anna);
   REQUIRE(world.runUntil([&] { return world.batches().size() == 2; }));
   // A reader passes over the second batch of a number.
@@ -158,7 +158,7 @@
   REQUIRE(world.runUntil([&] { return world.Meter->known(); }));
   world.Context.run_for(Millis(10));
   // None of these appends is answered, and the process may be killed then.
-  world.Store.Fates.assign(1000, AppendFault::AnswerLost);
+  world.Store.AppendFaults.assign(1000, AppendFault::AnswerLost);
   world.Meter->began(Anna);
   REQUIRE(world.runUntil([&] {
     return world.counted() == UsageCounts{{Anna, 1}};
@@ -167,7 +167,7 @@
   REQUIRE(world.runUntil([&] {
     return world.counted() == UsageCounts{{Anna, 1}, {Bert, 1}};
   }));
-  world.Store.Fates.clear();
+  world.Store.AppendFaults.clear();
   world.Meter->began(Bert);
   REQUIRE(world.runUntil([&] {
     return world.counted() == UsageCounts{{Anna, 1}, {Bert, 2}};
@@ -179,19 +179,19 @@
   MeterWorld world;
   REQUIRE(world.runUntil([&] { return world.Meter->known(); }));
   noteAnswer(world.Contact, monotonicNow());
-  world.Store.Fates.assign(1000, AppendFault::Refused);
+  world.Store.AppendFaults.assign(1000, AppendFault::Refused);
   for (int i = 0; i < 100; ++i) {
     world.Meter->began(Anna);
     world.Context.run_for(Millis(2));
   }
   // 200 ms in pauses of 20 ms, and some shorter ones first.
-  CHECK(1000 - world.Store.Fates.size() <= 16);
+  CHECK(1000 - world.Store.AppendFaults.size() <= 16);
   // One that is away is tried on, so that its return is heard of.
   world.Contact.Lost = true;
-  world.Store.Fates.assign(1000, AppendFault::Refused);
+  world.Store.AppendFaults.assign(1000, AppendFault::Refused);
   world.Context.run_for(Millis(100));
-  CHECK(1000 - world.Store.Fates.size() >= 10);
-  world.Store.Fates.clear();
+  CHECK(1000 - world.Store.AppendFaults.size() >= 10);
+  world.Store.AppendFaults.clear();
   REQUIRE(world.runUntil([&] {
     return world.counted() == UsageCounts{{Anna, 100}};
   }));
@@ -210,11 +210,11 @@
           "[usage]") {
   MeterWorld world;
   REQUIRE(world.runUntil([&] { return world.Meter->known(); }));
-  *world.Cut = true;
+  *world.Disconnected = true;
   constexpr int Many = 50000;
   for (int i = 0; i < Many; ++i)
     world.Meter->began(i % 2 == 0 ? Anna : Bert);
-  *world.Cut = false;
+  *world.Disconnected = false;
   REQUIRE(world.runUntil([&] {
     return world.counted() == UsageCounts{{Anna, Many / 2}, {Bert, Many / 2}};
   }));
@@ -228,7 +228,7 @@
           "[usage]") {
   MeterWorld world;
   REQUIRE(world.runUntil([&] { return world.Meter->known(); }));
-  world.Store.Fates = {AppendFault::Refused};
+  world.Store.AppendFaults = {AppendFault::Refused};
   world.Meter->began(Anna);
   world.run([&]() -> boost::asio::awaitable<void> {
     co_await world.Meter->leave(monotonicNow() + Millis(2000));
--- a/UnitTests/Usage/UsageReporterTest.cpp
+++ b/UnitTests/Usage/UsageReporterTest.cpp
@@ -46,7 +46,7 @@
 
 /// One process that counts and may report.
 struct ReportProcess {
-  std::shared_ptr<bool> Cut = std::make_shared<bool>(false);
+  std::shared_ptr<bool> Disconnected = std::make_shared<bool>(false);
   Metrics Counts;
   std::shared_ptr<RolloutLog> Log;
   std::shared_ptr<LeaseManager> Duty;
@@ -56,8 +56,8 @@
   ReportProcess(BatchTestFixture &World, FakeReports &To,
                 const std::string &Name, Incarnation Life) {
     boost::asio::any_io_executor executor = World.Context.get_executor();
-    RecordStore store = World.Store.port(Cut);
-    Log = World.follow(store);
+    RecordStore store = World.Store.port(Disconnected);
+    Log = World.startLog(store);
     LeaseSettings duty;
     duty.Self = LeaseHolder{InstanceName(Name), Life};
     duty.LeaseTimeout = Millis(120);
@@ -71,7 +71,7 @@
     meter.Windows = windows();
     meter.Pace = Millis(2);
     meter.AppendIntervalFactor = 0;
-    meter.RetryPause = Millis(3);
+    meter.RetryDelay = Millis(3);
     meter.MaxAppendInterval = Millis(20);
     meter.EndSpread = Millis(2);
     Meter = UsageMeter::create({executor, store, World.Decisions, Counts,
@@ -82,7 +82,7 @@
     reporter.Windows = windows();
     reporter.Wait = Millis(5);
     reporter.Pace = Millis(2);
-    reporter.RetryPause = Millis(5);
+    reporter.RetryDelay = Millis(5);
     reporter.MinReportInterval = Millis(1);
     Reporter = UsageReporter::create({executor, store, To.port(), Duty,
                                       World.Decisions, Counts,
@@ -182,7 +182,7 @@
   FencingToken first = told.Calls[0].By.Token;
   ReportProcess two(world, told, "two", 2);
   REQUIRE(world.runUntil([&] { return two.Meter->known(); }));
-  *one->Cut = true;
+  *one->Disconnected = true;
   REQUIRE(world.runUntil([&] { return two.Duty->held(); }));
   TimePoint taken = monotonicNow();
   std::size_t before = told.Calls.size();
@@ -205,12 +205,12 @@
   FakeReports told;
   ReportProcess one(world, told, "one", 1);
   REQUIRE(world.runUntil([&] { return told.Calls.size() >= 2; }));
-  *one.Cut = true;
+  *one.Disconnected = true;
   world.Context.run_for(Millis(150));
   std::size_t before = told.Calls.size();
   world.Context.run_for(Millis(250));
   CHECK(told.Calls.size() == before);
-  *one.Cut = false;
+  *one.Disconnected = false;
   REQUIRE(world.runUntil([&] { return told.Calls.size() > before + 4; }));
   checkTold(told);
 }
@@ -225,7 +225,7 @@
   one.Meter->began(Anna);
   world.Store.Down = true;
   // Longer than it takes to notice that the store is away.
-  world.Context.run_for(StoreContact::Settings().Patience + Millis(300));
+  world.Context.run_for(StoreContact::Settings().OutageTimeout + Millis(300));
   world.Store.Down = false;
   REQUIRE(world.runUntil([&] { return sumFor(told, Anna) == 1; }));
   checkTold(told);
--- a/UnitTests/Usage/UsageStateTest.cpp
+++ b/UnitTests/Usage/UsageStateTest.cpp
@@ -116,7 +116,7 @@
   it.batch(source("a"), Begin + Millis(10));
   it.batch(source("b"), Begin + Millis(20));
   WallTime back = Begin + Millis(20000);
-  it.Contact.Since = FoldCase::reader(back);
+  it.Contact.ReachableSince = FoldCase::reader(back);
   CHECK_FALSE(it.due(back + it.Limits.StoreRecoveryDelay - Millis(1)));
   CHECK(it.due(back + it.Limits.StoreRecoveryDelay) == Window);
 }
--- a/Wasabi/Adapters/Admin/AdminServer.cpp
+++ b/Wasabi/Adapters/Admin/AdminServer.cpp
@@ -53,7 +53,7 @@
   }
 
   Address address() const override { return Bound; }
-  void show(AdminSources NewSources) override {
+  void setSources(AdminSources NewSources) override {
     Sources.set(std::move(NewSources));
   }
 
--- a/Wasabi/Adapters/Admin/AdminServer.h
+++ b/Wasabi/Adapters/Admin/AdminServer.h
@@ -31,15 +31,15 @@
 
 class AdminServer {
 public:
-  /// Binds and starts the thread; until `show` it is not ready and has nothing
-  /// to tell. Errors: `Unavailable` naming the address.
+  /// Binds and starts the thread; until `setSources` it is not ready and has
+  /// nothing to tell. Errors: `Unavailable` naming the address.
   static Result<std::unique_ptr<AdminServer>> create(Address Listen,
                                                      Timeline &Events);
   /// Stops the thread.
   virtual ~AdminServer() = default;
   virtual Address address() const = 0;
   /// Begins to show. Thread-safe.
-  virtual void show(AdminSources Sources) = 0;
+  virtual void setSources(AdminSources Sources) = 0;
 };
 
 } // namespace wasabi
--- a/Wasabi/Adapters/Frames/RequestClient.cpp
+++ b/Wasabi/Adapters/Frames/RequestClient.cpp
@@ -485,7 +485,7 @@
       it.second->cancel(Request);
   }
 
-  void prepare(Address Where) override { linkTo(Where)->start(); }
+  void connectAhead(Address Where) override { linkTo(Where)->start(); }
 
   void onLoad(Link::LoadCallback Callback) override {
     *Loads = std::move(Callback);
--- a/Wasabi/Adapters/Frames/RequestClient.h
+++ b/Wasabi/Adapters/Frames/RequestClient.h
@@ -113,7 +113,7 @@
   virtual void cancel(const std::string &Request) = 0;
 
   /// Connects ahead of the first request, so that loads begin to flow.
-  virtual void prepare(Address Where) = 0;
+  virtual void connectAhead(Address Where) = 0;
   /// Called on each load report. Set before use.
   virtual void
   onLoad(std::function<void(const Address &, const std::vector<ReportedLoad> &,
--- a/Wasabi/Adapters/Frames/RequestServer.cpp
+++ b/Wasabi/Adapters/Frames/RequestServer.cpp
@@ -247,7 +247,7 @@
 
   std::size_t inFlight() const override { return InFlight; }
 
-  std::size_t unsent() const override {
+  std::size_t unsentBytes() const override {
     std::size_t sum = 0;
     for (const std::shared_ptr<Connection> &it : Connections)
       sum += it->Socket->queued();
--- a/Wasabi/Adapters/Frames/RequestServer.h
+++ b/Wasabi/Adapters/Frames/RequestServer.h
@@ -75,7 +75,7 @@
   setLoadSource(std::function<std::vector<ReportedLoad>()> Source) = 0;
   virtual std::size_t inFlight() const = 0;
   /// Bytes queued on all connections and not yet taken by the kernel.
-  virtual std::size_t unsent() const = 0;
+  virtual std::size_t unsentBytes() const = 0;
   /// From now on every new request is refused with `Leaving`, `NotRun`.
   virtual void drain() = 0;
   virtual void stop() = 0;
--- a/Wasabi/Adapters/Platform/HttpTrainer.cpp
+++ b/Wasabi/Adapters/Platform/HttpTrainer.cpp
@@ -45,7 +45,7 @@
     step.Groups.push_back(std::move(group));
   }
   BOOST_LEAF_AUTO(have, arrayMember(From, "have", Place));
-  BOOST_LEAF_ASSIGN(step.Have, slotsFromJson(*have, Place));
+  BOOST_LEAF_ASSIGN(step.HeldSlots, slotsFromJson(*have, Place));
   if (From.contains("fence")) {
     BOOST_LEAF_ASSIGN(step.Fence, numberMember(From, "fence", Place));
   }
@@ -64,7 +64,7 @@
   DeliveryResponse answer;
   BOOST_LEAF_ASSIGN(answer.Newest, numberMember(From, "newest", Place));
   BOOST_LEAF_AUTO(taken, arrayMember(From, "taken", Place));
-  BOOST_LEAF_ASSIGN(answer.Taken, slotsFromJson(*taken, Place));
+  BOOST_LEAF_ASSIGN(answer.AcceptedSlots, slotsFromJson(*taken, Place));
   BOOST_LEAF_AUTO(refused, arrayMember(From, "refused", Place));
   for (const json::value &it : *refused) {
     if (!it.is_object())
--- a/Wasabi/Adapters/PlatformLog/HttpLog.cpp
+++ b/Wasabi/Adapters/PlatformLog/HttpLog.cpp
@@ -73,7 +73,7 @@
     LogEntry entry{part.number("offset"), part.text("body")};
     if (entry.At != next++)
       part.fail("offset", "is not contiguous");
-    reader.adopt(part);
+    reader.mergeError(part);
     out.Entries.push_back(std::move(entry));
   }
   BOOST_LEAF_CHECK(reader.finish());
