--- a/Wasabi/Adapters/Proxy/DaemonProxy.cpp
+++ b/Wasabi/Adapters/Proxy/DaemonProxy.cpp
@@ -40,16 +40,16 @@
 
 /// One server behind this daemon.
 struct Upstream {
-  Upstream(const asio::any_io_executor &Executor, UpstreamServer Setup,
+  Upstream(const asio::any_io_executor &Executor, ProxiedServer Setup,
            Admission::Settings Limits)
       : Setup(std::move(Setup)),
         Gate(Executor, this->Setup.Server.Text, Limits) {}
 
-  const UpstreamServer Setup;
+  const ProxiedServer Setup;
   AdmissionGate Gate;
   /// Engines only: what they said last, and how many looks failed since.
   bool Engine = false;
-  std::optional<EngineState> State;
+  std::optional<EngineStatus> State;
   std::uint32_t FailedLooks = 0;
   /// Whether it takes new work.
   bool Serving = true;
@@ -103,7 +103,7 @@
     peers.Life = this->Setup.Life;
     peers.Seed = this->Setup.Seed;
     Peers = RequestClient::create(Context.get_executor(), peers);
-    for (const UpstreamServer &it : this->Setup.Upstreams)
+    for (const ProxiedServer &it : this->Setup.Upstreams)
       Upstreams.push_back(std::make_unique<Upstream>(Context.get_executor(), it,
                                                      Admission::Settings()));
   }
@@ -251,7 +251,7 @@
     bool sample = !attempt.Trainer.empty();
     if (!(sample ? preset.AdmitRollouts : preset.AdmitCallers))
       return notRun(FailureCode::Unavailable,
-                    "preset " + state->Config->InForce.Text,
+                    "preset " + state->Config->ActivePreset.Text,
                     sample ? "it dispatches no samples"
                            : "it takes no callers' requests");
     if (!attempt.Idempotent && !attempt.Key.empty()) {
@@ -313,8 +313,8 @@
     ask.Rollout = !attempt.Trainer.empty();
     ask.Flow = ask.Rollout ? "trainer/" + attempt.Trainer.Text
                            : "caller/" + attempt.Caller;
-    ask.Share = ask.Rollout ? shareOf(attempt) : 1;
-    ask.Until = What.Until;
+    ask.FlowWeight = ask.Rollout ? shareOf(attempt) : 1;
+    ask.Deadline = What.Until;
     return ask;
   }
 
@@ -421,13 +421,13 @@
   asio::awaitable<void> runKeyed(Work &What) {
     KeyDecision decision =
         Witnesses->keys().begin(What.Key, What.Fingerprint, monotonicNow());
-    while (decision.Step == KeyAction::Wait) {
+    while (decision.Action == KeyAction::Wait) {
       if (!co_await waitForFirst(What))
         co_return;
       decision =
           Witnesses->keys().begin(What.Key, What.Fingerprint, monotonicNow());
     }
-    switch (decision.Step) {
+    switch (decision.Action) {
     case KeyAction::Run:
       co_await runFirst(What);
       break;
@@ -484,7 +484,7 @@
     if (!reserved) {
       refuse(What, reserved.failure());
       co_await Witnesses->release(recordOf(What), What.Reserved);
-      Witnesses->keys().broken(What.Key, reserved.failure());
+      Witnesses->keys().recordFailure(What.Key, reserved.failure());
       co_return;
     }
     What.KeyProved = true;
@@ -495,17 +495,17 @@
     if (!entered) {
       refuse(What, entered.failure());
       co_await Witnesses->release(recordOf(What), What.Reserved);
-      Witnesses->keys().notRun(What.Key);
+      Witnesses->keys().recordNotRun(What.Key);
       co_return;
     }
     record("attempt.admit", What, {});
     UpstreamExchange exchange(Context.get_executor(), Client);
     Outcome<Done> end = co_await forward(What, exchange);
     if (end) {
-      Witnesses->keys().answered(What.Key, exchange.kept());
+      Witnesses->keys().recordAnswer(What.Key, exchange.kept());
       What.Sink->end();
     } else {
-      Witnesses->keys().broken(What.Key, end.failure());
+      Witnesses->keys().recordFailure(What.Key, end.failure());
       What.Sink->fail(end.failure());
     }
   }
@@ -576,8 +576,8 @@
     }
   }
 
-  asio::awaitable<Outcome<EngineState>> look(Upstream &At) {
-    Outcome<EngineState> state =
+  asio::awaitable<Outcome<EngineStatus>> look(Upstream &At) {
+    Outcome<EngineStatus> state =
         co_await readEngineState(*Client, At.Setup.Where, Setup.StateTimeout);
     if (state) {
       At.FailedLooks = 0;
@@ -662,7 +662,7 @@
     Outcome<Done> done = co_await sendLoadOrder(*Client, At.Setup.Where, What,
                                                 Setup.OrderTimeout);
     // The order's own answer may be lost or wrong: the report decides.
-    Outcome<EngineState> state = co_await look(At);
+    Outcome<EngineStatus> state = co_await look(At);
     At.Gate.holdRollouts(false);
     if (!done && done.failure().Code == FailureCode::StaleFence)
       co_return done.failure();
--- a/Wasabi/Adapters/Proxy/DaemonProxy.h
+++ b/Wasabi/Adapters/Proxy/DaemonProxy.h
@@ -23,17 +23,17 @@
 namespace wasabi {
 
 /// One server behind a daemon, from its settings. An immutable value.
-struct UpstreamServer {
+struct ProxiedServer {
   ServerName Server;
   ServiceName Service;
   Address Where;
-  bool operator==(const UpstreamServer &) const = default;
+  bool operator==(const ProxiedServer &) const = default;
 };
 
 /// Reads `server=service@IP:PORT,…`. Errors: `BadInput` naming `Place` and the
 /// item; also for a server named twice. Pure.
-Result<std::vector<UpstreamServer>> parseUpstreams(std::string_view Text,
-                                                   std::string_view Place);
+Result<std::vector<ProxiedServer>> parseUpstreams(std::string_view Text,
+                                                  std::string_view Place);
 
 /// Not thread-safe, but for what says so: use on the context's thread.
 class DaemonProxy : public std::enable_shared_from_this<DaemonProxy> {
@@ -42,7 +42,7 @@
     InstanceName Instance;
     DomainName Domain;
     Incarnation Life = 0;
-    std::vector<UpstreamServer> Upstreams;
+    std::vector<ProxiedServer> Upstreams;
     /// Time between two looks at an engine's state, and how long one may take.
     Millis StatePollInterval{250};
     Millis StateTimeout{1000};
--- a/Wasabi/Adapters/Proxy/EngineApi.cpp
+++ b/Wasabi/Adapters/Proxy/EngineApi.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-Outcome<EngineState> parseEngineState(std::string_view Text) {
+Outcome<EngineStatus> parseEngineState(std::string_view Text) {
   boost::system::error_code ec;
   json::value parsed = json::parse(Text, ec);
   if (ec || !parsed.is_object())
@@ -49,7 +49,7 @@
                    "it is not a JSON object",
                    {}};
   const json::object &from = parsed.get_object();
-  EngineState state;
+  EngineStatus state;
   const json::value *model = from.if_contains("model");
   if (model && model->is_string())
     state.Model = ModelName(std::string(model->get_string()));
@@ -63,7 +63,7 @@
   return state;
 }
 
-asio::awaitable<Outcome<EngineState>>
+asio::awaitable<Outcome<EngineStatus>>
 readEngineState(http::Client &Client, Address Where, Millis Timeout) {
   http::Request ask = jsonRequest("GET", "/v1/state", "");
   Outcome<http::Response> answer =
--- a/Wasabi/Adapters/Proxy/EngineApi.h
+++ b/Wasabi/Adapters/Proxy/EngineApi.h
@@ -15,7 +15,7 @@
 namespace wasabi {
 
 /// What an engine says of itself. An immutable value.
-struct EngineState {
+struct EngineStatus {
   ModelName Model;
   WeightVersion Version = 0;
   std::uint32_t Running = 0;
@@ -24,14 +24,14 @@
   FencingToken Fence = 0;
   bool ChecksFences = false;
   bool Draining = false;
-  bool operator==(const EngineState &) const = default;
+  bool operator==(const EngineStatus &) const = default;
 };
 
 /// Reads an engine's report. Failures: `BadInput`, place `engine state`. Pure.
-Outcome<EngineState> parseEngineState(std::string_view Text);
+Outcome<EngineStatus> parseEngineState(std::string_view Text);
 
 /// Asks an engine for its state.
-boost::asio::awaitable<Outcome<EngineState>>
+boost::asio::awaitable<Outcome<EngineStatus>>
 readEngineState(http::Client &Client, Address Where, Millis Timeout);
 
 /// Orders an engine to load a version. Its answer proves nothing: read the
--- a/Wasabi/Adapters/Proxy/EntryProxy.cpp
+++ b/Wasabi/Adapters/Proxy/EntryProxy.cpp
@@ -171,7 +171,7 @@
                    {"key", What.Match.Key}});
     if (!declared.preset().AdmitCallers)
       return Failure{Verdict::NotRun, FailureCode::Unavailable,
-                     "preset " + declared.InForce.Text,
+                     "preset " + declared.ActivePreset.Text,
                      "it takes no callers' requests", Millis(5000)};
     std::size_t entries = countLiveEntries(*Source.Members());
     std::optional<Millis> wait = Limits.take(declared.Limits, What.Match.Caller,
@@ -268,8 +268,8 @@
     std::optional<ServerKey> cached;
     if (!What.Match.Prompt.empty())
       cached = holderOf(hashPromptPrefix(What.Match.Prompt), all, now);
-    std::optional<Candidate> chosen = choose(Choices, all, What.Tried, cached,
-                                             now, Random, What.Match.Caller);
+    std::optional<Candidate> chosen = chooseCandidate(
+        Choices, all, What.Tried, cached, now, Random, What.Match.Caller);
     if (chosen && cached && chosen->Key == *cached)
       Counts.PrefixPlacements.add();
     return chosen;
@@ -323,7 +323,7 @@
     if (end) {
       TimePoint now = monotonicNow();
       noteSuccess(Choices, who, now - began, now);
-      Budget = earn(Budget);
+      Budget = addSuccess(Budget);
     } else if (What.Answer.gone()) {
       noteAbandoned(Choices, who);
     } else {
@@ -531,7 +531,7 @@
     while (!Stopped) {
       refreshCandidates();
       for (const std::pair<const Address, InstanceName> &it : Instances)
-        Client->prepare(it.first);
+        Client->connectAhead(it.first);
       Refresh.expires_after(Setup.RefreshInterval);
       co_await Refresh.async_wait(Awaited);
     }
--- a/Wasabi/Adapters/Proxy/UpstreamServers.cpp
+++ b/Wasabi/Adapters/Proxy/UpstreamServers.cpp
@@ -5,7 +5,7 @@
 namespace wasabi {
 namespace {
 
-Result<UpstreamServer> parseOne(std::string_view Item, std::string_view Place) {
+Result<ProxiedServer> parseOne(std::string_view Item, std::string_view Place) {
   std::string_view form = " is not server=service@IP:PORT";
   std::size_t equals = Item.find('=');
   std::size_t at = Item.find('@');
@@ -15,7 +15,7 @@
     return badInput(std::string(Place),
                     "'" + std::string(Item) + "'" + std::string(form));
   BOOST_LEAF_AUTO(Where, parseAddress(Item.substr(at + 1), Place));
-  return UpstreamServer{
+  return ProxiedServer{
       ServerName(std::string(Item.substr(0, equals))),
       ServiceName(std::string(Item.substr(equals + 1, at - equals - 1))),
       Where};
@@ -23,14 +23,14 @@
 
 } // namespace
 
-Result<std::vector<UpstreamServer>> parseUpstreams(std::string_view Text,
-                                                   std::string_view Place) {
-  std::vector<UpstreamServer> found;
+Result<std::vector<ProxiedServer>> parseUpstreams(std::string_view Text,
+                                                  std::string_view Place) {
+  std::vector<ProxiedServer> found;
   while (!Text.empty()) {
     std::size_t comma = std::min(Text.find(','), Text.size());
     BOOST_LEAF_AUTO(One, parseOne(Text.substr(0, comma), Place));
     bool twice =
-        std::any_of(found.begin(), found.end(), [&](const UpstreamServer &it) {
+        std::any_of(found.begin(), found.end(), [&](const ProxiedServer &it) {
           return it.Server == One.Server;
         });
     if (twice)
--- a/Wasabi/Adapters/Telemetry/TimelineJson.cpp
+++ b/Wasabi/Adapters/Telemetry/TimelineJson.cpp
@@ -23,7 +23,7 @@
 
 std::vector<EventField> readFields(JsonReader &Reader) {
   std::vector<EventField> out;
-  const boost::json::value *value = Reader.any("fields");
+  const boost::json::value *value = Reader.requiredValue("fields");
   const boost::json::object *members = value ? value->if_object() : nullptr;
   if (!members) {
     Reader.fail("fields", "must be an object");
@@ -93,7 +93,7 @@
   out.Dropped = reader.number("dropped");
   for (JsonReader &part : reader.objects("events", true)) {
     out.Events.push_back(readOne(part));
-    reader.adopt(part);
+    reader.mergeError(part);
   }
   BOOST_LEAF_CHECK(reader.finish());
   return out;
--- a/Wasabi/Batch/BatchJob.h
+++ b/Wasabi/Batch/BatchJob.h
@@ -96,7 +96,7 @@
 /// What stands at one position of a job's results. An immutable value.
 struct ItemResult {
   ItemId Item;
-  ItemStatus End = ItemStatus::Completed;
+  ItemStatus Status = ItemStatus::Completed;
   /// The data of all events in order, joined by line feeds.
   std::string Output;
   /// Every version that generated an event, ascending.
@@ -115,7 +115,7 @@
   std::uint64_t Events = 0;
   std::vector<WeightVersion> Versions;
   /// Whether it is the item's whole text, which only lacks its score.
-  bool Whole = false;
+  bool IsComplete = false;
   bool operator==(const PartialText &) const = default;
 };
 
--- a/Wasabi/Batch/BatchRecord.cpp
+++ b/Wasabi/Batch/BatchRecord.cpp
@@ -94,7 +94,7 @@
                      schemaFor(What.Job),
                      jobValue(What.Job),
                      What.Result.Item.Text,
-                     What.Result.End == ItemStatus::Completed,
+                     What.Result.Status == ItemStatus::Completed,
                      What.Result.Output,
                      placeValue(What.Result.OutputLocation),
                      json::value_from(What.Result.Versions),
@@ -117,7 +117,7 @@
                      What.Text.Output,
                      placeValue(What.OutputLocation),
                      What.Text.Events,
-                     What.Text.Whole,
+                     What.Text.IsComplete,
                      json::value_from(What.Text.Versions)};
 }
 
@@ -250,7 +250,7 @@
   ResultRecord record;
   record.Job = jobOf(From.next());
   record.Result.Item = ItemId(From.text());
-  record.Result.End =
+  record.Result.Status =
       From.next().as_bool() ? ItemStatus::Completed : ItemStatus::Terminated;
   record.Result.Output = From.text();
   record.Result.OutputLocation = placeOf(From.next());
@@ -268,7 +268,7 @@
   record.Text.Output = From.text();
   record.OutputLocation = placeOf(From.next());
   record.Text.Events = From.number();
-  record.Text.Whole = From.next().as_bool();
+  record.Text.IsComplete = From.next().as_bool();
   record.Text.Versions = From.versions();
   return record;
 }
--- a/Wasabi/Batch/BatchService.cpp
+++ b/Wasabi/Batch/BatchService.cpp
@@ -21,7 +21,7 @@
 
 std::string_view toText(JobRequestStatus Verdict) {
   switch (Verdict) {
-  case JobRequestStatus::Taken:
+  case JobRequestStatus::Accepted:
     return "taken";
   case JobRequestStatus::Refused:
     return "refused";
@@ -55,13 +55,13 @@
     co_return JobRequestStatus::Refused;
   Outcome<Offset> got = co_await Log->append(std::move(Records));
   if (got || Shows())
-    co_return JobRequestStatus::Taken;
+    co_return JobRequestStatus::Accepted;
   if (got.failure().Run == Verdict::NotRun)
     co_return JobRequestStatus::Refused;
   // It may be there, or come yet: the topic tells.
   Outcome<Done> fresh = co_await Log->refresh();
   if (fresh && Shows())
-    co_return JobRequestStatus::Taken;
+    co_return JobRequestStatus::Accepted;
   co_return JobRequestStatus::Unknown;
 }
 
@@ -69,7 +69,8 @@
 /// of these is in the topic nothing has been accepted.
 asio::awaitable<Outcome<std::vector<std::string>>>
 BatchService::storeItems(const BatchJob &Job) {
-  std::vector<JobPart> parts = splitJob(Job, Payloads->settings().RecordBytes);
+  std::vector<JobPart> parts =
+      splitJob(Job, Payloads->settings().MaxRecordBytes);
   std::vector<std::string> items;
   items.reserve(parts.size());
   for (const JobPart &it : parts)
@@ -93,7 +94,7 @@
   std::shared_ptr<BatchService> self = shared_from_this();
   JobId id = Job.Id;
   auto shows = [this, id] { return findJob(Log->fold(), id) != nullptr; };
-  JobRequestStatus verdict = JobRequestStatus::Taken;
+  JobRequestStatus verdict = JobRequestStatus::Accepted;
   if (Log->contact().Lost && !shows())
     verdict = JobRequestStatus::Refused;
   else if (!shows()) {
@@ -114,7 +115,7 @@
   Outcome<std::shared_ptr<JobState>> job = co_await find(Id);
   if (!job && job.failure().Code == FailureCode::Expired)
     co_return JobRequestStatus::JobNotFound;
-  JobRequestStatus verdict = JobRequestStatus::Taken;
+  JobRequestStatus verdict = JobRequestStatus::Accepted;
   // Whether there is such a job matters to nobody: the end of none is passed
   // over by all who read it.
   if (!job || !(*job)->Ended) {
@@ -246,7 +247,7 @@
   auto it = job.Index.find(Item.Text);
   if (it == job.Index.end())
     co_return noJob(Id);
-  ItemLocation place = job.Places[it->second];
+  ItemLocation place = job.ItemLocations[it->second];
   if (place.Items.empty())
     co_return job.Job.Items[it->second].Body;
   Outcome<std::vector<BatchItem>> items =
--- a/Wasabi/Batch/BatchService.h
+++ b/Wasabi/Batch/BatchService.h
@@ -19,7 +19,7 @@
 /// What became of a submission or an end.
 enum class JobRequestStatus : std::uint8_t {
   /// It is in the topic and will not be lost.
-  Taken,
+  Accepted,
   /// It certainly is not and will not be.
   Refused,
   /// Nobody can say.
@@ -70,11 +70,11 @@
 
   static std::shared_ptr<BatchService> create(Parts With, Settings Limits);
 
-  /// Accepts a job once; a repeated submission is `Taken` again.
+  /// Accepts a job once; a repeated submission is `Accepted` again.
   boost::asio::awaitable<JobRequestStatus> submit(BatchJob Job);
 
-  /// Ends a job; a repeated end is `Taken` again. A process that is behind the
-  /// store ends a job that it does not know of, too.
+  /// Ends a job; a repeated end is `Accepted` again. A process that is behind
+  /// the store ends a job that it does not know of, too.
   boost::asio::awaitable<JobRequestStatus> end(JobId Id);
 
   /// Results from `After` on, waiting up to `Wait` for one, or at a trainer's
--- a/Wasabi/Batch/BatchState.cpp
+++ b/Wasabi/Batch/BatchState.cpp
@@ -15,18 +15,18 @@
                                     std::vector<ItemLocation> Places, Offset At,
                                     TimePoint Now) {
   std::shared_ptr<JobState> state = std::make_shared<JobState>();
-  state->Places = std::move(Places);
+  state->ItemLocations = std::move(Places);
   state->At = At;
   state->Seen = Now;
-  state->Listed.resize(Job.Items.size(), false);
+  state->HasResult.resize(Job.Items.size(), false);
   std::unordered_map<std::string_view, std::size_t> groups;
   for (std::size_t i = 0; i < Job.Items.size(); ++i) {
     state->Index.emplace(Job.Items[i].Id.Text, i);
     std::size_t group =
         groups.emplace(Job.Items[i].Group, groups.size()).first->second;
     state->GroupIndices.push_back(group);
-    state->Unlisted.resize(groups.size(), 0);
-    ++state->Unlisted[group];
+    state->PendingPerGroup.resize(groups.size(), 0);
+    ++state->PendingPerGroup[group];
   }
   state->Job = std::move(Job);
   return state;
@@ -70,10 +70,10 @@
     return {};
   auto it = job->Index.find(What.Result.Item.Text);
   // The first result of an item counts, whoever found it.
-  if (it == job->Index.end() || job->Listed[it->second])
+  if (it == job->Index.end() || job->HasResult[it->second])
     return {};
-  job->Listed[it->second] = true;
-  if (--job->Unlisted[job->GroupIndices[it->second]] == 0)
+  job->HasResult[it->second] = true;
+  if (--job->PendingPerGroup[job->GroupIndices[it->second]] == 0)
     ++job->CompleteGroups;
   job->Texts.erase(it->second);
   job->Results.push_back(What.Result);
@@ -95,7 +95,7 @@
   if (!job)
     return {};
   auto it = job->Index.find(What.Item.Text);
-  if (it == job->Index.end() || job->Listed[it->second])
+  if (it == job->Index.end() || job->HasResult[it->second])
     return {};
   SavedPartialText &stored = job->Texts[it->second];
   bool goesOn = What.After > 0 && stored.Source == What.Source &&
@@ -173,7 +173,7 @@
 
 bool isStepComplete(const JobState &Of) {
   std::uint64_t wanted =
-      Of.Job.TargetGroups > 0 ? Of.Job.TargetGroups : Of.Unlisted.size();
+      Of.Job.TargetGroups > 0 ? Of.Job.TargetGroups : Of.PendingPerGroup.size();
   return Of.CompleteGroups >= wanted;
 }
 
--- a/Wasabi/Batch/BatchState.h
+++ b/Wasabi/Batch/BatchState.h
@@ -20,8 +20,8 @@
 
 /// A stretch of an unfinished text, here or in the payload topic.
 struct TextPiece {
-  std::string Here;
-  PayloadLocation There;
+  std::string Inline;
+  PayloadLocation Location;
 };
 
 /// An unfinished text, and whose it is.
@@ -45,7 +45,7 @@
 struct JobState {
   BatchJob Job;
   /// By item.
-  std::vector<ItemLocation> Places;
+  std::vector<ItemLocation> ItemLocations;
   /// Offset of its first record: jobs are ordered by it.
   Offset At = 0;
   /// When this process learnt of it.
@@ -56,11 +56,11 @@
   /// Index in `Job.Items` of each item.
   std::unordered_map<std::string, std::size_t> Index;
   /// By item: whether it stands in `Results`.
-  std::vector<bool> Listed;
+  std::vector<bool> HasResult;
   /// By item: the number of its group.
   std::vector<std::size_t> GroupIndices;
   /// By group: its items that do not stand in `Results`.
-  std::vector<std::size_t> Unlisted;
+  std::vector<std::size_t> PendingPerGroup;
   std::size_t CompleteGroups = 0;
   /// Unfinished texts that dispatchers have saved, by item.
   std::map<std::size_t, SavedPartialText> Texts;
--- a/Wasabi/Batch/PayloadStore.cpp
+++ b/Wasabi/Batch/PayloadStore.cpp
@@ -24,9 +24,9 @@
   for (std::size_t i = 0; i < Payloads.size(); ++i) {
     std::string_view rest = Payloads[i];
     while (!rest.empty()) {
-      std::string_view part = rest.substr(0, Limits.RecordBytes);
+      std::string_view part = rest.substr(0, Limits.MaxRecordBytes);
       rest.remove_prefix(part.size());
-      if (appends.back().Bytes + part.size() > Limits.AppendBytes)
+      if (appends.back().Bytes + part.size() > Limits.MaxAppendBytes)
         appends.emplace_back();
       appends.back().Records.emplace_back(part);
       appends.back().Owners.push_back(i);
@@ -88,7 +88,7 @@
 
 asio::awaitable<Outcome<Done>> PayloadStore::load(PayloadRecordRef What,
                                                   ReadAhead More) {
-  std::size_t ahead = More == ReadAhead::Neighbours ? Limits.ReadBytes : 0;
+  std::size_t ahead = More == ReadAhead::Neighbours ? Limits.MaxReadBytes : 0;
   std::size_t most = std::max<std::size_t>(ahead, What.Bytes);
   Outcome<LogRange> got =
       co_await Store.Read(Limits.Topic, What.At, Millis(0), most);
--- a/Wasabi/Batch/PayloadStore.h
+++ b/Wasabi/Batch/PayloadStore.h
@@ -18,7 +18,7 @@
 
 /// What is read beside the bytes that are asked for.
 enum class ReadAhead : std::uint8_t {
-  /// Those that lie behind them, up to `Settings::ReadBytes`.
+  /// Those that lie behind them, up to `Settings::MaxReadBytes`.
   Neighbours,
   /// Nothing: hundreds of pieces that lie apart are wanted at once, and all
   /// reads share the store's bandwidth.
@@ -33,12 +33,12 @@
     /// How long an append may take.
     Millis AppendTimeout{800};
     /// Longest record, in bytes; the store's own limit is above it.
-    std::size_t RecordBytes = 64000;
+    std::size_t MaxRecordBytes = 64000;
     /// Most bytes of one append; the store takes twice as many.
-    std::size_t AppendBytes = 1000000;
+    std::size_t MaxAppendBytes = 1000000;
     /// Bytes of one read, unless a payload is longer. Payloads that are shown
     /// together lie side by side, so those behind the one asked for are kept.
-    std::size_t ReadBytes = 128u << 10;
+    std::size_t MaxReadBytes = 128u << 10;
     /// Payloads kept in memory, in bytes: a second's worth at 1 MB/s, as long
     /// as a reader needs them.
     std::size_t MaxCacheBytes = 2u << 20;
@@ -47,9 +47,9 @@
   static std::shared_ptr<PayloadStore> create(RecordStore Store,
                                               Settings Limits);
 
-  /// Appends each payload, in records of at most `RecordBytes`, and gives where
-  /// each one lies. A failure leaves some that nobody names; it may be called
-  /// again. Failures are `NotRun`: what no record names has no effect.
+  /// Appends each payload, in records of at most `MaxRecordBytes`, and gives
+  /// where each one lies. A failure leaves some that nobody names; it may be
+  /// called again. Failures are `NotRun`: what no record names has no effect.
   boost::asio::awaitable<Outcome<std::vector<PayloadLocation>>>
   put(std::vector<std::string> Payloads);
 
--- a/Wasabi/Batch/RolloutLog.cpp
+++ b/Wasabi/Batch/RolloutLog.cpp
@@ -35,14 +35,14 @@
 
 asio::awaitable<void> RolloutLog::follow() {
   for (;;) {
-    Outcome<LogRange> got = co_await Store.Read(Limits.Topic, Fold.Next,
-                                                Limits.Wait, nextReadBytes());
+    Outcome<LogRange> got = co_await Store.Read(
+        Limits.Topic, Fold.Next, Limits.PollTimeout, nextReadBytes());
     // A read that was ended because the store is back is made again at once.
     if (!got && got.failure().Code == FailureCode::Cancelled)
       continue;
     if (!got) {
       failed(got.failure());
-      co_await pauseFor(Executor, Limits.RetryPause);
+      co_await pauseFor(Executor, Limits.RetryDelay);
       continue;
     }
     bool more = got->End > got->First && !got->Entries.empty();
@@ -50,7 +50,7 @@
     expire(Fold, monotonicNow());
     // While behind, the next stretch is read at once.
     if (more && CaughtUp)
-      co_await pauseFor(Executor, Limits.Pace);
+      co_await pauseFor(Executor, Limits.PollDelay);
     if (!ReplayDelayDone && isFarBehind(*got))
       co_await pauseFor(Executor, Limits.ReplayDelay);
     ReplayDelayDone = true;
@@ -61,7 +61,7 @@
   std::shared_ptr<RolloutLog> self = shared_from_this();
   for (;;) {
     Outcome<LogRange> got = co_await Store.Read(Limits.Topic, Fold.Next,
-                                                Millis(0), Limits.ReadBytes);
+                                                Millis(0), Limits.MaxReadBytes);
     if (!got) {
       failed(got.failure());
       co_return got.failure();
@@ -81,7 +81,7 @@
 
 std::size_t RolloutLog::nextReadBytes() const {
   bool look = !ReplayDelayDone && Limits.ReplayDelay > Millis(0);
-  return look ? Limits.MaxFirstReadBytes : Limits.ReadBytes;
+  return look ? Limits.MaxFirstReadBytes : Limits.MaxReadBytes;
 }
 
 /// Whether what is left takes more than one read, by the size of what came.
@@ -92,7 +92,7 @@
   for (const LogEntry &it : Range.Entries)
     bytes += it.Text.size();
   return bytes / Range.Entries.size() * (Range.End - Fold.Next) >
-         Limits.ReadBytes;
+         Limits.MaxReadBytes;
 }
 
 void RolloutLog::take(const LogRange &Range) {
--- a/Wasabi/Batch/RolloutLog.h
+++ b/Wasabi/Batch/RolloutLog.h
@@ -31,16 +31,16 @@
     std::string Topic = "rollout";
     /// How long a read waits for a record. A read that hears nothing although
     /// there is something must not hide it for long.
-    Millis Wait{700};
+    Millis PollTimeout{700};
     /// Pause after a read that brought records, so that records that come one
     /// by one are read several at a time: at most 33 reads a second.
-    Millis Pace{30};
+    Millis PollDelay{30};
     /// Pause after a failed read.
-    Millis RetryPause{100};
+    Millis RetryDelay{100};
     /// Most bytes of one read. After a power loss all processes read the topic
     /// at once and share the store's bandwidth: 50 of them get this much within
     /// 0.2 s at 80 MB/s, well inside a read's time limit.
-    std::size_t ReadBytes = 256u << 10;
+    std::size_t MaxReadBytes = 256u << 10;
     /// A process that starts and finds more than one read's worth pauses this
     /// long before it reads the rest: see `replayDelay`.
     Millis ReplayDelay{0};
--- a/Wasabi/Config/Configuration.cpp
+++ b/Wasabi/Config/Configuration.cpp
@@ -53,7 +53,7 @@
         static_cast<std::uint32_t>(part.number("servers", 1, MaxServers));
     if (!seen.insert(where.Domain).second)
       part.fail("domain", "is placed twice");
-    Reader.adopt(part);
+    Reader.mergeError(part);
     out.push_back(std::move(where));
   }
   return out;
@@ -72,7 +72,7 @@
       part.fail("path_prefix", "must begin with /");
     if (rule.Method.empty())
       part.fail("method", "must be a method or *");
-    Reader.adopt(part);
+    Reader.mergeError(part);
     out.push_back(std::move(rule));
   }
   return out;
@@ -81,7 +81,7 @@
 ServiceDeclaration readService(JsonReader &Reader, const std::string &Name) {
   ServiceDeclaration out;
   out.Name = ServiceName(Name);
-  out.Kind = Reader.word("type", {"engines", "plain"}, true) == 0
+  out.Kind = Reader.enumIndex("type", {"engines", "plain"}, true) == 0
                  ? ServiceKind::Engines
                  : ServiceKind::Plain;
   if (out.Kind == ServiceKind::Engines)
@@ -123,8 +123,8 @@
 }
 
 VersionChange readVersionChange(JsonReader &Reader) {
-  switch (Reader.word("on_version_change", {"resume", "finish", "restart"},
-                      false)) {
+  switch (Reader.enumIndex("on_version_change", {"resume", "finish", "restart"},
+                           false)) {
   case 1:
     return VersionChange::Finish;
   case 2:
@@ -177,10 +177,10 @@
 
 ObjectKind readKind(JsonReader &Reader) {
   return static_cast<ObjectKind>(
-      Reader.word("kind",
-                  {KindWords[0], KindWords[1], KindWords[2], KindWords[3],
-                   KindWords[4], KindWords[5]},
-                  true));
+      Reader.enumIndex("kind",
+                       {KindWords[0], KindWords[1], KindWords[2], KindWords[3],
+                        KindWords[4], KindWords[5]},
+                       true));
 }
 
 /// The name, which for a limit may be "*" and for the switch is fixed.
@@ -239,7 +239,7 @@
   case ObjectKind::Switch: {
     PresetName read(readName(reader, "preset"));
     BOOST_LEAF_CHECK(reader.finish());
-    Into.InForce = std::move(read);
+    Into.ActivePreset = std::move(read);
     break;
   }
   }
@@ -264,7 +264,7 @@
   else if (kind == "limit")
     From.Limits.erase(name);
   else if (Key == "switch/preset")
-    From.InForce = PresetName();
+    From.ActivePreset = PresetName();
 }
 
 Result<void> checkAttachment(const Configuration &Whole,
@@ -301,9 +301,10 @@
                       "attachment/" + it->second +
                           " already joins this trainer and service");
   }
-  if (!Whole.InForce.empty() && !Whole.Presets.contains(Whole.InForce))
+  if (!Whole.ActivePreset.empty() &&
+      !Whole.Presets.contains(Whole.ActivePreset))
     return badInput("switch/preset: /preset",
-                    "there is no preset/" + Whole.InForce.Text);
+                    "there is no preset/" + Whole.ActivePreset.Text);
   return {};
 }
 
@@ -322,7 +323,7 @@
 
 const PresetDeclaration &Configuration::preset() const {
   static const PresetDeclaration Defaults;
-  auto it = Presets.find(InForce);
+  auto it = Presets.find(ActivePreset);
   return it == Presets.end() ? Defaults : it->second;
 }
 
--- a/Wasabi/Config/Configuration.h
+++ b/Wasabi/Config/Configuration.h
@@ -143,7 +143,7 @@
   std::map<std::string, Attachment> Attachments;
   std::map<PresetName, PresetDeclaration> Presets;
   std::map<std::string, CallerLimit> Limits;
-  PresetName InForce;
+  PresetName ActivePreset;
 
   bool operator==(const Configuration &) const = default;
   /// The preset in force, or the defaults when none is declared.
--- a/Wasabi/Config/JsonReader.cpp
+++ b/Wasabi/Config/JsonReader.cpp
@@ -108,7 +108,7 @@
                     {}};
 }
 
-void JsonReader::adopt(JsonReader &Part) {
+void JsonReader::mergeError(JsonReader &Part) {
   Part.checkUnknown();
   if (!Fault)
     Fault = Part.Fault;
@@ -127,7 +127,7 @@
   return found;
 }
 
-const json::value *JsonReader::any(std::string_view Key) {
+const json::value *JsonReader::requiredValue(std::string_view Key) {
   return find(Key, true);
 }
 
@@ -147,9 +147,9 @@
   return text(Key);
 }
 
-std::size_t JsonReader::word(std::string_view Key,
-                             std::initializer_list<std::string_view> Words,
-                             bool Required) {
+std::size_t JsonReader::enumIndex(std::string_view Key,
+                                  std::initializer_list<std::string_view> Words,
+                                  bool Required) {
   if (!find(Key, Required))
     return 0;
   std::string given = text(Key);
--- a/Wasabi/Config/JsonReader.h
+++ b/Wasabi/Config/JsonReader.h
@@ -39,9 +39,9 @@
   /// An optional string.
   std::string text(std::string_view Key, std::string_view Default);
   /// One of `Words`, as its index; the first one if absent and not required.
-  std::size_t word(std::string_view Key,
-                   std::initializer_list<std::string_view> Words,
-                   bool Required);
+  std::size_t enumIndex(std::string_view Key,
+                        std::initializer_list<std::string_view> Words,
+                        bool Required);
   /// A required whole number of `Min` to `Max`.
   std::uint64_t
   number(std::string_view Key, std::uint64_t Min = 0,
@@ -52,7 +52,7 @@
   /// An optional boolean.
   bool boolean(std::string_view Key, bool Default);
   /// A required member of any type; null if absent.
-  const boost::json::value *any(std::string_view Key);
+  const boost::json::value *requiredValue(std::string_view Key);
   /// Readers for the objects of an array; none if absent and not required.
   std::vector<JsonReader> objects(std::string_view Key, bool Required);
   /// The strings of an array; none if absent and not required.
@@ -63,7 +63,7 @@
   /// Notes a fault of this reader's object, or of one of its members.
   void fail(std::string_view Key, std::string Reason);
   /// Takes over the first fault of a reader of a part.
-  void adopt(JsonReader &Part);
+  void mergeError(JsonReader &Part);
   /// The first fault, or one for a member that was never asked for.
   /// Errors: `BadInput`, place `Place: /path`.
   Result<void> finish();
--- a/Wasabi/Core/Timeline.cpp
+++ b/Wasabi/Core/Timeline.cpp
@@ -24,7 +24,7 @@
     Kept.pop_front();
 }
 
-void Timeline::hear(HybridTime Remote) {
+void Timeline::mergeRemoteTime(HybridTime Remote) {
   std::lock_guard<std::mutex> lock(Guard);
   Last = merge(Last, Remote, wallMicros());
 }
--- a/Wasabi/Core/Timeline.h
+++ b/Wasabi/Core/Timeline.h
@@ -56,7 +56,7 @@
   /// Records an event now.
   void record(std::string_view Kind, std::vector<EventField> Fields);
   /// Takes note of a time heard from another process.
-  void hear(HybridTime Remote);
+  void mergeRemoteTime(HybridTime Remote);
   /// The time of the last event, to be sent to other processes.
   HybridTime now();
   /// The kept events with a sequence number of `From` or more.
--- a/Wasabi/Customers/Access.cpp
+++ b/Wasabi/Customers/Access.cpp
@@ -4,34 +4,37 @@
 
 std::string_view toText(AccessVerdict Verdict) {
   switch (Verdict) {
-  case AccessVerdict::Granted:
+  case AccessDecisionVerdict::Granted:
     return "granted";
-  case AccessVerdict::UnknownKey:
+  case AccessDecisionVerdict::UnknownKey:
     return "unknown-key";
-  case AccessVerdict::Unsure:
+  case AccessDecisionVerdict::Uncertain:
     return "unsure";
   }
   return "unsure";
 }
 
-Access decideAccess(const std::optional<CustomerTable> &Known,
-                    const AccessRequest &Ask, const StoreContact &Contact,
-                    const AccessSettings &Limits, TimePoint Now) {
+AccessDecision decideAccess(const std::optional<CustomerTable> &Known,
+                            const AccessRequest &Ask,
+                            const StoreContact &Contact,
+                            const AccessSettings &Limits, TimePoint Now) {
   if (!Known)
-    return {AccessVerdict::Granted, std::nullopt};
+    return {AccessDecisionVerdict::Granted, std::nullopt};
   const Customer *holder = Ask.Key ? Known->holderOf(*Ask.Key) : nullptr;
   if (holder != nullptr) {
     bool withdrawn = Limits.StrictRevocation &&
                      unreachableFor(Contact, Limits.MaxRevocationDelay, Now);
     if (!withdrawn)
-      return {AccessVerdict::Granted, *holder};
-    return {Ask.Public ? AccessVerdict::Granted : AccessVerdict::Unsure,
+      return {AccessDecisionVerdict::Granted, *holder};
+    return {Ask.Public ? AccessDecisionVerdict::Granted
+                       : AccessDecisionVerdict::Uncertain,
             std::nullopt};
   }
   if (Ask.Public)
-    return {AccessVerdict::Granted, std::nullopt};
+    return {AccessDecisionVerdict::Granted, std::nullopt};
   bool mayBeNew = Ask.Key.has_value() && Contact.Lost;
-  return {mayBeNew ? AccessVerdict::Unsure : AccessVerdict::UnknownKey,
+  return {mayBeNew ? AccessDecisionVerdict::Uncertain
+                   : AccessDecisionVerdict::UnknownKey,
           std::nullopt};
 }
 
--- a/Wasabi/Customers/Access.h
+++ b/Wasabi/Customers/Access.h
@@ -20,18 +20,18 @@
   UnknownKey,
   /// A newer configuration may say otherwise, and this process cannot read it
   /// now. Another process may know.
-  Unsure,
+  Uncertain,
 };
 
 /// For logs.
 std::string_view toText(AccessVerdict Verdict);
 
 /// What was decided of a request. An immutable value.
-struct Access {
-  AccessVerdict Verdict = AccessVerdict::UnknownKey;
+struct AccessDecision {
+  AccessVerdict Verdict = AccessDecisionVerdict::UnknownKey;
   /// Whose request it is; empty where nobody's key came with it.
   std::optional<Customer> By;
-  bool operator==(const Access &) const = default;
+  bool operator==(const AccessDecision &) const = default;
 };
 
 /// How keys are judged.
@@ -60,9 +60,10 @@
 /// known passes, since to refuse it would turn away every caller for the sake
 /// of the few whose key was withdrawn meanwhile, unless `StrictRevocation` says
 /// that those matter more.
-Access decideAccess(const std::optional<CustomerTable> &Known,
-                    const AccessRequest &Ask, const StoreContact &Contact,
-                    const AccessSettings &Limits, TimePoint Now);
+AccessDecision decideAccess(const std::optional<CustomerTable> &Known,
+                            const AccessRequest &Ask,
+                            const StoreContact &Contact,
+                            const AccessSettings &Limits, TimePoint Now);
 
 /// The priority of a customer's request: its own before the route's. Pure.
 std::uint32_t priorityOf(const std::optional<Customer> &By,
--- a/Wasabi/Customers/ServedShares.cpp
+++ b/Wasabi/Customers/ServedShares.cpp
@@ -32,8 +32,8 @@
 
 } // namespace
 
-void noteEnd(ServedShares &Of, const CustomerName &Who, bool Served,
-             TimePoint Now) {
+void recordOutcome(ServedShares &Of, const CustomerName &Who, bool Served,
+                   TimePoint Now) {
   fade(Of, Now);
   ServedShares::Counts &counts = Of.Customers[Who];
   counts.Asked += 1;
--- a/Wasabi/Customers/ServedShares.h
+++ b/Wasabi/Customers/ServedShares.h
@@ -42,8 +42,8 @@
 };
 
 /// A customer's request has come to its end, served or not. Pure but for `Of`.
-void noteEnd(ServedShares &Of, const CustomerName &Who, bool Served,
-             TimePoint Now);
+void recordOutcome(ServedShares &Of, const CustomerName &Who, bool Served,
+                   TimePoint Now);
 
 /// Whether a customer was served so much less often than all that it should go
 /// first among its like. Pure.
--- a/Wasabi/Dispatch/Dispatcher.cpp
+++ b/Wasabi/Dispatch/Dispatcher.cpp
@@ -112,7 +112,7 @@
   newest = std::max(newest, Job->Job.MinVersion);
   double mean = meanExpected(Job->Job);
   for (std::size_t i = 0; i < Job->Job.Items.size(); ++i) {
-    if (Job->Listed[i])
+    if (Job->HasResult[i])
       continue;
     std::shared_ptr<ItemTask> work = std::make_shared<ItemTask>();
     work->Job = Job;
@@ -210,12 +210,12 @@
 /// Drops a text that no engine can go on with under the one version that its
 /// route allows.
 void Dispatcher::dropMixedText(ItemTask &Work) const {
-  if (Work.Text.Events == 0 || Work.Text.Whole || !singleVersion(Work))
+  if (Work.Text.Events == 0 || Work.Text.IsComplete || !singleVersion(Work))
     return;
   const ModelName &model = Work.Job->Job.Model;
   WeightVersion version = Work.Text.Versions.front();
   bool there = std::any_of(
-      Pool.begin(), Pool.end(), [&](const std::shared_ptr<EngineState> &It) {
+      Pool.begin(), Pool.end(), [&](const std::shared_ptr<DispatchEngine> &It) {
         return It->Model == model && It->version(model) == version;
       });
   if (!there || Work.Text.Versions.size() > 1)
@@ -232,7 +232,7 @@
     need.Preferred = prompt->second;
   if (Work.Text.Events > 0 && singleVersion(Work))
     need.ExactVersion = Work.Text.Versions.front();
-  need.Long = isLong(Work);
+  need.IsLong = isLong(Work);
   return need;
 }
 
@@ -261,12 +261,12 @@
 std::map<ModelName, EngineList>
 Dispatcher::enginesWithRoom(TimePoint Now) const {
   std::set<ModelName> well;
-  for (const std::shared_ptr<EngineState> &it : Pool) {
+  for (const std::shared_ptr<DispatchEngine> &it : Pool) {
     if (it->Server->SuspectUntil <= Now)
       well.insert(it->Model);
   }
   std::map<ModelName, EngineList> found;
-  for (const std::shared_ptr<EngineState> &it : Pool) {
+  for (const std::shared_ptr<DispatchEngine> &it : Pool) {
     bool suspect = it->Server->SuspectUntil > Now && well.contains(it->Model);
     if (!suspect && hasRoom(*it, Now))
       found[it->Model].push_back(it);
@@ -291,7 +291,7 @@
 
 /// The engine for an item; null if none has room. Suspects are kept apart as
 /// long as there are engines for that.
-std::shared_ptr<EngineState>
+std::shared_ptr<DispatchEngine>
 Dispatcher::findEngineFor(const ItemTask &Work, const EngineList &Free,
                           const PaceBaseline &Scale, TimePoint Now) const {
   std::set<ServerIncarnation> suspects = Crashes->suspectServers();
@@ -299,10 +299,10 @@
                Crashes->crashStatus(Work.Guard->Digest) != CrashStatus::Clean;
   if (apart) {
     EngineList others = Free;
-    std::erase_if(others, [&](const std::shared_ptr<EngineState> &It) {
+    std::erase_if(others, [&](const std::shared_ptr<DispatchEngine> &It) {
       return suspects.contains(It->Server->Entry.incarnation());
     });
-    std::shared_ptr<EngineState> engine =
+    std::shared_ptr<DispatchEngine> engine =
         chooseEngine(others, needOf(Work), Scale, Limits.Pool, Now);
     if (engine)
       return engine;
@@ -341,7 +341,7 @@
             [](const auto &L, const auto &R) { return L.first < R.first; });
   for (const auto &[rank, work] : waiting) {
     dropMixedText(*work);
-    std::shared_ptr<EngineState> engine =
+    std::shared_ptr<DispatchEngine> engine =
         findEngineFor(*work, free[work->Job->Job.Model], scale, now);
     if (engine)
       startRun(work, engine);
--- a/Wasabi/Dispatch/Dispatcher.h
+++ b/Wasabi/Dispatch/Dispatcher.h
@@ -69,7 +69,7 @@
   std::uint32_t Failures = 0;
   /// Not sent anywhere before this.
   TimePoint NotBefore;
-  std::shared_ptr<EngineState> Engine;
+  std::shared_ptr<DispatchEngine> Engine;
   /// The engine that it was taken from or that failed it.
   ServerIncarnation Avoid;
   /// While it runs: its stream, once there is one.
@@ -119,7 +119,7 @@
     /// between two saves.
     std::uint64_t MinSaveEvents = 8;
     /// How long an answer of the store may take.
-    Millis StoreTime{800};
+    Millis AppendTimeout{800};
     /// Weights that have not come after this are wanted anew, of this engine or
     /// of another: a load takes 0.9 s, and longer when several load.
     Millis SwapTimeout{4000};
@@ -127,7 +127,7 @@
     /// last resort: `RunStallTimeout` ends it long before.
     Millis EventTimeout{6000};
     /// Pause before an item is tried again after a failure.
-    Millis RetryPause{60};
+    Millis RetryDelay{60};
     /// Pause before a quarantined scoring call is looked at again: it is free
     /// again when a server has answered it, which is rare.
     Millis QuarantineRetryDelay{1000};
@@ -230,10 +230,10 @@
   void schedule();
   void scheduleNow();
   bool updateQuarantined(ItemTask &Work) const;
-  std::shared_ptr<EngineState> findEngineFor(const ItemTask &Work,
-                                             const EngineList &Free,
-                                             const PaceBaseline &Scale,
-                                             TimePoint Now) const;
+  std::shared_ptr<DispatchEngine> findEngineFor(const ItemTask &Work,
+                                                const EngineList &Free,
+                                                const PaceBaseline &Scale,
+                                                TimePoint Now) const;
   std::map<ModelName, EngineList> enginesWithRoom(TimePoint Now) const;
   EngineRequirements needOf(const ItemTask &Work) const;
   bool singleVersion(const ItemTask &Work) const;
@@ -244,7 +244,7 @@
   boost::asio::awaitable<Outcome<std::vector<std::string>>>
   storeTexts(std::vector<PartialTextRecord> Texts) const;
   void startRun(const std::shared_ptr<ItemTask> &Work,
-                const std::shared_ptr<EngineState> &On);
+                const std::shared_ptr<DispatchEngine> &On);
   boost::asio::awaitable<void> run(std::shared_ptr<ItemTask> Work);
   boost::asio::awaitable<bool> readEvents(ItemTask &Work);
   void requeueItem(const std::shared_ptr<ItemTask> &Work, const Failure &Why);
@@ -270,11 +270,11 @@
   void moveRunsToFasterEngines();
   bool isLong(const ItemTask &Work) const;
   void forgetPaces();
-  void applyReportedWeights(EngineState &Engine) const;
+  void applyReportedWeights(DispatchEngine &Engine) const;
   void requestWeightLoads();
-  boost::asio::awaitable<void> want(std::shared_ptr<EngineState> On,
+  boost::asio::awaitable<void> want(std::shared_ptr<DispatchEngine> On,
                                     WantedWeights What);
-  void noteEvent(EngineState &On, ItemTask &Work);
+  void noteEvent(DispatchEngine &On, ItemTask &Work);
   SwapMode swapMode(const ModelName &Model) const;
 
   const Settings Limits;
--- a/Wasabi/Dispatch/DispatcherEngines.cpp
+++ b/Wasabi/Dispatch/DispatcherEngines.cpp
@@ -36,7 +36,7 @@
 
 /// What an engine that is new here has told earlier, if that is newer than its
 /// registration.
-void Dispatcher::applyReportedWeights(EngineState &Engine) const {
+void Dispatcher::applyReportedWeights(DispatchEngine &Engine) const {
   auto news = Held.find(Engine.Server->Entry.Id);
   if (news == Held.end() ||
       !mayBeSameStart(news->second.Held.Start, Engine.Server->Entry.Start))
@@ -45,7 +45,7 @@
     WeightVersion &has = Engine.Versions[model];
     has = std::max(has, version);
   }
-  Engine.Told = news->second.Came;
+  Engine.LastReported = news->second.Came;
 }
 
 void Dispatcher::syncEngines() {
@@ -62,17 +62,17 @@
     for (const std::shared_ptr<UpstreamServer> &it :
          findUsableServers(View.Servers, service.Name, View.Contact, now)) {
       auto known = std::find_if(Pool.begin(), Pool.end(),
-                                [&](const std::shared_ptr<EngineState> &Of) {
+                                [&](const std::shared_ptr<DispatchEngine> &Of) {
                                   return Of->Server == it;
                                 });
-      std::shared_ptr<EngineState> engine =
-          known == Pool.end() ? std::make_shared<EngineState>() : *known;
+      std::shared_ptr<DispatchEngine> engine =
+          known == Pool.end() ? std::make_shared<DispatchEngine>() : *known;
       engine->Server = it;
       // A registration is older than what the engine itself said of late.
       constexpr Millis RegistrationLag{2500};
       for (const auto &[model, version] : it->Entry.Models) {
         bool newer = version > engine->version(model);
-        if (newer || now - engine->Told > RegistrationLag)
+        if (newer || now - engine->LastReported > RegistrationLag)
           engine->Versions[model] = version;
       }
       if (known == Pool.end())
@@ -88,9 +88,9 @@
   bool mayMove = now - LastMove > Limits.MinMoveInterval;
   if (assignModels(Pool,
                    poolSizes(wanted, static_cast<std::uint32_t>(Pool.size())),
-                   View.Named, mayMove)) {
+                   View.NewestVersions, mayMove)) {
     LastMove = now;
-    for (const std::shared_ptr<EngineState> &it : Pool)
+    for (const std::shared_ptr<DispatchEngine> &it : Pool)
       Decisions->line("engine.assigned",
                       {{"server", it->Server->Entry.Id.Text},
                        {"model", it->Model.Text},
@@ -107,7 +107,7 @@
       continue;
     syncEngines();
     cancelStalledRuns();
-    for (const std::shared_ptr<EngineState> &it : Pool)
+    for (const std::shared_ptr<DispatchEngine> &it : Pool)
       expireRecentPace(it->Pace, monotonicNow(), Limits.Pool.Pace);
     moveRunsToFasterEngines();
     requestWeightLoads();
@@ -121,12 +121,12 @@
   for (const std::shared_ptr<ItemTask> &it : Works) {
     if (it->Stage != ItemStage::Running || !it->Engine)
       continue;
-    EngineState &engine = *it->Engine;
-    Millis patience = engine.swapping() ? Limits.LoadStallTimeout
-                      : it->Begun       ? Limits.RunStallTimeout
-                                        : Limits.FirstEventTimeout;
+    DispatchEngine &engine = *it->Engine;
+    Millis patience = engine.isSwapping() ? Limits.LoadStallTimeout
+                      : it->Begun         ? Limits.RunStallTimeout
+                                          : Limits.FirstEventTimeout;
     bool stalled = now - it->LastEvent > patience;
-    bool leaving = !usable(View.Servers, *engine.Server, View.Contact, now);
+    bool leaving = !isUsable(View.Servers, *engine.Server, View.Contact, now);
     if (!stalled && !leaving)
       continue;
     Decisions->line("item.taken_away",
@@ -150,19 +150,19 @@
   TimePoint now = monotonicNow();
   const EnginePaceSettings &limits = Limits.Pool.Pace;
   PaceBaseline scale = computePaceBaseline(Pool, Limits.Pool);
-  std::map<const EngineState *, std::uint32_t> promised;
+  std::map<const DispatchEngine *, std::uint32_t> promised;
   for (const std::shared_ptr<ItemTask> &it : Works) {
     if (it->Stage != ItemStage::Running || !it->Engine || !it->Begun ||
         it->Stream == nullptr || it->Moved)
       continue;
-    const EngineState &from = *it->Engine;
+    const DispatchEngine &from = *it->Engine;
     bool slow = isSlow(from.Pace, scale.MedianMs, limits);
     std::uint32_t grade = paceTier(from.Pace, scale.FastQuartileMs, limits);
     bool late = grade > 0 && !it->MovedForPace &&
                 it->Text.Events >= limits.MinLongTextEvents;
     if (!slow && !late)
       continue;
-    std::shared_ptr<EngineState> other =
+    std::shared_ptr<DispatchEngine> other =
         chooseEngine(Pool, needOf(*it), scale, Limits.Pool, now);
     if (!other || other->Server->SuspectUntil > now ||
         isSlow(other->Pace, scale.MedianMs, limits) ||
@@ -210,21 +210,21 @@
     if (it->Dropped || it->Stage != ItemStage::Waiting || it->Quarantined)
       continue;
     const BatchJob &job = it->Job->Job;
-    WeightVersion &waiting = found[job.Model].Waiting;
+    WeightVersion &waiting = found[job.Model].WaitingMinVersion;
     waiting = std::max(waiting, job.MinVersion);
   }
-  for (const auto &[model, version] : View.Named) {
+  for (const auto &[model, version] : View.NewestVersions) {
     NamedVersion &named = NamedVersions[model];
     WeightVersion newest = NewestMinVersions[model];
     if (named.Version != version)
       named = {version, now, newest};
     ModelDemand &demand = found[model];
-    demand.Named = version;
+    demand.NewestVersion = version;
     bool expected = newest == named.MinVersionAtNaming &&
                     now - named.Since < Limits.StepArrivalTimeout;
     // Each version that is named lets a step's oldest one rise by one.
     if (expected)
-      demand.Coming = named.MinVersionAtNaming + 1;
+      demand.ExpectedMinVersion = named.MinVersionAtNaming + 1;
   }
   return found;
 }
@@ -236,9 +236,9 @@
   std::uint32_t swapping = 0;
   std::map<ModelName, ModelDemand> demands = modelDemands();
   EngineList due;
-  for (const std::shared_ptr<EngineState> &it : Pool) {
+  for (const std::shared_ptr<DispatchEngine> &it : Pool) {
     bool late = now - it->WantedAt > Limits.SwapTimeout;
-    if (it->swapping() && !late) {
+    if (it->isSwapping() && !late) {
       ++swapping;
       continue;
     }
@@ -250,12 +250,12 @@
   auto share = static_cast<std::uint32_t>(static_cast<double>(Pool.size()) *
                                           Limits.Pool.MaxLoadingFraction);
   std::uint32_t most = std::max(Limits.Pool.MinLoadingLimit, share);
-  for (const std::shared_ptr<EngineState> &it :
+  for (const std::shared_ptr<DispatchEngine> &it :
        sortForLoading(std::move(due), demands)) {
     if (swapping >= most)
       return;
     ++swapping;
-    it->Wanted = View.Named[it->Model];
+    it->Wanted = View.NewestVersions[it->Model];
     it->WantedAt = now;
     WantedWeights what{it->Model, it->Wanted, swapMode(it->Model),
                        it->Server->Entry.Start};
@@ -266,12 +266,12 @@
   }
 }
 
-asio::awaitable<void> Dispatcher::want(std::shared_ptr<EngineState> On,
+asio::awaitable<void> Dispatcher::want(std::shared_ptr<DispatchEngine> On,
                                        WantedWeights What) {
   std::shared_ptr<Dispatcher> self = shared_from_this();
   Outcome<Offset> got =
       co_await Store.AppendKeyed(WantedTopic, On->Server->Entry.Id.Text,
-                                 encodeWanted(What), Limits.StoreTime);
+                                 encodeWanted(What), Limits.AppendTimeout);
   Decisions->line("engine.wanted",
                   {{"server", On->Server->Entry.Id.Text},
                    {"start", std::to_string(What.Start)},
@@ -286,14 +286,14 @@
 
 void Dispatcher::onHeldWeights(const ServerName &Of, const HeldWeights &Now) {
   Held[Of] = HeldReport{Now, monotonicNow()};
-  for (const std::shared_ptr<EngineState> &it : Pool) {
+  for (const std::shared_ptr<DispatchEngine> &it : Pool) {
     // What a start that has not registered yet holds is taken up when it does.
     if (it->Server->Entry.Id != Of ||
         !mayBeSameStart(it->Server->Entry.Start, Now.Start))
       continue;
     for (const auto &[model, version] : Now.Models)
       it->Versions[model] = version;
-    it->Told = monotonicNow();
+    it->LastReported = monotonicNow();
     it->Loading = Now.Loading;
   }
   if (!Active)
--- a/Wasabi/Dispatch/DispatcherRecords.cpp
+++ b/Wasabi/Dispatch/DispatcherRecords.cpp
@@ -87,7 +87,7 @@
 
 asio::awaitable<Dispatcher::LoadOutcome>
 Dispatcher::loadItem(ItemTask &Work, LoadedItems &Near) {
-  const ItemLocation &place = Work.Job->Places[Work.Index];
+  const ItemLocation &place = Work.Job->ItemLocations[Work.Index];
   if (place.Items.empty())
     co_return LoadOutcome::Loaded;
   std::optional<Failure> failed;
@@ -132,9 +132,9 @@
 Dispatcher::loadText(SavedPartialText From) const {
   PartialText text = std::move(From.Text);
   for (const TextPiece &it : From.Pieces) {
-    text.Output += it.Here;
+    text.Output += it.Inline;
     Outcome<std::string> more =
-        co_await Payloads->get(it.There, ReadAhead::None);
+        co_await Payloads->get(it.Location, ReadAhead::None);
     if (!more)
       co_return more.failure();
     text.Output += *more;
@@ -152,7 +152,7 @@
   Work->Guard = std::make_shared<GuardedRequest>(GuardedRequest{
       digestOf(askOf(*Work), Work->Job->Job.Id.Customer), Work->Item.Id.Text});
   Work->Stage = ItemStage::Waiting;
-  if (Work->Text.Whole)
+  if (Work->Text.IsComplete)
     startScoring(Work);
   schedule();
 }
@@ -170,7 +170,7 @@
   if (!job || job->Ended)
     return true;
   auto it = job->Index.find(What.Result.Item.Text);
-  return it == job->Index.end() || job->Listed[it->second];
+  return it == job->Index.end() || job->HasResult[it->second];
 }
 
 } // namespace
@@ -190,7 +190,7 @@
       continue;
     Decisions->line("results.append_failed",
                     {{"reason", describe(done.failure())}});
-    co_await pauseFor(Executor, Limits.RetryPause);
+    co_await pauseFor(Executor, Limits.RetryDelay);
   }
 }
 
@@ -281,7 +281,7 @@
       if (!Active || it->Stage != ItemStage::Running || !grown)
         continue;
       if (bytes > AppendBytes) {
-        pause = Limits.RetryPause;
+        pause = Limits.RetryDelay;
         break;
       }
       due.push_back({it, unsavedText(*it)});
@@ -291,7 +291,7 @@
       continue;
     bool saved = co_await saveTexts(std::move(due));
     if (!saved)
-      pause = Limits.RetryPause;
+      pause = Limits.RetryDelay;
   }
 }
 
--- a/Wasabi/Dispatch/DispatcherRuns.cpp
+++ b/Wasabi/Dispatch/DispatcherRuns.cpp
@@ -39,7 +39,7 @@
 }
 
 void Dispatcher::startRun(const std::shared_ptr<ItemTask> &Work,
-                          const std::shared_ptr<EngineState> &On) {
+                          const std::shared_ptr<DispatchEngine> &On) {
   Work->Stage = ItemStage::Running;
   Work->Engine = On;
   Work->LastEvent = monotonicNow();
@@ -61,7 +61,7 @@
 }
 
 asio::awaitable<void> Dispatcher::run(std::shared_ptr<ItemTask> Work) {
-  std::shared_ptr<EngineState> engine = Work->Engine;
+  std::shared_ptr<DispatchEngine> engine = Work->Engine;
   TimePoint began = monotonicNow();
   std::unique_ptr<Quarantine::SuspectRun> suspect = Crashes->trackSuspectRun(
       Work->Guard->Digest, engine->Server->Entry.incarnation());
@@ -113,7 +113,7 @@
   }
   wasabi::noteSuccess(View.Servers, *engine->Server, 0);
   Crashes->answered(*Work->Guard);
-  Work->Text.Whole = true;
+  Work->Text.IsComplete = true;
   startScoring(Work);
   schedule();
 }
@@ -129,17 +129,17 @@
 /// or it is tried again.
 bool Dispatcher::checkStreamHead(const std::shared_ptr<ItemTask> &Work,
                                  const StreamHead &Head) {
-  EngineState &engine = *Work->Engine;
+  DispatchEngine &engine = *Work->Engine;
   if (Head.Version) {
     engine.Versions[engine.Model] = *Head.Version;
-    engine.Told = monotonicNow();
+    engine.LastReported = monotonicNow();
   }
   unsigned status = Head.Response.Status;
   if (status == MisdirectedStatus)
     engine.Server->Replaced = true;
   // It is full or about to load; a registration tells neither in time.
   if (Head.Proof == AnswerProof::NotRun) {
-    engine.FullUntil = monotonicNow() + Limits.RetryPause;
+    engine.FullUntil = monotonicNow() + Limits.RetryDelay;
     return false;
   }
   if (status == Ok) {
@@ -176,7 +176,7 @@
 }
 
 asio::awaitable<bool> Dispatcher::readEvents(ItemTask &Work) {
-  EngineState &engine = *Work.Engine;
+  DispatchEngine &engine = *Work.Engine;
   std::optional<WeightVersion> version = Work.Stream->head().Version;
   for (;;) {
     // Stalled runs are ended by `cancelStalledRuns`.
@@ -199,7 +199,7 @@
     if ((*event)->Version) {
       version = (*event)->Version;
       engine.Versions[engine.Model] = *version;
-      engine.Told = monotonicNow();
+      engine.LastReported = monotonicNow();
     }
     // What cannot be labelled truthfully is not taken.
     if (!version)
@@ -217,13 +217,13 @@
   }
 }
 
-void Dispatcher::noteEvent(EngineState &On, ItemTask &Work) {
+void Dispatcher::noteEvent(DispatchEngine &On, ItemTask &Work) {
   TimePoint now = monotonicNow();
   double gap =
       std::chrono::duration<double, std::milli>(now - Work.LastEvent).count();
   // The first pause is queue and prompt, and one across a load says nothing of
   // the engine's pace.
-  if (Work.Begun && !On.swapping())
+  if (Work.Begun && !On.isSwapping())
     recordEventInterval(On.Pace, gap, now, Limits.Pool.Pace);
   Work.Begun = true;
   Work.LastEvent = now;
@@ -234,7 +234,7 @@
                              const Failure &Why) {
   Work->Stage = ItemStage::Waiting;
   Work->NotBefore =
-      Work->Moved ? TimePoint() : monotonicNow() + Limits.RetryPause;
+      Work->Moved ? TimePoint() : monotonicNow() + Limits.RetryDelay;
   Decisions->line("item.run_ended",
                   {{"item", Work->Item.Id.Text},
                    {"digest", Work->Guard->Digest.Text},
@@ -267,7 +267,7 @@
             ? findRoute(*View.Routes, item.Score->Host, item.Score->Path)
             : nullptr;
     if (route == nullptr) {
-      co_await pauseFor(Executor, Limits.RetryPause);
+      co_await pauseFor(Executor, Limits.RetryDelay);
       continue;
     }
     std::uint32_t most = route->MaxAttempts;
@@ -277,13 +277,13 @@
     once.Timeout = Limits.ScoreCallTimeout;
     ForwardRequest call;
     call.Id = item.Score->Id;
-    call.Arrived = monotonicNow();
-    call.Patience =
+    call.ArrivedAt = monotonicNow();
+    call.CallerTimeout =
         ++calls == 1 ? Limits.FirstScoreCallTimeout : Limits.ScoreCallTimeout;
-    call.Ask.Method = "POST";
-    call.Ask.Target = item.Score->Path;
-    call.Ask.Headers = {{"Host", item.Score->Host}};
-    call.Ask.Body = item.Score->Body;
+    call.HttpRequest.Method = "POST";
+    call.HttpRequest.Target = item.Score->Path;
+    call.HttpRequest.Headers = {{"Host", item.Score->Host}};
+    call.HttpRequest.Body = item.Score->Body;
     Outcome<UpstreamResponse> got =
         co_await Scores->answer(std::move(call), std::move(once), Work->Stop);
     if (got && got->Response.Status >= Ok &&
@@ -298,7 +298,7 @@
     bool quarantined = !got && got.failure().Code == FailureCode::Quarantined;
     if (!Work->Dropped)
       co_await pauseFor(Executor, quarantined ? Limits.QuarantineRetryDelay
-                                              : Limits.RetryPause);
+                                              : Limits.RetryDelay);
   }
   if (Work->Dropped)
     co_return;
@@ -313,7 +313,7 @@
       "item.finished",
       {{"item", Result.Item.Text},
        {"job", Work->Job->Job.Id.Text},
-       {"completed", Result.End == ItemStatus::Completed ? "yes" : "no"},
+       {"completed", Result.Status == ItemStatus::Completed ? "yes" : "no"},
        {"events", std::to_string(Work->Text.Events)},
        {"versions", fmt::format("{}", fmt::join(Result.Versions, ","))},
        {"took_ms", std::to_string(std::chrono::duration_cast<Millis>(
--- a/Wasabi/Dispatch/EnginePool.cpp
+++ b/Wasabi/Dispatch/EnginePool.cpp
@@ -26,7 +26,7 @@
   constexpr double Quarter = 0.25;
   std::vector<double> recent;
   std::vector<double> own;
-  for (const std::shared_ptr<EngineState> &it : Engines) {
+  for (const std::shared_ptr<DispatchEngine> &it : Engines) {
     if (it->Pace.RecentMs > 0)
       recent.push_back(it->Pace.RecentMs);
     if (longTermMs(it->Pace, Limits.Pace) > 0)
@@ -89,7 +89,7 @@
 /// is closer than all others. A model that was never named is at its first
 /// version everywhere.
 std::optional<ServedModel>
-servedModel(const EngineState &Engine,
+servedModel(const DispatchEngine &Engine,
             const std::map<ModelName, std::uint32_t> &Sizes,
             const std::map<ModelName, WeightVersion> &Named) {
   std::vector<std::pair<WeightVersion, ModelName>> lags;
@@ -126,7 +126,7 @@
   PoolCount count;
   for (const auto &[model, size] : Sizes)
     count.Missing[model] = static_cast<int>(size);
-  for (const std::shared_ptr<EngineState> &it : Engines) {
+  for (const std::shared_ptr<DispatchEngine> &it : Engines) {
     if (!it->Model.empty())
       --count.Missing[it->Model];
   }
@@ -137,11 +137,11 @@
   std::optional<ModelName> poor = Count.neediest();
   if (!poor || Count.Missing.at(*poor) < 1)
     return false;
-  std::shared_ptr<EngineState> best;
-  for (const std::shared_ptr<EngineState> &it : Engines) {
+  std::shared_ptr<DispatchEngine> best;
+  for (const std::shared_ptr<DispatchEngine> &it : Engines) {
     auto missing = Count.Missing.find(it->Model);
     if (missing == Count.Missing.end() || missing->second > -1 ||
-        it->swapping())
+        it->isSwapping())
       continue;
     if (!best || it->Running < best->Running)
       best = it;
@@ -163,8 +163,8 @@
 bool keepServed(EngineList &Engines,
                 const std::map<ModelName, std::uint32_t> &Sizes,
                 const std::map<ModelName, WeightVersion> &Named) {
-  std::vector<std::pair<ServedModel, std::shared_ptr<EngineState>>> leaning;
-  for (const std::shared_ptr<EngineState> &it : Engines) {
+  std::vector<std::pair<ServedModel, std::shared_ptr<DispatchEngine>>> leaning;
+  for (const std::shared_ptr<DispatchEngine> &it : Engines) {
     std::optional<ServedModel> served = servedModel(*it, Sizes, Named);
     if (it->Model.empty() && served)
       leaning.emplace_back(*served, it);
@@ -193,7 +193,7 @@
                   const std::map<ModelName, WeightVersion> &Named,
                   bool MayMove) {
   bool changed = keepServed(Engines, Sizes, Named);
-  for (const std::shared_ptr<EngineState> &it : Engines) {
+  for (const std::shared_ptr<DispatchEngine> &it : Engines) {
     if (!it->Model.empty())
       continue;
     std::optional<ModelName> poor = countPools(Engines, Sizes).neediest();
@@ -207,21 +207,21 @@
   return changed;
 }
 
-bool hasRoom(const EngineState &Engine, TimePoint Now) {
+bool hasRoom(const DispatchEngine &Engine, TimePoint Now) {
   return !Engine.Loading && Engine.FullUntil <= Now &&
          !Engine.Server->Replaced &&
          Engine.Running < Engine.Server->Entry.Slots;
 }
 
-std::shared_ptr<EngineState> chooseEngine(const EngineList &Engines,
-                                          const EngineRequirements &Need,
-                                          const PaceBaseline &Scale,
-                                          const EnginePoolSettings &Limits,
-                                          TimePoint Now) {
+std::shared_ptr<DispatchEngine> chooseEngine(const EngineList &Engines,
+                                             const EngineRequirements &Need,
+                                             const PaceBaseline &Scale,
+                                             const EnginePoolSettings &Limits,
+                                             TimePoint Now) {
   using Rank = std::tuple<bool, bool, bool, std::uint32_t, bool, double>;
-  std::shared_ptr<EngineState> best;
+  std::shared_ptr<DispatchEngine> best;
   Rank bestRank;
-  for (const std::shared_ptr<EngineState> &it : Engines) {
+  for (const std::shared_ptr<DispatchEngine> &it : Engines) {
     const UpstreamServer &server = *it->Server;
     WeightVersion has = it->version(Need.Model);
     bool fits = it->Model == Need.Model && has >= Need.MinVersion &&
@@ -230,7 +230,7 @@
       continue;
     double load = static_cast<double>(it->Running) / server.Entry.Slots;
     std::uint32_t grade =
-        Need.Long ? paceTier(it->Pace, Scale.FastQuartileMs, Limits.Pace) : 0;
+        Need.IsLong ? paceTier(it->Pace, Scale.FastQuartileMs, Limits.Pace) : 0;
     Rank rank{server.SuspectUntil > Now,
               isSlow(it->Pace, Scale.MedianMs, Limits.Pace),
               server.Entry.incarnation() == Need.Avoid,
--- a/Wasabi/Dispatch/EnginePool.h
+++ b/Wasabi/Dispatch/EnginePool.h
@@ -18,14 +18,14 @@
 namespace wasabi {
 
 /// One engine as the dispatcher sees it.
-struct EngineState {
+struct DispatchEngine {
   std::shared_ptr<UpstreamServer> Server;
   /// The model that it serves; its weights of other models stay as they are.
   ModelName Model;
   /// Freshest known weights.
   std::map<ModelName, WeightVersion> Versions;
   /// When the engine itself last told its weights.
-  TimePoint Told;
+  TimePoint LastReported;
   /// Samples of this process at it.
   std::uint32_t Running = 0;
   EnginePace Pace;
@@ -43,10 +43,10 @@
     return it == Versions.end() ? 0 : it->second;
   }
   /// Whether it is on its way to other weights.
-  bool swapping() const { return Loading || Wanted > version(Model); }
+  bool isSwapping() const { return Loading || Wanted > version(Model); }
 };
 
-using EngineList = std::vector<std::shared_ptr<EngineState>>;
+using EngineList = std::vector<std::shared_ptr<DispatchEngine>>;
 
 /// How choices are made.
 struct EnginePoolSettings {
@@ -100,18 +100,18 @@
   /// fastest engine that has room, before the one that has its prompt. Reading
   /// a prompt of 1,000 tokens takes 2 ms, a hundred events on an engine of the
   /// next grade two seconds more.
-  bool Long = false;
+  bool IsLong = false;
 };
 
 /// Whether an engine takes one more sample of its model.
-bool hasRoom(const EngineState &Engine, TimePoint Now);
+bool hasRoom(const DispatchEngine &Engine, TimePoint Now);
 
 /// The engine for one more sample, null if none has room.
-std::shared_ptr<EngineState> chooseEngine(const EngineList &Engines,
-                                          const EngineRequirements &Need,
-                                          const PaceBaseline &Scale,
-                                          const EnginePoolSettings &Limits,
-                                          TimePoint Now);
+std::shared_ptr<DispatchEngine> chooseEngine(const EngineList &Engines,
+                                             const EngineRequirements &Need,
+                                             const PaceBaseline &Scale,
+                                             const EnginePoolSettings &Limits,
+                                             TimePoint Now);
 
 } // namespace wasabi
 
--- a/Wasabi/Dispatch/EngineTopics.cpp
+++ b/Wasabi/Dispatch/EngineTopics.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// What is wanted should reach an engine within a fraction of a load's 0.9 s.
-constexpr Millis EnginePace{30};
+constexpr Millis TopicPollDelay{30};
 
 /// Records of a release before this one have none.
 ServerStartTime readStart(JsonReader &From) {
@@ -46,7 +46,7 @@
   WantedWeights wanted;
   wanted.Model = ModelName(root.text("model"));
   wanted.Version = root.number("version");
-  bool finish = root.word("mode", {"continue", "finish"}, true) == 1;
+  bool finish = root.enumIndex("mode", {"continue", "finish"}, true) == 1;
   wanted.Mode = finish ? SwapMode::Finish : SwapMode::Continue;
   wanted.Start = readStart(root);
   BOOST_LEAF_CHECK(root.finish());
@@ -63,7 +63,7 @@
     it.allowUnknown();
     ModelName name(it.text("name"));
     held.Models[name] = it.number("version");
-    root.adopt(it);
+    root.mergeError(it);
   }
   held.Loading = root.boolean("loading", false);
   held.Start = readStart(root);
@@ -75,7 +75,7 @@
     const FeedContext &Parts,
     std::function<void(const ServerName &, WantedWeights, Offset)> Take) {
   return startFeed(
-      Parts, WantedTopic, EnginePace,
+      Parts, WantedTopic, TopicPollDelay,
       [Take = std::move(Take)](const KeyedRecord &Record) -> Result<void> {
         if (!Record.Value)
           return {};
@@ -89,7 +89,7 @@
 followHeld(const FeedContext &Parts,
            std::function<void(const ServerName &, const HeldWeights &)> Take) {
   return startFeed(
-      Parts, HeldTopic, EnginePace,
+      Parts, HeldTopic, TopicPollDelay,
       [Take = std::move(Take)](const KeyedRecord &Record) -> Result<void> {
         if (!Record.Value)
           return {};
--- a/Wasabi/Dispatch/LeaseManager.cpp
+++ b/Wasabi/Dispatch/LeaseManager.cpp
@@ -20,7 +20,7 @@
     return Lease.Holder->Life != Limits.Self.Life;
   // While the store was away nobody could renew: the holder gets its full time
   // again after the store's return.
-  TimePoint heard = std::max(Lease.Seen, Contact.Since);
+  TimePoint heard = std::max(Lease.Seen, Contact.ReachableSince);
   return Now - heard >= Limits.LeaseTimeout + Spread;
 }
 
--- a/Wasabi/Dispatch/LoadOrder.h
+++ b/Wasabi/Dispatch/LoadOrder.h
@@ -20,18 +20,18 @@
 /// What is asked of a model now. An immutable value.
 struct ModelDemand {
   /// The newest weights that were named.
-  WeightVersion Named = 0;
+  WeightVersion NewestVersion = 0;
   /// The oldest weights that all its waiting samples allow; 0 if none waits.
-  WeightVersion Waiting = 0;
+  WeightVersion WaitingMinVersion = 0;
   /// The oldest weights that a step which is about to be asked for is likely to
   /// allow; 0 if none is expected.
-  WeightVersion Coming = 0;
+  WeightVersion ExpectedMinVersion = 0;
   bool operator==(const ModelDemand &) const = default;
 };
 
 /// Whether an engine should take newer weights now: if there are any, and it
 /// serves neither what waits nor what is about to be asked for. Pure.
-bool shouldLoadWeights(const EngineState &Engine, const ModelDemand &Of);
+bool shouldLoadWeights(const DispatchEngine &Engine, const ModelDemand &Of);
 
 /// `Due` in the order in which they should load: those asked in vain last, else
 /// they would hold up the others; first those that cannot serve what waits;
--- a/Wasabi/Dispatch/WeightReconciler.cpp
+++ b/Wasabi/Dispatch/WeightReconciler.cpp
@@ -108,8 +108,8 @@
   WeightLoadRequest order{What.Model,    What.Version, What.Mode,
                           Limits.Holder, *Token,       Accepted};
   Outcome<WeightLoadOutcome> got =
-      co_await Engines.Order(Engine, order, Limits.AnswerTime);
-  bool begun = got && *got == WeightLoadOutcome::Begun;
+      co_await Engines.LoadWeights(Engine, order, Limits.AnswerTime);
+  bool begun = got && *got == WeightLoadOutcome::Started;
   if (got && *got == WeightLoadOutcome::WrongServer)
     Gone.insert(Engine.incarnation());
   std::string result =
@@ -129,7 +129,7 @@
   if (Token && Published == Now && PublishedServer == Of)
     co_return;
   Outcome<Offset> got = co_await Store.AppendKeyed(
-      HeldTopic, Of.Text, encodeHeld(Now), Limits.StoreTime);
+      HeldTopic, Of.Text, encodeHeld(Now), Limits.AppendTimeout);
   Decisions->line("engine.state",
                   {{"server", Of.Text},
                    {"start", std::to_string(Now.Start)},
--- a/Wasabi/Dispatch/WeightReconciler.h
+++ b/Wasabi/Dispatch/WeightReconciler.h
@@ -33,7 +33,7 @@
     /// How long an answer of the engine may take.
     Millis AnswerTime{500};
     /// How long the store may take for a record.
-    Millis StoreTime{800};
+    Millis AppendTimeout{800};
   };
 
   static std::shared_ptr<WeightReconciler>
--- a/Wasabi/Membership/ListedInstance.h
+++ b/Wasabi/Membership/ListedInstance.h
@@ -15,9 +15,9 @@
   DomainName Domain;
   Role Kind = Role::Daemon;
   /// Where it takes control frames.
-  Address Frames;
+  Address ControlAddress;
   /// Its admin HTTP.
-  Address Http;
+  Address AdminAddress;
   bool Leaving = false;
   Incarnation Life = 0;
   bool operator==(const ListedInstance &) const = default;
--- a/Wasabi/Membership/MemberUpdate.h
+++ b/Wasabi/Membership/MemberUpdate.h
@@ -12,7 +12,7 @@
 struct MemberUpdate {
   /// The member. Without addresses and domain where these have not changed, and
   /// without servers too where only its bad health is told.
-  Member About;
+  Member Subject;
   /// Who suspects it, when it is told as suspect.
   InstanceName Accuser;
   bool operator==(const MemberUpdate &) const = default;
--- a/Wasabi/Membership/Swim.cpp
+++ b/Wasabi/Membership/Swim.cpp
@@ -56,7 +56,7 @@
 /// What is told of a member: all when it is alive, else its health alone.
 MemberUpdate newsOf(const SwimMember &Held) {
   MemberUpdate news;
-  news.About = Held.Who;
+  news.Subject = Held.Who;
   if (Held.Who.State == Health::Alive)
     return news;
   Member slim;
@@ -66,7 +66,7 @@
   slim.Life = Held.Who.Life;
   slim.State = Held.Who.State;
   slim.Stamp = Held.Who.Stamp;
-  news.About = std::move(slim);
+  news.Subject = std::move(slim);
   return news;
 }
 
@@ -74,16 +74,16 @@
 /// changes are of that kind, and addresses are most of a member's bytes.
 MemberUpdate updateOf(const SwimMember &Held) {
   MemberUpdate news = newsOf(Held);
-  news.About.Domain = DomainName();
-  news.About.Requests = Address();
-  news.About.Control = Address();
-  news.About.Admin = Address();
+  news.Subject.Domain = DomainName();
+  news.Subject.Requests = Address();
+  news.Subject.Control = Address();
+  news.Subject.Admin = Address();
   return news;
 }
 
 /// Whether news is of servers or the stamp alone.
 bool isUpdate(const MemberUpdate &News) {
-  return News.About.State == Health::Alive && News.About.Control.empty();
+  return News.Subject.State == Health::Alive && News.Subject.Control.empty();
 }
 
 std::uint32_t timesToTell(const SwimState &State, bool Update) {
@@ -97,11 +97,11 @@
 }
 
 void tell(Step &On, MemberUpdate News) {
-  InstanceName name = News.About.Instance;
+  InstanceName name = News.Subject.Instance;
   // Addresses that are still being told must not be lost to an update.
   auto held = On.State.PendingUpdates.find(name);
   if (isUpdate(News) && held != On.State.PendingUpdates.end() &&
-      !held->second.News.About.Control.empty())
+      !held->second.News.Subject.Control.empty())
     News = newsOf(On.State.Members.at(name));
   std::uint32_t times = timesToTell(On.State, isUpdate(News));
   // What an exchange brings in bulk, the others get by their own exchanges.
@@ -243,7 +243,7 @@
 
 /// News of an incarnation not known here.
 void hearOfNew(Step &On, const MemberUpdate &News) {
-  const Member &told = News.About;
+  const Member &told = News.Subject;
   // Without addresses it is of no use; but a leaver or a dead one is kept as a
   // mark against older news.
   bool mark = told.State == Health::Leaving || told.State == Health::Dead;
@@ -266,11 +266,11 @@
 
 /// News that is known already needs less telling.
 void hearAgain(Step &On, const MemberUpdate &News) {
-  auto found = On.State.PendingUpdates.find(News.About.Instance);
+  auto found = On.State.PendingUpdates.find(News.Subject.Instance);
   if (found == On.State.PendingUpdates.end())
     return;
-  const Member &own = found->second.News.About;
-  const Member &told = News.About;
+  const Member &own = found->second.News.Subject;
+  const Member &told = News.Subject;
   if (own.Life != told.Life || own.Stamp != told.Stamp ||
       own.State != told.State || found->second.News.Accuser != News.Accuser)
     return;
@@ -289,7 +289,7 @@
 }
 
 void hearAlive(Step &On, SwimMember &Held, const MemberUpdate &News) {
-  const Member &told = News.About;
+  const Member &told = News.Subject;
   if (told.Stamp <= Held.Who.Stamp) {
     hearAgain(On, News);
     return;
@@ -332,7 +332,7 @@
 
 void hearBad(Step &On, SwimMember &Held, const MemberUpdate &News,
              const InstanceName &Teller) {
-  const Member &told = News.About;
+  const Member &told = News.Subject;
   if (told.Stamp < Held.Who.Stamp || Held.Who.State == Health::Dead) {
     hearAgain(On, News);
     return;
@@ -347,7 +347,7 @@
 }
 
 void hearOne(Step &On, const MemberUpdate &News, const InstanceName &Teller) {
-  const Member &told = News.About;
+  const Member &told = News.Subject;
   if (isSelf(On.State, told.Instance)) {
     hearOfSelf(On, told);
     return;
@@ -476,8 +476,8 @@
   who.Domain = Line.Domain;
   who.Kind = Line.Kind;
   who.Life = Line.Life;
-  who.Control = Line.Frames;
-  who.Admin = Line.Http;
+  who.Control = Line.ControlAddress;
+  who.Admin = Line.AdminAddress;
   who.State = Line.Leaving ? Health::Leaving : Health::Alive;
   return who;
 }
@@ -590,8 +590,8 @@
 void handle(Step &On, const ProbeEnded &Event) { endProbe(On, Event); }
 
 void handle(Step &On, const UpdatesReceived &Event) {
-  On.Bulk = Event.News.size() > 2 * On.State.Limits.MaxUpdatesPerFrame;
-  for (const MemberUpdate &it : Event.News)
+  On.Bulk = Event.Updates.size() > 2 * On.State.Limits.MaxUpdatesPerFrame;
+  for (const MemberUpdate &it : Event.Updates)
     hearOne(On, it, Event.From);
   judge(On);
 }
@@ -690,7 +690,7 @@
   for (auto it = State.PendingUpdates.begin();
        it != State.PendingUpdates.end();) {
     auto next = std::next(it);
-    if (known.contains(digestOf(it->second.News.About)))
+    if (known.contains(digestOf(it->second.News.Subject)))
       countKnown(State, it);
     it = next;
   }
@@ -715,8 +715,8 @@
     // Alive or suspect, the other side may not know it at all: tell it whole.
     MemberUpdate whole = newsOf(held);
     if (held.Who.State == Health::Suspect) {
-      whole.About = held.Who;
-      whole.About.State = Health::Alive;
+      whole.Subject = held.Who;
+      whole.Subject.State = Health::Alive;
     }
     news.push_back(std::move(whole));
   }
--- a/Wasabi/Membership/Swim.h
+++ b/Wasabi/Membership/Swim.h
@@ -117,7 +117,7 @@
 /// Another process told news.
 struct UpdatesReceived {
   InstanceName From;
-  std::vector<MemberUpdate> News;
+  std::vector<MemberUpdate> Updates;
 };
 /// The platform's list was read.
 struct ListRead {
--- a/Wasabi/Node/ClaimManager.cpp
+++ b/Wasabi/Node/ClaimManager.cpp
@@ -19,7 +19,7 @@
                            Timeline &Events)
     : Setup(std::move(Setup)), Appender(std::move(Appender)), Events(Events) {}
 
-void ClaimManager::want(const std::string &Resource) {
+void ClaimManager::requestClaim(const std::string &Resource) {
   std::lock_guard<std::mutex> lock(Guard);
   Wanted.emplace(Resource, monotonicNow());
 }
@@ -180,7 +180,8 @@
   case ClaimAction::Wait:
     return;
   case ClaimAction::Take:
-    body = takeOver(Resource, Current ? &*Current : nullptr, Setup.Rules.Term);
+    body = makeClaimAcquire(Resource, Current ? &*Current : nullptr,
+                            Setup.Rules.Term);
     break;
   case ClaimAction::Renew:
     body = ClaimRenew{Resource, Current->Token};
--- a/Wasabi/Node/ClaimManager.h
+++ b/Wasabi/Node/ClaimManager.h
@@ -34,7 +34,7 @@
          Timeline &Events);
 
   /// Thread-safe.
-  void want(const std::string &Resource);
+  void requestClaim(const std::string &Resource);
   /// Thread-safe. `held` gives nothing from now on.
   void withdrawClaim(const std::string &Resource);
   /// Stops wanting all. Thread-safe.
--- a/Wasabi/Node/ControlMessage.cpp
+++ b/Wasabi/Node/ControlMessage.cpp
@@ -47,7 +47,7 @@
 
 flatbuffers::Offset<wire::MemberState> put(FlatBufferBuilder &Builder,
                                            const MemberUpdate &News) {
-  const Member &who = News.About;
+  const Member &who = News.Subject;
   std::vector<flatbuffers::Offset<wire::ServerState>> servers;
   servers.reserve(who.Servers.size());
   for (const ServerStatus &it : who.Servers)
@@ -86,7 +86,7 @@
       From.health() > static_cast<std::uint8_t>(Health::Dead))
     return std::nullopt;
   MemberUpdate news;
-  Member &who = news.About;
+  Member &who = news.Subject;
   who.Instance = InstanceName(text(From.instance()));
   who.Domain = DomainName(text(From.domain()));
   who.Kind = static_cast<Role>(From.role());
@@ -120,8 +120,8 @@
 GossipOffsets put(FlatBufferBuilder &Builder, const Gossip &Carried) {
   GossipOffsets offsets;
   std::vector<flatbuffers::Offset<wire::MemberState>> news;
-  news.reserve(Carried.News.size());
-  for (const MemberUpdate &it : Carried.News)
+  news.reserve(Carried.Updates.size());
+  for (const MemberUpdate &it : Carried.Updates)
     news.push_back(put(Builder, it));
   if (!news.empty())
     offsets.News = Builder.CreateVector(news);
@@ -139,7 +139,7 @@
       std::optional<MemberUpdate> news = newsFrom(*it);
       if (!news)
         return std::nullopt;
-      carried.News.push_back(std::move(*news));
+      carried.Updates.push_back(std::move(*news));
     }
   }
   if (From.digests() != nullptr)
@@ -154,10 +154,10 @@
 // ---- encoding, one function a message ----
 
 BodyOffset put(FlatBufferBuilder &Builder, const PingMessage &What) {
-  GossipOffsets carried = put(Builder, What.Carried);
+  GossipOffsets carried = put(Builder, What.Piggybacked);
   TextOffset from = put(Builder, What.From);
   TextOffset target = put(Builder, What.Target);
-  const Gossip &it = What.Carried;
+  const Gossip &it = What.Piggybacked;
   return {wire::Body::Ping,
           wire::CreatePing(Builder, What.Sequence, from, target, carried.News,
                            it.Next, it.Full, it.At.Wall, it.At.Count,
@@ -166,9 +166,9 @@
 }
 
 BodyOffset put(FlatBufferBuilder &Builder, const AckMessage &What) {
-  GossipOffsets carried = put(Builder, What.Carried);
+  GossipOffsets carried = put(Builder, What.Piggybacked);
   TextOffset from = put(Builder, What.From);
-  const Gossip &it = What.Carried;
+  const Gossip &it = What.Piggybacked;
   return {wire::Body::Ack,
           wire::CreateAck(Builder, What.Sequence, from, carried.News, it.Next,
                           it.Full, it.At.Wall, it.At.Count,
--- a/Wasabi/Node/ControlMessage.h
+++ b/Wasabi/Node/ControlMessage.h
@@ -20,7 +20,7 @@
 /// What each probe and its answer carry besides: news of members, and how far
 /// the sender has folded the log.
 struct Gossip {
-  std::vector<MemberUpdate> News;
+  std::vector<MemberUpdate> Updates;
   /// Hashes of all that the sender knows; only with `Full`.
   std::vector<std::uint64_t> Digests;
   /// Asks for all that the receiver knows otherwise.
@@ -38,14 +38,14 @@
   std::string From;
   /// The instance meant; empty for whoever listens there.
   std::string Target;
-  Gossip Carried;
+  Gossip Piggybacked;
   bool operator==(const PingMessage &) const = default;
 };
 
 struct AckMessage {
   std::uint64_t Sequence = 0;
   std::string From;
-  Gossip Carried;
+  Gossip Piggybacked;
   bool operator==(const AckMessage &) const = default;
 };
 
--- a/Wasabi/Node/ControlPlane.cpp
+++ b/Wasabi/Node/ControlPlane.cpp
@@ -65,7 +65,9 @@
   Incarnation life() const override { return Life; }
   std::shared_ptr<const View> view() const override { return Watch->view(); }
   void setServers(std::vector<ServerStatus> Servers) override;
-  void want(std::string Resource) override { Keeper->want(Resource); }
+  void requestClaim(std::string Resource) override {
+    Keeper->requestClaim(Resource);
+  }
   void withdrawClaim(std::string Resource) override {
     Keeper->withdrawClaim(Resource);
   }
@@ -234,7 +236,7 @@
 
 void ControlThread::start() {
   if (Setup.Kind == Role::Daemon)
-    Keeper->want(SnapshotResource);
+    Keeper->requestClaim(SnapshotResource);
   Server->start(
       [this](ControlMessage What, const ControlServer::Reply &Answer) {
         receive(std::move(What), Answer);
--- a/Wasabi/Node/ControlPlane.h
+++ b/Wasabi/Node/ControlPlane.h
@@ -114,7 +114,7 @@
   /// Adds to what this process claims when it is free: the control plane takes
   /// and renews `Resource` while wanted, and only if this process ranks among
   /// the first for it by rendezvous hashing over the view. Thread-safe.
-  virtual void want(std::string Resource) = 0;
+  virtual void requestClaim(std::string Resource) = 0;
   /// Gives the claim up and stops wanting it. Thread-safe.
   virtual void withdrawClaim(std::string Resource) = 0;
   /// The claim, if this process holds it and may act now. Thread-safe; checks
--- a/Wasabi/Node/ControlStatus.cpp
+++ b/Wasabi/Node/ControlStatus.cpp
@@ -58,7 +58,7 @@
   whole["ready"] = Status.Ready;
   whole["next"] = Status.State->Next;
   whole["config_revision"] = Status.State->ConfigRevision;
-  whole["preset"] = Status.State->Config->InForce.Text;
+  whole["preset"] = Status.State->Config->ActivePreset.Text;
   if (Status.State->BlockedOffset)
     whole["blocked_at"] = *Status.State->BlockedOffset;
   whole["self_doubt"] = Status.Seen->MayBeIsolated;
--- a/Wasabi/Node/InstanceList.cpp
+++ b/Wasabi/Node/InstanceList.cpp
@@ -37,8 +37,8 @@
   line.Instance = InstanceName(text(*from, "name"));
   line.Domain = DomainName(text(*from, "failure_domain"));
   line.Kind = text(*from, "role") == "entry" ? Role::Entry : Role::Daemon;
-  line.Frames = address(*from, "frames");
-  line.Http = address(*from, "http");
+  line.ControlAddress = address(*from, "frames");
+  line.AdminAddress = address(*from, "http");
   line.Leaving = text(*from, "state") == "leaving";
   const json::value *life = from->if_contains("incarnation");
   if (life != nullptr && life->is_number()) {
@@ -56,8 +56,8 @@
   body["name"] = Self.Instance.Text;
   body["failure_domain"] = Self.Domain.Text;
   body["role"] = Self.Kind == Role::Entry ? "entry" : "daemon";
-  body["frames"] = toText(Self.Frames);
-  body["http"] = Self.Http.empty() ? "" : toText(Self.Http);
+  body["frames"] = toText(Self.ControlAddress);
+  body["http"] = Self.AdminAddress.empty() ? "" : toText(Self.AdminAddress);
   body["state"] = Self.Leaving ? "leaving" : "live";
   body["incarnation"] = Self.Life;
   return json::serialize(body);
--- a/Wasabi/Node/LogFollower.cpp
+++ b/Wasabi/Node/LogFollower.cpp
@@ -351,7 +351,7 @@
 
 bool LogFollower::applyLogEntry(const LogEntry &Entry) {
   ControlStateChange did = apply(Fold, Entry.At, Entry.Text);
-  if (did.ApplyStatus == RecordStatus::Newer) {
+  if (did.ApplyStatus == RecordStatus::NewerSchema) {
     Events.record("fold.blocked", {{"offset", std::to_string(Entry.At)},
                                    {"reason", did.Reason}});
     spdlog::error("control: offset {} needs a newer program: {}", Entry.At,
@@ -370,8 +370,9 @@
     Events.record("config.refused", {{"offset", std::to_string(Entry.At)},
                                      {"reason", did.Reason}});
   if (did.ConfigChanged)
-    Events.record("config.in_force", {{"offset", std::to_string(Entry.At)},
-                                      {"preset", Fold.Config->InForce.Text}});
+    Events.record("config.in_force",
+                  {{"offset", std::to_string(Entry.At)},
+                   {"preset", Fold.Config->ActivePreset.Text}});
   Calls.OnApplied(Entry.At, Fold, did);
   bool taken = !did.ChangedClaimResource.empty() &&
                Fold.Claims.at(did.ChangedClaimResource).Token == Entry.At + 1;
--- a/Wasabi/Node/MembershipManager.cpp
+++ b/Wasabi/Node/MembershipManager.cpp
@@ -208,14 +208,14 @@
   ping.Sequence = Links->nextSequence();
   ping.From = Swim.Self.Text;
   ping.Target = Target.Text;
-  ping.Carried = gossipTo(Target);
+  ping.Piggybacked = gossipTo(Target);
   ControlMessage question = std::move(ping);
   Outcome<ControlMessage> answer =
       co_await Links->ask(where, std::move(question), Timeout);
   const AckMessage *ack = answer ? std::get_if<AckMessage>(&*answer) : nullptr;
   if (ack == nullptr || Stopped)
     co_return false;
-  hear(ack->From, ack->Carried);
+  hear(ack->From, ack->Piggybacked);
   co_return true;
 }
 
@@ -272,19 +272,20 @@
   // A process that took over the port must not answer for its predecessor.
   if (!Ping.Target.empty() && Ping.Target != Swim.Self.Text)
     return;
-  hear(Ping.From, Ping.Carried);
+  hear(Ping.From, Ping.Piggybacked);
   if (Ping.Sequence == 0)
     return;
   AckMessage ack;
   ack.Sequence = Ping.Sequence;
   ack.From = Swim.Self.Text;
-  if (Ping.Carried.Full) {
-    ack.Carried.News = findMissingUpdates(Swim, Ping.Carried.Digests);
-    ack.Carried.Digests = computeDigests(Swim);
-    ack.Carried.At = Events.now();
-    Calls.FillLogPosition(ack.Carried);
+  if (Ping.Piggybacked.Full) {
+    ack.Piggybacked.Updates =
+        findMissingUpdates(Swim, Ping.Piggybacked.Digests);
+    ack.Piggybacked.Digests = computeDigests(Swim);
+    ack.Piggybacked.At = Events.now();
+    Calls.FillLogPosition(ack.Piggybacked);
   } else {
-    ack.Carried = gossipTo(InstanceName(Ping.From));
+    ack.Piggybacked = gossipTo(InstanceName(Ping.From));
   }
   Answer(ack);
 }
@@ -307,31 +308,32 @@
   ping.Sequence = Links->nextSequence();
   ping.From = Swim.Self.Text;
   ping.Target = Peer.Text;
-  ping.Carried = gossipTo(Peer);
-  ping.Carried.Full = true;
-  ping.Carried.Digests = computeDigests(Swim);
+  ping.Piggybacked = gossipTo(Peer);
+  ping.Piggybacked.Full = true;
+  ping.Piggybacked.Digests = computeDigests(Swim);
   // To be known by the other side is the first purpose of joining.
   MemberUpdate self;
-  self.About = Swim.Members.at(Swim.Self).Who;
-  ping.Carried.News.push_back(std::move(self));
+  self.Subject = Swim.Members.at(Swim.Self).Who;
+  ping.Piggybacked.Updates.push_back(std::move(self));
   ControlMessage question = std::move(ping);
   Outcome<ControlMessage> answer =
       co_await Links->ask(Where, std::move(question), ExchangeTimeout);
   const AckMessage *ack = answer ? std::get_if<AckMessage>(&*answer) : nullptr;
   if (ack == nullptr || Stopped)
     co_return 0;
-  hear(ack->From, ack->Carried);
+  hear(ack->From, ack->Piggybacked);
 
   // What the other side lacks goes back without a question.
   PingMessage notice;
   notice.From = Swim.Self.Text;
   notice.Target = ack->From;
-  notice.Carried.News = findMissingUpdates(Swim, ack->Carried.Digests);
-  notice.Carried.At = Events.now();
-  Calls.FillLogPosition(notice.Carried);
-  if (!notice.Carried.News.empty())
+  notice.Piggybacked.Updates =
+      findMissingUpdates(Swim, ack->Piggybacked.Digests);
+  notice.Piggybacked.At = Events.now();
+  Calls.FillLogPosition(notice.Piggybacked);
+  if (!notice.Piggybacked.Updates.empty())
     Links->send(Where, notice);
-  co_return ack->Carried.News.size();
+  co_return ack->Piggybacked.Updates.size();
 }
 
 // ---- the platform's list ----
@@ -357,8 +359,8 @@
   line.Instance = self.Instance;
   line.Domain = self.Domain;
   line.Kind = self.Kind;
-  line.Frames = self.Control;
-  line.Http = self.Admin;
+  line.ControlAddress = self.Control;
+  line.AdminAddress = self.Admin;
   line.Leaving = Leaving;
   line.Life = self.Life;
   Outcome<Done> done = co_await announceInstance(*Client, Setup.Instances,
@@ -372,18 +374,18 @@
 
 Gossip MembershipManager::gossipTo(const InstanceName &Peer) {
   Gossip carried;
-  carried.News = takeUpdatesFor(Swim, Peer);
+  carried.Updates = takeUpdatesFor(Swim, Peer);
   carried.At = Events.now();
   Calls.FillLogPosition(carried);
   return carried;
 }
 
 void MembershipManager::hear(const std::string &From, const Gossip &Carried) {
-  Events.hear(Carried.At);
+  Events.mergeRemoteTime(Carried.At);
   if (!Carried.Digests.empty())
     applyPeerDigests(Swim, Carried.Digests);
-  if (!Carried.News.empty())
-    apply(UpdatesReceived{InstanceName(From), Carried.News});
+  if (!Carried.Updates.empty())
+    apply(UpdatesReceived{InstanceName(From), Carried.Updates});
   Calls.OnPeerLogPosition(InstanceName(From), Carried.Next,
                           Carried.CaughtUpAge);
 }
@@ -430,9 +432,9 @@
     PingMessage notice;
     notice.From = Swim.Self.Text;
     notice.Target = it.Text;
-    notice.Carried.News = Urgent;
-    notice.Carried.At = Events.now();
-    Calls.FillLogPosition(notice.Carried);
+    notice.Piggybacked.Updates = Urgent;
+    notice.Piggybacked.At = Events.now();
+    Calls.FillLogPosition(notice.Piggybacked);
     Links->send(where, notice);
   }
 }
--- a/Wasabi/Ports/EnginePort.h
+++ b/Wasabi/Ports/EnginePort.h
@@ -27,12 +27,12 @@
   /// The server says that it did not run the request and never will.
   NotRun,
   /// Neither: it names another request, or no server signed it.
-  Nothing,
+  Unknown,
 };
 
 /// A whole answer. An immutable value.
 struct UpstreamResponse {
-  AnswerProof Proof = AnswerProof::Nothing;
+  AnswerProof Proof = AnswerProof::Unknown;
   http::Response Response;
   /// What signs the answer; empty if nothing does.
   std::string Signature;
@@ -52,7 +52,7 @@
 
 /// The head of a stream. An immutable value.
 struct StreamHead {
-  AnswerProof Proof = AnswerProof::Nothing;
+  AnswerProof Proof = AnswerProof::Unknown;
   http::Response Response;
   /// Weights that generate from here on; empty if the server does not say.
   std::optional<WeightVersion> Version;
@@ -109,9 +109,9 @@
 /// What became of an order.
 enum class WeightLoadOutcome : std::uint8_t {
   /// It is being carried out.
-  Begun,
+  Started,
   /// The server holds the version already.
-  Holds,
+  AlreadyHeld,
   /// Another order is under way, or the number of accepted orders differs.
   Busy,
   /// The server will not carry it out.
@@ -138,7 +138,7 @@
   /// A connection was taken.
   Listens,
   /// It was refused: the server's process has ended.
-  Refuses,
+  RefusesConnections,
 };
 
 /// Calls to servers, as plain functions; each is used on the thread that built
@@ -156,7 +156,7 @@
       Open;
   std::function<boost::asio::awaitable<Outcome<WeightLoadOutcome>>(
       UpstreamRegistration Server, WeightLoadRequest What, Millis Timeout)>
-      Order;
+      LoadWeights;
   std::function<boost::asio::awaitable<Outcome<EngineReport>>(
       UpstreamRegistration Server, Millis Timeout)>
       Report;
--- a/Wasabi/Ports/TrainerPort.h
+++ b/Wasabi/Ports/TrainerPort.h
@@ -39,7 +39,7 @@
 /// A trainer's answer to a delivery.
 struct DeliveryResponse {
   WeightVersion Newest = 0;
-  std::vector<Slot> Taken;
+  std::vector<Slot> AcceptedSlots;
   std::vector<RefusedSample> Refused;
   bool StepComplete = false;
   bool operator==(const DeliveryResponse &) const = default;
--- a/Wasabi/Quarantine/Quarantine.cpp
+++ b/Wasabi/Quarantine/Quarantine.cpp
@@ -51,7 +51,7 @@
   for (JsonReader &it : root.objects("ends", true)) {
     it.allowUnknown();
     ends.insert({ServerName(it.text("server")), it.number("start")});
-    root.adopt(it);
+    root.mergeError(it);
   }
   BOOST_LEAF_CHECK(root.finish());
   return ends;
@@ -108,7 +108,7 @@
   // connections has lost this one only, or is back already.
   Outcome<ServerProbeResult> found =
       co_await Engines.Probe(On->Entry, Limits.ProbeTime);
-  bool refused = found && *found == ServerProbeResult::Refuses;
+  bool refused = found && *found == ServerProbeResult::RefusesConnections;
   if (refused && !Of->Answered)
     noteEnd(*Of, On->Entry.incarnation());
   else if (!refused)
@@ -241,16 +241,16 @@
                            ? std::string()
                            : encodeCrashes(known->second.Ends);
     Outcome<Offset> got = co_await Feed.Store.AppendKeyed(
-        CrashTopic, digest.Text, std::move(text), Limits.StoreTime);
+        CrashTopic, digest.Text, std::move(text), Limits.AppendTimeout);
     if (got) {
-      Follower->wrote(digest.Text, *got);
+      Follower->recordWritten(digest.Text, *got);
       continue;
     }
     Feed.Decisions->line(
         "request.ends_unwritten",
         {{"digest", digest.Text}, {"reason", describe(got.failure())}});
     Unwritten.insert(digest);
-    co_await pauseFor(Feed.Executor, Limits.RetryPause);
+    co_await pauseFor(Feed.Executor, Limits.RetryDelay);
   }
 }
 
--- a/Wasabi/Quarantine/Quarantine.h
+++ b/Wasabi/Quarantine/Quarantine.h
@@ -57,9 +57,9 @@
     /// Pause between two looks at its registration.
     Millis CrashWatchInterval{200};
     /// How long an answer of the store may take.
-    Millis StoreTime{800};
+    Millis AppendTimeout{800};
     /// Pause after a record that the store did not take.
-    Millis RetryPause{100};
+    Millis RetryDelay{100};
     /// Pause between two looks for records that are too old.
     Millis SweepInterval{60000};
   };
--- a/Wasabi/Rollout/Attempts.cpp
+++ b/Wasabi/Rollout/Attempts.cpp
@@ -12,7 +12,7 @@
 /// Ends an attempt; the slot waits again when it was the last one.
 void abandon(StepState &State, AttemptId Id, Draft Keep) {
   AttemptState gone = State.Attempts.at(Id);
-  State.TokensWasted += gone.SoFar.Tokens - gone.ResumePosition;
+  State.TokensWasted += gone.GeneratedDraft.Tokens - gone.ResumePosition;
   removeAttempt(State, Id);
   SlotState &which = State.Slots.at(gone.Place);
   if (!which.Running.empty() || which.Phase != SlotPhase::Running)
@@ -42,7 +42,7 @@
 void restSilent(StepState &State, const SlotState &Which, TimePoint Now) {
   for (AttemptId id : Which.Running) {
     const AttemptState &loser = State.Attempts.at(id);
-    bool silent = loser.SoFar.Tokens == loser.ResumePosition &&
+    bool silent = loser.GeneratedDraft.Tokens == loser.ResumePosition &&
                   Now - loser.Started > State.Setup.StallTimeout;
     if (silent)
       rest(State, loser.On, State.Setup.StallTimeout, Now);
@@ -59,22 +59,22 @@
   if (it == State.Attempts.end())
     return;
   AttemptState &attempt = it->second;
-  ChunkStatus fate = append(attempt.SoFar, What.What);
+  ChunkStatus fate = append(attempt.GeneratedDraft, What.What);
   if (fate != ChunkStatus::Taken) {
     bool unattested = fate == ChunkStatus::MissingVersion;
     ServerName on = attempt.On;
     // Whatever came before the doubtful chunk was attested in place.
-    cancelAs(State, What.Attempt, attempt.SoFar,
+    cancelAs(State, What.Attempt, attempt.GeneratedDraft,
              unattested ? "version not attested" : "chunk out of place", Out);
     rest(State, on, unattested ? UnattestedRest : Millis(0), Now);
     return;
   }
   attempt.LastChunk = Now;
   State.TokensGenerated += What.What.Tokens;
-  if (!isFresh(State.Fresh, attempt.SoFar.Spans))
+  if (!isFresh(State.Fresh, attempt.GeneratedDraft.Spans))
     cancelAs(State, What.Attempt, Draft(), "too old", Out);
   else if (State.Policy.OnVersionChange == VersionChange::Restart &&
-           changedVersion(attempt.SoFar))
+           changedVersion(attempt.GeneratedDraft))
     cancelAs(State, What.Attempt, Draft(), "version changed", Out);
 }
 
@@ -85,8 +85,8 @@
     return;
   const AttemptState won = it->second;
   // A count that does not match means that something is missing.
-  if (won.SoFar.Tokens != What.Tokens || What.Tokens == 0 ||
-      !covers(won.SoFar.Spans, What.Tokens)) {
+  if (won.GeneratedDraft.Tokens != What.Tokens || What.Tokens == 0 ||
+      !covers(won.GeneratedDraft.Spans, What.Tokens)) {
     abandon(State, What.Attempt, Draft());
     rest(State, won.On, Millis(0), Now);
     return;
@@ -98,24 +98,24 @@
   if (engine != State.Servers.end())
     engine->second.Failures = 0;
   restSilent(State, which, Now);
-  observe(State.Lengths, group.Prompt, won.SoFar.Tokens);
+  observe(State.Lengths, group.Prompt, won.GeneratedDraft.Tokens);
   cancelAttempts(State, which, "another attempt was first", Out);
   which.Kept = Draft();
   which.Whole = Sample{won.Place,
-                       won.SoFar.Text,
-                       won.SoFar.Tokens,
-                       won.SoFar.Spans,
+                       won.GeneratedDraft.Text,
+                       won.GeneratedDraft.Tokens,
+                       won.GeneratedDraft.Spans,
                        0,
                        group.Seed + won.Place.Index};
   setPhase(State, which, SlotPhase::Scoring);
   which.ScoreRequested = true;
-  Out.emplace_back(ScoreSample{won.Place, won.SoFar.Text});
-  Out.emplace_back(
-      Note{"sample.done",
-           {field("trainer", State.Setup.Trainer.Text),
-            field("slot", toText(won.Place)), field("attempt", What.Attempt),
-            field("server", won.On.Text), field("tokens", won.SoFar.Tokens),
-            field("spans", toText(won.SoFar.Spans))}});
+  Out.emplace_back(ScoreSample{won.Place, won.GeneratedDraft.Text});
+  Out.emplace_back(Note{
+      "sample.done",
+      {field("trainer", State.Setup.Trainer.Text),
+       field("slot", toText(won.Place)), field("attempt", What.Attempt),
+       field("server", won.On.Text), field("tokens", won.GeneratedDraft.Tokens),
+       field("spans", toText(won.GeneratedDraft.Spans))}});
 }
 
 void onAttemptFailed(StepState &State, const AttemptFailed &What, TimePoint Now,
@@ -124,22 +124,24 @@
   if (it == State.Attempts.end())
     return;
   const AttemptState failed = it->second;
-  Draft keep =
-      isFresh(State.Fresh, failed.SoFar.Spans) ? failed.SoFar : Draft();
+  Draft keep = isFresh(State.Fresh, failed.GeneratedDraft.Spans)
+                   ? failed.GeneratedDraft
+                   : Draft();
   abandon(State, What.Attempt, std::move(keep));
   rest(State, failed.On, What.Why.RetryAfter, Now);
-  Out.emplace_back(Note{
-      "sample.failed",
-      {field("trainer", State.Setup.Trainer.Text),
-       field("slot", toText(failed.Place)), field("attempt", What.Attempt),
-       field("server", failed.On.Text), field("tokens", failed.SoFar.Tokens),
-       field("reason", describe(What.Why))}});
+  Out.emplace_back(
+      Note{"sample.failed",
+           {field("trainer", State.Setup.Trainer.Text),
+            field("slot", toText(failed.Place)), field("attempt", What.Attempt),
+            field("server", failed.On.Text),
+            field("tokens", failed.GeneratedDraft.Tokens),
+            field("reason", describe(What.Why))}});
 }
 
 void dropStale(StepState &State, StepEffects &Out) {
   std::vector<AttemptId> old;
   for (const auto &it : State.Attempts) {
-    if (!isFresh(State.Fresh, it.second.SoFar.Spans))
+    if (!isFresh(State.Fresh, it.second.GeneratedDraft.Spans))
       old.push_back(it.first);
   }
   for (AttemptId id : old)
--- a/Wasabi/Rollout/Delivering.cpp
+++ b/Wasabi/Rollout/Delivering.cpp
@@ -217,7 +217,7 @@
                         TimePoint Now, StepEffects &Out) {
   if (!State.Delivering || What.Id != State.Pending.Id)
     return;
-  for (const Slot &it : What.Answer.Taken) {
+  for (const Slot &it : What.Answer.AcceptedSlots) {
     markDelivered(State, it, Out);
     noteDelivered(State, it, Out);
   }
--- a/Wasabi/Rollout/Dispatching.cpp
+++ b/Wasabi/Rollout/Dispatching.cpp
@@ -79,8 +79,8 @@
   attempt.On = On.At->Seen.Name;
   attempt.Started = Now;
   attempt.LastChunk = Now;
-  attempt.SoFar = draftFor(State, Kept, *On.At);
-  attempt.ResumePosition = attempt.SoFar.Tokens;
+  attempt.GeneratedDraft = draftFor(State, Kept, *On.At);
+  attempt.ResumePosition = attempt.GeneratedDraft.Tokens;
   attempt.Hedge = Hedge;
   ++On.At->Own;
   On.At->LastDispatchNumber = ++State.Dispatches;
@@ -90,7 +90,7 @@
     setPhase(State, Which, SlotPhase::Running);
   Out.emplace_back(DispatchAttempt{
       id, Place, Which.Attempts, On.At->Seen, group.Prompt, group.MaxTokens,
-      group.Seed + Place.Index, attempt.SoFar, Hedge});
+      group.Seed + Place.Index, attempt.GeneratedDraft, Hedge});
   State.Attempts.emplace(id, std::move(attempt));
 }
 
@@ -106,7 +106,7 @@
   Micros ran = Now - Of.Started;
   if (ran < State.Setup.StallTimeout || Rate <= 0)
     return false;
-  double own = (Of.SoFar.Tokens - Of.ResumePosition) * 1e6 /
+  double own = (Of.GeneratedDraft.Tokens - Of.ResumePosition) * 1e6 /
                static_cast<double>(ran.count());
   return own * State.Setup.MinHedgeSpeedup < Rate;
 }
@@ -121,14 +121,15 @@
     AttemptState attempt = State.Attempts.at(id);
     Out.emplace_back(
         CancelAttempt{id, attempt.Place, attempt.On, "no chunk in time"});
-    State.TokensWasted += attempt.SoFar.Tokens - attempt.ResumePosition;
+    State.TokensWasted +=
+        attempt.GeneratedDraft.Tokens - attempt.ResumePosition;
     removeAttempt(State, id);
     auto engine = State.Servers.find(attempt.On);
     if (engine != State.Servers.end())
       backOff(engine->second, State.Setup.StallTimeout, Now);
     SlotState &which = State.Slots.at(attempt.Place);
     if (which.Running.empty()) {
-      which.Kept = attempt.SoFar;
+      which.Kept = attempt.GeneratedDraft;
       setPhase(State, which, SlotPhase::Waiting);
     }
   }
@@ -175,11 +176,12 @@
     double rate = heap.empty() ? 0 : expectedRate(State, *heap.front().At);
     if (heap.empty() || !isWorthHedging(State, running, rate, Now))
       continue;
-    double left = tokensLeft(State, which, running.SoFar.Tokens);
+    double left = tokensLeft(State, which, running.GeneratedDraft.Tokens);
     std::optional<Candidate> on =
         takeEngine(State, heap, SlotRequirements{left, {running.On}}, Now);
     if (on)
-      dispatch(State, it.first, which, *on, running.SoFar, true, Now, Out);
+      dispatch(State, it.first, which, *on, running.GeneratedDraft, true, Now,
+               Out);
   }
 }
 
--- a/Wasabi/Rollout/RolloutContext.cpp
+++ b/Wasabi/Rollout/RolloutContext.cpp
@@ -51,7 +51,7 @@
       if (load != nullptr)
         correct(seen, *load);
       else
-        Of.Requests->prepare(who.Requests);
+        Of.Requests->connectAhead(who.Requests);
       all.push_back(std::move(seen));
     }
   }
--- a/Wasabi/Rollout/RolloutService.cpp
+++ b/Wasabi/Rollout/RolloutService.cpp
@@ -89,7 +89,7 @@
     Context.Http.reset();
   }
 
-  void leave(std::function<void()> Callback) override {
+  void shutDown(std::function<void()> Callback) override {
     boost::asio::post(Loop, [this, callback = std::move(Callback)] {
       boost::asio::co_spawn(Loop, leaveNow(callback), boost::asio::detached);
     });
@@ -122,7 +122,7 @@
     }
     for (const std::string &it : wanted) {
       if (!Wanted.contains(it))
-        Context.Control.want(it);
+        Context.Control.requestClaim(it);
     }
     for (const std::string &it : Wanted) {
       if (!wanted.contains(it))
--- a/Wasabi/Rollout/RolloutService.h
+++ b/Wasabi/Rollout/RolloutService.h
@@ -40,7 +40,7 @@
   virtual ~RolloutService() = default;
   /// Graceful: takes no new work, finishes commits and deliveries at hand,
   /// gives its claims up, and calls back. Thread-safe.
-  virtual void leave(std::function<void()> Callback) = 0;
+  virtual void shutDown(std::function<void()> Callback) = 0;
   /// A JSON object for `/status`: trainers owned, steps, versions ordered.
   virtual std::string statusJson() const = 0;
 };
--- a/Wasabi/Rollout/Sample.h
+++ b/Wasabi/Rollout/Sample.h
@@ -43,7 +43,7 @@
   WeightVersion Newest = 0;
   std::vector<WantedGroup> Groups;
   /// Slots that the trainer holds already: the truth of what was delivered.
-  std::vector<Slot> Have;
+  std::vector<Slot> HeldSlots;
   /// The greatest fencing token that the trainer has seen.
   FencingToken Fence = 0;
   bool operator==(const WantedStep &) const = default;
--- a/Wasabi/Rollout/SlotMoves.cpp
+++ b/Wasabi/Rollout/SlotMoves.cpp
@@ -52,7 +52,8 @@
     // Attempts that lost tell as much of an engine as those that won: a slow
     // engine would never be known by its ended ones.
     recordStreamRate(engine->second,
-                     it->second.SoFar.Tokens - it->second.ResumePosition,
+                     it->second.GeneratedDraft.Tokens -
+                         it->second.ResumePosition,
                      it->second.LastChunk - it->second.Started);
   }
   auto slot = State.Slots.find(it->second.Place);
@@ -66,7 +67,7 @@
   const std::vector<AttemptId> running = Which.Running;
   for (AttemptId id : running) {
     const AttemptState &one = State.Attempts.at(id);
-    State.TokensWasted += one.SoFar.Tokens - one.ResumePosition;
+    State.TokensWasted += one.GeneratedDraft.Tokens - one.ResumePosition;
     Out.emplace_back(CancelAttempt{id, one.Place, one.On, Reason});
     removeAttempt(State, id);
   }
--- a/Wasabi/Rollout/StepState.cpp
+++ b/Wasabi/Rollout/StepState.cpp
@@ -106,7 +106,7 @@
     bool opens = !State.HasStep || wanted.Step > State.Step;
     if (opens)
       openStep(State, wanted, Out);
-    for (const Slot &it : wanted.Have)
+    for (const Slot &it : wanted.HeldSlots)
       markDelivered(State, it, Out);
     if (opens)
       takeFromLog(State);
--- a/Wasabi/Rollout/TrainerFold.cpp
+++ b/Wasabi/Rollout/TrainerFold.cpp
@@ -87,7 +87,7 @@
                                const TrainerRecord &What) {
   TrainerApplyResult did;
   if (isRepeat(State, What.Id)) {
-    did.ApplyStatus = RecordStatus::Repeated;
+    did.ApplyStatus = RecordStatus::Duplicate;
     return did;
   }
   State.Authors[What.Id.Author] = {What.Id.Life, What.Id.Sequence};
@@ -115,7 +115,7 @@
   if (!record) {
     TrainerApplyResult did;
     did.ApplyStatus = record.failure().Code == FailureCode::NewerSchema
-                          ? RecordStatus::Newer
+                          ? RecordStatus::NewerSchema
                           : RecordStatus::Malformed;
     did.Reason = describe(record.failure());
     return did;
--- a/Wasabi/Rollout/TrainerLog.cpp
+++ b/Wasabi/Rollout/TrainerLog.cpp
@@ -118,8 +118,8 @@
 void TrainerLog::fold(const LogEntry &Entry) {
   TrainerApplyResult did = apply(Fold, Entry.At, Entry.Text);
   if (Waiting.empty() || did.ApplyStatus == RecordStatus::Malformed ||
-      did.ApplyStatus == RecordStatus::Newer ||
-      did.ApplyStatus == RecordStatus::Repeated)
+      did.ApplyStatus == RecordStatus::NewerSchema ||
+      did.ApplyStatus == RecordStatus::Duplicate)
     return;
   // Only the first waiting record can be on the log.
   const TrainerRecord &own = Waiting.front();
--- a/Wasabi/Routing/Admission.cpp
+++ b/Wasabi/Routing/Admission.cpp
@@ -57,7 +57,7 @@
   }
   // Refused early rather than late: it could not be answered in time.
   Micros wait = expectedWait(Ask.Priority);
-  if (Now + wait > Ask.Until) {
+  if (Now + wait > Ask.Deadline) {
     change.Refused.push_back(
         {Ask.Id, overloaded("its wait would outlast its deadline", wait)});
     return change;
@@ -117,10 +117,10 @@
     if (it->Priority != For.Priority)
       continue;
     Part &part = parts[it->Flow];
-    part.Held += 1.0 / std::max(1u, it->Share);
+    part.Held += 1.0 / std::max(1u, it->FlowWeight);
     part.Last = it;
   }
-  double own = 1.0 / std::max(1u, For.Share);
+  double own = 1.0 / std::max(1u, For.FlowWeight);
   std::map<std::string_view, Part>::const_iterator mine = parts.find(For.Flow);
   if (mine != parts.end())
     own += mine->second.Held;
@@ -154,7 +154,7 @@
 void Admission::start(const AdmissionRequest &Ask, TimePoint Now) {
   Flow &flow = Flows[Ask.Flow];
   VirtualTime = std::max(VirtualTime, flow.Served);
-  double charged = serviceMicros() / std::max(1u, Ask.Share);
+  double charged = serviceMicros() / std::max(1u, Ask.FlowWeight);
   flow.Served += charged;
   if (Ask.Rollout)
     ++RunningRollouts;
@@ -188,7 +188,7 @@
       return;
     AdmissionRequest ask = std::move(*it);
     Waiting.erase(it);
-    if (ask.Until <= Now) {
+    if (ask.Deadline <= Now) {
       part(ask);
       Change.Refused.push_back(
           {ask.Id, overloaded("it waited until its deadline", Micros(0))});
@@ -205,7 +205,7 @@
   // What it really took replaces what was assumed.
   double took = static_cast<double>((Now - Ended.Began).count());
   Flows[Ended.Ask.Flow].Served +=
-      took / std::max(1u, Ended.Ask.Share) - Ended.Charged;
+      took / std::max(1u, Ended.Ask.FlowWeight) - Ended.Charged;
   part(Ended.Ask);
 }
 
@@ -256,7 +256,7 @@
 AdmissionChange Admission::tick(TimePoint Now) {
   AdmissionChange change;
   for (Queue::iterator it = Waiting.begin(); it != Waiting.end();) {
-    if (it->Until > Now) {
+    if (it->Deadline > Now) {
       ++it;
       continue;
     }
--- a/Wasabi/Routing/Admission.h
+++ b/Wasabi/Routing/Admission.h
@@ -31,9 +31,9 @@
   /// Who shares with whom: a trainer or a caller.
   std::string Flow;
   /// Weight of the flow against others, from 1.
-  std::uint32_t Share = 1;
+  std::uint32_t FlowWeight = 1;
   /// Its deadline.
-  TimePoint Until;
+  TimePoint Deadline;
   bool operator==(const AdmissionRequest &) const = default;
 };
 
--- a/Wasabi/Routing/AdmissionGate.cpp
+++ b/Wasabi/Routing/AdmissionGate.cpp
@@ -30,7 +30,7 @@
 asio::awaitable<Outcome<Done>>
 AdmissionGate::enter(AdmissionRequest Ask, std::function<bool()> Gone) {
   const std::uint64_t id = Ask.Id;
-  const TimePoint until = Ask.Until;
+  const TimePoint until = Ask.Deadline;
   AdmissionChange change = Rules.offer(std::move(Ask), monotonicNow());
   // Most requests start at once and need no waiter.
   bool started = change.Started.size() == 1 && change.Started.front() == id;
--- a/Wasabi/Routing/ConcurrencyLimit.cpp
+++ b/Wasabi/Routing/ConcurrencyLimit.cpp
@@ -24,7 +24,8 @@
 }
 
 void clamp(ConcurrencyLimit &Limit) {
-  Limit.Limit = std::clamp(Limit.Limit, Limit.Limits.Least, Limit.Limits.Most);
+  Limit.Limit =
+      std::clamp(Limit.Limit, Limit.Limits.MinLimit, Limit.Limits.MaxLimit);
 }
 
 /// What is faster than the unloaded time corrects it; that it has become slower
@@ -86,14 +87,14 @@
 
 std::uint32_t ConcurrencyLimit::whole() const {
   double now = Probe == ProbeStage::None ? Limit : Limit * ProbeShare;
-  return static_cast<std::uint32_t>(std::max(Limits.Least, now));
+  return static_cast<std::uint32_t>(std::max(Limits.MinLimit, now));
 }
 
 ConcurrencyLimit makeConcurrencyLimit(ConcurrencyLimit::Settings Limits,
                                       TimePoint Now) {
   ConcurrencyLimit limit;
   limit.Limits = Limits;
-  limit.Limit = Limits.Start;
+  limit.Limit = Limits.InitialLimit;
   limit.WindowBegan = Now;
   limit.RunningSince = Now;
   limit.NextProbe = Now + Limits.FirstProbeDelay;
@@ -142,10 +143,10 @@
   double most = std::max(1.0, static_cast<double>(Slots));
   // A limit that stood at its bound follows it.
   bool follows =
-      Limit.Limits.AdaptToLatency || Limit.Limit >= Limit.Limits.Most;
+      Limit.Limits.AdaptToLatency || Limit.Limit >= Limit.Limits.MaxLimit;
   Limit.Limits.AdaptToLatency = false;
   Limit.Probe = ProbeStage::None;
-  Limit.Limits.Most = most;
+  Limit.Limits.MaxLimit = most;
   if (follows)
     Limit.Limit = most;
   clamp(Limit);
--- a/Wasabi/Routing/ConcurrencyLimit.h
+++ b/Wasabi/Routing/ConcurrencyLimit.h
@@ -24,9 +24,9 @@
 /// A value; changed by the functions below.
 struct ConcurrencyLimit {
   struct Settings {
-    double Start = 16;
-    double Least = 1;
-    double Most = 1024;
+    double InitialLimit = 16;
+    double MinLimit = 1;
+    double MaxLimit = 1024;
     /// Whether slower answers lower the limit. Off for engines, whose answers
     /// differ in length: they say how many they run at once.
     bool AdaptToLatency = true;
@@ -51,7 +51,7 @@
   };
 
   Settings Limits;
-  double Limit = Settings().Start;
+  double Limit = Settings().InitialLimit;
   /// Average time of an answer from an unloaded server, in microseconds; 0 for
   /// unknown.
   double UnloadedMicros = 0;
--- a/Wasabi/Routing/IdempotencyKeys.cpp
+++ b/Wasabi/Routing/IdempotencyKeys.cpp
@@ -94,7 +94,7 @@
   entry.Since = Now;
   KeyDecision decision;
   if (!insert(Key, std::move(entry), Now)) {
-    decision.Step = KeyAction::Refuse;
+    decision.Action = KeyAction::Refuse;
     decision.Why = refuse(Verdict::NotRun, FailureCode::Overloaded,
                           "too many keys are remembered");
     decision.Why.RetryAfter = AskAgain;
@@ -105,7 +105,7 @@
 KeyDecision IdempotencyKeys::decide(const Entry &Known,
                                     std::uint64_t Fingerprint) const {
   KeyDecision decision;
-  decision.Step = KeyAction::Refuse;
+  decision.Action = KeyAction::Refuse;
   if (Known.Fingerprint != Fingerprint) {
     decision.Why = refuse(Verdict::NotRun, FailureCode::Conflict,
                           "the key was used for another request");
@@ -119,7 +119,7 @@
   }
   switch (Known.State) {
   case Stage::Running:
-    decision.Step = KeyAction::Wait;
+    decision.Action = KeyAction::Wait;
     return decision;
   case Stage::Broken:
     decision.Why = Known.Why;
@@ -132,15 +132,15 @@
                           "it ran; its answer was too large to be kept");
     return decision;
   }
-  decision.Step = KeyAction::Answer;
+  decision.Action = KeyAction::Answer;
   decision.Answer = *Known.Answer;
   return decision;
 }
 
-void IdempotencyKeys::notRun(const std::string &Key) { drop(Key); }
+void IdempotencyKeys::recordNotRun(const std::string &Key) { drop(Key); }
 
-void IdempotencyKeys::answered(const std::string &Key,
-                               const http::Response &Answer) {
+void IdempotencyKeys::recordAnswer(const std::string &Key,
+                                   const http::Response &Answer) {
   std::unordered_map<std::string, Entry>::iterator it = Records.find(Key);
   if (it == Records.end())
     return;
@@ -154,7 +154,8 @@
   AnswerBytes += size;
 }
 
-void IdempotencyKeys::broken(const std::string &Key, const Failure &Why) {
+void IdempotencyKeys::recordFailure(const std::string &Key,
+                                    const Failure &Why) {
   if (Why.Run == Verdict::NotRun) {
     drop(Key);
     return;
--- a/Wasabi/Routing/IdempotencyKeys.h
+++ b/Wasabi/Routing/IdempotencyKeys.h
@@ -68,7 +68,7 @@
 };
 
 struct KeyDecision {
-  KeyAction Step = KeyAction::Run;
+  KeyAction Action = KeyAction::Run;
   http::Response Answer;
   Failure Why;
 };
@@ -96,11 +96,11 @@
   KeyDecision begin(const std::string &Key, std::uint64_t Fingerprint,
                     TimePoint Now);
   /// It did not run after all: the key is free again.
-  void notRun(const std::string &Key);
+  void recordNotRun(const std::string &Key);
   /// It ran, and this is the whole answer.
-  void answered(const std::string &Key, const http::Response &Answer);
+  void recordAnswer(const std::string &Key, const http::Response &Answer);
   /// It broke: `Why.Run` says what is known.
-  void broken(const std::string &Key, const Failure &Why);
+  void recordFailure(const std::string &Key, const Failure &Why);
 
   /// Another daemon is about to run the key: empty when it may, else why not.
   /// A runner may ask again; another one is refused `MayHaveRun`. `Turn` counts
--- a/Wasabi/Routing/LoadBalancing.cpp
+++ b/Wasabi/Routing/LoadBalancing.cpp
@@ -117,8 +117,8 @@
   return fresh.empty() ? rest : fresh;
 }
 
-/// The wait as `choose` weighs it: with the hop, and with what a cached prefix
-/// saves.
+/// The wait as `chooseCandidate` weighs it: with the hop, and with what a
+/// cached prefix saves.
 double costOf(const BalancerState &State, const Candidate &Who,
               const std::optional<ServerKey> &Cached, TimePoint Now) {
   double cost = expectedWait(State, Who, Now);
@@ -229,12 +229,12 @@
   return (openAt(memory) + 1.0) / limit * service;
 }
 
-std::optional<Candidate> choose(const BalancerState &State,
-                                const std::vector<Candidate> &Of,
-                                const std::vector<Candidate> &Tried,
-                                const std::optional<ServerKey> &Cached,
-                                TimePoint Now, std::mt19937_64 &Random,
-                                const std::string &Flow) {
+std::optional<Candidate> chooseCandidate(const BalancerState &State,
+                                         const std::vector<Candidate> &Of,
+                                         const std::vector<Candidate> &Tried,
+                                         const std::optional<ServerKey> &Cached,
+                                         TimePoint Now, std::mt19937_64 &Random,
+                                         const std::string &Flow) {
   Pool pool = poolOf(State, Of, Tried, Now, Flow);
   if (pool.empty())
     return std::nullopt;
--- a/Wasabi/Routing/LoadBalancing.h
+++ b/Wasabi/Routing/LoadBalancing.h
@@ -116,12 +116,12 @@
 /// theirs come first. `Cached` is a server believed to hold the prefix.
 /// `Flow` is the caller. Empty when nobody may be asked; `BalancerState` is not
 /// changed. Pure but for the random engine.
-std::optional<Candidate> choose(const BalancerState &State,
-                                const std::vector<Candidate> &Of,
-                                const std::vector<Candidate> &Tried,
-                                const std::optional<ServerKey> &Cached,
-                                TimePoint Now, std::mt19937_64 &Random,
-                                const std::string &Flow = {});
+std::optional<Candidate> chooseCandidate(const BalancerState &State,
+                                         const std::vector<Candidate> &Of,
+                                         const std::vector<Candidate> &Tried,
+                                         const std::optional<ServerKey> &Cached,
+                                         TimePoint Now, std::mt19937_64 &Random,
+                                         const std::string &Flow = {});
 
 /// When the first of `Of` that is avoided may be asked again; zero when none
 /// is. For a refusal's `Retry-After`. Pure.
--- a/Wasabi/Routing/RetryBudget.h
+++ b/Wasabi/Routing/RetryBudget.h
@@ -29,7 +29,7 @@
 }
 
 /// The budget after a success. Pure.
-inline RetryBudget earn(RetryBudget Budget) {
+inline RetryBudget addSuccess(RetryBudget Budget) {
   Budget.Tokens = std::min(Budget.Limits.Most,
                            Budget.Tokens + Budget.Limits.TokensPerSuccess);
   return Budget;
--- a/Wasabi/State/Claims.h
+++ b/Wasabi/State/Claims.h
@@ -34,8 +34,8 @@
 }
 
 /// The take that follows `Current` (null: there is none). Pure.
-inline ClaimAcquire takeOver(std::string Resource, const Claim *Current,
-                             Millis Term) {
+inline ClaimAcquire makeClaimAcquire(std::string Resource, const Claim *Current,
+                                     Millis Term) {
   ClaimAcquire out{std::move(Resource), 0, Term, 0};
   if (Current) {
     out.ReplacedToken = Current->Token;
--- a/Wasabi/State/Fold.cpp
+++ b/Wasabi/State/Fold.cpp
@@ -52,7 +52,7 @@
 }
 
 void noteRepeat(Step &On, const AuthorLogProgress &Mark) {
-  On.Done.ApplyStatus = RecordStatus::Repeated;
+  On.Done.ApplyStatus = RecordStatus::Duplicate;
   On.Done.PriorOffset = Mark.At;
   On.Done.PriorStatus = Mark.ApplyStatus;
   On.Done.IsSameId = On.Id.Life == Mark.Life && On.Id.Sequence == Mark.Sequence;
@@ -399,14 +399,14 @@
   assert(At == State.Next);
   ControlStateChange done;
   if (State.BlockedOffset) {
-    done.ApplyStatus = RecordStatus::Newer;
+    done.ApplyStatus = RecordStatus::NewerSchema;
     done.Reason = "stopped at offset " + std::to_string(*State.BlockedOffset);
     return done;
   }
   Outcome<Record> what = toOutcome<Record>([&] { return decodeRecord(Text); });
   if (!what && what.failure().Code == FailureCode::NewerSchema) {
     State.BlockedOffset = At;
-    done.ApplyStatus = RecordStatus::Newer;
+    done.ApplyStatus = RecordStatus::NewerSchema;
     done.Reason = describe(what.failure());
     return done;
   }
--- a/Wasabi/State/Fold.h
+++ b/Wasabi/State/Fold.h
@@ -52,11 +52,11 @@
   /// Refused by the rules; the reason names the winner.
   Refused,
   /// This id was taken before; its first fate stands.
-  Repeated,
+  Duplicate,
   /// Not a record of ours, or malformed: skipped by all alike.
   Malformed,
   /// Of a newer schema: the fold stops before it.
-  Newer,
+  NewerSchema,
 };
 
 /// One line of the history; kept to a bounded count.
@@ -114,7 +114,7 @@
   RecordStatus ApplyStatus = RecordStatus::Accepted;
   /// Empty when accepted; otherwise why, naming the winner.
   std::string Reason;
-  /// For `Repeated`: where its author's newest id was taken, and its fate. It
+  /// For `Duplicate`: where its author's newest id was taken, and its fate. It
   /// is this record's own when `IsSameId` is set.
   Offset PriorOffset = 0;
   RecordStatus PriorStatus = RecordStatus::Accepted;
--- a/Wasabi/State/Record.cpp
+++ b/Wasabi/State/Record.cpp
@@ -74,7 +74,7 @@
   out.Sequence = Reader.number("sequence");
   if (out.Author.empty() || out.Author.size() > MaxAuthor)
     Reader.fail("author", "must be 1 to 256 bytes");
-  Whole.adopt(Reader);
+  Whole.mergeError(Reader);
   return out;
 }
 
@@ -90,7 +90,7 @@
       write.Text = part.text("text");
     if (!written.insert(write.Key).second)
       part.fail("key", "is written twice");
-    Reader.adopt(part);
+    Reader.mergeError(part);
     out.Writes.push_back(std::move(write));
   }
   if (out.Writes.empty() || out.Writes.size() > MaxChangeKeys)
@@ -214,7 +214,7 @@
   out.Id = readId(reader.object("id"), reader);
   JsonReader body = reader.object("body");
   out.Body = readBody(body, kind.value_or(0));
-  reader.adopt(body);
+  reader.mergeError(body);
   BOOST_LEAF_CHECK(reader.finish());
   return out;
 }
--- a/Wasabi/State/StateText.cpp
+++ b/Wasabi/State/StateText.cpp
@@ -35,7 +35,7 @@
 }
 
 RecordStatus readFate(JsonReader &Reader, std::string_view Key) {
-  return static_cast<RecordStatus>(Reader.word(
+  return static_cast<RecordStatus>(Reader.enumIndex(
       Key, {"accepted", "refused", "repeated", "malformed", "newer"}, true));
 }
 
@@ -45,7 +45,7 @@
     StoredObject object;
     object.WriteOffset = part.number("written_at");
     object.By = part.text("by");
-    if (const boost::json::value *value = part.any("object")) {
+    if (const boost::json::value *value = part.requiredValue("object")) {
       Outcome<std::string> text = toOutcome<std::string>(
           [&] { return canonicalText(*value, WholeState); });
       if (text)
@@ -53,7 +53,7 @@
       else
         part.fail("object", text.failure().Reason);
     }
-    Reader.adopt(part);
+    Reader.mergeError(part);
     Into.Objects.emplace(std::move(key), std::move(object));
   }
 }
@@ -62,7 +62,7 @@
   for (JsonReader &part : Reader.objects("removed", true)) {
     std::string key = part.text("key");
     RemovedObject gone{part.number("at"), part.text("by")};
-    Reader.adopt(part);
+    Reader.mergeError(part);
     Into.Removed.emplace(std::move(key), std::move(gone));
   }
 }
@@ -77,7 +77,7 @@
     claim.Term = Millis(part.number("term_ms"));
     claim.RenewalOffset = part.number("renewed_at");
     claim.Released = part.boolean("released", false);
-    Reader.adopt(part);
+    Reader.mergeError(part);
     Into.Claims.emplace(std::move(resource), std::move(claim));
   }
 }
@@ -90,7 +90,7 @@
     mark.Sequence = part.number("sequence");
     mark.At = part.number("at");
     mark.ApplyStatus = readFate(part, "fate");
-    Reader.adopt(part);
+    Reader.mergeError(part);
     Into.Authors.emplace(std::move(author), mark);
   }
 }
@@ -106,7 +106,7 @@
     line.Message = part.text("message");
     line.Keys = part.texts("keys", true);
     line.Reason = part.text("reason");
-    Reader.adopt(part);
+    Reader.mergeError(part);
     Into.History.push_back(std::move(line));
   }
 }
--- a/Wasabi/Upstream/Feed.cpp
+++ b/Wasabi/Upstream/Feed.cpp
@@ -26,7 +26,7 @@
 } // namespace
 
 std::shared_ptr<KeyedFollower>
-startFeed(const FeedContext &Parts, std::string Topic, Millis Pace,
+startFeed(const FeedContext &Parts, std::string Topic, Millis PollDelay,
           std::function<Result<void>(const KeyedRecord &)> Take) {
   KeyedFollower::Callbacks calls;
   calls.Changed = [Parts, Topic,
@@ -37,7 +37,7 @@
     TimePoint now = monotonicNow();
     if (noteAnswer(Parts.View.Contact, now))
       Parts.Decisions->line("store.regained", {});
-    sweep(Parts.View.Servers, Parts.View.Contact, now);
+    removeUnregisteredServers(Parts.View.Servers, Parts.View.Contact, now);
   };
   calls.Failed = [Parts, Topic](const Failure &Why) {
     if (noteFailure(Parts.View.Contact, monotonicNow()))
@@ -46,7 +46,7 @@
   };
   KeyedFollower::Settings limits;
   limits.Topic = std::move(Topic);
-  limits.Pace = Pace;
+  limits.PollDelay = PollDelay;
   std::shared_ptr<KeyedFollower> follower = KeyedFollower::create(
       Parts.Executor, Parts.Store, std::move(limits), std::move(calls));
   follower->start();
--- a/Wasabi/Upstream/Feed.h
+++ b/Wasabi/Upstream/Feed.h
@@ -29,7 +29,7 @@
 /// failures are logged and the record is left out. Call on the executor's
 /// thread.
 std::shared_ptr<KeyedFollower>
-startFeed(const FeedContext &Parts, std::string Topic, Millis Pace,
+startFeed(const FeedContext &Parts, std::string Topic, Millis PollDelay,
           std::function<Result<void>(const KeyedRecord &)> Take);
 
 } // namespace wasabi
--- a/Wasabi/Upstream/FleetView.h
+++ b/Wasabi/Upstream/FleetView.h
@@ -19,7 +19,7 @@
   std::shared_ptr<const RouteTable> Routes;
   UpstreamTable Servers;
   /// The newest version that each model's trainer has named.
-  std::map<ModelName, WeightVersion> Named;
+  std::map<ModelName, WeightVersion> NewestVersions;
   StoreContact Contact;
   /// Where this process runs.
   DomainName Domain;
--- a/Wasabi/Upstream/ForwardProgress.h
+++ b/Wasabi/Upstream/ForwardProgress.h
@@ -33,16 +33,16 @@
   Progress(ForwardRequest What, UpstreamRoute Route, ServiceName Service)
       : What(std::move(What)), Route(std::move(Route)),
         Service(std::move(Service)) {
-    Millis patience = this->What.Patience.value_or(this->Route.Timeout);
-    Deadline = this->What.Arrived + std::min(patience, this->Route.Timeout) -
+    Millis patience = this->What.CallerTimeout.value_or(this->Route.Timeout);
+    Deadline = this->What.ArrivedAt + std::min(patience, this->Route.Timeout) -
                AnswerTimeMargin;
-    Guard = std::make_shared<GuardedRequest>(
-        GuardedRequest{digestOf(this->What.Ask, customer()), this->What.Id});
+    Guard = std::make_shared<GuardedRequest>(GuardedRequest{
+        digestOf(this->What.HttpRequest, customer()), this->What.Id});
   }
 
   /// Whose request it is; empty for nobody's.
   CustomerName customer() const {
-    return What.By ? What.By->Name : CustomerName();
+    return What.Caller ? What.Caller->Name : CustomerName();
   }
 
   /// What is left of the time in which it must be answered.
--- a/Wasabi/Upstream/Forwarder.cpp
+++ b/Wasabi/Upstream/Forwarder.cpp
@@ -42,7 +42,7 @@
 
 } // namespace
 
-http::Response refusal(std::string_view Reason, Millis RetryAfter) {
+http::Response makeRefusalResponse(std::string_view Reason, Millis RetryAfter) {
   http::Response answer =
       http::jsonResponse(ServiceUnavailable, errorBody(Reason));
   answer.Headers.push_back(
@@ -68,8 +68,8 @@
 
 /// Counts the request for its customer: a server begins to run it.
 void Forwarder::count(Progress &Of) const {
-  if (Usage && Of.What.By && !Of.Counted)
-    Of.Counted = Usage->began(Of.What.By->Name);
+  if (Usage && Of.What.Caller && !Of.Counted)
+    Of.Counted = Usage->began(Of.What.Caller->Name);
 }
 
 /// No server has run it.
@@ -127,13 +127,13 @@
        {"status", std::to_string(Status)},
        {"runs", std::to_string(Of.Runs)},
        {"unrun", std::to_string(Of.NotRunAttempts)},
-       {"took_ms", fmt::format("{:.1f}", millisSince(Of.What.Arrived))}});
+       {"took_ms", fmt::format("{:.1f}", millisSince(Of.What.ArrivedAt))}});
   Counts
       .counter("requests_total", "Requests answered, by outcome",
                {{"outcome", std::string(Outcome)}})
       .add();
   Counts.quantiles("request_ms", "Milliseconds from arrival to answer")
-      .observe(millisSince(Of.What.Arrived));
+      .observe(millisSince(Of.What.ArrivedAt));
 }
 
 asio::awaitable<std::optional<Outcome<UpstreamResponse>>>
@@ -148,10 +148,11 @@
       Crashes->trackSuspectRun(Of.Guard->Digest, server->Entry.incarnation());
   ++server->InFlight;
   count(Of);
-  std::optional<Outcome<UpstreamResponse>> got = co_await cancellable(
-      Executor,
-      Engines.Call(server->Entry, Of.What.Ask, options, attemptTimeout(Of)),
-      Stop);
+  std::optional<Outcome<UpstreamResponse>> got =
+      co_await cancellable(Executor,
+                           Engines.Call(server->Entry, Of.What.HttpRequest,
+                                        options, attemptTimeout(Of)),
+                           Stop);
   --server->InFlight;
   suspect.reset();
   if (!got)
@@ -168,7 +169,7 @@
     Of.Refused = true;
   if (*got && (*got)->Proof == AnswerProof::Ran)
     noteSuccess(View.Servers, *server, millisSince(began));
-  else if (!*got || (*got)->Proof == AnswerProof::Nothing)
+  else if (!*got || (*got)->Proof == AnswerProof::Unknown)
     wasabi::noteFailure(View.Servers, *server, monotonicNow());
   Decisions->line("request.try",
                   {{"request", Of.What.Id},
@@ -228,14 +229,14 @@
   AdmissionRequest ask;
   ask.Id = Id;
   ask.Priority = -Step * static_cast<std::int32_t>(
-                             priorityOf(Of.What.By, Of.Route.Priority));
+                             priorityOf(Of.What.Caller, Of.Route.Priority));
   if (isUnderserved(findOrCreateAdmission(Of.Service).Shares, Of.customer()))
     ++ask.Priority;
   // Requests that are nobody's share as one customer's.
   ask.Flow = Of.customer().Text;
-  ask.Until = Of.What.Arrived +
-              std::chrono::duration_cast<Micros>(
-                  (Of.Deadline - Of.What.Arrived) * Limits.AdmissionWaitShare);
+  ask.Deadline = Of.What.ArrivedAt + std::chrono::duration_cast<Micros>(
+                                         (Of.Deadline - Of.What.ArrivedAt) *
+                                         Limits.AdmissionWaitShare);
   return ask;
 }
 
@@ -243,7 +244,7 @@
 /// asks again sooner, and takes the place that has come free.
 Millis Forwarder::overloadRetryDelay(const Progress &Of) const {
   constexpr std::uint32_t MostPriority = 9;
-  std::uint32_t priority = priorityOf(Of.What.By, Of.Route.Priority);
+  std::uint32_t priority = priorityOf(Of.What.Caller, Of.Route.Priority);
   Millis first = Limits.MaxOverloadRetryDelay;
   double answer =
       averageLatencyMs(View.Servers, Of.Service, View.Contact, monotonicNow());
@@ -347,12 +348,12 @@
 /// caller has time enough left to come back elsewhere if that is in vain, too.
 bool Forwarder::canRetryOverloaded(const Progress &Of) {
   return monotonicNow() + overloadRetryDelay(Of) <
-         makeAdmissionRequest(Of, 0).Until;
+         makeAdmissionRequest(Of, 0).Deadline;
 }
 
 void Forwarder::recordServedShare(const Progress &Of, bool Served) {
-  noteEnd(findOrCreateAdmission(Of.Service).Shares, Of.customer(), Served,
-          monotonicNow());
+  recordOutcome(findOrCreateAdmission(Of.Service).Shares, Of.customer(), Served,
+                monotonicNow());
 }
 
 asio::awaitable<Done> Forwarder::pause(Millis For) const {
@@ -382,7 +383,8 @@
 
 http::Response makeResponseForFailure(const Failure &Why, Millis RetryAfter) {
   if (Why.Run == Verdict::NotRun)
-    return refusal(Why.Reason, std::max(RetryAfter, Why.RetryAfter));
+    return makeRefusalResponse(Why.Reason,
+                               std::max(RetryAfter, Why.RetryAfter));
   bool late = Why.Code == FailureCode::TimedOut;
   return makeFailureResponse(late ? GatewayTimeout : BadGateway, Why.Reason);
 }
--- a/Wasabi/Upstream/Forwarder.h
+++ b/Wasabi/Upstream/Forwarder.h
@@ -30,12 +30,12 @@
   /// For logs.
   std::string Id;
   /// Without the caller's key.
-  http::Request Ask;
+  http::Request HttpRequest;
   /// Whose request it is; empty for nobody's.
-  std::optional<Customer> By;
+  std::optional<Customer> Caller;
   /// What the caller will wait at most; empty if it does not say.
-  std::optional<Millis> Patience;
-  TimePoint Arrived;
+  std::optional<Millis> CallerTimeout;
+  TimePoint ArrivedAt;
 };
 
 /// Used on one thread, that of its executor.
@@ -55,9 +55,9 @@
     /// nothing until the servers refuse some; then it falls below what runs,
     /// rises again by one each 100 ms in which a request was answered, and
     /// those that wait go by priority and customer.
-    ConcurrencyLimit::Settings Concurrency{.Start = 4096,
-                                           .Least = 4,
-                                           .Most = 4096,
+    ConcurrencyLimit::Settings Concurrency{.InitialLimit = 4096,
+                                           .MinLimit = 4,
+                                           .MaxLimit = 4096,
                                            .AdaptToLatency = false,
                                            .DecreaseFromRunning = true,
                                            .MinWindowSamples = 1};
@@ -96,8 +96,9 @@
 
   /// Answers a caller's request of a streaming route: events as they arrive, at
   /// another server further on where the route allows it.
-  boost::asio::awaitable<void> relay(ForwardRequest What, UpstreamRoute Route,
-                                     std::shared_ptr<http::Responder> Out);
+  boost::asio::awaitable<void>
+  forwardStream(ForwardRequest What, UpstreamRoute Route,
+                std::shared_ptr<http::Responder> Out);
 
   /// One whole answer for a request of the system's own. `NotRun` failures when
   /// no server took it.
@@ -174,7 +175,7 @@
 };
 
 /// The answer to a request that no server has run and none will run.
-http::Response refusal(std::string_view Reason, Millis RetryAfter);
+http::Response makeRefusalResponse(std::string_view Reason, Millis RetryAfter);
 
 /// The answer to a request of which nobody can say whether it ran, or whose
 /// time is up.
--- a/Wasabi/Upstream/ForwarderStreams.cpp
+++ b/Wasabi/Upstream/ForwarderStreams.cpp
@@ -23,8 +23,8 @@
     ++server->InFlight;
     std::optional<Outcome<std::unique_ptr<EngineStream>>> got =
         co_await cancellable(Executor,
-                             Engines.Open(server->Entry, Of.What.Ask, options,
-                                          attemptTimeout(Of)),
+                             Engines.Open(server->Entry, Of.What.HttpRequest,
+                                          options, attemptTimeout(Of)),
                              Stop);
     --server->InFlight;
     if (!got)
@@ -122,8 +122,9 @@
   }
 }
 
-asio::awaitable<void> Forwarder::relay(ForwardRequest What, UpstreamRoute Route,
-                                       std::shared_ptr<http::Responder> Out) {
+asio::awaitable<void>
+Forwarder::forwardStream(ForwardRequest What, UpstreamRoute Route,
+                         std::shared_ptr<http::Responder> Out) {
   constexpr unsigned Ok = 200;
   std::shared_ptr<Forwarder> self = shared_from_this();
   asio::cancellation_signal stop;
--- a/Wasabi/Upstream/KeyedFollower.cpp
+++ b/Wasabi/Upstream/KeyedFollower.cpp
@@ -79,7 +79,7 @@
     else
       ok = co_await readNewRecords();
     if (!ok)
-      co_await pauseFor(Executor, Limits.RetryPause);
+      co_await pauseFor(Executor, Limits.RetryDelay);
   }
 }
 
@@ -101,7 +101,7 @@
 
 asio::awaitable<bool> KeyedFollower::readNewRecords() {
   Outcome<KeyedRange> got =
-      co_await Store.ReadKeyed(Limits.Topic, Table.Next, Limits.Wait);
+      co_await Store.ReadKeyed(Limits.Topic, Table.Next, Limits.PollTimeout);
   // What was ended because the store is back is read again at once.
   if (!got && got.failure().Code == FailureCode::Cancelled)
     co_return true;
@@ -116,7 +116,7 @@
   }
   tell(applyNewRecords(Table, got->Records));
   if (!got->Records.empty())
-    co_await pauseFor(Executor, Limits.Pace);
+    co_await pauseFor(Executor, Limits.PollDelay);
   co_return true;
 }
 
--- a/Wasabi/Upstream/KeyedFollower.h
+++ b/Wasabi/Upstream/KeyedFollower.h
@@ -39,12 +39,12 @@
 public:
   struct Settings {
     std::string Topic;
-    /// How long a read waits; see `RolloutLog::Settings::Wait`.
-    Millis Wait{700};
+    /// How long a read waits; see `RolloutLog::Settings::PollTimeout`.
+    Millis PollTimeout{700};
     /// Pause after a read that brought records.
-    Millis Pace{50};
+    Millis PollDelay{50};
     /// Pause after a failed read.
-    Millis RetryPause{100};
+    Millis RetryDelay{100};
   };
   /// What the owner does with what is read.
   struct Callbacks {
@@ -61,7 +61,9 @@
   void start();
   /// This process has written `Key`: a whole reading that does not show it
   /// tells that it was deleted meanwhile.
-  void wrote(const std::string &Key, Offset At) { Table.Written[Key] = At; }
+  void recordWritten(const std::string &Key, Offset At) {
+    Table.Written[Key] = At;
+  }
   /// Whether the whole table has been read once.
   bool hasSnapshot() const { return HasSnapshot; }
 
--- a/Wasabi/Upstream/RouteTable.h
+++ b/Wasabi/Upstream/RouteTable.h
@@ -49,7 +49,7 @@
   /// Longest that a caller is kept waiting.
   Millis Timeout{2000};
   /// Within this an answer has its full value.
-  Millis Target{400};
+  Millis LatencyTarget{400};
   /// 0 is the most urgent.
   std::uint32_t Priority = 5;
   /// Most servers that one request may be sent to.
--- a/Wasabi/Upstream/StoreContact.h
+++ b/Wasabi/Upstream/StoreContact.h
@@ -13,14 +13,14 @@
     /// Without an answer for this long, and a call that failed, the store is
     /// out of reach. Longer than one lost answer takes to be noticed, shorter
     /// than what a request may wait.
-    Millis Patience{500};
+    Millis OutageTimeout{500};
     bool operator==(const Settings &) const = default;
   };
 
   Settings Limits;
   TimePoint LastAnswer;
   /// When the present contact began.
-  TimePoint Since;
+  TimePoint ReachableSince;
   bool Lost = true;
 };
 
@@ -30,13 +30,13 @@
   Of.Lost = false;
   Of.LastAnswer = Now;
   if (regained)
-    Of.Since = Now;
+    Of.ReachableSince = Now;
   return regained;
 }
 
 /// Notes a failed call; true if the contact is lost by it. Pure but for `Of`.
 inline bool noteFailure(StoreContact &Of, TimePoint Now) {
-  if (Of.Lost || Now - Of.LastAnswer < Of.Limits.Patience)
+  if (Of.Lost || Now - Of.LastAnswer < Of.Limits.OutageTimeout)
     return false;
   Of.Lost = true;
   return true;
@@ -44,7 +44,7 @@
 
 /// Whether there has been contact for all of the last `Span`. Pure.
 inline bool reachableFor(const StoreContact &Of, Millis Span, TimePoint Now) {
-  return !Of.Lost && Now - Of.Since >= Span;
+  return !Of.Lost && Now - Of.ReachableSince >= Span;
 }
 
 /// Whether the store has been out of reach for longer than `Span`. Pure.
--- a/Wasabi/Upstream/UpstreamTable.cpp
+++ b/Wasabi/Upstream/UpstreamTable.cpp
@@ -42,14 +42,14 @@
       server->Replaced = true;
     server = std::make_shared<UpstreamServer>();
     server->Entry = std::move(Entry);
-    server->FirstSeen = At;
+    server->FirstOffset = At;
     return restarted ? RegistrationChange::Restarted
                      : RegistrationChange::Registered;
   }
   bool back = server->UnregisteredAt.has_value();
   server->UnregisteredAt.reset();
   // Another server has answered where it was, not where it is now.
-  if (server->Entry.Where != Entry.Where)
+  if (server->Entry.Endpoint != Entry.Endpoint)
     server->Replaced = false;
   bool differs = server->Entry != Entry;
   server->Entry = std::move(Entry);
@@ -87,22 +87,24 @@
     it->second->UnregisteredAt = Now;
 }
 
-bool usable(const UpstreamTable &Table, const UpstreamServer &Server,
-            const StoreContact &Contact, TimePoint Now) {
+bool isUsable(const UpstreamTable &Table, const UpstreamServer &Server,
+              const StoreContact &Contact, TimePoint Now) {
   if (Server.Entry.Draining || Server.Replaced)
     return false;
   if (!Server.UnregisteredAt)
     return true;
   // A lapse shows at the store's return at the earliest.
-  TimePoint graceEnd = Contact.Since + Table.Limits.RegistrationGracePeriod;
+  TimePoint graceEnd =
+      Contact.ReachableSince + Table.Limits.RegistrationGracePeriod;
   return !Contact.Lost && *Server.UnregisteredAt < graceEnd && Now < graceEnd;
 }
 
-void sweep(UpstreamTable &Table, const StoreContact &Contact, TimePoint Now) {
+void removeUnregisteredServers(UpstreamTable &Table,
+                               const StoreContact &Contact, TimePoint Now) {
   std::erase_if(Table.Servers, [&](const auto &It) {
     const UpstreamServer &server = *It.second;
     return server.UnregisteredAt && server.InFlight == 0 && !Contact.Lost &&
-           !usable(Table, server, Contact, Now);
+           !isUsable(Table, server, Contact, Now);
   });
 }
 
@@ -112,7 +114,7 @@
   std::vector<std::shared_ptr<UpstreamServer>> found;
   for (const auto &[id, server] : Table.Servers) {
     if (server->Entry.Service == Service &&
-        usable(Table, *server, Contact, Now))
+        isUsable(Table, *server, Contact, Now))
       found.push_back(server);
   }
   return found;
--- a/Wasabi/Upstream/UpstreamTable.h
+++ b/Wasabi/Upstream/UpstreamTable.h
@@ -27,7 +27,7 @@
   /// from others.
   ServerStartTime Start = 0;
   ServiceName Service;
-  Address Where;
+  Address Endpoint;
   DomainName Domain;
   /// Requests that it runs at once.
   std::uint32_t Slots = 1;
@@ -46,7 +46,7 @@
   UpstreamRegistration Entry;
   /// Offset of the first registration that was read: later starts have greater
   /// ones.
-  Offset FirstSeen = 0;
+  Offset FirstOffset = 0;
   /// Whether another server has answered at its address or has its name now.
   /// This incarnation never comes back.
   bool Replaced = false;
@@ -130,11 +130,12 @@
                       TimePoint Now);
 
 /// Whether new work may be sent to a server.
-bool usable(const UpstreamTable &Table, const UpstreamServer &Server,
-            const StoreContact &Contact, TimePoint Now);
+bool isUsable(const UpstreamTable &Table, const UpstreamServer &Server,
+              const StoreContact &Contact, TimePoint Now);
 
 /// Forgets servers that vanished and are not usable any more.
-void sweep(UpstreamTable &Table, const StoreContact &Contact, TimePoint Now);
+void removeUnregisteredServers(UpstreamTable &Table,
+                               const StoreContact &Contact, TimePoint Now);
 
 /// The usable servers of a service.
 std::vector<std::shared_ptr<UpstreamServer>>
--- a/Wasabi/Usage/UsageMeter.cpp
+++ b/Wasabi/Usage/UsageMeter.cpp
@@ -117,10 +117,10 @@
 void UsageMeter::slowDown(TimePoint Now) {
   if (With.Contact.Lost) {
     Allowed = 1;
-    NotBefore = Now + Limits.RetryPause;
+    NotBefore = Now + Limits.RetryDelay;
     return;
   }
-  Pause = std::clamp(Pause * 2, Limits.RetryPause, Limits.MaxAppendInterval);
+  Pause = std::clamp(Pause * 2, Limits.RetryDelay, Limits.MaxAppendInterval);
   Allowed = 0;
   NotBefore = Now + Pause;
 }
@@ -205,7 +205,7 @@
     if (!Waiting.empty() || !Unacked.empty()) {
       bool written = co_await write();
       if (!written)
-        co_await pauseFor(With.Executor, Limits.RetryPause);
+        co_await pauseFor(With.Executor, Limits.RetryDelay);
       continue;
     }
     std::vector<std::string> records{encodeUsage(UsageLeave{Limits.Self})};
@@ -213,7 +213,7 @@
         UsageTopic, std::move(records), std::nullopt, Limits.AppendTimeout);
     if (got)
       co_return;
-    co_await pauseFor(With.Executor, Limits.RetryPause);
+    co_await pauseFor(With.Executor, Limits.RetryDelay);
   }
   With.Decisions->line("usage.left_unwritten",
                        {{"requests", std::to_string(Waiting.size())},
--- a/Wasabi/Usage/UsageMeter.h
+++ b/Wasabi/Usage/UsageMeter.h
@@ -50,7 +50,7 @@
     Millis BurstSpan{400};
     /// Least pause after an append that failed; it doubles with each further
     /// one.
-    Millis RetryPause{200};
+    Millis RetryDelay{200};
     /// Windows end for all processes at once: each writes within this long
     /// after.
     Millis EndSpread{300};
--- a/Wasabi/Usage/UsageReporter.cpp
+++ b/Wasabi/Usage/UsageReporter.cpp
@@ -58,12 +58,12 @@
   for (;;) {
     if (!With.Duty->held()) {
       CaughtUp = false;
-      co_await pauseFor(With.Executor, Limits.RetryPause);
+      co_await pauseFor(With.Executor, Limits.RetryDelay);
       continue;
     }
     bool read = co_await readOnce();
     if (!read)
-      co_await pauseFor(With.Executor, Limits.RetryPause);
+      co_await pauseFor(With.Executor, Limits.RetryDelay);
     else if (CaughtUp)
       co_await decide();
   }
@@ -171,7 +171,7 @@
             (wall - windowEnd(*due, Limits.Windows.Window)).count())},
        {"result", got ? "appended" : describe(got.failure())}});
   if (!got)
-    co_await pauseFor(With.Executor, Limits.RetryPause);
+    co_await pauseFor(With.Executor, Limits.RetryDelay);
 }
 
 //===--- What is told -----------------------------------------------------===//
@@ -182,12 +182,12 @@
     TimePoint now = monotonicNow();
     bool may = permit && permit->From <= now && now < permit->Until;
     if (!may || !CaughtUp || Fold.Untold.empty()) {
-      co_await Changed.wait(now + Limits.RetryPause);
+      co_await Changed.wait(now + Limits.RetryDelay);
       continue;
     }
     bool told = co_await reportOldest(*permit);
     co_await pauseFor(With.Executor,
-                      told ? Limits.MinReportInterval : Limits.RetryPause);
+                      told ? Limits.MinReportInterval : Limits.RetryDelay);
   }
 }
 
--- a/Wasabi/Usage/UsageReporter.h
+++ b/Wasabi/Usage/UsageReporter.h
@@ -35,7 +35,7 @@
     Millis Pace{100};
     /// Pause after a call that failed, and between two looks while another
     /// process reports.
-    Millis RetryPause{250};
+    Millis RetryDelay{250};
     std::size_t ReadBytes = 256u << 10;
     /// How long an append may take.
     Millis AppendTimeout{1200};
