--- a/UnitTests/Upstream/OverloadTest.cpp
+++ b/UnitTests/Upstream/OverloadTest.cpp
@@ -23,7 +23,7 @@
 constexpr std::uint32_t SlotsPerServer = 4;
 constexpr std::size_t ServerCount = 3;
 
-/// Number of requests of one or more customers.
+/// Number of sent and of served requests.
 struct Tally {
   std::uint32_t Asked = 0;
   std::uint32_t Served = 0;
@@ -107,7 +107,7 @@
   }
 
   /// Sends `LoadFactor` times the servers' capacity for a fixed time.
-  /// `PriorityOf` returns the priority of the customer with an customerIndex.
+  /// `PriorityOf` returns the priority of a customer by its index.
   void offerLoad(double LoadFactor,
                  const std::function<std::uint32_t(std::size_t)> &PriorityOf) {
     constexpr Millis Duration{1500};
--- a/Wasabi/Upstream/KeyedFollower.h
+++ b/Wasabi/Upstream/KeyedFollower.h
@@ -68,7 +68,7 @@
 
   /// Starts to follow the topic, for as long as the execution context runs.
   void start();
-  /// Records that this process has written `Key` at `At`, so that a later
+  /// Notes that this process has written `Key` at offset `At`, so that a later
   /// snapshot without the key is reported as its deletion.
   void recordWritten(const std::string &Key, Offset At) {
     Table.PendingWrites[Key] = At;
