--- a/UnitTests/Customers/AccessTest.cpp
+++ b/UnitTests/Customers/AccessTest.cpp
@@ -8,13 +8,13 @@
 
 const TimePoint Now{Millis(100000)};
 
-struct AccessCase {
+struct AccessFixture {
   KeyDigester Keys = KeyDigester::create().value();
   std::optional<CustomerTable> Known;
   StoreContact Contact;
   AccessSettings Limits;
 
-  AccessCase() {
+  AccessFixture() {
     CustomerTable::Entry anna;
     anna.Who = {CustomerName("anna"), 3};
     anna.Keys = {Keys.digest("known")};
@@ -22,22 +22,22 @@
     noteAnswer(Contact, Now);
   }
   AccessDecision decide(const std::string &Key, bool Public) const {
-    AccessRequest ask;
+    AccessRequest request;
     if (!Key.empty())
-      ask.Key = Keys.digest(Key);
-    ask.Public = Public;
-    return decideAccess(Known, ask, Contact, Limits, Now);
+      request.Key = Keys.digest(Key);
+    request.Public = Public;
+    return decideAccess(Known, request, Contact, Limits, Now);
   }
-  void loseStore(Millis For) {
+  void loseStore(Millis Duration) {
     Contact.Lost = true;
-    Contact.LastAnswer = Now - For;
+    Contact.LastAnswer = Now - Duration;
   }
 };
 
 } // namespace
 
-TEST_CASE("A key that is known passes and names its customer", "[customers]") {
-  AccessCase it;
+TEST_CASE("A known key is granted and identifies its customer", "[customers]") {
+  AccessFixture it;
   AccessDecision got = it.decide("known", false);
   CHECK(got.Verdict == AccessVerdict::Granted);
   REQUIRE(got.By);
@@ -47,8 +47,9 @@
   CHECK(priorityOf(Customer{CustomerName("bert"), std::nullopt}, 7) == 7);
 }
 
-TEST_CASE("Without a known key only public routes are open", "[customers]") {
-  AccessCase it;
+TEST_CASE("A request without a known key is granted on public routes only",
+          "[customers]") {
+  AccessFixture it;
   for (const char *key : {"", "other"}) {
     CHECK(it.decide(key, false).Verdict == AccessVerdict::UnknownKey);
     AccessDecision open = it.decide(key, true);
@@ -58,14 +59,14 @@
   CHECK(it.decide("known", true).By->Name.Text == "anna");
   it.Known.reset();
   CHECK(it.decide("", false).Verdict == AccessVerdict::Granted);
-  // Nobody is a customer where there are none.
+  // An empty table knows no key.
   it.Known = CustomerTable();
   CHECK(it.decide("known", false).Verdict == AccessVerdict::UnknownKey);
 }
 
-TEST_CASE("Out of reach of the store a new key is not refused for good",
+TEST_CASE("An unknown key is uncertain while the store is unreachable",
           "[customers]") {
-  AccessCase it;
+  AccessFixture it;
   it.loseStore(Millis(600));
   CHECK(it.decide("other", false).Verdict == AccessVerdict::Uncertain);
   CHECK(it.decide("", false).Verdict == AccessVerdict::UnknownKey);
@@ -73,10 +74,10 @@
   CHECK(it.decide("known", false).Verdict == AccessVerdict::Granted);
 }
 
-TEST_CASE("Where withdrawals are strict, a known key passes only for so long "
-          "without the store",
+TEST_CASE("Strict revocation limits how long a known key is granted during an "
+          "outage of the store",
           "[customers]") {
-  AccessCase it;
+  AccessFixture it;
   it.Limits.StrictRevocation = true;
   it.loseStore(it.Limits.MaxRevocationDelay - Millis(1));
   CHECK(it.decide("known", false).Verdict == AccessVerdict::Granted);
--- a/UnitTests/Customers/CustomerTableTest.cpp
+++ b/UnitTests/Customers/CustomerTableTest.cpp
@@ -26,21 +26,21 @@
   return made;
 }
 
-/// The name of a key's holder; empty if it has none.
-std::string holder(const CustomerTable &In, const std::string &Key) {
-  const Customer *found = In.holderOf(keys().digest(Key));
+/// Returns the name of a key's holder; empty if it has none.
+std::string holder(const CustomerTable &Table, const std::string &Key) {
+  const Customer *found = Table.holderOf(keys().digest(Key));
   return found == nullptr ? "" : found->Name.Text;
 }
 
-template <typename T, typename = void> struct Prints : std::false_type {};
+template <typename T, typename = void> struct IsPrintable : std::false_type {};
 template <typename T>
-struct Prints<T, std::void_t<decltype(std::declval<std::ostream &>()
-                                      << std::declval<T>())>> : std::true_type {
-};
+struct IsPrintable<T, std::void_t<decltype(std::declval<std::ostream &>()
+                                           << std::declval<T>())>>
+    : std::true_type {};
 
 } // namespace
 
-TEST_CASE("A customer is known by each of its keys", "[customers]") {
+TEST_CASE("Each key of a customer identifies it", "[customers]") {
   CustomerTable table = CustomerTable::create(
       {entry("anna", {"a1", "a2"}), entry("bert", {"b1"}), entry("carl", {})});
   CHECK(holder(table, "a1") == "anna");
@@ -54,7 +54,8 @@
   CHECK(table.find(CustomerName("dora")) == nullptr);
 }
 
-TEST_CASE("A key that two customers have is held by neither", "[customers]") {
+TEST_CASE("A key that is listed for several customers has no holder",
+          "[customers]") {
   CustomerTable table = CustomerTable::create({entry("anna", {"shared", "a"}),
                                                entry("bert", {"b", "shared"}),
                                                entry("carl", {"shared"})});
@@ -62,12 +63,12 @@
   CHECK(holder(table, "a") == "anna");
   CHECK(holder(table, "b") == "bert");
   CHECK(table.ambiguousKeys() == 1);
-  // Listed twice for one it is hers all the same.
+  // A key that is listed twice for one customer is not ambiguous.
   CustomerTable twice = CustomerTable::create({entry("anna", {"a", "a"})});
   CHECK(holder(twice, "a") == "anna");
 }
 
-TEST_CASE("A customer that could not be named to a server is left out",
+TEST_CASE("A customer whose name is not valid in a header is skipped",
           "[customers]") {
   CustomerTable table =
       CustomerTable::create({entry("", {"k1"}), entry("two\r\nlines", {"k2"}),
@@ -78,16 +79,18 @@
   CHECK(table.rejectedCustomers() == 3);
 }
 
-TEST_CASE("Digests of one key are equal in one process only", "[customers]") {
+TEST_CASE("Digests of a key are equal for the same digester only",
+          "[customers]") {
   CHECK(keys().digest("key") == keys().digest("key"));
   CHECK_FALSE(keys().digest("key") == keys().digest("kez"));
   KeyDigester other = KeyDigester::create().value();
   CHECK_FALSE(keys().digest("key") == other.digest("key"));
-  CHECK_FALSE(Prints<KeyDigest>::value);
-  CHECK_FALSE(Prints<KeyDigester>::value);
+  CHECK_FALSE(IsPrintable<KeyDigest>::value);
+  CHECK_FALSE(IsPrintable<KeyDigester>::value);
 }
 
-TEST_CASE("Keys of any bytes name who holds them alone", "[customers]") {
+TEST_CASE("Keys of arbitrary bytes identify their own holders only",
+          "[customers]") {
   test::holds([](const std::map<std::string, std::uint8_t> &Holders) {
     std::map<std::uint8_t, std::vector<std::string>> byCustomer;
     for (const auto &[key, customer] : Holders)
@@ -100,20 +103,20 @@
     for (const auto &[key, customer] : Holders) {
       RC_ASSERT(holder(table, key) == std::to_string(customer));
       std::string longer = key + '\0';
-      auto also = Holders.find(longer);
+      auto found = Holders.find(longer);
       RC_ASSERT(holder(table, longer) ==
-                (also == Holders.end() ? "" : std::to_string(also->second)));
+                (found == Holders.end() ? "" : std::to_string(found->second)));
     }
   });
 }
 
-TEST_CASE("A customer's name of any bytes never reaches a header broken",
+TEST_CASE("A customer name of arbitrary bytes is kept unchanged or skipped",
           "[customers]") {
   test::holds([](const std::string &Name) {
     CustomerTable table = CustomerTable::create({entry(Name, {"key"})});
-    std::string named = holder(table, "key");
-    RC_ASSERT(named.empty() || named == Name);
-    for (unsigned char it : named)
+    std::string name = holder(table, "key");
+    RC_ASSERT(name.empty() || name == Name);
+    for (unsigned char it : name)
       RC_ASSERT(it > ' ' && it <= '~');
   });
 }
--- a/UnitTests/Dispatch/EnginePaceTest.cpp
+++ b/UnitTests/Dispatch/EnginePaceTest.cpp
@@ -8,8 +8,9 @@
 
 const EnginePaceSettings Limits;
 
-/// An engine that has had `Count` events, `Ms` apart, the last one at `Now`.
-EnginePace paced(double Ms, std::uint32_t Count, TimePoint Now = TimePoint()) {
+/// Returns the pace after `Count` event intervals of `Ms` milliseconds.
+EnginePace makePace(double Ms, std::uint32_t Count,
+                    TimePoint Now = TimePoint()) {
   EnginePace pace;
   for (std::uint32_t i = 0; i < Count; ++i)
     recordEventInterval(pace, Ms, Now, Limits);
@@ -18,32 +19,32 @@
 
 } // namespace
 
-TEST_CASE("An engine's own pace is known after fifty events", "[dispatch]") {
-  CHECK(longTermMs(paced(76, Limits.MinEventCount - 1), Limits) == 0);
-  CHECK(longTermMs(paced(76, Limits.MinEventCount), Limits) == Approx(76));
+TEST_CASE("The long-term pace is known after the minimum number of intervals",
+          "[dispatch]") {
+  CHECK(longTermMs(makePace(76, Limits.MinEventCount - 1), Limits) == 0);
+  CHECK(longTermMs(makePace(76, Limits.MinEventCount), Limits) == Approx(76));
 }
 
-TEST_CASE("Engines that are always slower are a grade apart", "[dispatch]") {
-  // The paces of the engines of one service, as measured: two thirds take 74 to
-  // 77 ms an event, the others 95 to 100, full or not.
-  double fastest = longTermMs(paced(74, 60), Limits);
-  CHECK(paceTier(paced(77, 60), fastest, Limits) == 0);
-  CHECK(paceTier(paced(95, 60), fastest, Limits) == 1);
-  CHECK(paceTier(paced(100, 60), fastest, Limits) == 1);
-  // A full batch where each place slows the others.
-  CHECK(paceTier(paced(31.5, 60), 27.5, Limits) == 0);
-  CHECK_FALSE(isSlow(paced(98, 60), 76, Limits));
+TEST_CASE("Permanently slower engines are one tier apart", "[dispatch]") {
+  double fastest = longTermMs(makePace(74, 60), Limits);
+  CHECK(paceTier(makePace(77, 60), fastest, Limits) == 0);
+  CHECK(paceTier(makePace(95, 60), fastest, Limits) == 1);
+  CHECK(paceTier(makePace(100, 60), fastest, Limits) == 1);
+  // The slowdown by a full batch stays within a tier.
+  CHECK(paceTier(makePace(31.5, 60), 27.5, Limits) == 0);
+  CHECK_FALSE(isSlow(makePace(98, 60), 76, Limits));
 }
 
-TEST_CASE("Nothing is held against an engine of unknown pace", "[dispatch]") {
-  CHECK(paceTier(paced(500, 2), 74, Limits) == 0);
-  CHECK(paceTier(paced(98, 60), 0, Limits) == 0);
+TEST_CASE("Unknown paces have tier 0", "[dispatch]") {
+  CHECK(paceTier(makePace(500, 2), 74, Limits) == 0);
+  CHECK(paceTier(makePace(98, 60), 0, Limits) == 0);
 }
 
-TEST_CASE("A fault's pace is forgotten, the engine's own is not",
-          "[dispatch]") {
+TEST_CASE(
+    "The recent pace expires, and a fault hardly changes the long-term pace",
+    "[dispatch]") {
   TimePoint then = TimePoint() + Millis(100);
-  EnginePace pace = paced(98, 200, then);
+  EnginePace pace = makePace(98, 200, then);
   for (int i = 0; i < 20; ++i)
     recordEventInterval(pace, 300, then, Limits);
   CHECK(isSlow(pace, 76, Limits));
@@ -51,18 +52,17 @@
   CHECK(isSlow(pace, 76, Limits));
   expireRecentPace(pace, then + Limits.RecentTimeout + Millis(1), Limits);
   CHECK_FALSE(isSlow(pace, 76, Limits));
-  // Twenty events at three times the pause move it by a seventh.
   CHECK(longTermMs(pace, Limits) < 98 * Limits.TierFactor);
 }
 
-TEST_CASE("A burst after a stall makes no engine look faster", "[dispatch]") {
-  // Ten events at once after ten that did not come: the engine's pace has not
-  // changed, and all others are not slower than it.
-  EnginePace pace = paced(74, 200);
+TEST_CASE("A burst of events after a stall does not make an engine look faster",
+          "[dispatch]") {
+  // One long interval and then a burst: the long-term pace stays the same.
+  EnginePace pace = makePace(74, 200);
   recordEventInterval(pace, 740, TimePoint(), Limits);
   for (int i = 0; i < 10; ++i)
     recordEventInterval(pace, 1, TimePoint(), Limits);
-  CHECK(paceTier(paced(76, 60), longTermMs(pace, Limits), Limits) == 0);
+  CHECK(paceTier(makePace(76, 60), longTermMs(pace, Limits), Limits) == 0);
 }
 
 } // namespace wasabi
--- a/UnitTests/Dispatch/EnginePoolTest.cpp
+++ b/UnitTests/Dispatch/EnginePoolTest.cpp
@@ -9,14 +9,15 @@
 const ModelName Red("red");
 const ModelName Blue("blue");
 
-std::shared_ptr<DispatchEngine>
-engine(const std::string &Id, WeightVersion OfRed, WeightVersion OfBlue) {
-  std::shared_ptr<DispatchEngine> made = std::make_shared<DispatchEngine>();
-  made->Server = std::make_shared<UpstreamServer>();
-  made->Server->Entry.Id = ServerName(Id);
-  made->Server->Entry.Slots = 4;
-  made->Versions = {{Red, OfRed}, {Blue, OfBlue}};
-  return made;
+std::shared_ptr<DispatchEngine> makeEngine(const std::string &Id,
+                                           WeightVersion RedVersion,
+                                           WeightVersion BlueVersion) {
+  std::shared_ptr<DispatchEngine> engine = std::make_shared<DispatchEngine>();
+  engine->Server = std::make_shared<UpstreamServer>();
+  engine->Server->Entry.Id = ServerName(Id);
+  engine->Server->Entry.Slots = 4;
+  engine->Versions = {{Red, RedVersion}, {Blue, BlueVersion}};
+  return engine;
 }
 
 std::uint32_t count(const EngineList &Engines, const ModelName &Model) {
@@ -35,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("Pools follow the demand, and each model has an engine",
+TEST_CASE("Pool sizes follow the demand, and each model has an engine",
           "[dispatch]") {
   CHECK(poolSizes({{Red, 1}, {Blue, 1}}, 8) ==
         std::map<ModelName, std::uint32_t>{{Red, 4}, {Blue, 4}});
@@ -48,40 +49,41 @@
   CHECK(poolSizes({}, 8).empty());
 }
 
-TEST_CASE("Engines without a past are dealt out", "[dispatch]") {
-  EngineList engines{engine("a", 1, 1), engine("b", 1, 1), engine("c", 1, 1),
-                     engine("d", 1, 1)};
+TEST_CASE("Engines without a previous model are distributed by pool size",
+          "[dispatch]") {
+  EngineList engines{makeEngine("a", 1, 1), makeEngine("b", 1, 1),
+                     makeEngine("c", 1, 1), makeEngine("d", 1, 1)};
   CHECK(assignModels(engines, {{Red, 2}, {Blue, 2}}, {}, true));
   CHECK(count(engines, Red) == 2);
   CHECK(count(engines, Blue) == 2);
 }
 
-TEST_CASE("A successor finds each engine with the model that it served",
+TEST_CASE("A new dispatcher assigns each engine the model that it served",
           "[dispatch]") {
-  EngineList engines{engine("a", 5, 1), engine("b", 1, 6), engine("c", 5, 2)};
+  EngineList engines{makeEngine("a", 5, 1), makeEngine("b", 1, 6),
+                     makeEngine("c", 5, 2)};
   assignModels(engines, {{Red, 2}, {Blue, 1}}, {{Red, 5}, {Blue, 6}}, true);
   CHECK(engines[0]->Model == Red);
   CHECK(engines[1]->Model == Blue);
   CHECK(engines[2]->Model == Red);
 }
 
-TEST_CASE("A model that was never named does not lose all engines",
-          "[dispatch]") {
-  // Only one model has a named version, and no engine has taken it yet.
-  EngineList engines{engine("a", 1, 1), engine("b", 1, 1), engine("c", 1, 1),
-                     engine("d", 1, 1)};
+TEST_CASE("A model without a named version keeps its engines", "[dispatch]") {
+  // Only red has a named version, and no engine has loaded it yet.
+  EngineList engines{makeEngine("a", 1, 1), makeEngine("b", 1, 1),
+                     makeEngine("c", 1, 1), makeEngine("d", 1, 1)};
   assignModels(engines, {{Red, 2}, {Blue, 2}}, {{Red, 2}}, true);
   CHECK(count(engines, Blue) >= 2);
 }
 
-TEST_CASE("A model whose new weights no engine has yet keeps its engines",
+TEST_CASE("Pool sizes hold when hardly any engine has the newest version",
           "[dispatch]") {
-  // A dispatcher ends just after the first of two trainers has named a version:
-  // all engines are behind it, and none is behind the other model.
+  // Version 2 of red has just been named: nearly all engines lag behind it, and
+  // none lags behind blue.
   EngineList engines;
   for (int i = 0; i < 9; ++i)
-    engines.push_back(engine("e" + std::to_string(i), 1, 1));
-  // The one engine that has taken it already serves it.
+    engines.push_back(makeEngine("e" + std::to_string(i), 1, 1));
+  // The engine that has loaded it keeps serving red.
   engines[0]->Versions[Red] = 2;
   CHECK(assignModels(engines, {{Red, 4}, {Blue, 5}}, {{Red, 2}}, true));
   CHECK(count(engines, Red) == 4);
@@ -89,9 +91,10 @@
   CHECK(engines[0]->Model == Red);
 }
 
-TEST_CASE("At most one engine crosses over at a time, an idle one",
+TEST_CASE("At most one engine moves to another model at a time, the least busy",
           "[dispatch]") {
-  EngineList engines{engine("a", 1, 1), engine("b", 1, 1), engine("c", 1, 1)};
+  EngineList engines{makeEngine("a", 1, 1), makeEngine("b", 1, 1),
+                     makeEngine("c", 1, 1)};
   for (const std::shared_ptr<DispatchEngine> &it : engines)
     it->Model = Red;
   engines[0]->Running = 3;
@@ -102,9 +105,9 @@
   CHECK(count(engines, Red) == 2);
 }
 
-TEST_CASE("A sample goes to an engine with weights that are new enough",
+TEST_CASE("A sample goes to an engine with suitable weights and room",
           "[dispatch]") {
-  EngineList engines{engine("old", 2, 1), engine("new", 3, 1)};
+  EngineList engines{makeEngine("old", 2, 1), makeEngine("new", 3, 1)};
   engines[0]->Model = Red;
   engines[1]->Model = Red;
   engines[1]->Running = 3;
@@ -128,9 +131,9 @@
   CHECK(choose(engines, need) == nullptr);
 }
 
-TEST_CASE("A long text goes to a faster engine, a short one to its prompt",
+TEST_CASE("A long text prefers a faster engine, a short one its cached prompt",
           "[dispatch]") {
-  EngineList engines{engine("near", 1, 1), engine("fast", 1, 1)};
+  EngineList engines{makeEngine("near", 1, 1), makeEngine("fast", 1, 1)};
   double ms = 98;
   for (const std::shared_ptr<DispatchEngine> &it : engines) {
     it->Model = Red;
@@ -149,10 +152,11 @@
   CHECK(choose(engines, need) == engines[0]);
 }
 
-TEST_CASE("Slow and suspect engines come last, the prompt's engine first",
-          "[dispatch]") {
-  EngineList engines{engine("slow", 1, 1), engine("ill", 1, 1),
-                     engine("far", 1, 1), engine("near", 1, 1)};
+TEST_CASE(
+    "The engine with the cached prompt comes first, slow and suspect ones last",
+    "[dispatch]") {
+  EngineList engines{makeEngine("slow", 1, 1), makeEngine("ill", 1, 1),
+                     makeEngine("far", 1, 1), makeEngine("near", 1, 1)};
   for (const std::shared_ptr<DispatchEngine> &it : engines) {
     it->Model = Red;
     it->Pace.RecentMs = 40;
--- a/UnitTests/Dispatch/LeasePermitTest.cpp
+++ b/UnitTests/Dispatch/LeasePermitTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Histories of holders that freeze, are cut off, lose answers and read late:
-/// no call under a permit may break the order that the platform relies on.
+/// Simulates processes that freeze, are disconnected or restarted, lose replies
+/// and append late. Calls under a permit must never violate the required order.
 #include "Wasabi/Dispatch/LeasePermit.h"
 #include "UnitTests/Core/Property.h"
 #include "Wasabi/Dispatch/LeaseManager.h"
@@ -12,44 +12,44 @@
 
 namespace {
 
-constexpr std::size_t Processes = 3;
+constexpr std::size_t ProcessCount = 3;
 constexpr Millis Step{50};
-constexpr int Steps = 600;
-constexpr Millis LongestCall{1000};
+constexpr int StepCount = 600;
+constexpr Millis MaxCallDuration{1000};
 
-/// What befalls a process for a while.
-enum class Trouble : std::uint8_t {
-  /// It stands still, and goes on where it stood.
+/// Fault of a process for a period of time.
+enum class FaultKind : std::uint8_t {
+  /// The process is suspended and resumes where it was.
   Frozen,
-  /// It does not reach the store.
-  Cut,
-  /// Its appends are done, and their answers lost.
-  AnswersLost,
-  /// Its appends are done seconds later.
-  Late,
-  /// Its appends are answered, and its reads bring nothing.
-  ReadsNothing,
-  /// It is killed and starts again.
-  Killed,
+  /// The process does not reach the store.
+  Disconnected,
+  /// Its appends succeed, but their replies are lost.
+  RepliesLost,
+  /// Its appends take effect seconds later.
+  LateAppends,
+  /// Its appends succeed, but its reads return nothing.
+  ReadsEmpty,
+  /// The process is killed and restarts.
+  Restarted,
   Count,
 };
 
-struct Event {
+struct FaultPeriod {
   int From = 0;
-  int For = 0;
+  int Duration = 0;
   std::size_t Process = 0;
-  Trouble Kind = Trouble::Frozen;
+  FaultKind Kind = FaultKind::Frozen;
 };
 
-/// How a process tells that it may call.
-enum class Way : std::uint8_t {
-  /// By the permit.
+/// Rule by which a process decides that it may call.
+enum class CallRule : std::uint8_t {
+  /// The permit, as in production.
   Permit,
-  /// As by the permit, but an answered renewal proves the lease.
-  AnswerProves,
-  /// As by the permit, but without the pause after a takeover.
-  NoPause,
-  /// As long as the topic names it the holder.
+  /// The permit, but an acknowledged renewal counts as confirmed.
+  TrustAcknowledgement,
+  /// The permit, but without the delay after a takeover.
+  NoTakeoverDelay,
+  /// The process calls while the topic shows it as the holder.
   HeldInTopic,
 };
 
@@ -59,13 +59,13 @@
   FencingToken Token = 0;
 };
 
-struct LateAppend {
+struct DelayedAppend {
   TimePoint At;
-  BatchRecord What;
+  BatchRecord Record;
 };
 
-/// One process, whose parts are the product's own.
-struct ModelProcess {
+/// A simulated process that uses the production code of the lease.
+struct SimulatedProcess {
   LeaseHolder Self;
   BatchState Fold;
   StoreContact Contact;
@@ -75,20 +75,20 @@
   TimePoint LastSent;
 };
 
-class Model {
+class Simulation {
 public:
-  Model(std::vector<Event> Events, Way How, std::uint64_t Seed)
-      : Events(std::move(Events)), How(How), Random(Seed) {
-    for (std::size_t i = 0; i < Processes; ++i)
+  Simulation(std::vector<FaultPeriod> Faults, CallRule Rule, std::uint64_t Seed)
+      : Faults(std::move(Faults)), Rule(Rule), Random(Seed) {
+    for (std::size_t i = 0; i < ProcessCount; ++i)
       start(i, TimePoint(Millis(1)));
   }
 
   std::vector<Call> run() {
-    for (int i = 0; i < Steps; ++i) {
+    for (int i = 0; i < StepCount; ++i) {
       TimePoint now(Step * (i + 1));
-      carryOutLate(now);
-      for (std::size_t who = 0; who < Processes; ++who)
-        step(who, i, now);
+      applyLateAppends(now);
+      for (std::size_t index = 0; index < ProcessCount; ++index)
+        step(index, i, now);
     }
     std::stable_sort(Calls.begin(), Calls.end(),
                      [](const Call &L, const Call &R) { return L.At < R.At; });
@@ -96,128 +96,134 @@
   }
 
 private:
-  void start(std::size_t Who, TimePoint Now) {
-    ModelProcess fresh;
-    fresh.Self = LeaseHolder{InstanceName(std::to_string(Who)), ++Lives};
+  void start(std::size_t Index, TimePoint Now) {
+    SimulatedProcess fresh;
+    fresh.Self =
+        LeaseHolder{InstanceName(std::to_string(Index)), ++LastIncarnation};
     fresh.Contact.ReachableSince = Now;
-    All[Who] = std::move(fresh);
+    Members[Index] = std::move(fresh);
   }
 
-  bool suffers(std::size_t Who, int At, Trouble Kind) const {
-    return std::any_of(Events.begin(), Events.end(), [&](const Event &It) {
-      return It.Process == Who && It.Kind == Kind && At >= It.From &&
-             At < It.From + It.For;
-    });
+  bool hasFault(std::size_t Index, int At, FaultKind Kind) const {
+    return std::any_of(Faults.begin(), Faults.end(),
+                       [&](const FaultPeriod &It) {
+                         return It.Process == Index && It.Kind == Kind &&
+                                At >= It.From && At < It.From + It.Duration;
+                       });
   }
 
-  void carryOutLate(TimePoint Now) {
-    for (auto it = Waiting.begin(); it != Waiting.end();) {
+  void applyLateAppends(TimePoint Now) {
+    for (auto it = PendingAppends.begin(); it != PendingAppends.end();) {
       bool due = it->At <= Now;
       if (due)
-        Topic.push_back(it->What);
-      it = due ? Waiting.erase(it) : std::next(it);
+        Topic.push_back(it->Record);
+      it = due ? PendingAppends.erase(it) : std::next(it);
     }
   }
 
-  /// The offset of an append that is answered; empty for any other.
-  std::optional<Offset> append(std::size_t Who, int At, TimePoint Now,
-                               const BatchRecord &What) {
-    if (suffers(Who, At, Trouble::Cut))
+  /// Appends a record. Returns its offset if the append is acknowledged.
+  std::optional<Offset> append(std::size_t Index, int At, TimePoint Now,
+                               const BatchRecord &Record) {
+    if (hasFault(Index, At, FaultKind::Disconnected))
       return std::nullopt;
-    if (suffers(Who, At, Trouble::Late)) {
-      Waiting.push_back({Now + Millis(1000 + Random() % 5000), What});
+    if (hasFault(Index, At, FaultKind::LateAppends)) {
+      PendingAppends.push_back({Now + Millis(1000 + Random() % 5000), Record});
       return std::nullopt;
     }
-    Topic.push_back(What);
-    if (suffers(Who, At, Trouble::AnswersLost))
+    Topic.push_back(Record);
+    if (hasFault(Index, At, FaultKind::RepliesLost))
       return std::nullopt;
     return Topic.size() - 1;
   }
 
-  void step(std::size_t Who, int At, TimePoint Now) {
-    if (suffers(Who, At, Trouble::Killed)) {
-      start(Who, Now);
+  void step(std::size_t Index, int At, TimePoint Now) {
+    if (hasFault(Index, At, FaultKind::Restarted)) {
+      start(Index, Now);
       return;
     }
-    if (suffers(Who, At, Trouble::Frozen))
+    if (hasFault(Index, At, FaultKind::Frozen))
       return;
-    ModelProcess &it = All[Who];
-    if (suffers(Who, At, Trouble::Cut))
+    SimulatedProcess &it = Members[Index];
+    if (hasFault(Index, At, FaultKind::Disconnected))
       noteFailure(it.Contact, Now);
     else
       noteAnswer(it.Contact, Now);
-    bool reads = !suffers(Who, At, Trouble::Cut) &&
-                 !suffers(Who, At, Trouble::ReadsNothing);
+    bool reads = !hasFault(Index, At, FaultKind::Disconnected) &&
+                 !hasFault(Index, At, FaultKind::ReadsEmpty);
     for (Offset i = it.Fold.Next; reads && i < Topic.size(); ++i)
       apply(it.Fold, i, Topic[i], Now);
-    look(it, Now);
-    call(it, Who, Now);
-    keep(it, Who, At, Now);
+    updateHeld(it, Now);
+    call(it, Index, Now);
+    renewOrClaim(it, Index, At, Now);
   }
 
-  void look(ModelProcess &Of, TimePoint Now) {
-    const LeaseState &lease = Of.Fold.Lease;
-    bool mine = lease.Holder && *lease.Holder == Of.Self && !lease.Released;
-    if (Of.Held && (!mine || lease.Term != Of.Proof.Term))
-      Of.Held = false;
-    if (!Of.Held && mine) {
-      Of.Held = true;
-      Of.Proof = makeLeaseProof(lease.Term, Of.HasPredecessor, Now);
+  void updateHeld(SimulatedProcess &Process, TimePoint Now) {
+    const LeaseState &lease = Process.Fold.Lease;
+    bool isHolder =
+        lease.Holder && *lease.Holder == Process.Self && !lease.Released;
+    if (Process.Held && (!isHolder || lease.Term != Process.Proof.Term))
+      Process.Held = false;
+    if (!Process.Held && isHolder) {
+      Process.Held = true;
+      Process.Proof = makeLeaseProof(lease.Term, Process.HasPredecessor, Now);
     }
-    if (Of.Held)
-      confirmRenewals(Of.Proof, lease);
+    if (Process.Held)
+      confirmRenewals(Process.Proof, lease);
   }
 
-  void call(const ModelProcess &Of, std::size_t Who, TimePoint Now) {
-    if (!Of.Held)
+  void call(const SimulatedProcess &Process, std::size_t Index, TimePoint Now) {
+    if (!Process.Held)
       return;
     std::optional<LeasePermit> permit =
-        computePermit(Of.Proof, PermitSettings());
+        computePermit(Process.Proof, PermitSettings());
     bool may = permit && permit->From <= Now && Now < permit->Until;
-    if (How == Way::NoPause)
+    if (Rule == CallRule::NoTakeoverDelay)
       may = permit && Now < permit->Until;
-    if (How == Way::HeldInTopic)
+    if (Rule == CallRule::HeldInTopic)
       may = true;
     if (may)
-      Calls.push_back({Now + Millis(Random() % LongestCall.count()), Who,
-                       Of.Proof.Term + 1});
+      Calls.push_back({Now + Millis(Random() % MaxCallDuration.count()), Index,
+                       Process.Proof.Term + 1});
   }
 
-  void keep(ModelProcess &Of, std::size_t Who, int At, TimePoint Now) {
+  void renewOrClaim(SimulatedProcess &Process, std::size_t Index, int At,
+                    TimePoint Now) {
     LeaseSettings limits;
-    limits.Self = Of.Self;
-    if (Now - Of.LastSent < limits.RenewInterval)
+    limits.Self = Process.Self;
+    if (Now - Process.LastSent < limits.RenewInterval)
       return;
-    if (Of.Held) {
-      Of.LastSent = Now;
-      std::optional<Offset> taken =
-          append(Who, At, Now, LeaseRenewal{Of.Proof.Term, Of.Self});
-      if (taken)
-        noteRenewal(Of.Proof, *taken, Now);
-      if (taken && How == Way::AnswerProves)
-        Of.Proof.LastConfirmed = Now;
-    } else if (isLeaseFree(Of.Fold.Lease, Of.Contact, limits, Millis(0), Now)) {
-      Of.LastSent = Now;
-      LeaseClaim claim{Of.Self};
-      Of.HasPredecessor = Of.Fold.Lease.Holder.has_value();
-      if (Of.HasPredecessor)
-        claim.After = Of.Fold.Lease.LastRecordOffset;
-      append(Who, At, Now, claim);
+    if (Process.Held) {
+      Process.LastSent = Now;
+      std::optional<Offset> offset = append(
+          Index, At, Now, LeaseRenewal{Process.Proof.Term, Process.Self});
+      if (offset)
+        noteRenewal(Process.Proof, *offset, Now);
+      if (offset && Rule == CallRule::TrustAcknowledgement)
+        Process.Proof.LastConfirmed = Now;
+    } else if (isLeaseFree(Process.Fold.Lease, Process.Contact, limits,
+                           Millis(0), Now)) {
+      Process.LastSent = Now;
+      LeaseClaim claim{Process.Self};
+      Process.HasPredecessor = Process.Fold.Lease.Holder.has_value();
+      if (Process.HasPredecessor)
+        claim.After = Process.Fold.Lease.LastRecordOffset;
+      append(Index, At, Now, claim);
     }
   }
 
-  const std::vector<Event> Events;
-  const Way How;
+  const std::vector<FaultPeriod> Faults;
+  const CallRule Rule;
   std::mt19937_64 Random;
-  std::uint64_t Lives = 0;
-  std::array<ModelProcess, Processes> All;
+  std::uint64_t LastIncarnation = 0;
+  std::array<SimulatedProcess, ProcessCount> Members;
   std::vector<BatchRecord> Topic;
-  std::vector<LateAppend> Waiting;
+  std::vector<DelayedAppend> PendingAppends;
   std::vector<Call> Calls;
 };
 
-/// What the platform would object to; empty if nothing.
-std::string faultOf(const std::vector<Call> &Calls) {
+/// Returns a description of the first violation of the call order; empty if
+/// there is none.
+std::string findViolation(const std::vector<Call> &Calls) {
   constexpr Millis Lease{3000};
   std::map<FencingToken, std::size_t> holders;
   FencingToken greatest = 0;
@@ -232,43 +238,44 @@
     for (std::size_t k = i; k-- > 0 && it.At - Calls[k].At < Lease;) {
       another = another || Calls[k].Holder != it.Holder;
       if (another && Calls[k].Holder == it.Holder)
-        return "holders take turns";
+        return "calls of two holders interleave";
     }
   }
   return "";
 }
 
-std::vector<Event> anyHistory() {
-  std::vector<Event> events;
+std::vector<FaultPeriod> makeHistory() {
+  std::vector<FaultPeriod> faults;
   int count = *rc::gen::inRange(0, 14);
   for (int i = 0; i < count; ++i) {
-    Event event;
-    event.From = *rc::gen::inRange(0, Steps);
-    event.For = *rc::gen::inRange(1, 140);
-    event.Process = *rc::gen::inRange<std::size_t>(0, Processes);
-    event.Kind = static_cast<Trouble>(
-        *rc::gen::inRange(0, static_cast<int>(Trouble::Count)));
-    if (event.Kind == Trouble::Killed)
-      event.For = 1 + event.For / 10;
-    events.push_back(event);
+    FaultPeriod fault;
+    fault.From = *rc::gen::inRange(0, StepCount);
+    fault.Duration = *rc::gen::inRange(1, 140);
+    fault.Process = *rc::gen::inRange<std::size_t>(0, ProcessCount);
+    fault.Kind = static_cast<FaultKind>(
+        *rc::gen::inRange(0, static_cast<int>(FaultKind::Count)));
+    if (fault.Kind == FaultKind::Restarted)
+      fault.Duration = 1 + fault.Duration / 10;
+    faults.push_back(fault);
   }
-  return events;
+  return faults;
 }
 
-/// The first fault that many histories show under a way; empty if none does.
-std::string firstFault(Way How) {
+/// Returns the first violation that random histories show under a rule; empty
+/// if there is none.
+std::string findFirstViolation(CallRule Rule) {
   constexpr std::uint64_t Histories = 3000;
   for (std::uint64_t seed = 0; seed < Histories; ++seed) {
     std::mt19937_64 random(seed);
-    std::vector<Event> events(random() % 12);
-    for (Event &it : events) {
-      it.From = static_cast<int>(random() % Steps);
-      it.For = 1 + static_cast<int>(random() % 140);
-      it.Process = random() % Processes;
-      it.Kind = static_cast<Trouble>(
-          random() % static_cast<std::uint64_t>(Trouble::Count));
+    std::vector<FaultPeriod> faults(random() % 12);
+    for (FaultPeriod &it : faults) {
+      it.From = static_cast<int>(random() % StepCount);
+      it.Duration = 1 + static_cast<int>(random() % 140);
+      it.Process = random() % ProcessCount;
+      it.Kind = static_cast<FaultKind>(
+          random() % static_cast<std::uint64_t>(FaultKind::Count));
     }
-    std::string fault = faultOf(Model(events, How, seed).run());
+    std::string fault = findViolation(Simulation(faults, Rule, seed).run());
     if (!fault.empty())
       return fault;
   }
@@ -277,33 +284,36 @@
 
 } // namespace
 
-TEST_CASE("No history of holders breaks the order of calls under a permit",
+TEST_CASE("Calls under a permit keep their order in all simulated histories",
           "[dispatch]") {
   test::holds([] {
-    std::vector<Event> events = anyHistory();
+    std::vector<FaultPeriod> faults = makeHistory();
     std::uint64_t seed = *rc::gen::arbitrary<std::uint64_t>();
-    std::string fault = faultOf(Model(events, Way::Permit, seed).run());
+    std::string fault =
+        findViolation(Simulation(faults, CallRule::Permit, seed).run());
     RC_ASSERT(fault.empty());
   });
-  CHECK(firstFault(Way::Permit).empty());
+  CHECK(findFirstViolation(CallRule::Permit).empty());
 }
 
-TEST_CASE("Looser ways to tell that a process may call are found out",
-          "[dispatch]") {
-  CHECK_FALSE(firstFault(Way::HeldInTopic).empty());
-  CHECK_FALSE(firstFault(Way::NoPause).empty());
-  CHECK_FALSE(firstFault(Way::AnswerProves).empty());
+TEST_CASE(
+    "The simulation detects violations under weaker rules than the permit",
+    "[dispatch]") {
+  CHECK_FALSE(findFirstViolation(CallRule::HeldInTopic).empty());
+  CHECK_FALSE(findFirstViolation(CallRule::NoTakeoverDelay).empty());
+  CHECK_FALSE(findFirstViolation(CallRule::TrustAcknowledgement).empty());
 }
 
-TEST_CASE("A holder calls soon, and a successor after the pause",
+TEST_CASE("A first holder calls soon, and a successor after the takeover delay",
           "[dispatch]") {
-  std::vector<Call> quiet = Model({}, Way::Permit, 1).run();
+  std::vector<Call> quiet = Simulation({}, CallRule::Permit, 1).run();
   REQUIRE_FALSE(quiet.empty());
   CHECK(quiet.front().At < TimePoint(Millis(2500)));
-  CHECK(quiet.back().At > TimePoint(Step * Steps - Millis(100)));
+  CHECK(quiet.back().At > TimePoint(Step * StepCount - Millis(100)));
   std::size_t first = quiet.front().Holder;
   std::vector<Call> killed =
-      Model({{200, 200, first, Trouble::Frozen}}, Way::Permit, 1).run();
+      Simulation({{200, 200, first, FaultKind::Frozen}}, CallRule::Permit, 1)
+          .run();
   TimePoint frozen(Step * 200);
   auto next = std::find_if(killed.begin(), killed.end(),
                            [&](const Call &It) { return It.Holder != first; });
@@ -312,7 +322,7 @@
   CHECK(next->At - frozen < Millis(7000));
 }
 
-TEST_CASE("A renewal that was answered and is not read proves nothing",
+TEST_CASE("A renewal gives a permit only after it was read from the topic",
           "[dispatch]") {
   TimePoint sent(Millis(1000));
   LeaseProof proof = makeLeaseProof(7, false, TimePoint(Millis(500)));
@@ -328,7 +338,7 @@
   REQUIRE(permit);
   CHECK(permit->Token == 8);
   CHECK(permit->Until == sent + PermitSettings().LeaseTimeout);
-  // A lease of another term shows nothing.
+  // A lease of another term confirms nothing.
   LeaseProof other = makeLeaseProof(10, true, TimePoint(Millis(500)));
   noteRenewal(other, 9, sent);
   confirmRenewals(other, lease);
--- a/UnitTests/Dispatch/LoadOrderTest.cpp
+++ b/UnitTests/Dispatch/LoadOrderTest.cpp
@@ -9,55 +9,57 @@
 const ModelName Red("red");
 const ModelName Blue("blue");
 
-std::shared_ptr<DispatchEngine> engineOf(const ModelName &Model,
-                                         WeightVersion Version,
-                                         std::uint32_t Running = 0) {
-  std::shared_ptr<DispatchEngine> made = std::make_shared<DispatchEngine>();
-  made->Server = std::make_shared<UpstreamServer>();
-  made->Model = Model;
-  made->Versions = {{Model, Version}};
-  made->Running = Running;
-  return made;
+std::shared_ptr<DispatchEngine> makeEngine(const ModelName &Model,
+                                           WeightVersion Version,
+                                           std::uint32_t Running = 0) {
+  std::shared_ptr<DispatchEngine> engine = std::make_shared<DispatchEngine>();
+  engine->Server = std::make_shared<UpstreamServer>();
+  engine->Model = Model;
+  engine->Versions = {{Model, Version}};
+  engine->Running = Running;
+  return engine;
 }
 
 } // namespace
 
-TEST_CASE("An engine that serves a step as it arrives loads after it",
+TEST_CASE("An engine that can serve a step loads after its samples are placed",
           "[dispatch]") {
-  // Version 5 was just named; its step will allow 4 and newer.
+  // Version 5 has been named; the expected step allows version 4 and newer.
   ModelDemand before{5, 0, 4};
-  CHECK_FALSE(shouldLoadWeights(*engineOf(Red, 4), before));
-  CHECK(shouldLoadWeights(*engineOf(Red, 3), before));
-  // The step is here, and some of its samples wait.
+  CHECK_FALSE(shouldLoadWeights(*makeEngine(Red, 4), before));
+  CHECK(shouldLoadWeights(*makeEngine(Red, 3), before));
+  // The step has arrived, and some of its samples are waiting.
   ModelDemand arrived{5, 4, 0};
-  CHECK_FALSE(shouldLoadWeights(*engineOf(Red, 4), arrived));
-  CHECK(shouldLoadWeights(*engineOf(Red, 3), arrived));
-  // All of them have places.
+  CHECK_FALSE(shouldLoadWeights(*makeEngine(Red, 4), arrived));
+  CHECK(shouldLoadWeights(*makeEngine(Red, 3), arrived));
+  // All samples are placed.
   ModelDemand placed{5, 0, 0};
-  CHECK(shouldLoadWeights(*engineOf(Red, 4), placed));
-  CHECK_FALSE(shouldLoadWeights(*engineOf(Red, 5), placed));
+  CHECK(shouldLoadWeights(*makeEngine(Red, 4), placed));
+  CHECK_FALSE(shouldLoadWeights(*makeEngine(Red, 5), placed));
 }
 
-TEST_CASE("Samples that wait for ever keep no engine from new weights",
+TEST_CASE("Samples that an engine cannot serve do not keep it from loading",
           "[dispatch]") {
-  // The next step allows only what the engines do not hold.
+  // The waiting samples need a newer version than the engine has.
   ModelDemand next{6, 5, 0};
-  CHECK(shouldLoadWeights(*engineOf(Red, 4), next));
+  CHECK(shouldLoadWeights(*makeEngine(Red, 4), next));
 }
 
-TEST_CASE("Engines that cannot serve what waits load first", "[dispatch]") {
-  // Of red samples wait that need version 4; of blue none.
+TEST_CASE("Engines that cannot serve the waiting samples load first",
+          "[dispatch]") {
+  // Samples of red that need version 4 are waiting, and none of blue.
   std::map<ModelName, ModelDemand> models{{Red, {5, 4, 0}}, {Blue, {9, 0, 0}}};
-  EngineList due{engineOf(Blue, 6), engineOf(Red, 3, 2), engineOf(Blue, 8),
-                 engineOf(Red, 3, 0), engineOf(Red, 2, 5)};
+  EngineList due{makeEngine(Blue, 6), makeEngine(Red, 3, 2),
+                 makeEngine(Blue, 8), makeEngine(Red, 3, 0),
+                 makeEngine(Red, 2, 5)};
   EngineList order = sortForLoading(due, models);
   CHECK(order == EngineList{due[4], due[3], due[1], due[0], due[2]});
 }
 
-TEST_CASE("An engine that was asked in vain does not hold up the others",
+TEST_CASE("Engines that were asked before and have not loaded come last",
           "[dispatch]") {
   std::map<ModelName, ModelDemand> models{{Red, {5, 4, 0}}};
-  EngineList due{engineOf(Red, 1), engineOf(Red, 1), engineOf(Red, 4)};
+  EngineList due{makeEngine(Red, 1), makeEngine(Red, 1), makeEngine(Red, 4)};
   due[0]->Wanted = 5;
   due[0]->WantedAt = TimePoint() + Millis(20);
   due[1]->Wanted = 5;
--- a/UnitTests/Dispatch/WeightReconcilerTest.cpp
+++ b/UnitTests/Dispatch/WeightReconcilerTest.cpp
@@ -8,16 +8,16 @@
 const ModelName Red("red");
 const ServerName Server("i-1");
 
-/// One engine, as its calls see it.
+/// Fake engine that loads weights as soon as it is asked to.
 struct FakeEngine {
   explicit FakeEngine(boost::asio::io_context &Context) : Context(Context) {}
 
   boost::asio::io_context &Context;
   EngineReport Now{0, {{Red, 1}}, false, 0, 0, 0};
-  std::vector<WeightLoadRequest> Orders;
-  /// Orders that are accepted without an answer, and carried out later.
-  int Late = 0;
-  bool Dark = false;
+  std::vector<WeightLoadRequest> Requests;
+  /// Number of the next load requests that time out without being executed.
+  int UnansweredRequests = 0;
+  bool Unresponsive = false;
   ServerName Name = Server;
 
   EnginePort port() {
@@ -26,59 +26,59 @@
       return report();
     };
     port.LoadWeights = [this](UpstreamRegistration Server,
-                              WeightLoadRequest What, Millis) {
-      return order(std::move(Server), std::move(What));
+                              WeightLoadRequest Request, Millis) {
+      return loadWeights(std::move(Server), std::move(Request));
     };
     return port;
   }
   boost::asio::awaitable<Outcome<EngineReport>> report() {
     co_await pauseFor(Context.get_executor(), Millis(1));
-    if (Dark)
-      co_return silence();
+    if (Unresponsive)
+      co_return makeTimeout();
     co_return Now;
   }
   boost::asio::awaitable<Outcome<WeightLoadOutcome>>
-  order(UpstreamRegistration Server, WeightLoadRequest What) {
+  loadWeights(UpstreamRegistration Server, WeightLoadRequest Request) {
     co_await pauseFor(Context.get_executor(), Millis(1));
-    Orders.push_back(What);
+    Requests.push_back(Request);
     if (Server.Id != Name)
       co_return WeightLoadOutcome::WrongServer;
-    if (Late > 0) {
-      --Late;
-      co_return silence();
+    if (UnansweredRequests > 0) {
+      --UnansweredRequests;
+      co_return makeTimeout();
     }
-    if (What.Accepted != Now.Accepted)
+    if (Request.Accepted != Now.Accepted)
       co_return WeightLoadOutcome::Busy;
     ++Now.Accepted;
-    Now.Models[What.Model] = What.Version;
+    Now.Models[Request.Model] = Request.Version;
     co_return WeightLoadOutcome::Started;
   }
-  static Failure silence() {
+  static Failure makeTimeout() {
     return Failure{
         Verdict::MayHaveRun, FailureCode::TimedOut, "engine", "silent", {}};
   }
 };
 
-struct OrderWorld : BatchTestFixture {
+struct ReconcilerFixture : BatchTestFixture {
   FakeEngine Engine{Context};
   std::shared_ptr<bool> Disconnected = std::make_shared<bool>(false);
-  std::shared_ptr<WeightReconciler> Keeper = makeKeeper();
+  std::shared_ptr<WeightReconciler> Reconciler = startReconciler();
 
-  std::shared_ptr<WeightReconciler> makeKeeper() {
+  std::shared_ptr<WeightReconciler> startReconciler() {
     WeightReconciler::Settings limits;
     limits.Holder = "side-1";
     limits.PollInterval = Millis(2);
     limits.IdlePollInterval = Millis(5);
-    std::shared_ptr<WeightReconciler> keeper = WeightReconciler::create(
+    std::shared_ptr<WeightReconciler> reconciler = WeightReconciler::create(
         Context.get_executor(), Store.port(Disconnected), Engine.port(),
         Decisions, limits);
     UpstreamRegistration entry;
     entry.Id = Server;
-    keeper->setRegistrations({entry});
-    keeper->start();
-    return keeper;
+    reconciler->setRegistrations({entry});
+    reconciler->start();
+    return reconciler;
   }
-  /// What the store was told last.
+  /// Returns the last published weights; empty if there are none.
   std::optional<HeldWeights> lastHeld() {
     const std::vector<std::string> &all = Store.Topics[HeldTopic];
     if (all.empty())
@@ -88,140 +88,145 @@
         toOutcome<HeldWeights>([&] { return decodeHeld(text, "test"); });
     return held ? std::optional<HeldWeights>(*held) : std::nullopt;
   }
-  bool comesTo(WeightVersion Version) {
+  bool reachesVersion(WeightVersion Version) {
     return runUntil([&] { return Engine.Now.Models[Red] == Version; });
   }
 };
 
 } // namespace
 
-TEST_CASE("An engine is ordered to what is wanted, and once", "[dispatch]") {
-  OrderWorld world;
-  world.Keeper->setWanted(Server, {Red, 2, SwapMode::Continue}, 0);
-  REQUIRE(world.comesTo(2));
+TEST_CASE("The wanted weights are requested once", "[dispatch]") {
+  ReconcilerFixture world;
+  world.Reconciler->setWanted(Server, {Red, 2, SwapMode::Continue}, 0);
+  REQUIRE(world.reachesVersion(2));
   world.Context.run_for(Millis(50));
-  CHECK(world.Engine.Orders.size() == 1);
-  CHECK(world.Engine.Orders[0].Holder == "side-1");
+  CHECK(world.Engine.Requests.size() == 1);
+  CHECK(world.Engine.Requests[0].Holder == "side-1");
 }
 
-TEST_CASE("An older record of what is wanted changes nothing", "[dispatch]") {
-  OrderWorld world;
-  world.Keeper->setWanted(Server, {Red, 3, SwapMode::Continue}, 9);
-  world.Keeper->setWanted(Server, {Red, 2, SwapMode::Continue}, 4);
-  REQUIRE(world.comesTo(3));
-  world.Keeper->setWanted(ServerName("i-2"), {Red, 7, SwapMode::Continue}, 10);
+TEST_CASE("An older record of wanted weights is ignored", "[dispatch]") {
+  ReconcilerFixture world;
+  world.Reconciler->setWanted(Server, {Red, 3, SwapMode::Continue}, 9);
+  world.Reconciler->setWanted(Server, {Red, 2, SwapMode::Continue}, 4);
+  REQUIRE(world.reachesVersion(3));
+  world.Reconciler->setWanted(ServerName("i-2"), {Red, 7, SwapMode::Continue},
+                              10);
   world.Context.run_for(Millis(50));
   CHECK(world.Engine.Now.Models[Red] == 3);
 }
 
-TEST_CASE("Tokens of a later life are greater than those of an earlier one",
-          "[dispatch]") {
-  OrderWorld world;
-  world.Keeper->setWanted(Server, {Red, 2, SwapMode::Continue}, 50);
-  REQUIRE(world.comesTo(2));
-  // The next life reads what is wanted from an older answer of the store.
-  world.Keeper = world.makeKeeper();
-  world.Keeper->setWanted(Server, {Red, 4, SwapMode::Continue}, 20);
-  REQUIRE(world.comesTo(4));
-  CHECK(world.Engine.Orders.back().Token > world.Engine.Orders.front().Token);
+TEST_CASE(
+    "Tokens of a later incarnation are greater than those of an earlier one",
+    "[dispatch]") {
+  ReconcilerFixture world;
+  world.Reconciler->setWanted(Server, {Red, 2, SwapMode::Continue}, 50);
+  REQUIRE(world.reachesVersion(2));
+  // The next incarnation reads the wanted weights at a lower offset.
+  world.Reconciler = world.startReconciler();
+  world.Reconciler->setWanted(Server, {Red, 4, SwapMode::Continue}, 20);
+  REQUIRE(world.reachesVersion(4));
+  CHECK(world.Engine.Requests.back().Token >
+        world.Engine.Requests.front().Token);
 }
 
-TEST_CASE("A life that the store does not know yet gives no order",
+TEST_CASE("An incarnation without a record in the store requests no weights",
           "[dispatch]") {
-  OrderWorld world;
+  ReconcilerFixture world;
   *world.Disconnected = true;
-  world.Keeper->setWanted(Server, {Red, 2, SwapMode::Continue}, 0);
+  world.Reconciler->setWanted(Server, {Red, 2, SwapMode::Continue}, 0);
   world.Context.run_for(Millis(60));
-  CHECK(world.Engine.Orders.empty());
+  CHECK(world.Engine.Requests.empty());
   *world.Disconnected = false;
-  CHECK(world.comesTo(2));
+  CHECK(world.reachesVersion(2));
 }
 
-TEST_CASE("An order that is not answered is given again with the same count",
+TEST_CASE("A request without a reply is repeated with the same count",
           "[dispatch]") {
-  OrderWorld world;
-  world.Engine.Late = 2;
-  world.Keeper->setWanted(Server, {Red, 2, SwapMode::Continue}, 0);
-  REQUIRE(world.comesTo(2));
-  // Whichever of them is carried out, the others no longer fit the count.
-  for (const WeightLoadRequest &it : world.Engine.Orders)
+  ReconcilerFixture world;
+  world.Engine.UnansweredRequests = 2;
+  world.Reconciler->setWanted(Server, {Red, 2, SwapMode::Continue}, 0);
+  REQUIRE(world.reachesVersion(2));
+  // The engine executes at most one of the requests with the same count.
+  for (const WeightLoadRequest &it : world.Engine.Requests)
     CHECK(it.Accepted == 0u);
 }
 
-TEST_CASE("A registration of an earlier start does not keep the engine from "
-          "its weights",
+TEST_CASE("A stale registration does not keep the engine from loading weights",
           "[dispatch]") {
-  OrderWorld world;
+  ReconcilerFixture world;
   UpstreamRegistration old;
   old.Id = ServerName("i-0");
-  UpstreamRegistration now;
-  now.Id = Server;
-  world.Keeper->setRegistrations({old, now});
-  world.Keeper->setWanted(old.Id, {Red, 2, SwapMode::Continue}, 0);
-  world.Keeper->setWanted(Server, {Red, 2, SwapMode::Continue}, 1);
-  CHECK(world.comesTo(2));
+  UpstreamRegistration current;
+  current.Id = Server;
+  world.Reconciler->setRegistrations({old, current});
+  world.Reconciler->setWanted(old.Id, {Red, 2, SwapMode::Continue}, 0);
+  world.Reconciler->setWanted(Server, {Red, 2, SwapMode::Continue}, 1);
+  CHECK(world.reachesVersion(2));
 }
 
-TEST_CASE("An engine that fell back is ordered forward again", "[dispatch]") {
-  OrderWorld world;
-  world.Keeper->setWanted(Server, {Red, 5, SwapMode::Continue}, 0);
-  REQUIRE(world.comesTo(5));
+TEST_CASE("An engine that returns to older weights is asked to load again",
+          "[dispatch]") {
+  ReconcilerFixture world;
+  world.Reconciler->setWanted(Server, {Red, 5, SwapMode::Continue}, 0);
+  REQUIRE(world.reachesVersion(5));
   world.Engine.Now.Models[Red] = 4;
-  CHECK(world.comesTo(5));
+  CHECK(world.reachesVersion(5));
 }
 
-TEST_CASE("What an engine holds is told to the store", "[dispatch]") {
-  OrderWorld world;
-  world.Keeper->setWanted(Server, {Red, 2, SwapMode::Continue}, 0);
-  REQUIRE(world.comesTo(2));
+TEST_CASE("What an engine holds is isPublished to the store", "[dispatch]") {
+  ReconcilerFixture world;
+  world.Reconciler->setWanted(Server, {Red, 2, SwapMode::Continue}, 0);
+  REQUIRE(world.reachesVersion(2));
   CHECK(world.runUntil([&] {
     std::optional<HeldWeights> held = world.lastHeld();
     return held && held->Models.at(Red) == 2 && !held->Loading;
   }));
 }
 
-TEST_CASE("An engine that starts again under its name is told of anew",
-          "[dispatch]") {
-  OrderWorld world;
+TEST_CASE(
+    "The weights of a restarted engine are published with its new start time",
+    "[dispatch]") {
+  ReconcilerFixture world;
   world.Engine.Now.Start = 1000;
-  world.Keeper->setWanted(Server, {Red, 2, SwapMode::Continue, 1000}, 0);
-  REQUIRE(world.comesTo(2));
-  auto told = [&](ServerStartTime Start) {
+  world.Reconciler->setWanted(Server, {Red, 2, SwapMode::Continue, 1000}, 0);
+  REQUIRE(world.reachesVersion(2));
+  auto isPublished = [&](ServerStartTime Start) {
     std::optional<HeldWeights> held = world.lastHeld();
     return held && held->Models.at(Red) == 2 && held->Start == Start;
   };
-  REQUIRE(world.runUntil([&] { return told(1000); }));
-  // It holds what it held, and its count of orders starts anew.
+  REQUIRE(world.runUntil([&] { return isPublished(1000); }));
+  // The engine keeps its weights, and its count of requests restarts.
   world.Engine.Now.Start = 2000;
   world.Engine.Now.Accepted = 0;
-  CHECK(world.runUntil([&] { return told(2000); }));
-  // What was wanted of the start before is not wanted of this one.
-  std::size_t orders = world.Engine.Orders.size();
+  CHECK(world.runUntil([&] { return isPublished(2000); }));
+  // Weights that were wanted of the previous start are not requested.
+  std::size_t requests = world.Engine.Requests.size();
   world.Engine.Now.Models[Red] = 1;
   world.Context.run_for(Millis(50));
-  CHECK(world.Engine.Orders.size() == orders);
-  world.Keeper->setWanted(Server, {Red, 2, SwapMode::Continue, 2000}, 9);
-  REQUIRE(world.comesTo(2));
-  CHECK(world.Engine.Orders.back().Accepted == 0u);
+  CHECK(world.Engine.Requests.size() == requests);
+  world.Reconciler->setWanted(Server, {Red, 2, SwapMode::Continue, 2000}, 9);
+  REQUIRE(world.reachesVersion(2));
+  CHECK(world.Engine.Requests.back().Accepted == 0u);
 }
 
-TEST_CASE("An engine whose address another had is ordered when it is back",
+TEST_CASE("An engine gets requests again after another server had its address",
           "[dispatch]") {
-  OrderWorld world;
-  UpstreamRegistration now;
-  now.Id = Server;
-  now.Start = 1000;
+  ReconcilerFixture world;
+  UpstreamRegistration current;
+  current.Id = Server;
+  current.Start = 1000;
   world.Engine.Name = ServerName("another");
-  world.Keeper->setRegistrations({now});
-  world.Keeper->setWanted(Server, {Red, 2, SwapMode::Continue}, 0);
-  REQUIRE(world.runUntil([&] { return !world.Engine.Orders.empty(); }));
+  world.Reconciler->setRegistrations({current});
+  world.Reconciler->setWanted(Server, {Red, 2, SwapMode::Continue}, 0);
+  REQUIRE(world.runUntil([&] { return !world.Engine.Requests.empty(); }));
   world.Engine.Name = Server;
-  now.Start = 2000;
-  world.Keeper->setRegistrations({now});
-  CHECK(world.comesTo(2));
+  current.Start = 2000;
+  world.Reconciler->setRegistrations({current});
+  CHECK(world.reachesVersion(2));
 }
 
-TEST_CASE("Records about engines read as they were written", "[dispatch]") {
+TEST_CASE("Records of wanted and held weights are decoded as they were encoded",
+          "[dispatch]") {
   WantedWeights wanted{Red, 7, SwapMode::Finish, 1764000000123};
   Outcome<WantedWeights> again = toOutcome<WantedWeights>(
       [&] { return decodeWanted(encodeWanted(wanted), "test"); });
--- a/Wasabi/Customers/Access.cpp
+++ b/Wasabi/Customers/Access.cpp
@@ -4,43 +4,42 @@
 
 std::string_view toText(AccessVerdict Verdict) {
   switch (Verdict) {
-  case AccessDecisionVerdict::Granted:
+  case AccessVerdict::Granted:
     return "granted";
-  case AccessDecisionVerdict::UnknownKey:
+  case AccessVerdict::UnknownKey:
     return "unknown-key";
-  case AccessDecisionVerdict::Uncertain:
+  case AccessVerdict::Uncertain:
     return "unsure";
   }
   return "unsure";
 }
 
-AccessDecision decideAccess(const std::optional<CustomerTable> &Known,
-                            const AccessRequest &Ask,
+AccessDecision decideAccess(const std::optional<CustomerTable> &Customers,
+                            const AccessRequest &Request,
                             const StoreContact &Contact,
                             const AccessSettings &Limits, TimePoint Now) {
-  if (!Known)
-    return {AccessDecisionVerdict::Granted, std::nullopt};
-  const Customer *holder = Ask.Key ? Known->holderOf(*Ask.Key) : nullptr;
+  if (!Customers)
+    return {AccessVerdict::Granted, std::nullopt};
+  const Customer *holder =
+      Request.Key ? Customers->holderOf(*Request.Key) : nullptr;
   if (holder != nullptr) {
-    bool withdrawn = Limits.StrictRevocation &&
-                     unreachableFor(Contact, Limits.MaxRevocationDelay, Now);
-    if (!withdrawn)
-      return {AccessDecisionVerdict::Granted, *holder};
-    return {Ask.Public ? AccessDecisionVerdict::Granted
-                       : AccessDecisionVerdict::Uncertain,
+    bool mayBeRevoked = Limits.StrictRevocation &&
+                        unreachableFor(Contact, Limits.MaxRevocationDelay, Now);
+    if (!mayBeRevoked)
+      return {AccessVerdict::Granted, *holder};
+    return {Request.Public ? AccessVerdict::Granted : AccessVerdict::Uncertain,
             std::nullopt};
   }
-  if (Ask.Public)
-    return {AccessDecisionVerdict::Granted, std::nullopt};
-  bool mayBeNew = Ask.Key.has_value() && Contact.Lost;
-  return {mayBeNew ? AccessDecisionVerdict::Uncertain
-                   : AccessDecisionVerdict::UnknownKey,
+  if (Request.Public)
+    return {AccessVerdict::Granted, std::nullopt};
+  bool mayBeNew = Request.Key.has_value() && Contact.Lost;
+  return {mayBeNew ? AccessVerdict::Uncertain : AccessVerdict::UnknownKey,
           std::nullopt};
 }
 
-std::uint32_t priorityOf(const std::optional<Customer> &By,
+std::uint32_t priorityOf(const std::optional<Customer> &Owner,
                          std::uint32_t RoutePriority) {
-  return By && By->Priority ? *By->Priority : RoutePriority;
+  return Owner && Owner->Priority ? *Owner->Priority : RoutePriority;
 }
 
 } // namespace wasabi
--- a/Wasabi/Customers/Access.h
+++ b/Wasabi/Customers/Access.h
@@ -1,5 +1,5 @@
 /// \file
-/// Whether a request may pass, and whose it is.
+/// Decides whether a request is granted, and to which customer it belongs.
 #ifndef WASABI_CUSTOMERS_ACCESS_H
 #define WASABI_CUSTOMERS_ACCESS_H
 
@@ -12,61 +12,62 @@
 
 namespace wasabi {
 
-/// How a request stands.
+/// Result of an access check.
 enum class AccessVerdict : std::uint8_t {
   Granted,
-  /// No configuration that this process knows the newest of gives anyone the
-  /// key, or there is none. Final for whoever asks.
+  /// The request has no key, or the newest configuration lists no customer with
+  /// it. Final.
   UnknownKey,
-  /// A newer configuration may say otherwise, and this process cannot read it
-  /// now. Another process may know.
+  /// The store is unreachable, so that this process may have missed a newer
+  /// configuration. Another process may be able to decide.
   Uncertain,
 };
 
-/// For logs.
+/// Returns the name of a verdict for logs.
 std::string_view toText(AccessVerdict Verdict);
 
-/// What was decided of a request. An immutable value.
+/// Verdict and customer of a request. An immutable value.
 struct AccessDecision {
-  AccessVerdict Verdict = AccessDecisionVerdict::UnknownKey;
-  /// Whose request it is; empty where nobody's key came with it.
+  AccessVerdict Verdict = AccessVerdict::UnknownKey;
+  /// Customer that sent the request; empty if it is not granted or no customer
+  /// is known.
   std::optional<Customer> By;
   bool operator==(const AccessDecision &) const = default;
 };
 
-/// How keys are judged.
+/// Treatment of revoked keys.
 struct AccessSettings {
-  /// Whether a key must not pass where its withdrawal may have been missed.
+  /// True if a key is not accepted once its revocation may have been missed.
   bool StrictRevocation = false;
-  /// With `StrictRevocation`: how long after its withdrawal a key may pass at
-  /// most.
+  /// With `StrictRevocation`: maximum time that a key is accepted after its
+  /// revocation.
   Millis MaxRevocationDelay{5000};
   bool operator==(const AccessSettings &) const = default;
 };
 
-/// What is asked for.
+/// Input of an access check.
 struct AccessRequest {
-  /// Empty where none came, or several.
+  /// Empty if the request has no key or several.
   std::optional<KeyDigest> Key;
-  /// Whether the route takes requests without a key.
+  /// True if the route accepts requests without a key.
   bool Public = false;
 };
 
-/// Decides by the customers of the newest configuration that this process
-/// knows; empty ones ask nobody for a key. Pure, thread-safe.
+/// Decides from the customers of the newest configuration that this process
+/// knows. Without a table (`nullopt`) every request is granted. Pure,
+/// thread-safe.
 ///
-/// Out of reach of the store, a key that is not known is not refused: a caller
-/// takes such a refusal for final, and its key may be a new one. One that is
-/// known passes, since to refuse it would turn away every caller for the sake
-/// of the few whose key was withdrawn meanwhile, unless `StrictRevocation` says
-/// that those matter more.
-AccessDecision decideAccess(const std::optional<CustomerTable> &Known,
-                            const AccessRequest &Ask,
+/// While the store is unreachable, an unknown key is `Uncertain`, as it may be
+/// a new one. A known key is granted although it may have been revoked, unless
+/// `StrictRevocation` is set and `MaxRevocationDelay` has passed.
+AccessDecision decideAccess(const std::optional<CustomerTable> &Customers,
+                            const AccessRequest &Request,
                             const StoreContact &Contact,
                             const AccessSettings &Limits, TimePoint Now);
 
-/// The priority of a customer's request: its own before the route's. Pure.
-std::uint32_t priorityOf(const std::optional<Customer> &By,
+/// Returns the priority of a request: that of its customer if set, else that of
+/// the route. Pure.
+std::uint32_t priorityOf(const std::optional<Customer> &Owner,
                          std::uint32_t RoutePriority);
 
 } // namespace wasabi
--- a/Wasabi/Customers/CustomerTable.cpp
+++ b/Wasabi/Customers/CustomerTable.cpp
@@ -6,11 +6,13 @@
 
 namespace {
 
-/// Whether a name is one word of visible ASCII.
-bool isUsable(const CustomerName &Of) {
-  return !Of.empty() &&
-         std::all_of(Of.Text.begin(), Of.Text.end(),
-                     [](char Sign) { return Sign > ' ' && Sign <= '~'; });
+/// Returns true if a name is not empty and has printable ASCII characters other
+/// than the space only.
+bool isValidName(const CustomerName &Name) {
+  return !Name.empty() &&
+         std::all_of(Name.Text.begin(), Name.Text.end(), [](char Character) {
+           return Character > ' ' && Character <= '~';
+         });
 }
 
 } // namespace
@@ -19,42 +21,43 @@
   CustomerTable table;
   std::vector<HeldKey> ambiguous;
   for (const Entry &it : Entries) {
-    if (!isUsable(it.Who.Name)) {
-      ++table.RejectedCustomers;
+    if (!isValidName(it.Who.Name)) {
+      ++table.RejectedCustomerCount;
       continue;
     }
-    std::size_t number = table.Customers.size();
+    std::size_t index = table.Customers.size();
     table.Customers.push_back(it.Who);
-    table.ByName.emplace(it.Who.Name, number);
+    table.ByName.emplace(it.Who.Name, index);
     for (const KeyDigest &key : it.Keys) {
       const Customer *holder = table.holderOf(key);
       if (holder == nullptr)
-        table.Held.emplace(key.bucket(), HeldKey{key, number});
+        table.HeldKeys.emplace(key.bucket(), HeldKey{key, index});
       else if (holder->Name != it.Who.Name)
-        ambiguous.push_back({key, number});
+        ambiguous.push_back({key, index});
     }
   }
   for (const HeldKey &it : ambiguous) {
-    auto [from, to] = table.Held.equal_range(it.Key.bucket());
-    auto held = std::find_if(
-        from, to, [&it](const auto &Of) { return Of.second.Key == it.Key; });
+    auto [from, to] = table.HeldKeys.equal_range(it.Key.bucket());
+    auto held = std::find_if(from, to, [&it](const auto &Entry) {
+      return Entry.second.Key == it.Key;
+    });
     if (held == to)
       continue;
-    table.Held.erase(held);
-    ++table.Ambiguous;
+    table.HeldKeys.erase(held);
+    ++table.AmbiguousKeyCount;
   }
   return table;
 }
 
 const Customer *CustomerTable::holderOf(const KeyDigest &Key) const {
-  auto [from, to] = Held.equal_range(Key.bucket());
+  auto [from, to] = HeldKeys.equal_range(Key.bucket());
   auto held = std::find_if(
-      from, to, [&Key](const auto &Of) { return Of.second.Key == Key; });
+      from, to, [&Key](const auto &Entry) { return Entry.second.Key == Key; });
   return held == to ? nullptr : &Customers[held->second.Holder];
 }
 
-const Customer *CustomerTable::find(const CustomerName &Of) const {
-  auto found = ByName.find(Of);
+const Customer *CustomerTable::find(const CustomerName &Name) const {
+  auto found = ByName.find(Name);
   return found == ByName.end() ? nullptr : &Customers[found->second];
 }
 
--- a/Wasabi/Customers/CustomerTable.h
+++ b/Wasabi/Customers/CustomerTable.h
@@ -1,5 +1,5 @@
 /// \file
-/// The customers of a configuration and the keys that they hold.
+/// Table of the customers of a configuration and their keys.
 #ifndef WASABI_CUSTOMERS_CUSTOMERTABLE_H
 #define WASABI_CUSTOMERS_CUSTOMERTABLE_H
 
@@ -13,11 +13,11 @@
 
 namespace wasabi {
 
-/// One customer. An immutable value.
+/// Name and priority of a customer. An immutable value.
 struct Customer {
   CustomerName Name;
-  /// Goes before the priority of a route; 0 is the most urgent. Empty where the
-  /// configuration gives it none.
+  /// Overrides the priority of a route; 0 is the most urgent. Empty if the
+  /// configuration sets none.
   std::optional<std::uint32_t> Priority;
   bool operator==(const Customer &) const = default;
 };
@@ -25,32 +25,33 @@
 /// All customers of one configuration. An immutable value; thread-safe.
 class CustomerTable {
 public:
-  /// A customer and the keys that it holds: none, one or several.
+  /// A customer and its keys, which may be empty.
   struct Entry {
     Customer Who;
     std::vector<KeyDigest> Keys;
   };
 
-  /// A key that is listed for two customers is held by neither: to pick one
-  /// would show it the other's jobs. A customer whose name is empty or could
-  /// not stand in a header is left out, since servers could not be told of it.
+  /// Creates a table. A key that is listed for several customers belongs to
+  /// none of them, as each would see the jobs of the others. Customers whose
+  /// names are empty or not valid in a header are skipped.
   static CustomerTable create(const std::vector<Entry> &Entries);
 
-  /// Who holds a key; null if nobody does. Takes the same time for any key.
+  /// Returns the customer that holds a key; null if there is none. Comparisons
+  /// of keys take constant time.
   const Customer *holderOf(const KeyDigest &Key) const;
-  /// The customer of a name, with keys or without; null if there is none.
-  const Customer *find(const CustomerName &Of) const;
+  /// Returns the customer with a name; null if there is none.
+  const Customer *find(const CustomerName &Name) const;
 
   std::size_t customers() const { return Customers.size(); }
-  std::size_t keys() const { return Held.size(); }
-  /// Keys that were listed for several customers.
-  std::size_t ambiguousKeys() const { return Ambiguous; }
-  /// Customers that were left out for their names.
-  std::size_t rejectedCustomers() const { return RejectedCustomers; }
+  std::size_t keys() const { return HeldKeys.size(); }
+  /// Number of keys that are listed for several customers.
+  std::size_t ambiguousKeys() const { return AmbiguousKeyCount; }
+  /// Number of customers that were skipped for their names.
+  std::size_t rejectedCustomers() const { return RejectedCustomerCount; }
   bool operator==(const CustomerTable &) const = default;
 
 private:
-  /// Of one key; `Holder` counts the customers.
+  /// A key and the index of its holder in `Customers`.
   struct HeldKey {
     KeyDigest Key;
     std::size_t Holder = 0;
@@ -59,9 +60,9 @@
 
   std::vector<Customer> Customers;
   std::unordered_map<CustomerName, std::size_t> ByName;
-  std::unordered_multimap<std::size_t, HeldKey> Held;
-  std::size_t Ambiguous = 0;
-  std::size_t RejectedCustomers = 0;
+  std::unordered_multimap<std::size_t, HeldKey> HeldKeys;
+  std::size_t AmbiguousKeyCount = 0;
+  std::size_t RejectedCustomerCount = 0;
 };
 
 } // namespace wasabi
--- a/Wasabi/Customers/KeyDigest.cpp
+++ b/Wasabi/Customers/KeyDigest.cpp
@@ -28,9 +28,9 @@
                                           "libsodium",
                                           "cannot be initialised",
                                           {}});
-  Secret drawn{};
-  randombytes_buf(drawn.data(), drawn.size());
-  return KeyDigester(drawn);
+  Secret secret{};
+  randombytes_buf(secret.data(), secret.size());
+  return KeyDigester(secret);
 }
 
 KeyDigest KeyDigester::digest(std::string_view Key) const {
--- a/Wasabi/Customers/KeyDigest.h
+++ b/Wasabi/Customers/KeyDigest.h
@@ -1,7 +1,6 @@
 /// \file
-/// Keys of customers as a process holds them: digests under a secret that is
-/// drawn at its start. A digest tells nothing of its key, and is worth nothing
-/// in another process.
+/// Keyed digests of customer keys. The secret is random, so that a digest
+/// reveals nothing about its key and is valid in one process only.
 #ifndef WASABI_CUSTOMERS_KEYDIGEST_H
 #define WASABI_CUSTOMERS_KEYDIGEST_H
 
@@ -12,31 +11,31 @@
 
 namespace wasabi {
 
-/// The digest of one key. An immutable value that prints nowhere.
+/// Digest of one key. An immutable value without an output operator, so that it
+/// is not logged by accident.
 class KeyDigest {
 public:
-  /// Bytes of a digest.
+  /// Size of a digest in bytes.
   static constexpr std::size_t Size = 32;
   using Bytes = std::array<unsigned char, Size>;
 
   explicit KeyDigest(const Bytes &Value) : Value(Value) {}
 
-  /// Takes as long for digests that differ early as for those that differ late.
-  /// Thread-safe.
+  /// Compares in constant time. Thread-safe.
   bool operator==(const KeyDigest &Other) const;
 
-  /// Which part of a table it lies in. Thread-safe.
+  /// Returns a hash value for use as the key of a hash table. Thread-safe.
   std::size_t bucket() const;
 
 private:
   Bytes Value;
 };
 
-/// Makes digests. An immutable value; thread-safe.
+/// Computes digests with one secret. An immutable value; thread-safe.
 class KeyDigester {
 public:
-  /// Draws a new secret. Errors: `Internal` when the library has no source of
-  /// randomness.
+  /// Creates a digester with a new random secret. Errors: `Internal` if
+  /// libsodium cannot be initialised.
   static Result<KeyDigester> create();
 
   KeyDigest digest(std::string_view Key) const;
--- a/Wasabi/Customers/ServedShares.cpp
+++ b/Wasabi/Customers/ServedShares.cpp
@@ -6,48 +6,49 @@
 
 namespace {
 
-void fade(ServedShares &Of, TimePoint Now) {
-  // Each customer is visited at this pace only.
-  constexpr Millis Step{100};
-  if (Now - Of.LastDecay < Step)
+void decay(ServedShares &Shares, TimePoint Now) {
+  // Limits how often the counts of all customers are updated.
+  constexpr Millis DecayInterval{100};
+  if (Now - Shares.LastDecay < DecayInterval)
     return;
-  double lives = std::chrono::duration<double>(Now - Of.LastDecay) /
-                 std::chrono::duration<double>(Of.Limits.HalfLife);
-  double left = std::exp2(-lives);
-  Of.LastDecay = Now;
-  Of.All.Asked *= left;
-  Of.All.Served *= left;
-  for (auto &[name, counts] : Of.Customers) {
-    counts.Asked *= left;
-    counts.Served *= left;
+  double halfLives = std::chrono::duration<double>(Now - Shares.LastDecay) /
+                     std::chrono::duration<double>(Shares.Limits.HalfLife);
+  double factor = std::exp2(-halfLives);
+  Shares.LastDecay = Now;
+  Shares.Total.Requests *= factor;
+  Shares.Total.Served *= factor;
+  for (auto &[name, counts] : Shares.Customers) {
+    counts.Requests *= factor;
+    counts.Served *= factor;
   }
-  std::erase_if(Of.Customers, [&Of](const auto &It) {
-    return It.second.Asked < Of.Limits.EvictionThreshold;
+  std::erase_if(Shares.Customers, [&Shares](const auto &Entry) {
+    return Entry.second.Requests < Shares.Limits.EvictionThreshold;
   });
 }
 
-double shareOf(const ServedShares::Counts &Counts) {
-  return Counts.Asked > 0 ? Counts.Served / Counts.Asked : 1;
+double servedFraction(const ServedShares::Counts &Counts) {
+  return Counts.Requests > 0 ? Counts.Served / Counts.Requests : 1;
 }
 
 } // namespace
 
-void recordOutcome(ServedShares &Of, const CustomerName &Who, bool Served,
-                   TimePoint Now) {
-  fade(Of, Now);
-  ServedShares::Counts &counts = Of.Customers[Who];
-  counts.Asked += 1;
-  Of.All.Asked += 1;
+void recordOutcome(ServedShares &Shares, const CustomerName &Customer,
+                   bool Served, TimePoint Now) {
+  decay(Shares, Now);
+  ServedShares::Counts &counts = Shares.Customers[Customer];
+  counts.Requests += 1;
+  Shares.Total.Requests += 1;
   counts.Served += Served ? 1 : 0;
-  Of.All.Served += Served ? 1 : 0;
+  Shares.Total.Served += Served ? 1 : 0;
 }
 
-bool isUnderserved(const ServedShares &Of, const CustomerName &Who) {
-  auto found = Of.Customers.find(Who);
-  if (found == Of.Customers.end() ||
-      found->second.Asked < Of.Limits.MinRequests)
+bool isUnderserved(const ServedShares &Shares, const CustomerName &Customer) {
+  auto found = Shares.Customers.find(Customer);
+  if (found == Shares.Customers.end() ||
+      found->second.Requests < Shares.Limits.MinRequests)
     return false;
-  return shareOf(found->second) < Of.Limits.Behind * shareOf(Of.All);
+  return servedFraction(found->second) <
+         Shares.Limits.UnderservedFactor * servedFraction(Shares.Total);
 }
 
 } // namespace wasabi
--- a/Wasabi/Customers/ServedShares.h
+++ b/Wasabi/Customers/ServedShares.h
@@ -1,11 +1,7 @@
 /// \file
-/// How often each customer's requests have been served of late, against all.
-///
-/// The pattern that this answers: a service that cannot do what it is offered,
-/// by many small customers and a few large ones. Where customers share alike,
-/// the small ones are served almost always and a large one almost never; where
-/// requests share alike, a burst of a large one leaves nothing for the others.
-/// So customers share alike, but for one that falls far behind.
+/// Tracks which fraction of each customer's recent requests was served. Under
+/// overload, customers get equal shares; one whose fraction falls far below the
+/// fraction of all requests is preferred.
 #ifndef WASABI_CUSTOMERS_SERVEDSHARES_H
 #define WASABI_CUSTOMERS_SERVEDSHARES_H
 
@@ -16,38 +12,38 @@
 
 namespace wasabi {
 
-/// Counts that fade. Owned by one thread.
+/// Exponentially decaying counts of requests. Not thread-safe.
 struct ServedShares {
   struct Settings {
-    /// Counts fall to half within this: some seconds of overload tell.
+    /// Half-life of the counts.
     Millis HalfLife{2000};
-    /// A customer that was served less than this part as often as all is
-    /// behind. Users want a quarter at least; the rest is for what chance does.
-    double Behind = 0.5;
-    /// Requests of which fewer say nothing.
+    /// A customer is underserved if its served fraction is less than the
+    /// fraction of all requests times this factor.
+    double UnderservedFactor = 0.5;
+    /// Minimum decayed number of requests for a customer to be underserved.
     double MinRequests = 4;
-    /// Customers of whom less than this is left are forgotten.
+    /// Customers whose decayed number of requests is below this are removed.
     double EvictionThreshold = 0.01;
     bool operator==(const Settings &) const = default;
   };
   struct Counts {
-    double Asked = 0;
+    double Requests = 0;
     double Served = 0;
   };
 
   Settings Limits;
-  Counts All;
+  Counts Total;
   std::map<CustomerName, Counts> Customers;
   TimePoint LastDecay;
 };
 
-/// A customer's request has come to its end, served or not. Pure but for `Of`.
-void recordOutcome(ServedShares &Of, const CustomerName &Who, bool Served,
-                   TimePoint Now);
+/// Records that a customer's request has ended, served or not.
+void recordOutcome(ServedShares &Shares, const CustomerName &Customer,
+                   bool Served, TimePoint Now);
 
-/// Whether a customer was served so much less often than all that it should go
-/// first among its like. Pure.
-bool isUnderserved(const ServedShares &Of, const CustomerName &Who);
+/// Returns true if a customer is underserved, so that its requests should
+/// precede others of the same priority. Pure.
+bool isUnderserved(const ServedShares &Shares, const CustomerName &Customer);
 
 } // namespace wasabi
 
--- a/Wasabi/Dispatch/EnginePace.cpp
+++ b/Wasabi/Dispatch/EnginePace.cpp
@@ -4,48 +4,48 @@
 
 namespace wasabi {
 
-void recordEventInterval(EnginePace &Of, double EventIntervalMs, TimePoint Now,
-                         const EnginePaceSettings &Limits) {
-  double share = Of.RecentMs > 0 ? Limits.Smoothing : 1.0;
-  Of.RecentMs += share * (EventIntervalMs - Of.RecentMs);
-  ++Of.Count;
-  // The mean of the first pauses, then a moving one in which a stall counts no
-  // more than a slow engine's pause.
-  double own = std::max(Limits.LongTermSmoothing, 1.0 / Of.Count);
-  double counted =
-      Of.Count > Limits.MinEventCount
-          ? std::min(EventIntervalMs, Of.LongTermMs * Limits.SlowFactor)
+void recordEventInterval(EnginePace &Pace, double EventIntervalMs,
+                         TimePoint Now, const EnginePaceSettings &Limits) {
+  double recentWeight = Pace.RecentMs > 0 ? Limits.Smoothing : 1.0;
+  Pace.RecentMs += recentWeight * (EventIntervalMs - Pace.RecentMs);
+  ++Pace.Count;
+  // The arithmetic mean at first, then a moving average in which the interval
+  // of a stall is capped.
+  double longTermWeight = std::max(Limits.LongTermSmoothing, 1.0 / Pace.Count);
+  double cappedMs =
+      Pace.Count > Limits.MinEventCount
+          ? std::min(EventIntervalMs, Pace.LongTermMs * Limits.SlowFactor)
           : EventIntervalMs;
-  Of.LongTermMs += own * (counted - Of.LongTermMs);
-  Of.LastEvent = Now;
+  Pace.LongTermMs += longTermWeight * (cappedMs - Pace.LongTermMs);
+  Pace.LastEvent = Now;
 }
 
-void expireRecentPace(EnginePace &Of, TimePoint Now,
+void expireRecentPace(EnginePace &Pace, TimePoint Now,
                       const EnginePaceSettings &Limits) {
-  if (Now - Of.LastEvent > Limits.RecentTimeout)
-    Of.RecentMs = 0;
+  if (Now - Pace.LastEvent > Limits.RecentTimeout)
+    Pace.RecentMs = 0;
 }
 
-double longTermMs(const EnginePace &Of, const EnginePaceSettings &Limits) {
-  return Of.Count < Limits.MinEventCount ? 0 : Of.LongTermMs;
+double longTermMs(const EnginePace &Pace, const EnginePaceSettings &Limits) {
+  return Pace.Count < Limits.MinEventCount ? 0 : Pace.LongTermMs;
 }
 
-bool isSlow(const EnginePace &Of, double MedianMs,
+bool isSlow(const EnginePace &Pace, double MedianMs,
             const EnginePaceSettings &Limits) {
-  return MedianMs > 0 && Of.RecentMs > MedianMs * Limits.SlowFactor;
+  return MedianMs > 0 && Pace.RecentMs > MedianMs * Limits.SlowFactor;
 }
 
-std::uint32_t paceTier(const EnginePace &Of, double FastQuartileMs,
+std::uint32_t paceTier(const EnginePace &Pace, double FastQuartileMs,
                        const EnginePaceSettings &Limits) {
-  constexpr std::uint32_t MostGrades = 8;
-  double ms = longTermMs(Of, Limits);
+  constexpr std::uint32_t MaxTier = 8;
+  double ms = longTermMs(Pace, Limits);
   if (FastQuartileMs <= 0)
     return 0;
-  std::uint32_t grade = 0;
+  std::uint32_t tier = 0;
   for (double limit = FastQuartileMs * Limits.TierFactor;
-       ms > limit && grade < MostGrades; limit *= Limits.TierFactor)
-    ++grade;
-  return grade;
+       ms > limit && tier < MaxTier; limit *= Limits.TierFactor)
+    ++tier;
+  return tier;
 }
 
 } // namespace wasabi
--- a/Wasabi/Dispatch/EnginePool.cpp
+++ b/Wasabi/Dispatch/EnginePool.cpp
@@ -8,14 +8,15 @@
 
 namespace {
 
-/// The value that a part `Share` of `All` lies below; 0 of none.
-double quantile(std::vector<double> All, double Share) {
-  if (All.empty())
+/// Returns the quantile `Fraction` in [0, 1] of `Values`; 0 if there are none.
+double quantile(std::vector<double> Values, double Fraction) {
+  if (Values.empty())
     return 0;
-  auto place = All.begin() + static_cast<std::ptrdiff_t>(
-                                 static_cast<double>(All.size() - 1) * Share);
-  std::nth_element(All.begin(), place, All.end());
-  return *place;
+  auto nth =
+      Values.begin() + static_cast<std::ptrdiff_t>(
+                           static_cast<double>(Values.size() - 1) * Fraction);
+  std::nth_element(Values.begin(), nth, Values.end());
+  return *nth;
 }
 
 } // namespace
@@ -25,15 +26,15 @@
   constexpr double Median = 0.5;
   constexpr double Quarter = 0.25;
   std::vector<double> recent;
-  std::vector<double> own;
+  std::vector<double> longTerm;
   for (const std::shared_ptr<DispatchEngine> &it : Engines) {
     if (it->Pace.RecentMs > 0)
       recent.push_back(it->Pace.RecentMs);
     if (longTermMs(it->Pace, Limits.Pace) > 0)
-      own.push_back(longTermMs(it->Pace, Limits.Pace));
+      longTerm.push_back(longTermMs(it->Pace, Limits.Pace));
   }
   return PaceBaseline{quantile(std::move(recent), Median),
-                      quantile(std::move(own), Quarter)};
+                      quantile(std::move(longTerm), Quarter)};
 }
 
 std::map<ModelName, std::uint32_t>
@@ -44,15 +45,15 @@
     total += demand;
   if (total <= 0)
     return sizes;
-  std::uint32_t given = 0;
-  std::uint32_t least = Count >= 2 * Demand.size() ? 2 : 1;
+  std::uint32_t assigned = 0;
+  std::uint32_t minSize = Count >= 2 * Demand.size() ? 2 : 1;
   for (const auto &[model, demand] : Demand) {
     auto share = static_cast<std::uint32_t>(demand / total * Count);
-    sizes[model] = std::max(share, least);
-    given += sizes[model];
+    sizes[model] = std::max(share, minSize);
+    assigned += sizes[model];
   }
-  // What the least ones took beyond their share comes from the largest.
-  while (given > Count) {
+  // Minimum sizes may exceed the total: shrink the largest pools.
+  while (assigned > Count) {
     auto largest = std::max_element(sizes.begin(), sizes.end(),
                                     [](const auto &Left, const auto &Right) {
                                       return Left.second < Right.second;
@@ -60,38 +61,39 @@
     if (largest->second <= 1)
       break;
     --largest->second;
-    --given;
+    --assigned;
   }
-  // What rounding left goes to whoever is furthest below its share.
-  while (given < Count) {
+  // Distribute the remainder of rounding to the pools furthest below their
+  // share.
+  while (assigned < Count) {
     auto neediest = std::max_element(
         Demand.begin(), Demand.end(), [&](const auto &Left, const auto &Right) {
           return Left.second / total * Count - sizes[Left.first] <
                  Right.second / total * Count - sizes[Right.first];
         });
     ++sizes[neediest->first];
-    ++given;
+    ++assigned;
   }
   return sizes;
 }
 
 namespace {
 
-/// A model that an engine has served of late, as its weights show.
+/// The model that an engine has served recently, judged by its weights.
 struct ServedModel {
   ModelName Model;
-  /// By how many versions its weights are closer to the newest than those of
-  /// any other model.
+  /// Number of versions by which its weights are closer to the newest ones than
+  /// those of any other model.
   WeightVersion Lead = 0;
 };
 
-/// The model whose weights on the engine are closest to the newest ones, if one
-/// is closer than all others. A model that was never named is at its first
-/// version everywhere.
+/// Returns the model whose weights on the engine are closest to the newest
+/// ones; empty if there is no unique one. A model without a named version lags
+/// by 0.
 std::optional<ServedModel>
-servedModel(const DispatchEngine &Engine,
-            const std::map<ModelName, std::uint32_t> &Sizes,
-            const std::map<ModelName, WeightVersion> &Named) {
+findServedModel(const DispatchEngine &Engine,
+                const std::map<ModelName, std::uint32_t> &Sizes,
+                const std::map<ModelName, WeightVersion> &Named) {
   std::vector<std::pair<WeightVersion, ModelName>> lags;
   for (const auto &[model, size] : Sizes) {
     auto named = Named.find(model);
@@ -107,40 +109,42 @@
   return ServedModel{lags[0].second, lead};
 }
 
-struct PoolCount {
-  std::map<ModelName, int> Missing;
+/// Number of engines that each model lacks; negative if it has too many.
+struct PoolShortage {
+  std::map<ModelName, int> ByModel;
 
-  std::optional<ModelName> neediest() const {
-    auto it = std::max_element(Missing.begin(), Missing.end(),
+  std::optional<ModelName> findNeediest() const {
+    auto it = std::max_element(ByModel.begin(), ByModel.end(),
                                [](const auto &Left, const auto &Right) {
                                  return Left.second < Right.second;
                                });
-    if (it == Missing.end())
+    if (it == ByModel.end())
       return std::nullopt;
     return it->first;
   }
 };
 
-PoolCount countPools(const EngineList &Engines,
-                     const std::map<ModelName, std::uint32_t> &Sizes) {
-  PoolCount count;
+PoolShortage computeShortage(const EngineList &Engines,
+                             const std::map<ModelName, std::uint32_t> &Sizes) {
+  PoolShortage shortage;
   for (const auto &[model, size] : Sizes)
-    count.Missing[model] = static_cast<int>(size);
+    shortage.ByModel[model] = static_cast<int>(size);
   for (const std::shared_ptr<DispatchEngine> &it : Engines) {
     if (!it->Model.empty())
-      --count.Missing[it->Model];
+      --shortage.ByModel[it->Model];
   }
-  return count;
+  return shortage;
 }
 
-bool moveOne(EngineList &Engines, const PoolCount &Count) {
-  std::optional<ModelName> poor = Count.neediest();
-  if (!poor || Count.Missing.at(*poor) < 1)
+/// Moves the least busy engine of an oversized pool to the neediest model.
+bool moveEngine(EngineList &Engines, const PoolShortage &Shortage) {
+  std::optional<ModelName> neediest = Shortage.findNeediest();
+  if (!neediest || Shortage.ByModel.at(*neediest) < 1)
     return false;
   std::shared_ptr<DispatchEngine> best;
   for (const std::shared_ptr<DispatchEngine> &it : Engines) {
-    auto missing = Count.Missing.find(it->Model);
-    if (missing == Count.Missing.end() || missing->second > -1 ||
+    auto missing = Shortage.ByModel.find(it->Model);
+    if (missing == Shortage.ByModel.end() || missing->second > -1 ||
         it->isSwapping())
       continue;
     if (!best || it->Running < best->Running)
@@ -148,7 +152,7 @@
   }
   if (!best)
     return false;
-  best->Model = *poor;
+  best->Model = *neediest;
   best->Wanted = 0;
   return true;
 }
@@ -157,26 +161,27 @@
 
 namespace {
 
-/// Lets engines without a model keep the one that they served, those first that
-/// lead most, and no more of them than the model is to have: when a version has
-/// just been named every engine lags, and would go to the other models.
-bool keepServed(EngineList &Engines,
-                const std::map<ModelName, std::uint32_t> &Sizes,
-                const std::map<ModelName, WeightVersion> &Named) {
-  std::vector<std::pair<ServedModel, std::shared_ptr<DispatchEngine>>> leaning;
+/// Assigns engines without a model to the one that they served, up to the size
+/// of its pool, engines with the greatest lead first. The limit matters when a
+/// version has just been named: all engines lag and would go to other models.
+bool restoreServed(EngineList &Engines,
+                   const std::map<ModelName, std::uint32_t> &Sizes,
+                   const std::map<ModelName, WeightVersion> &Named) {
+  std::vector<std::pair<ServedModel, std::shared_ptr<DispatchEngine>>>
+      candidates;
   for (const std::shared_ptr<DispatchEngine> &it : Engines) {
-    std::optional<ServedModel> served = servedModel(*it, Sizes, Named);
+    std::optional<ServedModel> served = findServedModel(*it, Sizes, Named);
     if (it->Model.empty() && served)
-      leaning.emplace_back(*served, it);
+      candidates.emplace_back(*served, it);
   }
-  std::stable_sort(leaning.begin(), leaning.end(),
+  std::stable_sort(candidates.begin(), candidates.end(),
                    [](const auto &Left, const auto &Right) {
                      return Left.first.Lead > Right.first.Lead;
                    });
-  PoolCount count = countPools(Engines, Sizes);
+  PoolShortage shortage = computeShortage(Engines, Sizes);
   bool changed = false;
-  for (const auto &[served, engine] : leaning) {
-    int &missing = count.Missing[served.Model];
+  for (const auto &[served, engine] : candidates) {
+    int &missing = shortage.ByModel[served.Model];
     if (missing < 1)
       continue;
     --missing;
@@ -192,18 +197,19 @@
                   const std::map<ModelName, std::uint32_t> &Sizes,
                   const std::map<ModelName, WeightVersion> &Named,
                   bool MayMove) {
-  bool changed = keepServed(Engines, Sizes, Named);
+  bool changed = restoreServed(Engines, Sizes, Named);
   for (const std::shared_ptr<DispatchEngine> &it : Engines) {
     if (!it->Model.empty())
       continue;
-    std::optional<ModelName> poor = countPools(Engines, Sizes).neediest();
-    if (!poor)
+    std::optional<ModelName> neediest =
+        computeShortage(Engines, Sizes).findNeediest();
+    if (!neediest)
       return changed;
-    it->Model = *poor;
+    it->Model = *neediest;
     changed = true;
   }
   if (MayMove && !changed)
-    changed = moveOne(Engines, countPools(Engines, Sizes));
+    changed = moveEngine(Engines, computeShortage(Engines, Sizes));
   return changed;
 }
 
@@ -215,7 +221,7 @@
 
 std::shared_ptr<DispatchEngine> chooseEngine(const EngineList &Engines,
                                              const EngineRequirements &Need,
-                                             const PaceBaseline &Scale,
+                                             const PaceBaseline &Baseline,
                                              const EnginePoolSettings &Limits,
                                              TimePoint Now) {
   using Rank = std::tuple<bool, bool, bool, std::uint32_t, bool, double>;
@@ -224,17 +230,18 @@
   for (const std::shared_ptr<DispatchEngine> &it : Engines) {
     const UpstreamServer &server = *it->Server;
     WeightVersion has = it->version(Need.Model);
-    bool fits = it->Model == Need.Model && has >= Need.MinVersion &&
-                (!Need.ExactVersion || has == *Need.ExactVersion);
-    if (!fits || !hasRoom(*it, Now))
+    bool isSuitable = it->Model == Need.Model && has >= Need.MinVersion &&
+                      (!Need.ExactVersion || has == *Need.ExactVersion);
+    if (!isSuitable || !hasRoom(*it, Now))
       continue;
     double load = static_cast<double>(it->Running) / server.Entry.Slots;
-    std::uint32_t grade =
-        Need.IsLong ? paceTier(it->Pace, Scale.FastQuartileMs, Limits.Pace) : 0;
+    std::uint32_t tier =
+        Need.IsLong ? paceTier(it->Pace, Baseline.FastQuartileMs, Limits.Pace)
+                    : 0;
     Rank rank{server.SuspectUntil > Now,
-              isSlow(it->Pace, Scale.MedianMs, Limits.Pace),
+              isSlow(it->Pace, Baseline.MedianMs, Limits.Pace),
               server.Entry.incarnation() == Need.Avoid,
-              grade,
+              tier,
               server.Entry.incarnation() != Need.Preferred,
               load};
     if (!best || rank < bestRank) {
--- a/Wasabi/Dispatch/EnginePool.h
+++ b/Wasabi/Dispatch/EnginePool.h
@@ -1,6 +1,6 @@
 /// \file
-/// Which engine serves which model, and which one takes the next sample. Pure
-/// decisions over what the dispatcher believes of its engines.
+/// Assigns engines to models and chooses the engine for a sample, from the
+/// dispatcher's view of its engines.
 #ifndef WASABI_DISPATCH_ENGINEPOOL_H
 #define WASABI_DISPATCH_ENGINEPOOL_H
 
@@ -17,99 +17,100 @@
 
 namespace wasabi {
 
-/// One engine as the dispatcher sees it.
+/// The dispatcher's view of one engine.
 struct DispatchEngine {
   std::shared_ptr<UpstreamServer> Server;
-  /// The model that it serves; its weights of other models stay as they are.
+  /// Model that the engine serves, empty if none is assigned. Its weights of
+  /// other models are not updated.
   ModelName Model;
-  /// Freshest known weights.
+  /// Newest known version of the weights of each model.
   std::map<ModelName, WeightVersion> Versions;
-  /// When the engine itself last told its weights.
+  /// Time of the engine's last report of its weights.
   TimePoint LastReported;
-  /// Samples of this process at it.
+  /// Number of samples that this process has in flight on the engine.
   std::uint32_t Running = 0;
   EnginePace Pace;
-  /// The weights that this process wants of it and has not seen there yet, and
-  /// when it said so.
+  /// Version that this process has asked the engine to load, and the time of
+  /// that request.
   WeightVersion Wanted = 0;
   TimePoint WantedAt;
-  /// It has refused a sample a moment ago, and gets none before this.
+  /// The engine has refused a sample and gets no other before this time.
   TimePoint FullUntil;
-  /// Whether the engine is taking new weights now.
+  /// True while the engine loads weights.
   bool Loading = false;
 
-  WeightVersion version(const ModelName &Of) const {
-    auto it = Versions.find(Of);
+  /// Returns the version of a model's weights; 0 if unknown.
+  WeightVersion version(const ModelName &Name) const {
+    auto it = Versions.find(Name);
     return it == Versions.end() ? 0 : it->second;
   }
-  /// Whether it is on its way to other weights.
+  /// True if the engine is loading weights or has been asked to.
   bool isSwapping() const { return Loading || Wanted > version(Model); }
 };
 
 using EngineList = std::vector<std::shared_ptr<DispatchEngine>>;
 
-/// How choices are made.
+/// Parameters of the assignment.
 struct EnginePoolSettings {
   EnginePaceSettings Pace;
-  /// Part of the engines that may take new weights at once: more slow each
-  /// other down.
+  /// Fraction of the engines that may load weights at the same time. Concurrent
+  /// loads slow each other down.
   double MaxLoadingFraction = 0.2;
-  /// At least this many may.
+  /// Number of engines that may always load at the same time.
   std::uint32_t MinLoadingLimit = 2;
 };
 
-/// What the paces of all engines say of one, in milliseconds an event; 0 where
-/// nothing is known.
+/// Paces of all engines that one engine is compared with, in milliseconds per
+/// event; 0 if unknown.
 struct PaceBaseline {
-  /// The lower median of the recent paces.
+  /// Lower median of the recent paces.
   double MedianMs = 0;
-  /// A fourth of the engines are as fast as this or faster.
+  /// Lower quartile of the long-term paces.
   double FastQuartileMs = 0;
 };
 
-/// The scale of `Engines`. Pure.
+/// Computes the baseline of `Engines`. Pure.
 PaceBaseline computePaceBaseline(const EngineList &Engines,
                                  const EnginePoolSettings &Limits);
 
-/// How many engines each model should have, of `Count` in all, by the models'
-/// demand. Each model with demand gets two at least, where there are so many:
-/// one serves while the other takes new weights. Preconditions: `Demand` has an
-/// entry a model.
+/// Distributes `Count` engines to the models in proportion to their demand.
+/// Each model gets at least two engines if `Count` allows, so that one can
+/// serve while the other loads weights. Empty if the total demand is 0.
+/// Precondition: `Demand` has an entry for each model. Pure.
 std::map<ModelName, std::uint32_t>
 poolSizes(const std::map<ModelName, double> &Demand, std::uint32_t Count);
 
-/// Gives each engine without a model one, and moves at most one that has one
-/// from a model with one too many to a model with one too few. Returns whether
-/// anything changed. `Named` is the newest version of each model.
+/// Assigns a model to each engine without one. If `MayMove` is set and nothing
+/// was assigned, moves at most one engine from a model with too many engines to
+/// one with too few. `Named` holds the newest named version of each model.
+/// Returns true if an assignment changed.
 bool assignModels(EngineList &Engines,
                   const std::map<ModelName, std::uint32_t> &Sizes,
                   const std::map<ModelName, WeightVersion> &Named,
                   bool MayMove);
 
-/// What a sample needs of an engine.
+/// Requirements and preferences of a sample.
 struct EngineRequirements {
   ModelName Model;
   WeightVersion MinVersion = 0;
-  /// Set when the text must go on under this version.
+  /// Set if the text must be continued with this version.
   std::optional<WeightVersion> ExactVersion;
-  /// The engine that has the group's prompt, if any.
+  /// Engine that has the group's prompt cached, if any.
   ServerIncarnation Preferred;
-  /// The engine that has just failed the sample, if any.
+  /// Engine on which the sample has just failed, if any.
   ServerIncarnation Avoid;
-  /// Whether its text is likely to be one that its step waits for: it gets the
-  /// fastest engine that has room, before the one that has its prompt. Reading
-  /// a prompt of 1,000 tokens takes 2 ms, a hundred events on an engine of the
-  /// next grade two seconds more.
+  /// True if the text is long, so that its step is likely to wait for it. A
+  /// fast engine is then preferred to the one that has the prompt cached.
   bool IsLong = false;
 };
 
-/// Whether an engine takes one more sample of its model.
+/// Returns true if the engine can accept one more sample of its model.
 bool hasRoom(const DispatchEngine &Engine, TimePoint Now);
 
-/// The engine for one more sample, null if none has room.
+/// Returns the best engine for a sample; null if no engine fits and has room.
 std::shared_ptr<DispatchEngine> chooseEngine(const EngineList &Engines,
                                              const EngineRequirements &Need,
-                                             const PaceBaseline &Scale,
+                                             const PaceBaseline &Baseline,
                                              const EnginePoolSettings &Limits,
                                              TimePoint Now);
 
--- a/Wasabi/Dispatch/LeaseManager.cpp
+++ b/Wasabi/Dispatch/LeaseManager.cpp
@@ -10,51 +10,53 @@
 namespace asio = boost::asio;
 
 bool isLeaseFree(const LeaseState &Lease, const StoreContact &Contact,
-                 const LeaseSettings &Limits, Millis Spread, TimePoint Now) {
+                 const LeaseSettings &Limits, Millis ClaimJitter,
+                 TimePoint Now) {
   if (Contact.Lost)
     return false;
   if (!Lease.Holder || Lease.Released)
     return true;
-  // A process of the same instance is the successor of one that has ended.
+  // A holder of the same instance with another incarnation is a process that
+  // has ended; this process is its successor.
   if (Lease.Holder->Instance == Limits.Self.Instance)
     return Lease.Holder->Life != Limits.Self.Life;
-  // While the store was away nobody could renew: the holder gets its full time
-  // again after the store's return.
-  TimePoint heard = std::max(Lease.Seen, Contact.ReachableSince);
-  return Now - heard >= Limits.LeaseTimeout + Spread;
+  // The holder cannot renew while the store is unreachable, so the timeout
+  // starts again when the store returns.
+  TimePoint lastSeen = std::max(Lease.Seen, Contact.ReachableSince);
+  return Now - lastSeen >= Limits.LeaseTimeout + ClaimJitter;
 }
 
 Millis claimDelay(double CpuShare) {
-  // A dispatcher of 40 engines took 0.12 of a core, so half a core is ample and
-  // a tenth is too little; each further tenth is worth a quarter of a second.
-  constexpr double Ample = 0.5;
+  // Half a core is enough for a dispatcher; the delay grows with what is
+  // missing.
+  constexpr double SufficientCores = 0.5;
   constexpr double MillisPerCore = 2500;
-  double missing = std::max(0.0, Ample - CpuShare);
+  double missing = std::max(0.0, SufficientCores - CpuShare);
   return Millis(static_cast<std::int64_t>(missing * MillisPerCore));
 }
 
 LeaseManager::LeaseManager(asio::any_io_executor Executor,
                            std::shared_ptr<RolloutLog> Log,
                            std::shared_ptr<DecisionLog> Decisions,
-                           LeaseSettings Limits, Callbacks Calls)
+                           LeaseSettings Limits, Callbacks Handlers)
     : Limits(std::move(Limits)), Executor(std::move(Executor)),
       Log(std::move(Log)), Decisions(std::move(Decisions)),
-      Calls(std::move(Calls)), Random(this->Limits.Self.Life),
-      Spread(makeClaimJitter()) {}
+      Handlers(std::move(Handlers)), Random(this->Limits.Self.Life),
+      ClaimJitter(makeClaimJitter()) {}
 
 std::shared_ptr<LeaseManager>
 LeaseManager::create(asio::any_io_executor Executor,
                      std::shared_ptr<RolloutLog> Log,
                      std::shared_ptr<DecisionLog> Decisions,
-                     LeaseSettings Limits, Callbacks Calls) {
+                     LeaseSettings Limits, Callbacks Handlers) {
   return std::shared_ptr<LeaseManager>(new LeaseManager(
       std::move(Executor), std::move(Log), std::move(Decisions),
-      std::move(Limits), std::move(Calls)));
+      std::move(Limits), std::move(Handlers)));
 }
 
 void LeaseManager::start() {
   asio::co_spawn(
-      Executor, [self = shared_from_this()] { return self->keep(); },
+      Executor, [self = shared_from_this()] { return self->renewLoop(); },
       asio::detached);
 }
 
@@ -62,25 +64,26 @@
   return Millis(Random() % (Limits.MaxClaimJitter.count() + 1));
 }
 
-/// Compares what the topic says with what this process believes.
-void LeaseManager::look() {
+/// Updates `Held` from the lease in the topic and reports a change.
+void LeaseManager::updateHeld() {
   const LeaseState &lease = Log->fold().Lease;
-  bool mine = lease.Holder && *lease.Holder == Limits.Self && !lease.Released;
-  if (Held && (!mine || lease.Term != Term)) {
+  bool isHolder =
+      lease.Holder && *lease.Holder == Limits.Self && !lease.Released;
+  if (Held && (!isHolder || lease.Term != Term)) {
     Held = false;
     Decisions->line(
         "duty.lost",
         {{"term", std::to_string(Term)},
          {"holder", lease.Holder ? lease.Holder->Instance.Text : ""},
          {"new_term", std::to_string(lease.Term)}});
-    Calls.Lost();
+    Handlers.OnLost();
   }
-  if (!Held && mine && !ClaimingStopped) {
+  if (!Held && isHolder && !ClaimingStopped) {
     Held = true;
     Term = lease.Term;
     Proof = makeLeaseProof(Term, HasPredecessor, monotonicNow());
     Decisions->line("duty.gained", {{"term", std::to_string(Term)}});
-    Calls.Gained();
+    Handlers.OnAcquired();
   }
   if (Held)
     confirmRenewals(Proof, lease);
@@ -95,22 +98,22 @@
 asio::awaitable<void> LeaseManager::claim() {
   LeaseState before = Log->fold().Lease;
   TimePoint sent = monotonicNow();
-  Spread = makeClaimJitter();
+  ClaimJitter = makeClaimJitter();
   LeaseClaim claim{Limits.Self};
   if (before.Holder)
     claim.After = before.LastRecordOffset;
   HasPredecessor = before.Holder.has_value();
   std::vector<std::string> records{encodeRecord(claim)};
   LastRenewal = sent;
-  Outcome<Offset> got = co_await Log->append(std::move(records));
+  Outcome<Offset> appended = co_await Log->append(std::move(records));
   Decisions->line(
       "duty.claim",
       {{"after", claim.After ? std::to_string(*claim.After) : ""},
        {"before", before.Holder ? before.Holder->Instance.Text : ""},
-       {"result", got ? "appended" : describe(got.failure())}});
-  // What became of it is read from the topic.
-  Outcome<Done> fresh = co_await Log->refresh();
-  if (!fresh)
+       {"result", appended ? "appended" : describe(appended.failure())}});
+  // The append may succeed without winning the lease: the topic decides.
+  Outcome<Done> refreshed = co_await Log->refresh();
+  if (!refreshed)
     co_await pauseFor(Executor, Limits.RenewInterval);
 }
 
@@ -120,23 +123,22 @@
       encodeRecord(LeaseRenewal{Term, Limits.Self})};
   FencingToken term = Term;
   TimePoint sent = LastRenewal;
-  Outcome<Offset> got = co_await Log->append(std::move(records));
-  if (got && Held && term == Term)
-    noteRenewal(Proof, *got, sent);
-  look();
-  if (!got)
-    Decisions->line(
-        "duty.renewal_failed",
-        {{"term", std::to_string(Term)}, {"reason", describe(got.failure())}});
+  Outcome<Offset> appended = co_await Log->append(std::move(records));
+  if (appended && Held && term == Term)
+    noteRenewal(Proof, *appended, sent);
+  updateHeld();
+  if (!appended)
+    Decisions->line("duty.renewal_failed",
+                    {{"term", std::to_string(Term)},
+                     {"reason", describe(appended.failure())}});
 }
 
-/// Whether the lease is free and has been for as long as a stronger instance
-/// would need to take it.
+/// Returns true if the lease has been free for at least `ClaimDelay`.
 bool LeaseManager::mayClaim() {
   TimePoint now = monotonicNow();
   bool free =
       !Held && !ClaimingStopped && Log->caughtUp() &&
-      isLeaseFree(Log->fold().Lease, Log->contact(), Limits, Spread, now);
+      isLeaseFree(Log->fold().Lease, Log->contact(), Limits, ClaimJitter, now);
   if (!free) {
     FreeSince.reset();
     return false;
@@ -146,18 +148,18 @@
   return now - *FreeSince >= Limits.ClaimDelay;
 }
 
-asio::awaitable<void> LeaseManager::keep() {
+asio::awaitable<void> LeaseManager::renewLoop() {
   for (;;) {
-    look();
+    updateHeld();
     TimePoint now = monotonicNow();
     bool due = Held && now - LastRenewal >= Limits.RenewInterval;
-    bool wanted = mayClaim();
-    // A free lease is looked at more often, for the delay to be exact.
+    bool claimDue = mayClaim();
+    // A free lease is polled more often to keep to the claim delay.
     TimePoint next =
         now + (FreeSince ? Limits.MaxClaimJitter : Limits.RenewInterval);
     if (due)
       co_await renew();
-    else if (wanted)
+    else if (claimDue)
       co_await claim();
     else
       co_await Log->changes().wait(Held ? LastRenewal + Limits.RenewInterval
@@ -172,10 +174,11 @@
     co_return;
   Held = false;
   Texts.push_back(encodeRecord(LeaseRelease{Term}));
-  Outcome<Offset> got = co_await Log->append(std::move(Texts));
-  Decisions->line("duty.release",
-                  {{"term", std::to_string(Term)},
-                   {"result", got ? "taken" : describe(got.failure())}});
+  Outcome<Offset> appended = co_await Log->append(std::move(Texts));
+  Decisions->line(
+      "duty.release",
+      {{"term", std::to_string(Term)},
+       {"result", appended ? "taken" : describe(appended.failure())}});
 }
 
 } // namespace wasabi
--- a/Wasabi/Dispatch/LeaseManager.h
+++ b/Wasabi/Dispatch/LeaseManager.h
@@ -1,6 +1,6 @@
 /// \file
-/// Keeps the lease of the dispatching duty: claims it when it is free and
-/// renews it. Only economy hangs on it: a second dispatcher repeats work.
+/// Claims the dispatch lease when it is free and renews it while it is held.
+/// Two dispatchers at once repeat work but do not lose or corrupt any.
 #ifndef WASABI_DISPATCH_LEASEMANAGER_H
 #define WASABI_DISPATCH_LEASEMANAGER_H
 
@@ -14,68 +14,76 @@
 
 namespace wasabi {
 
-/// How long the lease holds.
+/// Timing of claims and renewals, and the identity of this process.
 struct LeaseSettings {
   LeaseHolder Self;
-  /// The others wait this long after they saw the holder's last record. A
-  /// store that takes sixty times its usual 4 ms still gets three renewals
-  /// through in this time.
+  /// Other processes may claim the lease this long after they read the holder's
+  /// last record. Leaves room for several renewals at a slow store.
   Millis LeaseTimeout{1500};
-  /// Between renewals: three may be lost in a row.
+  /// Time between renewals.
   Millis RenewInterval{400};
-  /// Spread of claims after an expiry, so that not all claim at once.
+  /// Upper bound of the random delay of a claim after the lease has expired.
+  /// Keeps processes from claiming at the same time.
   Millis MaxClaimJitter{200};
   /// See `PermitSettings`.
   Millis TakeoverDelay{3000};
-  /// This process waits longer by this before it claims, so that a stronger
-  /// instance comes first: the holder's work grows with the whole deployment.
+  /// Additional delay before this process claims a free lease. Instances with
+  /// fewer processor cores have a longer delay, as the holder's work grows with
+  /// the size of the deployment. See `claimDelay`.
   Millis ClaimDelay{0};
 };
 
-/// The delay of an instance that has `CpuShare` of a processor core. Pure.
+/// Returns the claim delay of an instance that may use `CpuShare` processor
+/// cores. Pure.
 Millis claimDelay(double CpuShare);
 
-/// Whether the lease may be claimed now. Pure.
+/// Returns true if the lease may be claimed at `Now`. `ClaimJitter` is added to
+/// the timeout of an expired lease. Pure.
 bool isLeaseFree(const LeaseState &Lease, const StoreContact &Contact,
-                 const LeaseSettings &Limits, Millis Spread, TimePoint Now);
+                 const LeaseSettings &Limits, Millis ClaimJitter,
+                 TimePoint Now);
 
-/// Used on one thread, that of its executor.
+/// Claims, renews and releases the dispatch lease. Must be used on the thread
+/// of its executor only.
 class LeaseManager : public std::enable_shared_from_this<LeaseManager> {
 public:
   struct Callbacks {
-    /// The duty is this process's from now on.
-    std::function<void()> Gained;
-    /// Another process has it.
-    std::function<void()> Lost;
+    /// Called when this process has acquired the lease.
+    std::function<void()> OnAcquired;
+    /// Called when this process has lost the lease to another process.
+    std::function<void()> OnLost;
   };
 
   static std::shared_ptr<LeaseManager>
   create(boost::asio::any_io_executor Executor, std::shared_ptr<RolloutLog> Log,
          std::shared_ptr<DecisionLog> Decisions, LeaseSettings Limits,
-         Callbacks Calls);
+         Callbacks Handlers);
 
-  /// Begins to claim, for as long as the context runs.
+  /// Starts the loop that claims and renews the lease. It runs as long as the
+  /// executor's context.
   void start();
-  /// Claims no more; what is held stays held until `release`.
+  /// Stops claiming. A lease that is held stays held until `release`.
   void stopClaiming() { ClaimingStopped = true; }
-  /// Appends `Texts` and gives the lease back. Does nothing if it is not held.
+  /// Appends the records `Texts` and then releases the lease. Stops claiming;
+  /// appends nothing if the lease is not held.
   boost::asio::awaitable<void> release(std::vector<std::string> Texts);
 
   bool held() const { return Held; }
 
-  /// When calls may be made that nothing but the lease guards; empty if this
-  /// process does not hold it, or has not proved so.
+  /// Returns the period in which this process may make calls that are protected
+  /// by the lease only. Empty if the lease is not held, no renewal has been
+  /// confirmed yet, or claiming has been stopped.
   std::optional<LeasePermit> permit() const;
 
 private:
   LeaseManager(boost::asio::any_io_executor Executor,
                std::shared_ptr<RolloutLog> Log,
                std::shared_ptr<DecisionLog> Decisions, LeaseSettings Limits,
-               Callbacks Calls);
-  boost::asio::awaitable<void> keep();
+               Callbacks Handlers);
+  boost::asio::awaitable<void> renewLoop();
   boost::asio::awaitable<void> claim();
   boost::asio::awaitable<void> renew();
-  void look();
+  void updateHeld();
   bool mayClaim();
   Millis makeClaimJitter();
 
@@ -83,18 +91,18 @@
   const boost::asio::any_io_executor Executor;
   const std::shared_ptr<RolloutLog> Log;
   const std::shared_ptr<DecisionLog> Decisions;
-  const Callbacks Calls;
+  const Callbacks Handlers;
   std::mt19937_64 Random;
-  /// This process's part of `MaxClaimJitter`, drawn anew for each claim.
-  Millis Spread;
+  /// Random delay in [0, MaxClaimJitter]; drawn again for each claim.
+  Millis ClaimJitter;
   bool ClaimingStopped = false;
   bool Held = false;
   FencingToken Term = 0;
   TimePoint LastRenewal;
   LeaseProof Proof;
-  /// Whether there was a holder before this process claimed the lease.
+  /// True if the lease had a holder before this process claimed it.
   bool HasPredecessor = true;
-  /// Since when the lease has been seen to be free; empty while it is not.
+  /// Time at which the lease was first seen to be free; empty while it is not.
   std::optional<TimePoint> FreeSince;
 };
 
--- a/Wasabi/Dispatch/LeasePermit.cpp
+++ b/Wasabi/Dispatch/LeasePermit.cpp
@@ -6,34 +6,36 @@
                           TimePoint Now) {
   LeaseProof proof;
   proof.Term = Term;
-  proof.Gained = Now;
+  proof.AcquiredAt = Now;
   proof.HasPredecessor = HasPredecessor;
   return proof;
 }
 
-void noteRenewal(LeaseProof &Of, Offset At, TimePoint Sent) {
-  Of.UnconfirmedRenewals[At] = Sent;
+void noteRenewal(LeaseProof &Proof, Offset At, TimePoint Sent) {
+  Proof.UnconfirmedRenewals[At] = Sent;
 }
 
-void confirmRenewals(LeaseProof &Of, const LeaseState &Lease) {
-  if (!Lease.Holder || Lease.Term != Of.Term || Lease.Released)
+void confirmRenewals(LeaseProof &Proof, const LeaseState &Lease) {
+  if (!Lease.Holder || Lease.Term != Proof.Term || Lease.Released)
     return;
-  auto it = Of.UnconfirmedRenewals.find(Lease.LastRecordOffset);
-  if (it == Of.UnconfirmedRenewals.end())
+  auto it = Proof.UnconfirmedRenewals.find(Lease.LastRecordOffset);
+  if (it == Proof.UnconfirmedRenewals.end())
     return;
-  Of.LastConfirmed = it->second;
-  Of.UnconfirmedRenewals.erase(Of.UnconfirmedRenewals.begin(), std::next(it));
+  Proof.LastConfirmed = it->second;
+  Proof.UnconfirmedRenewals.erase(Proof.UnconfirmedRenewals.begin(),
+                                  std::next(it));
 }
 
-std::optional<LeasePermit> computePermit(const LeaseProof &Of,
+std::optional<LeasePermit> computePermit(const LeaseProof &Proof,
                                          const PermitSettings &Limits) {
-  if (!Of.LastConfirmed)
+  if (!Proof.LastConfirmed)
     return std::nullopt;
-  TimePoint from =
-      Of.HasPredecessor ? Of.Gained + Limits.TakeoverDelay : Of.Gained;
-  // The first claim of all may lie at offset 0.
-  return LeasePermit{Of.Term + 1, from,
-                     *Of.LastConfirmed + Limits.LeaseTimeout};
+  TimePoint from = Proof.HasPredecessor
+                       ? Proof.AcquiredAt + Limits.TakeoverDelay
+                       : Proof.AcquiredAt;
+  // The first claim in the topic may have offset 0, and a token is never 0.
+  return LeasePermit{Proof.Term + 1, from,
+                     *Proof.LastConfirmed + Limits.LeaseTimeout};
 }
 
 } // namespace wasabi
--- a/Wasabi/Dispatch/LeasePermit.h
+++ b/Wasabi/Dispatch/LeasePermit.h
@@ -1,11 +1,8 @@
 /// \file
-/// When calls may be made that nothing but the dispatching lease guards:
-/// whoever takes them checks no fencing token, and can't take one back. Pure.
-///
-/// The pattern that this answers: a holder that is frozen or cut off between
-/// its look at the lease and its call, renewals whose answers are lost or that
-/// are carried out seconds later, and a successor that must not let its calls
-/// mingle with those of the holder before.
+/// Computes when the holder of the dispatch lease may make calls that are
+/// protected by the lease only: their receiver checks no fencing token and
+/// cannot undo a call. Calls of successive holders must not interleave, even if
+/// a holder freezes, is disconnected or has renewals that are lost or late.
 #ifndef WASABI_DISPATCH_LEASEPERMIT_H
 #define WASABI_DISPATCH_LEASEPERMIT_H
 
@@ -16,53 +13,58 @@
 
 namespace wasabi {
 
-/// Calls may be made from `From` until `Until`. An immutable value.
+/// A period in which calls may be made. An immutable value.
 struct LeasePermit {
-  /// Greater than those of all holders before, and never 0.
+  /// Greater than the tokens of all previous holders, and never 0.
   FencingToken Token = 0;
-  /// Calls of the holder before may be on their way until then.
+  /// Start of the period. Calls of the previous holder may be in flight before.
   TimePoint From;
-  /// Another process may hold the lease then.
+  /// End of the period. Another process may hold the lease from then on.
   TimePoint Until;
   bool operator==(const LeasePermit &) const = default;
 };
 
-/// How permits follow from the lease.
+/// Time limits from which permits are computed.
 struct PermitSettings {
-  /// The others wait this long after they saw the holder's last record.
+  /// Other processes may claim the lease this long after they read the holder's
+  /// last record.
   Millis LeaseTimeout{1500};
-  /// How far apart two holders' calls must be. It covers the time that a call
-  /// takes, too.
+  /// Time between acquiring the lease from a previous holder and the first
+  /// call. Includes the maximum duration of a call.
   Millis TakeoverDelay{3000};
 };
 
-/// What proves that a process holds the lease. Owned by one thread.
+/// Evidence that a process holds the lease. Not thread-safe.
 struct LeaseProof {
-  /// Offset of the claim.
+  /// Offset of the claim's record.
   FencingToken Term = 0;
-  TimePoint Gained;
-  /// Whether there was a holder before.
+  TimePoint AcquiredAt;
+  /// True if the lease had a holder before.
   bool HasPredecessor = true;
-  /// When a renewal was sent, by its offset; those that were not read yet.
+  /// Send times, by offset, of the renewals that have been appended but not
+  /// read back from the topic.
   std::map<Offset, TimePoint> UnconfirmedRenewals;
-  /// When the newest renewal was sent that the topic shows.
+  /// Send time of the newest renewal that was read back as valid; empty until
+  /// there is one.
   std::optional<TimePoint> LastConfirmed;
 };
 
-/// The proof of a lease that has just been gained.
+/// Returns the proof of a lease that was acquired at `Now`, without a confirmed
+/// renewal.
 LeaseProof makeLeaseProof(FencingToken Term, bool HasPredecessor,
                           TimePoint Now);
 
-/// The store has taken a renewal that was sent at `Sent`. That proves nothing
-/// yet: another process's claim may lie before it.
-void noteRenewal(LeaseProof &Of, Offset At, TimePoint Sent);
+/// Records that the store has appended a renewal at `At` that was sent at
+/// `Sent`. The renewal is not confirmed yet: the claim of another process may
+/// precede it.
+void noteRenewal(LeaseProof &Proof, Offset At, TimePoint Sent);
 
-/// Takes up what the topic shows of the lease: a renewal that it shows as valid
-/// was sent before anybody read it, and the others wait from then.
-void confirmRenewals(LeaseProof &Of, const LeaseState &Lease);
+/// Confirms the renewal that `Lease` shows as its last valid record. Other
+/// processes read it after it was sent, so their timeout starts no earlier.
+void confirmRenewals(LeaseProof &Proof, const LeaseState &Lease);
 
-/// The permit; empty while nothing is proved.
-std::optional<LeasePermit> computePermit(const LeaseProof &Of,
+/// Returns the permit; empty until a renewal has been confirmed.
+std::optional<LeasePermit> computePermit(const LeaseProof &Proof,
                                          const PermitSettings &Limits);
 
 } // namespace wasabi
--- a/Wasabi/Dispatch/WeightReconciler.cpp
+++ b/Wasabi/Dispatch/WeightReconciler.cpp
@@ -25,121 +25,124 @@
 
 void WeightReconciler::start() {
   asio::co_spawn(
-      Executor, [self = shared_from_this()] { return self->keep(); },
+      Executor, [self = shared_from_this()] { return self->pollLoop(); },
       asio::detached);
 }
 
-void WeightReconciler::setRegistrations(std::vector<UpstreamRegistration> Now) {
-  Entries = std::move(Now);
+void WeightReconciler::setRegistrations(
+    std::vector<UpstreamRegistration> Entries) {
+  Registrations = std::move(Entries);
   Changed.notify();
 }
 
 const UpstreamRegistration *WeightReconciler::engine() const {
-  for (const UpstreamRegistration &it : Entries) {
-    if (!Gone.contains(it.incarnation()))
+  for (const UpstreamRegistration &it : Registrations) {
+    if (!ReplacedServers.contains(it.incarnation()))
       return &it;
   }
   return nullptr;
 }
 
-void WeightReconciler::setWanted(const ServerName &Of, WantedWeights What,
-                                 Offset At) {
-  Wanted &wanted = WantedByServer[Of];
-  if (wanted.At > At)
+void WeightReconciler::setWanted(const ServerName &Server,
+                                 WantedWeights Weights, Offset RecordOffset) {
+  WantedRecord &wanted = WantedByServer[Server];
+  if (wanted.RecordOffset > RecordOffset)
     return;
-  wanted = Wanted{std::move(What), At};
+  wanted = WantedRecord{std::move(Weights), RecordOffset};
   Changed.notify();
 }
 
-asio::awaitable<void> WeightReconciler::keep() {
+asio::awaitable<void> WeightReconciler::pollLoop() {
   for (;;) {
-    bool settled = co_await look();
+    bool settled = co_await pollEngine();
     co_await Changed.wait(monotonicNow() + (settled ? Limits.IdlePollInterval
                                                     : Limits.PollInterval));
   }
 }
 
-/// Looks at the engine once and gives the order that is due. False if the
-/// engine is not where it should be.
-asio::awaitable<bool> WeightReconciler::look() {
+/// Polls the engine once and requests the weights that are due. Returns false
+/// if the engine is loading or lacks the wanted weights.
+asio::awaitable<bool> WeightReconciler::pollEngine() {
   const UpstreamRegistration *entry = this->engine();
   if (entry == nullptr)
     co_return true;
   UpstreamRegistration engine = *entry;
   Outcome<EngineReport> got =
-      co_await Engines.Report(engine, Limits.AnswerTime);
+      co_await Engines.Report(engine, Limits.ReportTimeout);
   if (!got)
     co_return true;
-  // The engine knows best which start it is; its registration may be late.
-  ServerIncarnation is{engine.Id, got->Start > 0 ? got->Start : engine.Start};
-  // Without a token of this life nothing may be ordered.
+  // The start time that the engine reports takes precedence: its registration
+  // may be stale.
+  ServerIncarnation running{engine.Id,
+                            got->Start > 0 ? got->Start : engine.Start};
+  // A load request needs a token of this incarnation: publish first.
   bool first = !Token;
   // Named, since GCC 12 destroys an aggregate that is a temporary of a
   // `co_await` twice.
   HeldWeights held{got->Models, got->Busy, is.Start};
   if (first)
     co_await publish(engine.Id, held);
-  const WantedWeights *due = findDueWeights(is, *got);
+  const WantedWeights *due = findDueWeights(running, *got);
   if (due != nullptr && Token)
-    co_await order(engine, *due, got->Accepted);
+    co_await orderWeights(engine, *due, got->Accepted);
   if (!first)
     co_await publish(engine.Id, held);
   co_return !got->Busy && due == nullptr;
 }
 
-/// What the engine should be ordered to take now, null if nothing.
+/// Returns the weights that the engine should load now; null if there are none.
 const WantedWeights *
-WeightReconciler::findDueWeights(const ServerIncarnation &Of,
-                                 const EngineReport &Now) const {
-  auto wanted = WantedByServer.find(Of.Server);
-  if (Now.Busy || wanted == WantedByServer.end())
+WeightReconciler::findDueWeights(const ServerIncarnation &Running,
+                                 const EngineReport &Report) const {
+  auto wanted = WantedByServer.find(Running.Server);
+  if (Report.Busy || wanted == WantedByServer.end())
     return nullptr;
-  const WantedWeights &what = wanted->second.What;
-  if (!mayBeSameStart(what.Start, Of.Start))
+  const WantedWeights &what = wanted->second.Weights;
+  if (!mayBeSameStart(what.Start, Running.Start))
     return nullptr;
-  auto has = Now.Models.find(what.Model);
-  bool there = has != Now.Models.end() && has->second >= what.Version;
-  return there ? nullptr : &what;
+  auto has = Report.Models.find(what.Model);
+  bool isLoaded = has != Report.Models.end() && has->second >= what.Version;
+  return isLoaded ? nullptr : &what;
 }
 
-asio::awaitable<void> WeightReconciler::order(UpstreamRegistration Engine,
-                                              WantedWeights What,
-                                              std::uint64_t Accepted) {
-  WeightLoadRequest order{What.Model,    What.Version, What.Mode,
-                          Limits.Holder, *Token,       Accepted};
+asio::awaitable<void>
+WeightReconciler::orderWeights(UpstreamRegistration Engine,
+                               WantedWeights Weights, std::uint64_t Accepted) {
+  WeightLoadRequest request{Weights.Model, Weights.Version, Weights.Mode,
+                            Limits.Holder, *Token,          Accepted};
   Outcome<WeightLoadOutcome> got =
-      co_await Engines.LoadWeights(Engine, order, Limits.AnswerTime);
-  bool begun = got && *got == WeightLoadOutcome::Started;
+      co_await Engines.LoadWeights(Engine, request, Limits.ReportTimeout);
+  bool started = got && *got == WeightLoadOutcome::Started;
   if (got && *got == WeightLoadOutcome::WrongServer)
-    Gone.insert(Engine.incarnation());
+    ReplacedServers.insert(Engine.incarnation());
   std::string result =
-      got ? begun ? "begun" : "not begun" : describe(got.failure());
+      got ? started ? "begun" : "not begun" : describe(got.failure());
   Decisions->line("engine.order", {{"server", Engine.Id.Text},
-                                   {"model", order.Model.Text},
-                                   {"version", std::to_string(order.Version)},
-                                   {"token", std::to_string(order.Token)},
+                                   {"model", request.Model.Text},
+                                   {"version", std::to_string(request.Version)},
+                                   {"token", std::to_string(request.Token)},
                                    {"accepted", std::to_string(Accepted)},
                                    {"result", result}});
 }
 
-/// Tells the store what the engine holds, if that is news. What the store does
-/// not take is told again at the next look.
-asio::awaitable<void> WeightReconciler::publish(ServerName Of,
-                                                HeldWeights Now) {
-  if (Token && Published == Now && PublishedServer == Of)
+/// Appends the weights that the engine holds to the store if they have changed.
+/// A failed append is repeated at the next poll.
+asio::awaitable<void> WeightReconciler::publish(ServerName Server,
+                                                HeldWeights Held) {
+  if (Token && Published == Held && PublishedServer == Server)
     co_return;
   Outcome<Offset> got = co_await Store.AppendKeyed(
-      HeldTopic, Of.Text, encodeHeld(Now), Limits.AppendTimeout);
+      HeldTopic, Server.Text, encodeHeld(Held), Limits.AppendTimeout);
   Decisions->line("engine.state",
-                  {{"server", Of.Text},
-                   {"start", std::to_string(Now.Start)},
-                   {"loading", Now.Loading ? "yes" : "no"},
+                  {{"server", Server.Text},
+                   {"start", std::to_string(Held.Start)},
+                   {"loading", Held.Loading ? "yes" : "no"},
                    {"result", got ? "told" : describe(got.failure())}});
   if (!got)
     co_return;
   Token = *got;
-  Published = std::move(Now);
-  PublishedServer = std::move(Of);
+  Published = std::move(Held);
+  PublishedServer = std::move(Server);
 }
 
 } // namespace wasabi
--- a/Wasabi/Dispatch/WeightReconciler.h
+++ b/Wasabi/Dispatch/WeightReconciler.h
@@ -1,7 +1,6 @@
 /// \file
-/// Brings one engine to the weights that are wanted of it. It runs beside the
-/// engine and is the only one that gives it orders, so that no two holders ever
-/// take turns.
+/// Loads the wanted weights into one engine. Runs in the engine's sidecar,
+/// which is the only process that sends it load requests.
 #ifndef WASABI_DISPATCH_WEIGHTRECONCILER_H
 #define WASABI_DISPATCH_WEIGHTRECONCILER_H
 
@@ -18,21 +17,22 @@
 
 namespace wasabi {
 
-/// Used on one thread, that of its executor.
+/// Polls one engine, requests the weights that are wanted of it, and publishes
+/// the weights that it holds. Must be used on the thread of its executor only.
 class WeightReconciler : public std::enable_shared_from_this<WeightReconciler> {
 public:
   struct Settings {
-    /// Named as the holder in each order.
+    /// Name of the holder in each load request.
     std::string Holder;
-    /// Pause between two looks at an engine that is not where it should be;
-    /// a load takes 0.9 s.
+    /// Time between two polls while the engine is loading or lacks the wanted
+    /// weights.
     Millis PollInterval{60};
-    /// Pause between two looks at one that is: it may be restarted, or a late
-    /// order may be carried out.
+    /// Time between two polls otherwise. Polling continues since the engine may
+    /// restart or execute a delayed request.
     Millis IdlePollInterval{500};
-    /// How long an answer of the engine may take.
-    Millis AnswerTime{500};
-    /// How long the store may take for a record.
+    /// Time limit of each call to the engine: a report or a load request.
+    Millis ReportTimeout{500};
+    /// Time limit of an append to the store.
     Millis AppendTimeout{800};
   };
 
@@ -41,34 +41,36 @@
          EnginePort Engines, std::shared_ptr<DecisionLog> Decisions,
          Settings Limits);
 
-  /// Begins to look after the engine, for as long as the context runs.
+  /// Starts the polling loop. It runs as long as the executor's context.
   void start();
-  /// The registrations at the engine's address, the likeliest first: after a
-  /// restart the one before may still be there. The first that has not turned
-  /// out to be another server is the engine.
+  /// Sets the registrations at the engine's address, most likely first: after a
+  /// restart the previous one may still exist. The first one that the engine
+  /// has not rejected as another server's is used.
   void setRegistrations(std::vector<UpstreamRegistration> Entries);
-  /// What is wanted of the server `Of`, from the record at `At`.
-  void setWanted(const ServerName &Of, WantedWeights What, Offset At);
+  /// Sets the weights that are wanted of a server. A record at a lower offset
+  /// than the last one is ignored.
+  void setWanted(const ServerName &Server, WantedWeights Weights,
+                 Offset RecordOffset);
 
 private:
-  /// What is wanted, and the offset of its record.
-  struct Wanted {
-    WantedWeights What;
-    Offset At = 0;
+  /// Wanted weights and the offset of their record.
+  struct WantedRecord {
+    WantedWeights Weights;
+    Offset RecordOffset = 0;
   };
 
   WeightReconciler(boost::asio::any_io_executor Executor, RecordStore Store,
                    EnginePort Engines, std::shared_ptr<DecisionLog> Decisions,
                    Settings Limits);
   const UpstreamRegistration *engine() const;
-  boost::asio::awaitable<void> keep();
-  boost::asio::awaitable<bool> look();
-  const WantedWeights *findDueWeights(const ServerIncarnation &Of,
-                                      const EngineReport &Now) const;
-  boost::asio::awaitable<void> order(UpstreamRegistration Engine,
-                                     WantedWeights What,
-                                     std::uint64_t Accepted);
-  boost::asio::awaitable<void> publish(ServerName Of, HeldWeights Now);
+  boost::asio::awaitable<void> pollLoop();
+  boost::asio::awaitable<bool> pollEngine();
+  const WantedWeights *findDueWeights(const ServerIncarnation &Running,
+                                      const EngineReport &Report) const;
+  boost::asio::awaitable<void> orderWeights(UpstreamRegistration Engine,
+                                            WantedWeights Weights,
+                                            std::uint64_t Accepted);
+  boost::asio::awaitable<void> publish(ServerName Server, HeldWeights Held);
 
   const Settings Limits;
   const boost::asio::any_io_executor Executor;
@@ -76,15 +78,16 @@
   const EnginePort Engines;
   const std::shared_ptr<DecisionLog> Decisions;
   AsyncSignal Changed;
-  std::vector<UpstreamRegistration> Entries;
-  /// Servers that are not at the address any more.
-  std::set<ServerIncarnation> Gone;
-  std::map<ServerName, Wanted> WantedByServer;
-  /// What the store was told last, and of whom.
+  std::vector<UpstreamRegistration> Registrations;
+  /// Servers that are no longer at the address.
+  std::set<ServerIncarnation> ReplacedServers;
+  std::map<ServerName, WantedRecord> WantedByServer;
+  /// Last published weights, and the server that holds them.
   std::optional<HeldWeights> Published;
   ServerName PublishedServer;
-  /// Offset of the newest record of this life: greater than that of any record
-  /// of a life before, so it fences their orders off. Empty until there is one.
+  /// Offset of the newest record of this incarnation. Greater than the tokens
+  /// of earlier incarnations, so that it fences their requests off. Empty until
+  /// the first record is appended.
   std::optional<FencingToken> Token;
 };
 
