--- a/UnitTests/Dispatch/EnginePoolTest.cpp
+++ b/UnitTests/Dispatch/EnginePoolTest.cpp
@@ -68,7 +68,8 @@
   CHECK(engines[2]->Model == Red);
 }
 
-TEST_CASE("A model without a named version keeps its engines", "[dispatch]") {
+TEST_CASE("A model without a named version gets its share of the engines",
+          "[dispatch]") {
   // Only red has a named version, and no engine has loaded it yet.
   EngineList engines{makeEngine("a", 1, 1), makeEngine("b", 1, 1),
                      makeEngine("c", 1, 1), makeEngine("d", 1, 1)};
--- a/UnitTests/Dispatch/LeasePermitTest.cpp
+++ b/UnitTests/Dispatch/LeasePermitTest.cpp
@@ -176,12 +176,12 @@
       return;
     std::optional<LeasePermit> permit =
         computePermit(Process.Proof, PermitSettings());
-    bool may = permit && permit->From <= Now && Now < permit->Until;
+    bool mayCall = permit && permit->From <= Now && Now < permit->Until;
     if (Rule == CallRule::NoTakeoverDelay)
-      may = permit && Now < permit->Until;
+      mayCall = permit && Now < permit->Until;
     if (Rule == CallRule::HeldInTopic)
-      may = true;
-    if (may)
+      mayCall = true;
+    if (mayCall)
       Calls.push_back({Now + Millis(Random() % MaxCallDuration.count()), Index,
                        Process.Proof.Term + 1});
   }
@@ -234,10 +234,10 @@
     greatest = it.Token;
     if (holders.emplace(it.Token, it.Holder).first->second != it.Holder)
       return "two holders with one token";
-    bool another = false;
+    bool otherHolder = false;
     for (std::size_t k = i; k-- > 0 && it.At - Calls[k].At < Lease;) {
-      another = another || Calls[k].Holder != it.Holder;
-      if (another && Calls[k].Holder == it.Holder)
+      otherHolder = otherHolder || Calls[k].Holder != it.Holder;
+      if (otherHolder && Calls[k].Holder == it.Holder)
         return "calls of two holders interleave";
     }
   }
@@ -275,9 +275,9 @@
       it.Kind = static_cast<FaultKind>(
           random() % static_cast<std::uint64_t>(FaultKind::Count));
     }
-    std::string fault = findViolation(Simulation(faults, Rule, seed).run());
-    if (!fault.empty())
-      return fault;
+    std::string violation = findViolation(Simulation(faults, Rule, seed).run());
+    if (!violation.empty())
+      return violation;
   }
   return "";
 }
@@ -289,9 +289,9 @@
   test::holds([] {
     std::vector<FaultPeriod> faults = makeHistory();
     std::uint64_t seed = *rc::gen::arbitrary<std::uint64_t>();
-    std::string fault =
+    std::string violation =
         findViolation(Simulation(faults, CallRule::Permit, seed).run());
-    RC_ASSERT(fault.empty());
+    RC_ASSERT(violation.empty());
   });
   CHECK(findFirstViolation(CallRule::Permit).empty());
 }
@@ -306,18 +306,18 @@
 
 TEST_CASE("A first holder calls soon, and a successor after the takeover delay",
           "[dispatch]") {
-  std::vector<Call> quiet = Simulation({}, CallRule::Permit, 1).run();
-  REQUIRE_FALSE(quiet.empty());
-  CHECK(quiet.front().At < TimePoint(Millis(2500)));
-  CHECK(quiet.back().At > TimePoint(Step * StepCount - Millis(100)));
-  std::size_t first = quiet.front().Holder;
-  std::vector<Call> killed =
+  std::vector<Call> undisturbed = Simulation({}, CallRule::Permit, 1).run();
+  REQUIRE_FALSE(undisturbed.empty());
+  CHECK(undisturbed.front().At < TimePoint(Millis(2500)));
+  CHECK(undisturbed.back().At > TimePoint(Step * StepCount - Millis(100)));
+  std::size_t first = undisturbed.front().Holder;
+  std::vector<Call> interrupted =
       Simulation({{200, 200, first, FaultKind::Frozen}}, CallRule::Permit, 1)
           .run();
   TimePoint frozen(Step * 200);
-  auto next = std::find_if(killed.begin(), killed.end(),
+  auto next = std::find_if(interrupted.begin(), interrupted.end(),
                            [&](const Call &It) { return It.Holder != first; });
-  REQUIRE(next != killed.end());
+  REQUIRE(next != interrupted.end());
   CHECK(next->At - frozen > Millis(3000));
   CHECK(next->At - frozen < Millis(7000));
 }
--- a/UnitTests/Dispatch/WeightReconcilerTest.cpp
+++ b/UnitTests/Dispatch/WeightReconcilerTest.cpp
@@ -173,7 +173,7 @@
   CHECK(world.reachesVersion(5));
 }
 
-TEST_CASE("What an engine holds is isPublished to the store", "[dispatch]") {
+TEST_CASE("The weights that an engine holds are published", "[dispatch]") {
   ReconcilerFixture world;
   world.Reconciler->setWanted(Server, {Red, 2, SwapMode::Continue}, 0);
   REQUIRE(world.reachesVersion(2));
--- a/Wasabi/Dispatch/LeaseManager.h
+++ b/Wasabi/Dispatch/LeaseManager.h
@@ -1,6 +1,6 @@
 /// \file
 /// Claims the dispatch lease when it is free and renews it while it is held.
-/// Two dispatchers at once repeat work but do not lose or corrupt any.
+/// The lease avoids duplicate work only: a second dispatcher repeats work.
 #ifndef WASABI_DISPATCH_LEASEMANAGER_H
 #define WASABI_DISPATCH_LEASEMANAGER_H
 
--- a/Wasabi/Dispatch/WeightReconciler.cpp
+++ b/Wasabi/Dispatch/WeightReconciler.cpp
@@ -79,7 +79,7 @@
   bool first = !Token;
   // Named, since GCC 12 destroys an aggregate that is a temporary of a
   // `co_await` twice.
-  HeldWeights held{got->Models, got->Busy, is.Start};
+  HeldWeights held{got->Models, got->Busy, running.Start};
   if (first)
     co_await publish(engine.Id, held);
   const WantedWeights *due = findDueWeights(running, *got);
@@ -97,12 +97,12 @@
   auto wanted = WantedByServer.find(Running.Server);
   if (Report.Busy || wanted == WantedByServer.end())
     return nullptr;
-  const WantedWeights &what = wanted->second.Weights;
-  if (!mayBeSameStart(what.Start, Running.Start))
+  const WantedWeights &weights = wanted->second.Weights;
+  if (!mayBeSameStart(weights.Start, Running.Start))
     return nullptr;
-  auto has = Report.Models.find(what.Model);
-  bool isLoaded = has != Report.Models.end() && has->second >= what.Version;
-  return isLoaded ? nullptr : &what;
+  auto has = Report.Models.find(weights.Model);
+  bool isLoaded = has != Report.Models.end() && has->second >= weights.Version;
+  return isLoaded ? nullptr : &weights;
 }
 
 asio::awaitable<void>
