--- a/Wasabi/Customers/CustomerTable.cpp
+++ b/Wasabi/Customers/CustomerTable.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Returns true if a name is not empty and has printable ASCII characters other
-/// than the space only.
+/// Returns true if a name is not empty and consists of printable ASCII
+/// characters without spaces.
 bool isValidName(const CustomerName &Name) {
   return !Name.empty() &&
          std::all_of(Name.Text.begin(), Name.Text.end(), [](char Character) {
