--- a/UnitTests/Dispatch/DispatcherTest.cpp
+++ b/UnitTests/Dispatch/DispatcherTest.cpp
@@ -33,7 +33,7 @@
   return std::make_shared<const RouteTable>(table);
 }
 
-/// One dispatching process, two engines and a scoring server.
+/// An active dispatcher with two engines and a scoring server.
 struct DispatcherFixture : BatchTestFixture {
   FakeEngines Engines{Context};
   FleetView View;
@@ -43,10 +43,11 @@
       PayloadStore::create(Store.port(), {});
   std::shared_ptr<Dispatcher> Dispatch;
 
-  /// \param Stall silence after which a run has lost its engine.
-  /// \param StepArrivalTimeout how long a named version's step is expected.
-  /// \param SaveInterval how often texts in progress are saved.
-  explicit DispatcherFixture(Millis Stall = Millis(80),
+  /// \param StallTimeout time without an event after which a run is cancelled.
+  /// \param StepArrivalTimeout time for which the step of a named version is
+  /// expected.
+  /// \param SaveInterval interval between saves of texts in progress.
+  explicit DispatcherFixture(Millis StallTimeout = Millis(80),
                              Millis StepArrivalTimeout = Millis(0),
                              Millis SaveInterval = Millis(10)) {
     View.Routes = makeRoutes();
@@ -63,9 +64,9 @@
                            crashes, Decisions, Counts},
                           Forwarder::Settings());
     Dispatcher::Settings limits;
-    limits.PollInterval = Millis(10);
-    limits.RunStallTimeout = Stall;
-    limits.EventTimeout = std::max(limits.EventTimeout, Stall);
+    limits.MonitorInterval = Millis(10);
+    limits.RunStallTimeout = StallTimeout;
+    limits.EventTimeout = std::max(limits.EventTimeout, StallTimeout);
     limits.FirstEventTimeout = Millis(120);
     limits.LoadStallTimeout = Millis(3000);
     limits.RetryDelay = Millis(2);
@@ -99,7 +100,7 @@
   void submit(const BatchJob &Job) {
     Store.append("rollout", encodeRecord(JobPart{Job, 0, 1}));
   }
-  /// The job's results, with their texts.
+  /// Returns the results of a job, including stored outputs.
   std::vector<ItemResult> results(const BatchJob &Job) {
     std::shared_ptr<JobState> known = findJob(Log->fold(), Job.Id);
     if (!known)
@@ -108,7 +109,7 @@
     for (ItemResult &it : all) {
       run([&]() -> boost::asio::awaitable<void> {
         Outcome<std::string> text = co_await Payloads->get(it.OutputLocation);
-        it.Output += text ? *text : "(its text is not there)";
+        it.Output += text ? *text : "(text not available)";
       });
     }
     return all;
@@ -138,12 +139,13 @@
 
 } // namespace
 
-TEST_CASE("Items are generated, scored and listed whole", "[dispatch]") {
-  DispatcherFixture world;
+TEST_CASE("Items are generated, scored and committed with complete texts",
+          "[dispatch]") {
+  DispatcherFixture fixture;
   BatchJob job = scoredJob("a", 6);
-  world.submit(job);
-  REQUIRE(world.finishes(job));
-  for (const ItemResult &it : world.results(job)) {
+  fixture.submit(job);
+  REQUIRE(fixture.finishes(job));
+  for (const ItemResult &it : fixture.results(job)) {
     CHECK(it.Status == ItemStatus::Completed);
     CHECK(it.Output == wholeText(it.Item.Text, 5));
     CHECK(it.Versions == std::vector<WeightVersion>{1});
@@ -151,9 +153,9 @@
   }
 }
 
-TEST_CASE("An item that the store has no more does not hold up the others",
+TEST_CASE("An item missing from the store does not delay the others",
           "[dispatch]") {
-  DispatcherFixture world;
+  DispatcherFixture fixture;
   BatchJob job = makeJob("a", 5);
   JobPart part{job, 0, 3};
   part.Job.Items = {job.Items[0], job.Items[1]};
@@ -163,611 +165,623 @@
   few.ItemsLocation = {{1, 10}};
   JobPart rest{job, 2, 3};
   rest.Job.Items = {job.Items[3], job.Items[4]};
-  world.Store.append("payload", "no items");
-  world.Store.append("payload", encodeItems({}));
-  world.Store.append("payload", encodeItems(rest.Job.Items));
+  fixture.Store.append("payload", "no items");
+  fixture.Store.append("payload", encodeItems({}));
+  fixture.Store.append("payload", encodeItems(rest.Job.Items));
   rest.ItemsLocation = {{2, 10}};
   for (const JobPart &it : {part, few, rest})
-    world.Store.append("rollout", encodeRecord(it));
-  REQUIRE(world.runUntil([&] { return world.results(job).size() == 2; }));
-  for (const ItemResult &it : world.results(job))
+    fixture.Store.append("rollout", encodeRecord(it));
+  REQUIRE(fixture.runUntil([&] { return fixture.results(job).size() == 2; }));
+  for (const ItemResult &it : fixture.results(job))
     CHECK(it.Output == wholeText(it.Item.Text, 5));
 }
 
-TEST_CASE("A text that breaks off goes on after its last event", "[dispatch]") {
-  DispatcherFixture world;
-  world.server("e1").BreakAfterEvents = 2;
+TEST_CASE("An interrupted text resumes after its last event", "[dispatch]") {
+  DispatcherFixture fixture;
+  fixture.server("e1").BreakAfterEvents = 2;
   BatchJob job = makeJob("a", 4);
-  world.submit(job);
-  REQUIRE(world.finishes(job));
-  for (const ItemResult &it : world.results(job))
+  fixture.submit(job);
+  REQUIRE(fixture.finishes(job));
+  for (const ItemResult &it : fixture.results(job))
     CHECK(it.Output == wholeText(it.Item.Text, 5));
-  CHECK_FALSE(world.Engines.Resumed.empty());
+  CHECK_FALSE(fixture.Engines.ResumedAfter.empty());
 }
 
-TEST_CASE("A text that goes on under other weights names both", "[dispatch]") {
-  DispatcherFixture world;
-  world.Engines.Length = 40;
+TEST_CASE("A text that continues under new weights lists both versions",
+          "[dispatch]") {
+  DispatcherFixture fixture;
+  fixture.Engines.EventsPerText = 40;
   BatchJob job = makeJob("a", 1);
-  world.submit(job);
-  REQUIRE(world.runUntil([&] {
-    return world.server("e1").Runs.size() + world.server("e2").Runs.size() == 1;
+  fixture.submit(job);
+  REQUIRE(fixture.runUntil([&] {
+    return fixture.server("e1").Runs.size() +
+               fixture.server("e2").Runs.size() ==
+           1;
   }));
-  world.Context.run_for(Millis(20));
-  world.server("e1").Version = 2;
-  world.server("e2").Version = 2;
-  REQUIRE(world.finishes(job));
-  CHECK(world.results(job)[0].Versions == std::vector<WeightVersion>{1, 2});
+  fixture.Context.run_for(Millis(20));
+  fixture.server("e1").Version = 2;
+  fixture.server("e2").Version = 2;
+  REQUIRE(fixture.finishes(job));
+  CHECK(fixture.results(job)[0].Versions == std::vector<WeightVersion>{1, 2});
 }
 
-TEST_CASE("An engine whose weights are too old generates nothing",
+TEST_CASE("An engine whose weights are too old generates no text",
           "[dispatch]") {
-  DispatcherFixture world;
+  DispatcherFixture fixture;
   BatchJob job = makeJob("a", 2);
   job.MinVersion = 2;
-  // The registration says so, and the engine has fallen back.
+  // The registrations list version 2, but the engines hold version 1.
   for (const char *id : {"e1", "e2"}) {
     UpstreamRegistration entry =
-        world.View.Servers.Servers[ServerName(id)]->Entry;
+        fixture.View.Servers.Servers[ServerName(id)]->Entry;
     entry.Models = {{Model, 2}};
-    registerServer(world.View.Servers, entry);
+    registerServer(fixture.View.Servers, entry);
   }
-  world.Dispatch->onFleetChange();
-  world.submit(job);
-  world.Context.run_for(Millis(100));
-  CHECK(world.results(job).empty());
+  fixture.Dispatch->onFleetChange();
+  fixture.submit(job);
+  fixture.Context.run_for(Millis(100));
+  CHECK(fixture.results(job).empty());
   for (const char *id : {"e1", "e2"}) {
-    world.server(id).Version = 2;
+    fixture.server(id).Version = 2;
     HeldWeights now{{{Model, 2}}, false};
-    world.Dispatch->onHeldWeights(ServerName(id), now);
+    fixture.Dispatch->onHeldWeights(ServerName(id), now);
   }
-  REQUIRE(world.finishes(job));
-  CHECK(world.results(job)[0].Versions == std::vector<WeightVersion>{2});
+  REQUIRE(fixture.finishes(job));
+  CHECK(fixture.results(job)[0].Versions == std::vector<WeightVersion>{2});
 }
 
-TEST_CASE("An engine that refuses connections does not draw the items",
+TEST_CASE("An engine that refuses connections does not attract the items",
           "[dispatch]") {
-  DispatcherFixture world;
-  world.server("e1").Refuses = true;
-  world.server("e2").Pace = Millis(5);
+  DispatcherFixture fixture;
+  fixture.server("e1").RefusesConnections = true;
+  fixture.server("e2").EventDelay = Millis(5);
   BatchJob job = makeJob("a", 30);
-  world.submit(job);
-  REQUIRE(world.finishes(job));
-  // Its four places at the first look, and a trial now and then.
-  CHECK(world.server("e1").Runs.size() <= 8);
+  fixture.submit(job);
+  REQUIRE(fixture.finishes(job));
+  // The engine gets its four slots once and occasional retries.
+  CHECK(fixture.server("e1").Runs.size() <= 8);
 }
 
-TEST_CASE("Items of a silent engine are run by another", "[dispatch]") {
-  DispatcherFixture world;
-  world.server("e1").Unresponsive = true;
+TEST_CASE("Items of an unresponsive engine run on another", "[dispatch]") {
+  DispatcherFixture fixture;
+  fixture.server("e1").Unresponsive = true;
   BatchJob job = makeJob("a", 6);
-  world.submit(job);
-  REQUIRE(world.finishes(job));
-  for (const ItemResult &it : world.results(job))
+  fixture.submit(job);
+  REQUIRE(fixture.finishes(job));
+  for (const ItemResult &it : fixture.results(job))
     CHECK(it.Output == wholeText(it.Item.Text, 5));
 }
 
-TEST_CASE("A text that turns out long goes on at a faster engine",
-          "[dispatch]") {
-  DispatcherFixture world;
-  world.Engines.Length = 300;
-  world.server("e1").Pace = Millis(15);
-  world.server("e2").Pace = Millis(10);
+TEST_CASE("A long text moves to a faster engine", "[dispatch]") {
+  DispatcherFixture fixture;
+  fixture.Engines.EventsPerText = 300;
+  fixture.server("e1").EventDelay = Millis(15);
+  fixture.server("e2").EventDelay = Millis(10);
   BatchJob job = scoredJob("job", 4);
-  world.submit(job);
-  REQUIRE(world.finishes(job));
-  // All four have room at the faster engine, and go on after what they have.
-  CHECK(world.server("e2").Runs.size() >= 4);
-  CHECK_FALSE(world.Engines.Resumed.empty());
-  for (const ItemResult &it : world.results(job))
+  fixture.submit(job);
+  REQUIRE(fixture.finishes(job));
+  // All four runs fit on the faster engine and resume there.
+  CHECK(fixture.server("e2").Runs.size() >= 4);
+  CHECK_FALSE(fixture.Engines.ResumedAfter.empty());
+  for (const ItemResult &it : fixture.results(job))
     CHECK(it.Output == wholeText(it.Item.Text, 300));
 }
 
-TEST_CASE("A run without a first event does not wait as long as a load takes",
+TEST_CASE("A run without a first event ends before the load stall timeout",
           "[dispatch]") {
-  DispatcherFixture world;
-  world.server("e1").Unresponsive = true;
-  world.server("e2").Unresponsive = true;
+  DispatcherFixture fixture;
+  fixture.server("e1").Unresponsive = true;
+  fixture.server("e2").Unresponsive = true;
   BatchJob job = makeJob("a", 1);
-  world.submit(job);
+  fixture.submit(job);
   auto runs = [&] {
-    return world.server("e1").Runs.size() + world.server("e2").Runs.size();
+    return fixture.server("e1").Runs.size() + fixture.server("e2").Runs.size();
   };
-  REQUIRE(world.runUntil([&] { return runs() == 1; }));
+  REQUIRE(fixture.runUntil([&] { return runs() == 1; }));
   TimePoint begun = monotonicNow();
-  REQUIRE(world.runUntil([&] { return runs() == 2; }));
+  REQUIRE(fixture.runUntil([&] { return runs() == 2; }));
   CHECK(monotonicNow() - begun < Millis(1000));
 }
 
-TEST_CASE("A score that does not come is soon asked for again, then awaited",
+TEST_CASE("A retried scoring call has a longer timeout than the first",
           "[dispatch]") {
-  DispatcherFixture world;
-  world.addServer("j2", Judge);
-  world.server("j1").Unresponsive = true;
-  world.server("j2").Unresponsive = true;
+  DispatcherFixture fixture;
+  fixture.addServer("j2", Judge);
+  fixture.server("j1").Unresponsive = true;
+  fixture.server("j2").Unresponsive = true;
   BatchJob job = scoredJob("a", 1);
-  world.submit(job);
-  REQUIRE(
-      world.runUntil([&] { return world.Engines.ScoreDeadlines.size() >= 2; }));
-  world.server("j1").Unresponsive = false;
-  world.server("j2").Unresponsive = false;
-  REQUIRE(world.finishes(job));
-  CHECK(world.results(job)[0].Status == ItemStatus::Completed);
-  CHECK(world.Engines.ScoreDeadlines[0] <= Millis(450));
-  CHECK(world.Engines.ScoreDeadlines[1] > Millis(1000));
-}
-
-TEST_CASE("An item that fails at every attempt is terminated", "[dispatch]") {
-  DispatcherFixture world;
-  world.server("e1").Status = 500;
-  world.server("e2").Status = 500;
+  fixture.submit(job);
+  REQUIRE(fixture.runUntil(
+      [&] { return fixture.Engines.ScoreDeadlines.size() >= 2; }));
+  fixture.server("j1").Unresponsive = false;
+  fixture.server("j2").Unresponsive = false;
+  REQUIRE(fixture.finishes(job));
+  CHECK(fixture.results(job)[0].Status == ItemStatus::Completed);
+  CHECK(fixture.Engines.ScoreDeadlines[0] <= Millis(450));
+  CHECK(fixture.Engines.ScoreDeadlines[1] > Millis(1000));
+}
+
+TEST_CASE("An item is terminated after status 500 at every attempt",
+          "[dispatch]") {
+  DispatcherFixture fixture;
+  fixture.server("e1").Status = 500;
+  fixture.server("e2").Status = 500;
   BatchJob job = makeJob("a", 1);
-  world.submit(job);
-  REQUIRE(world.finishes(job));
-  CHECK(world.results(job)[0].Status == ItemStatus::Terminated);
-  CHECK(world.server("e1").Runs.size() + world.server("e2").Runs.size() == 3);
+  fixture.submit(job);
+  REQUIRE(fixture.finishes(job));
+  CHECK(fixture.results(job)[0].Status == ItemStatus::Terminated);
+  CHECK(fixture.server("e1").Runs.size() + fixture.server("e2").Runs.size() ==
+        3);
 }
 
-TEST_CASE("An item that can never be done is sent once", "[dispatch]") {
-  DispatcherFixture world;
-  world.server("e1").Status = 422;
-  world.server("e2").Status = 422;
+TEST_CASE("An item answered with status 422 is sent once", "[dispatch]") {
+  DispatcherFixture fixture;
+  fixture.server("e1").Status = 422;
+  fixture.server("e2").Status = 422;
   BatchJob job = makeJob("a", 1);
-  world.submit(job);
-  REQUIRE(world.finishes(job));
-  CHECK(world.results(job)[0].Status == ItemStatus::Terminated);
-  CHECK(world.server("e1").Runs.size() + world.server("e2").Runs.size() == 1);
+  fixture.submit(job);
+  REQUIRE(fixture.finishes(job));
+  CHECK(fixture.results(job)[0].Status == ItemStatus::Terminated);
+  CHECK(fixture.server("e1").Runs.size() + fixture.server("e2").Runs.size() ==
+        1);
 }
 
-TEST_CASE("A score is asked for again after a failure, up to the limit",
-          "[dispatch]") {
-  DispatcherFixture world;
-  world.Engines.ScoreStatuses = {500};
+TEST_CASE("A failed scoring call is retried up to the limit", "[dispatch]") {
+  DispatcherFixture fixture;
+  fixture.Engines.ScoreStatuses = {500};
   BatchJob job = scoredJob("a", 1);
-  world.submit(job);
-  REQUIRE(world.finishes(job));
-  CHECK(world.results(job)[0].Status == ItemStatus::Completed);
-  world.Engines.ScoreStatuses = {500, 500};
+  fixture.submit(job);
+  REQUIRE(fixture.finishes(job));
+  CHECK(fixture.results(job)[0].Status == ItemStatus::Completed);
+  fixture.Engines.ScoreStatuses = {500, 500};
   BatchJob next = scoredJob("b", 1);
-  world.submit(next);
-  REQUIRE(world.finishes(next));
-  CHECK(world.results(next)[0].Status == ItemStatus::Terminated);
+  fixture.submit(next);
+  REQUIRE(fixture.finishes(next));
+  CHECK(fixture.results(next)[0].Status == ItemStatus::Terminated);
 }
 
-TEST_CASE("An ended job's items go to no engine any more", "[dispatch]") {
-  DispatcherFixture world;
-  world.Engines.Length = 1000;
+TEST_CASE("Items of an ended job are no longer dispatched", "[dispatch]") {
+  DispatcherFixture fixture;
+  fixture.Engines.EventsPerText = 1000;
   BatchJob job = makeJob("a", 20);
-  world.submit(job);
+  fixture.submit(job);
   auto runs = [&] {
-    return world.server("e1").Runs.size() + world.server("e2").Runs.size();
+    return fixture.server("e1").Runs.size() + fixture.server("e2").Runs.size();
   };
-  REQUIRE(world.runUntil([&] { return runs() == 8; }));
-  world.Store.append("rollout", encodeRecord(JobEnd{job.Id}));
-  world.Context.run_for(Millis(100));
+  REQUIRE(fixture.runUntil([&] { return runs() == 8; }));
+  fixture.Store.append("rollout", encodeRecord(JobEnd{job.Id}));
+  fixture.Context.run_for(Millis(100));
   CHECK(runs() == 8);
-  CHECK(world.results(job).empty());
+  CHECK(fixture.results(job).empty());
 }
 
-TEST_CASE("A carried-over item goes on from its text", "[dispatch]") {
-  DispatcherFixture world;
-  world.Engines.Length = 30;
+TEST_CASE("A carried-over item resumes from its text", "[dispatch]") {
+  DispatcherFixture fixture;
+  fixture.Engines.EventsPerText = 30;
   BatchJob job = makeJob("a", 1);
-  world.submit(job);
-  REQUIRE(world.runUntil([&] {
-    return world.server("e1").Runs.size() + world.server("e2").Runs.size() == 1;
+  fixture.submit(job);
+  REQUIRE(fixture.runUntil([&] {
+    return fixture.server("e1").Runs.size() +
+               fixture.server("e2").Runs.size() ==
+           1;
   }));
-  world.Context.run_for(Millis(25));
-  world.Store.append("rollout", encodeRecord(JobEnd{job.Id}));
-  world.Context.run_for(Millis(20));
+  fixture.Context.run_for(Millis(25));
+  fixture.Store.append("rollout", encodeRecord(JobEnd{job.Id}));
+  fixture.Context.run_for(Millis(20));
   BatchJob next = job;
   next.Id = JobId("b");
-  world.submit(next);
-  REQUIRE(world.finishes(next));
-  CHECK(world.results(next)[0].Output == wholeText("a-0", 30));
-  CHECK_FALSE(world.Engines.Resumed.empty());
+  fixture.submit(next);
+  REQUIRE(fixture.finishes(next));
+  CHECK(fixture.results(next)[0].Output == wholeText("a-0", 30));
+  CHECK_FALSE(fixture.Engines.ResumedAfter.empty());
 }
 
-TEST_CASE("The jobs of a more urgent customer run first, whatever their route "
-          "says",
+TEST_CASE("Jobs of a customer with a more urgent priority run first",
           "[dispatch]") {
-  DispatcherFixture world;
+  DispatcherFixture fixture;
   std::shared_ptr<RouteTable> routes =
-      std::make_shared<RouteTable>(*world.View.Routes);
+      std::make_shared<RouteTable>(*fixture.View.Routes);
   routes->Customers =
       CustomerTable::create({{Customer{CustomerName("anna"), 7}, {}},
                              {Customer{CustomerName("bert"), 0}, {}}});
-  world.View.Routes = routes;
-  // Both wait until the engines answer again, and cannot all run at once.
+  fixture.View.Routes = routes;
+  // Both jobs wait until the engines accept connections. Together they exceed
+  // the slots.
   for (const char *id : {"e1", "e2"})
-    world.server(id).Refuses = true;
+    fixture.server(id).RefusesConnections = true;
   BatchJob first = makeJob("a", 20);
   first.Id.Customer = CustomerName("anna");
   BatchJob urgent = makeJob("b", 4);
   urgent.Id.Customer = CustomerName("bert");
-  world.submit(first);
-  world.submit(urgent);
-  world.Context.run_for(Millis(60));
+  fixture.submit(first);
+  fixture.submit(urgent);
+  fixture.Context.run_for(Millis(60));
   for (const char *id : {"e1", "e2"}) {
-    world.server(id).Runs.clear();
-    world.server(id).Refuses = false;
+    fixture.server(id).Runs.clear();
+    fixture.server(id).RefusesConnections = false;
   }
-  REQUIRE(world.finishes(urgent));
-  CHECK(world.results(first).size() < 20);
+  REQUIRE(fixture.finishes(urgent));
+  CHECK(fixture.results(first).size() < 20);
 }
 
-TEST_CASE("A text is carried over to jobs of its own customer only",
+TEST_CASE("A text is carried over only to jobs of its own customer",
           "[dispatch]") {
-  DispatcherFixture world;
-  world.Engines.Length = 30;
+  DispatcherFixture fixture;
+  fixture.Engines.EventsPerText = 30;
   BatchJob job = makeJob("a", 1);
   job.Id.Customer = CustomerName("anna");
-  world.submit(job);
-  world.Context.run_for(Millis(40));
-  world.Store.append("rollout", encodeRecord(JobEnd{job.Id}));
-  world.Context.run_for(Millis(20));
-  // Another customer's item may have the same name by chance or by guessing.
+  fixture.submit(job);
+  fixture.Context.run_for(Millis(40));
+  fixture.Store.append("rollout", encodeRecord(JobEnd{job.Id}));
+  fixture.Context.run_for(Millis(20));
+  // Item names are not unique across customers.
   BatchJob next = job;
   next.Id = JobId("b", CustomerName("bert"));
-  world.submit(next);
-  REQUIRE(world.finishes(next));
-  CHECK(world.Engines.Resumed.empty());
-  CHECK(world.Engines.Customers == std::set<std::string>{"anna", "bert"});
+  fixture.submit(next);
+  REQUIRE(fixture.finishes(next));
+  CHECK(fixture.Engines.ResumedAfter.empty());
+  CHECK(fixture.Engines.Customers == std::set<std::string>{"anna", "bert"});
 }
 
-TEST_CASE("A carried-over text that lacks only its score is not run again",
+TEST_CASE("A complete carried-over text is scored without another run",
           "[dispatch]") {
-  DispatcherFixture world;
-  world.server("j1").Unresponsive = true;
+  DispatcherFixture fixture;
+  fixture.server("j1").Unresponsive = true;
   BatchJob job = scoredJob("a", 1);
-  world.submit(job);
+  fixture.submit(job);
   auto runs = [&] {
-    return world.server("e1").Runs.size() + world.server("e2").Runs.size();
+    return fixture.server("e1").Runs.size() + fixture.server("e2").Runs.size();
   };
-  REQUIRE(world.runUntil([&] { return runs() == 1; }));
-  world.Context.run_for(Millis(60));
-  world.Store.append("rollout", encodeRecord(JobEnd{job.Id}));
-  world.Context.run_for(Millis(30));
-  world.server("j1").Unresponsive = false;
+  REQUIRE(fixture.runUntil([&] { return runs() == 1; }));
+  fixture.Context.run_for(Millis(60));
+  fixture.Store.append("rollout", encodeRecord(JobEnd{job.Id}));
+  fixture.Context.run_for(Millis(30));
+  fixture.server("j1").Unresponsive = false;
   BatchJob next = job;
   next.Id = JobId("b");
-  world.submit(next);
-  REQUIRE(world.finishes(next));
-  CHECK(world.results(next)[0].Output == wholeText("a-0", 5));
+  fixture.submit(next);
+  REQUIRE(fixture.finishes(next));
+  CHECK(fixture.results(next)[0].Output == wholeText("a-0", 5));
   CHECK(runs() == 1);
 }
 
-TEST_CASE("A text under weights that are too old for the next job is dropped",
-          "[dispatch]") {
-  DispatcherFixture world;
-  world.Engines.Length = 30;
+TEST_CASE("A carried-over text of too old weights is discarded", "[dispatch]") {
+  DispatcherFixture fixture;
+  fixture.Engines.EventsPerText = 30;
   BatchJob job = makeJob("a", 1);
-  world.submit(job);
-  world.Context.run_for(Millis(40));
-  world.Store.append("rollout", encodeRecord(JobEnd{job.Id}));
-  world.Context.run_for(Millis(20));
+  fixture.submit(job);
+  fixture.Context.run_for(Millis(40));
+  fixture.Store.append("rollout", encodeRecord(JobEnd{job.Id}));
+  fixture.Context.run_for(Millis(20));
   for (const char *id : {"e1", "e2"}) {
-    world.server(id).Version = 2;
+    fixture.server(id).Version = 2;
     HeldWeights now{{{Model, 2}}, false};
-    world.Dispatch->onHeldWeights(ServerName(id), now);
+    fixture.Dispatch->onHeldWeights(ServerName(id), now);
   }
   BatchJob next = job;
   next.Id = JobId("b");
   next.MinVersion = 2;
-  world.submit(next);
-  REQUIRE(world.finishes(next));
-  CHECK(world.results(next)[0].Versions == std::vector<WeightVersion>{2});
-  CHECK(world.Engines.Resumed.empty());
+  fixture.submit(next);
+  REQUIRE(fixture.finishes(next));
+  CHECK(fixture.results(next)[0].Versions == std::vector<WeightVersion>{2});
+  CHECK(fixture.Engines.ResumedAfter.empty());
 }
 
-TEST_CASE("Work that is handed back is taken up where it was", "[dispatch]") {
-  DispatcherFixture world;
-  world.Engines.Length = 30;
+TEST_CASE("Handed-over texts are resumed", "[dispatch]") {
+  DispatcherFixture fixture;
+  fixture.Engines.EventsPerText = 30;
   BatchJob job = makeJob("a", 2);
-  world.submit(job);
-  world.Context.run_for(Millis(40));
+  fixture.submit(job);
+  fixture.Context.run_for(Millis(40));
   std::vector<std::string> texts;
-  world.run([&]() -> boost::asio::awaitable<void> {
-    texts = co_await world.Dispatch->handOverTexts();
+  fixture.run([&]() -> boost::asio::awaitable<void> {
+    texts = co_await fixture.Dispatch->handOverTexts();
   });
   CHECK(texts.size() == 2);
   for (const std::string &it : texts)
-    world.Store.append("rollout", it);
-  world.Context.run_for(Millis(20));
-  world.Dispatch->activate();
-  REQUIRE(world.finishes(job));
-  CHECK(world.Engines.Resumed.size() == 2);
-  for (const ItemResult &it : world.results(job))
+    fixture.Store.append("rollout", it);
+  fixture.Context.run_for(Millis(20));
+  fixture.Dispatch->activate();
+  REQUIRE(fixture.finishes(job));
+  CHECK(fixture.Engines.ResumedAfter.size() == 2);
+  for (const ItemResult &it : fixture.results(job))
     CHECK(it.Output == wholeText(it.Item.Text, 30));
 }
 
-TEST_CASE("A result whose append is lost is appended again", "[dispatch]") {
-  DispatcherFixture world;
-  world.Store.AppendFaults = {AppendFault::Lost, AppendFault::AnswerLost,
-                              AppendFault::Refused};
+TEST_CASE("A result is appended again after a failed append", "[dispatch]") {
+  DispatcherFixture fixture;
+  fixture.Store.AppendFaults = {AppendFault::Lost, AppendFault::AnswerLost,
+                                AppendFault::Refused};
   BatchJob job = makeJob("a", 3);
-  world.submit(job);
-  REQUIRE(world.finishes(job));
-  CHECK(world.results(job).size() == 3);
-}
-
-TEST_CASE("Engines are wanted at the named version, few enough at a time",
-          "[dispatch]") {
-  DispatcherFixture world;
-  world.addServer("e3", Llm);
-  world.addServer("e4", Llm);
-  world.View.NewestVersions[Model] = 2;
-  world.Dispatch->onFleetChange();
-  auto wanted = [&] { return world.Store.Topics[WantedTopic].size(); };
-  REQUIRE(world.runUntil([&] { return wanted() == 2; }));
-  world.Context.run_for(Millis(60));
+  fixture.submit(job);
+  REQUIRE(fixture.finishes(job));
+  CHECK(fixture.results(job).size() == 3);
+}
+
+TEST_CASE(
+    "Loads of a named version are requested of a limited number of engines",
+    "[dispatch]") {
+  DispatcherFixture fixture;
+  fixture.addServer("e3", Llm);
+  fixture.addServer("e4", Llm);
+  fixture.View.NewestVersions[Model] = 2;
+  fixture.Dispatch->onFleetChange();
+  auto wanted = [&] { return fixture.Store.Topics[WantedTopic].size(); };
+  REQUIRE(fixture.runUntil([&] { return wanted() == 2; }));
+  fixture.Context.run_for(Millis(60));
   CHECK(wanted() == 2);
   for (const std::string &it :
-       std::vector<std::string>(world.Store.Topics[WantedTopic])) {
+       std::vector<std::string>(fixture.Store.Topics[WantedTopic])) {
     HeldWeights now{{{Model, 2}}, false};
-    world.Dispatch->onHeldWeights(ServerName(it.substr(0, it.find('|'))), now);
+    fixture.Dispatch->onHeldWeights(ServerName(it.substr(0, it.find('|'))),
+                                    now);
   }
-  CHECK(world.runUntil([&] { return wanted() == 4; }));
+  CHECK(fixture.runUntil([&] { return wanted() == 4; }));
 }
 
-TEST_CASE("A step that follows its version finds engines with places",
-          "[dispatch]") {
-  DispatcherFixture world(Millis(80), Millis(5000));
-  world.Engines.Length = 12;
+TEST_CASE(
+    "Engines load a named version only after the expected step has started",
+    "[dispatch]") {
+  DispatcherFixture fixture(Millis(80), Millis(5000));
+  fixture.Engines.EventsPerText = 12;
   for (const char *id : {"e1", "e2"}) {
-    world.server(id).Version = 2;
-    world.Dispatch->onHeldWeights(ServerName(id), {{{Model, 2}}, false});
+    fixture.server(id).Version = 2;
+    fixture.Dispatch->onHeldWeights(ServerName(id), {{{Model, 2}}, false});
   }
-  world.View.NewestVersions[Model] = 2;
+  fixture.View.NewestVersions[Model] = 2;
   BatchJob before = makeJob("a", 2);
   before.MinVersion = 1;
-  world.submit(before);
-  REQUIRE(world.finishes(before));
-  auto wanted = [&] { return world.Store.Topics[WantedTopic].size(); };
-  world.View.NewestVersions[Model] = 3;
-  world.Dispatch->onFleetChange();
-  world.Context.run_for(Millis(60));
+  fixture.submit(before);
+  REQUIRE(fixture.finishes(before));
+  auto wanted = [&] { return fixture.Store.Topics[WantedTopic].size(); };
+  fixture.View.NewestVersions[Model] = 3;
+  fixture.Dispatch->onFleetChange();
+  fixture.Context.run_for(Millis(60));
   CHECK(wanted() == 0);
-  // The step is more than the engines have places for: they load when all of it
-  // has had one.
+  // The step has more items than the engines have slots. The engines load
+  // weights after all items have started.
   BatchJob job = makeJob("b", 12);
   job.MinVersion = 2;
-  world.submit(job);
-  REQUIRE(world.runUntil([&] { return wanted() > 0; }));
+  fixture.submit(job);
+  REQUIRE(fixture.runUntil([&] { return wanted() > 0; }));
   std::set<std::string> begun;
   for (const char *id : {"e1", "e2"})
-    begun.insert(world.server(id).Runs.begin(), world.server(id).Runs.end());
+    begun.insert(fixture.server(id).Runs.begin(),
+                 fixture.server(id).Runs.end());
   CHECK(begun.size() == before.Items.size() + job.Items.size());
 }
 
-TEST_CASE("What an engine held before it started again does not count",
+TEST_CASE("Reports of an earlier start of an engine are ignored",
           "[dispatch]") {
-  DispatcherFixture world;
+  DispatcherFixture fixture;
   for (const char *id : {"e1", "e2"}) {
     UpstreamRegistration entry =
-        world.View.Servers.Servers[ServerName(id)]->Entry;
+        fixture.View.Servers.Servers[ServerName(id)]->Entry;
     entry.Start = 1000;
-    registerServer(world.View.Servers, entry);
+    registerServer(fixture.View.Servers, entry);
     HeldWeights now{{{Model, 2}}, false, 1000};
-    world.Dispatch->onHeldWeights(ServerName(id), now);
+    fixture.Dispatch->onHeldWeights(ServerName(id), now);
   }
-  world.View.NewestVersions[Model] = 2;
-  world.Dispatch->onFleetChange();
-  world.Context.run_for(Millis(60));
-  auto wanted = [&] { return world.Store.Topics[WantedTopic]; };
+  fixture.View.NewestVersions[Model] = 2;
+  fixture.Dispatch->onFleetChange();
+  fixture.Context.run_for(Millis(60));
+  auto wanted = [&] { return fixture.Store.Topics[WantedTopic]; };
   REQUIRE(wanted().empty());
-  // It starts again with older weights, and then the record of the start
-  // before is read once more.
+  // The engine restarts with older weights, then the report of the previous
+  // start is read again.
   UpstreamRegistration entry =
-      world.View.Servers.Servers[ServerName("e1")]->Entry;
+      fixture.View.Servers.Servers[ServerName("e1")]->Entry;
   entry.Start = 2000;
-  registerServer(world.View.Servers, entry);
-  world.Dispatch->onHeldWeights(ServerName("e1"), {{{Model, 2}}, false, 1000});
-  world.Dispatch->onFleetChange();
-  // Long before its registration would count against what it told.
+  registerServer(fixture.View.Servers, entry);
+  fixture.Dispatch->onHeldWeights(ServerName("e1"),
+                                  {{{Model, 2}}, false, 1000});
+  fixture.Dispatch->onFleetChange();
+  // Shorter than the time for which a report outranks the registration.
   constexpr Millis Soon{1500};
   TimePoint end = monotonicNow() + Soon;
-  world.runUntil([&] { return !wanted().empty() || monotonicNow() > end; });
+  fixture.runUntil([&] { return !wanted().empty() || monotonicNow() > end; });
   REQUIRE_FALSE(wanted().empty());
   std::string text = wanted().back().substr(wanted().back().find('|') + 1);
-  Outcome<WantedWeights> what =
+  Outcome<WantedWeights> weights =
       toOutcome<WantedWeights>([&] { return decodeWanted(text, "test"); });
-  REQUIRE(what);
-  CHECK(what->Start == 2000);
-  CHECK(what->Version == 2);
+  REQUIRE(weights);
+  CHECK(weights->Start == 2000);
+  CHECK(weights->Version == 2);
 }
 
-TEST_CASE("Runs of an engine that starts again go on at another",
-          "[dispatch]") {
+TEST_CASE("Runs of a restarted engine resume on another", "[dispatch]") {
   constexpr Millis Never{60000};
-  DispatcherFixture world(Never);
-  world.Engines.Length = 40;
+  DispatcherFixture fixture(Never);
+  fixture.Engines.EventsPerText = 40;
   BatchJob job = makeJob("a", 4);
-  world.submit(job);
-  REQUIRE(world.runUntil([&] {
-    return !world.server("e1").Runs.empty() && !world.server("e2").Runs.empty();
+  fixture.submit(job);
+  REQUIRE(fixture.runUntil([&] {
+    return !fixture.server("e1").Runs.empty() &&
+           !fixture.server("e2").Runs.empty();
   }));
-  world.Context.run_for(Millis(20));
-  // The crash is seen by nobody: connections stay open and silent.
-  world.server("e1").Unresponsive = true;
+  fixture.Context.run_for(Millis(20));
+  // The crash closes no connection.
+  fixture.server("e1").Unresponsive = true;
   UpstreamRegistration entry =
-      world.View.Servers.Servers[ServerName("e1")]->Entry;
+      fixture.View.Servers.Servers[ServerName("e1")]->Entry;
   entry.Start = 2000;
-  registerServer(world.View.Servers, entry);
-  world.Dispatch->onFleetChange();
-  REQUIRE(world.runUntil([&] { return !world.Engines.Resumed.empty(); }));
-  world.server("e1").Unresponsive = false;
-  REQUIRE(world.finishes(job));
+  registerServer(fixture.View.Servers, entry);
+  fixture.Dispatch->onFleetChange();
+  REQUIRE(
+      fixture.runUntil([&] { return !fixture.Engines.ResumedAfter.empty(); }));
+  fixture.server("e1").Unresponsive = false;
+  REQUIRE(fixture.finishes(job));
 }
 
-TEST_CASE("What was saved of a long text is not generated again",
-          "[dispatch]") {
-  DispatcherFixture world;
-  world.Engines.Length = 60;
+TEST_CASE("The saved part of a text is not generated again", "[dispatch]") {
+  DispatcherFixture fixture;
+  fixture.Engines.EventsPerText = 60;
   BatchJob job = makeJob("a", 2);
-  world.submit(job);
+  fixture.submit(job);
   auto saved = [&] {
-    std::shared_ptr<JobState> known = findJob(world.Log->fold(), job.Id);
+    std::shared_ptr<JobState> known = findJob(fixture.Log->fold(), job.Id);
     return known && known->Texts.size() == 2 &&
            known->Texts.begin()->second.Text.Events >= 12;
   };
-  REQUIRE(world.runUntil(saved));
-  // The dispatcher is killed: nothing is handed back.
-  world.Dispatch->deactivate();
-  world.Context.run_for(Millis(20));
-  CHECK(world.Engines.Resumed.empty());
-  world.Dispatch->activate();
-  REQUIRE(world.finishes(job));
-  REQUIRE(world.Engines.Resumed.size() == 2);
-  for (std::uint64_t it : world.Engines.Resumed)
+  REQUIRE(fixture.runUntil(saved));
+  // Simulates a kill: the dispatcher hands over no texts.
+  fixture.Dispatch->deactivate();
+  fixture.Context.run_for(Millis(20));
+  CHECK(fixture.Engines.ResumedAfter.empty());
+  fixture.Dispatch->activate();
+  REQUIRE(fixture.finishes(job));
+  REQUIRE(fixture.Engines.ResumedAfter.size() == 2);
+  for (std::uint64_t it : fixture.Engines.ResumedAfter)
     CHECK(it >= 4);
-  for (const ItemResult &it : world.results(job))
+  for (const ItemResult &it : fixture.results(job))
     CHECK(it.Output == wholeText(it.Item.Text, 60));
 }
 
-TEST_CASE("At a takeover the longest texts run again first", "[dispatch]") {
+TEST_CASE("After a takeover the longest texts resume first", "[dispatch]") {
   constexpr std::size_t Items = 20;
   constexpr std::size_t Places = 8;
-  DispatcherFixture world;
-  world.Engines.Length = Items + 5;
-  world.server("e1").Pace = Millis(20);
-  world.server("e2").Pace = Millis(20);
-  world.Dispatch->deactivate();
+  DispatcherFixture fixture;
+  fixture.Engines.EventsPerText = Items + 5;
+  fixture.server("e1").EventDelay = Millis(20);
+  fixture.server("e2").EventDelay = Millis(20);
+  fixture.Dispatch->deactivate();
   BatchJob job = makeJob("a", Items);
-  world.submit(job);
-  // Item i has i + 1 events, each saved by itself.
+  fixture.submit(job);
+  // Item i has i + 1 events, each saved in a record of its own.
   for (std::size_t event = 1; event <= Items; ++event) {
     for (std::size_t i = event - 1; i < Items; ++i) {
       const ItemId &item = job.Items[i].Id;
       std::string text = item.Text + ":" + std::to_string(event);
       if (event > 1)
         text.insert(0, "\n");
-      world.Store.append("payload", text);
-      Offset at = world.Store.Topics["payload"].size() - 1;
-      world.Store.append("rollout",
-                         encodeRecord(PartialTextRecord{job.Id,
-                                                        item,
-                                                        1,
-                                                        event - 1,
-                                                        {"", event, {1}, false},
-                                                        {{at, text.size()}}}));
+      fixture.Store.append("payload", text);
+      Offset at = fixture.Store.Topics["payload"].size() - 1;
+      fixture.Store.append(
+          "rollout", encodeRecord(PartialTextRecord{job.Id,
+                                                    item,
+                                                    1,
+                                                    event - 1,
+                                                    {"", event, {1}, false},
+                                                    {{at, text.size()}}}));
     }
   }
-  Offset end = world.Store.Topics["rollout"].size();
-  REQUIRE(world.runUntil([&] { return world.Log->fold().Next == end; }));
-  // Each piece takes a read of its own from here on.
-  world.Store.MaxEntries = 1;
-  world.Dispatch->activate();
+  Offset end = fixture.Store.Topics["rollout"].size();
+  REQUIRE(fixture.runUntil([&] { return fixture.Log->fold().Next == end; }));
+  // From here on, each piece takes a separate read.
+  fixture.Store.MaxEntries = 1;
+  fixture.Dispatch->activate();
   auto begun = [&] {
-    return world.server("e1").Runs.size() + world.server("e2").Runs.size();
+    return fixture.server("e1").Runs.size() + fixture.server("e2").Runs.size();
   };
-  REQUIRE(world.runUntil([&] { return begun() == Places; }));
-  for (std::uint64_t after : world.Engines.Resumed)
+  REQUIRE(fixture.runUntil([&] { return begun() == Places; }));
+  for (std::uint64_t after : fixture.Engines.ResumedAfter)
     CHECK(after > Items - Places - 1);
-  REQUIRE(world.finishes(job));
-  for (const ItemResult &it : world.results(job))
-    CHECK(it.Output == wholeText(it.Item.Text, world.Engines.Length));
+  REQUIRE(fixture.finishes(job));
+  for (const ItemResult &it : fixture.results(job))
+    CHECK(it.Output == wholeText(it.Item.Text, fixture.Engines.EventsPerText));
 }
 
-TEST_CASE("Saves whose outcome is unknown do not spoil a text", "[dispatch]") {
-  DispatcherFixture world;
-  world.Engines.Length = 60;
+TEST_CASE("Saves of unknown outcome do not corrupt a text", "[dispatch]") {
+  DispatcherFixture fixture;
+  fixture.Engines.EventsPerText = 60;
   BatchJob job = makeJob("a", 2);
-  world.submit(job);
-  REQUIRE(world.runUntil(
-      [&] { return findJob(world.Log->fold(), job.Id) != nullptr; }));
-  world.Store.AppendFaults = {AppendFault::AnswerLost, AppendFault::Lost,
-                              AppendFault::AnswerLost, AppendFault::Refused,
-                              AppendFault::AnswerLost};
-  REQUIRE(world.runUntil([&] { return world.Store.AppendFaults.empty(); }));
-  world.Dispatch->deactivate();
-  world.Context.run_for(Millis(20));
-  world.Dispatch->activate();
-  REQUIRE(world.finishes(job));
-  for (const ItemResult &it : world.results(job))
+  fixture.submit(job);
+  REQUIRE(fixture.runUntil(
+      [&] { return findJob(fixture.Log->fold(), job.Id) != nullptr; }));
+  fixture.Store.AppendFaults = {AppendFault::AnswerLost, AppendFault::Lost,
+                                AppendFault::AnswerLost, AppendFault::Refused,
+                                AppendFault::AnswerLost};
+  REQUIRE(fixture.runUntil([&] { return fixture.Store.AppendFaults.empty(); }));
+  fixture.Dispatch->deactivate();
+  fixture.Context.run_for(Millis(20));
+  fixture.Dispatch->activate();
+  REQUIRE(fixture.finishes(job));
+  for (const ItemResult &it : fixture.results(job))
     CHECK(it.Output == wholeText(it.Item.Text, 60));
 }
 
-TEST_CASE("Texts that the store did not take are saved as soon as it does",
+TEST_CASE("A failed save of texts is retried without waiting for the interval",
           "[dispatch]") {
-  // Processes are killed in the half second after an outage, and the longest
-  // texts have generated seconds meanwhile.
-  DispatcherFixture world(Millis(80), Millis(0), Millis(300));
-  world.Engines.Length = 200;
-  world.server("e1").Pace = Millis(10);
-  world.server("e2").Pace = Millis(10);
+  // Guards against losing texts when a process is killed right after an outage.
+  DispatcherFixture fixture(Millis(80), Millis(0), Millis(300));
+  fixture.Engines.EventsPerText = 200;
+  fixture.server("e1").EventDelay = Millis(10);
+  fixture.server("e2").EventDelay = Millis(10);
   BatchJob job = makeJob("a", 3);
-  world.submit(job);
+  fixture.submit(job);
   auto running = [&] {
-    return world.server("e1").Runs.size() + world.server("e2").Runs.size() == 3;
+    return fixture.server("e1").Runs.size() +
+               fixture.server("e2").Runs.size() ==
+           3;
   };
-  REQUIRE(world.runUntil(running));
+  REQUIRE(fixture.runUntil(running));
   TimePoint begun = monotonicNow();
-  world.Store.AppendFaults = {AppendFault::Refused, AppendFault::Refused};
+  fixture.Store.AppendFaults = {AppendFault::Refused, AppendFault::Refused};
   auto saved = [&] {
-    std::shared_ptr<JobState> known = findJob(world.Log->fold(), job.Id);
+    std::shared_ptr<JobState> known = findJob(fixture.Log->fold(), job.Id);
     return known && known->Texts.size() == 3;
   };
-  REQUIRE(world.runUntil(saved));
+  REQUIRE(fixture.runUntil(saved));
   CHECK(monotonicNow() - begun < Millis(550));
 }
 
-TEST_CASE("Where one version is allowed a text of two begins anew",
+TEST_CASE("A text of two versions restarts on a single-version route",
           "[dispatch]") {
-  DispatcherFixture world;
-  RouteTable table = *world.View.Routes;
+  DispatcherFixture fixture;
+  RouteTable table = *fixture.View.Routes;
   table.Routes[0].SingleVersion = true;
-  world.View.Routes = std::make_shared<const RouteTable>(table);
-  world.Engines.Length = 30;
+  fixture.View.Routes = std::make_shared<const RouteTable>(table);
+  fixture.Engines.EventsPerText = 30;
   BatchJob job = makeJob("a", 2);
-  world.submit(job);
-  world.Context.run_for(Millis(30));
-  // The weights change under the runs, and what is known of them lags behind.
+  fixture.submit(job);
+  fixture.Context.run_for(Millis(30));
+  // The weights change during the runs, before the dispatcher learns of it.
   for (const char *id : {"e1", "e2"})
-    world.server(id).Version = 2;
-  REQUIRE(world.finishes(job));
-  for (const ItemResult &it : world.results(job)) {
+    fixture.server(id).Version = 2;
+  REQUIRE(fixture.finishes(job));
+  for (const ItemResult &it : fixture.results(job)) {
     CHECK(it.Versions == std::vector<WeightVersion>{2});
     CHECK(it.Output == wholeText(it.Item.Text, 30));
   }
 }
 
-TEST_CASE("An engine that takes no weights does not hold up the others",
+TEST_CASE("An engine that loads no weights does not delay the others",
           "[dispatch]") {
-  DispatcherFixture world;
-  world.View.NewestVersions[Model] = 2;
-  world.Dispatch->onFleetChange();
-  // Nobody is beside either engine, so each is wanted in turn.
+  DispatcherFixture fixture;
+  fixture.View.NewestVersions[Model] = 2;
+  fixture.Dispatch->onFleetChange();
+  // Without sidecars no engine loads, so a load is requested of each in turn.
   std::set<std::string> asked;
-  CHECK(world.runUntil([&] {
-    for (const std::string &it : world.Store.Topics[WantedTopic])
+  CHECK(fixture.runUntil([&] {
+    for (const std::string &it : fixture.Store.Topics[WantedTopic])
       asked.insert(it.substr(0, it.find('|')));
     return asked.size() == 2;
   }));
 }
 
-TEST_CASE("An item that ends its engines is let be, others finish",
+TEST_CASE("An item that crashes engines is quarantined, others finish",
           "[dispatch]") {
-  DispatcherFixture world;
+  DispatcherFixture fixture;
   for (const char *id : {"e3", "e4", "e5", "e6", "e7", "e8"})
-    world.addServer(id, Llm);
+    fixture.addServer(id, Llm);
   BatchJob job = scoredJob("a", 4);
-  world.Engines.Length = 12;
-  world.Engines.CrashOn = job.Items[1].Id.Text;
-  // At once, or each time a little further on.
-  world.Engines.CrashAfterEvents = GENERATE(0U, 2U);
-  world.submit(job);
+  fixture.Engines.EventsPerText = 12;
+  fixture.Engines.CrashItem = job.Items[1].Id.Text;
+  // Crash at the start, or after two more events in each run.
+  fixture.Engines.CrashAfterEvents = GENERATE(0U, 2U);
+  fixture.submit(job);
   auto listed = [&] {
-    std::shared_ptr<JobState> known = findJob(world.Log->fold(), job.Id);
+    std::shared_ptr<JobState> known = findJob(fixture.Log->fold(), job.Id);
     return known && known->Results.size() == job.Items.size() - 1;
   };
-  CHECK(world.runUntil(listed));
+  CHECK(fixture.runUntil(listed));
   TimePoint until = monotonicNow() + Millis(300);
-  world.runUntil([&] { return monotonicNow() > until; });
+  fixture.runUntil([&] { return monotonicNow() > until; });
   std::size_t ends = 0;
-  for (const auto &[id, server] : world.Engines.Servers)
+  for (const auto &[id, server] : fixture.Engines.Servers)
     ends += server.Ended ? 1 : 0;
-  // Where an item of its group was beside it each time, one more.
+  // One more crash if another item of its group ran on the same engine each
+  // time.
   CHECK(ends >= 3);
   CHECK(ends <= 4);
   CHECK(listed());
--- a/UnitTests/Dispatch/FakeEngines.cpp
+++ b/UnitTests/Dispatch/FakeEngines.cpp
@@ -8,17 +8,19 @@
 
 constexpr unsigned Ok = 200;
 
-Failure lost(FailureCode Code) {
-  return Failure{Verdict::MayHaveRun, Code, "fake engine", "as told", {}};
+Failure makeFailure(FailureCode Code) {
+  return Failure{
+      Verdict::MayHaveRun, Code, "fake engine", "injected fault", {}};
 }
 
-/// A text whose events are called `ITEM:N`.
+/// Stream of a text whose events have the data `ITEM:N`.
 class FakeStream final : public EngineStream {
 public:
-  FakeStream(FakeEngines &All, ServerName Where, std::string Item,
+  FakeStream(FakeEngines &Engines, ServerName ServerId, std::string Item,
              std::uint64_t After, StreamHead Head)
-      : All(All), Where(std::move(Where)), Item(std::move(Item)), Next(After),
-        Head(std::move(Head)), Wake(All.Context.get_executor()) {}
+      : Engines(Engines), ServerId(std::move(ServerId)), Item(std::move(Item)),
+        LastEvent(After), Head(std::move(Head)),
+        Wake(Engines.Context.get_executor()) {}
 
   const StreamHead &head() const override { return Head; }
   void cancel() override {
@@ -28,28 +30,29 @@
 
   asio::awaitable<Outcome<std::optional<EngineEvent>>>
   next(Millis Timeout) override {
-    FakeServer &server = All.Servers[Where];
+    FakeServer &server = Engines.Servers[ServerId];
     TimePoint until =
-        monotonicNow() + (server.Unresponsive ? Timeout : server.Pace);
+        monotonicNow() + (server.Unresponsive ? Timeout : server.EventDelay);
     if (!Cancelled)
       co_await Wake.wait(until);
-    // It fell silent while the event was on its way.
+    // The server may have become unresponsive during the delay.
     if (!Cancelled && server.Unresponsive)
       co_await Wake.wait(monotonicNow() + Timeout);
-    server.Ended =
-        server.Ended || (Item == All.CrashOn && Made >= All.CrashAfterEvents);
+    server.Ended = server.Ended || (Item == Engines.CrashItem &&
+                                    EventsSent >= Engines.CrashAfterEvents);
     if (server.Ended)
-      co_return lost(FailureCode::ConnectionLost);
+      co_return makeFailure(FailureCode::ConnectionLost);
     if (Cancelled || server.Unresponsive)
-      co_return lost(FailureCode::Cancelled);
-    if (Next >= All.Length)
+      co_return makeFailure(FailureCode::Cancelled);
+    if (LastEvent >= Engines.EventsPerText)
       co_return std::optional<EngineEvent>();
-    if (server.BreakAfterEvents > 0 && ++Sent > server.BreakAfterEvents)
-      co_return lost(FailureCode::ConnectionLost);
+    if (server.BreakAfterEvents > 0 &&
+        ++AttemptedEvents > server.BreakAfterEvents)
+      co_return makeFailure(FailureCode::ConnectionLost);
     EngineEvent event;
-    event.Id = ++Next;
-    ++Made;
-    event.Data = Item + ":" + std::to_string(Next);
+    event.Id = ++LastEvent;
+    ++EventsSent;
+    event.Data = Item + ":" + std::to_string(LastEvent);
     if (Head.Version != server.Version) {
       event.Version = server.Version;
       Head.Version = server.Version;
@@ -58,12 +61,12 @@
   }
 
 private:
-  FakeEngines &All;
-  const ServerName Where;
+  FakeEngines &Engines;
+  const ServerName ServerId;
   const std::string Item;
-  std::uint64_t Next;
-  std::uint64_t Sent = 0;
-  std::uint64_t Made = 0;
+  std::uint64_t LastEvent;
+  std::uint64_t AttemptedEvents = 0;
+  std::uint64_t EventsSent = 0;
   StreamHead Head;
   AsyncSignal Wake;
   bool Cancelled = false;
@@ -99,18 +102,18 @@
   co_await pauseFor(Context.get_executor(), Millis(1));
   FakeServer &server = Servers[Server.Id];
   server.Runs.push_back(Options.RequestId);
-  if (server.Refuses || server.Ended)
+  if (server.RefusesConnections || server.Ended)
     co_return Failure{Verdict::NotRun, FailureCode::Unreachable, Server.Id.Text,
                       "refused", Millis(0)};
   std::uint64_t after = Options.ResumeAfter.value_or(0);
   Customers.insert(Options.Customer.Text);
   if (after > 0)
-    Resumed.push_back(after);
+    ResumedAfter.push_back(after);
   StreamHead head;
   head.Proof = AnswerProof::Ran;
   head.Response.Status = server.Status;
-  // A server that has nothing to add tells no version.
-  if (after < Length)
+  // A server that has no events to add reports no version.
+  if (after < EventsPerText)
     head.Version = server.Version;
   std::unique_ptr<EngineStream> stream = std::make_unique<FakeStream>(
       *this, Server.Id, Options.RequestId, after, std::move(head));
@@ -122,7 +125,7 @@
   co_await pauseFor(Context.get_executor(), Millis(1));
   ScoreDeadlines.push_back(Options.Deadline.value_or(Millis(0)));
   if (Servers[Server.Id].Unresponsive)
-    co_return lost(FailureCode::TimedOut);
+    co_return makeFailure(FailureCode::TimedOut);
   UpstreamResponse answer;
   answer.Proof = AnswerProof::Ran;
   answer.Response.Status = Ok;
@@ -131,7 +134,7 @@
     ScoreStatuses.erase(ScoreStatuses.begin());
   }
   answer.Signature = "sig-" + Options.RequestId;
-  Scored.push_back(Options.RequestId);
+  ScoredItems.push_back(Options.RequestId);
   co_return answer;
 }
 
--- a/UnitTests/Dispatch/FakeEngines.h
+++ b/UnitTests/Dispatch/FakeEngines.h
@@ -1,5 +1,5 @@
 /// \file
-/// Engines in memory that generate texts and fail as they are told to.
+/// In-memory engines that generate texts and inject faults.
 #ifndef WASABI_UNITTESTS_DISPATCH_FAKEENGINES_H
 #define WASABI_UNITTESTS_DISPATCH_FAKEENGINES_H
 
@@ -15,26 +15,25 @@
 
 namespace wasabi::batchtest {
 
-/// One engine or plain server.
+/// One engine or scoring server.
 struct FakeServer {
   WeightVersion Version = 1;
-  /// Status of its answers.
+  /// Status of the responses that open a stream.
   unsigned Status = 200;
-  /// Pause before each event.
-  Millis Pace{2};
-  /// A run breaks off after so many events; 0 for never.
+  /// Delay before each event.
+  Millis EventDelay{2};
+  /// Number of events after which a stream loses its connection; 0 for never.
   std::uint64_t BreakAfterEvents = 0;
-  /// Refuses connections.
-  bool Refuses = false;
-  /// Its process has ended: it refuses connections.
+  bool RefusesConnections = false;
+  /// True once the process has crashed; it then refuses connections.
   bool Ended = false;
-  /// Neither answers nor sends events.
+  /// Neither answers scoring calls nor sends events.
   bool Unresponsive = false;
-  /// Runs that began here, by item.
+  /// Items of the runs that were opened here, in order.
   std::vector<std::string> Runs;
 };
 
-/// All servers of a deployment. Used on one thread; outlives its streams.
+/// All servers of a deployment. Not thread-safe; outlives its streams.
 struct FakeEngines {
   explicit FakeEngines(boost::asio::io_context &Context) : Context(Context) {}
 
@@ -42,21 +41,21 @@
 
   boost::asio::io_context &Context;
   std::map<ServerName, FakeServer> Servers;
-  /// The item that ends each server which begins to run it; empty for none.
-  std::string CrashOn;
-  /// Events that each run of it makes before.
+  /// Item that crashes each server that runs it; empty for none.
+  std::string CrashItem;
+  /// Number of events that each run of `CrashItem` sends before the crash.
   std::uint64_t CrashAfterEvents = 0;
-  /// Events of each text.
-  std::uint64_t Length = 5;
-  /// Statuses of the next scoring calls; 200 when there are none.
+  /// Number of events of each text.
+  std::uint64_t EventsPerText = 5;
+  /// Statuses of the next scoring calls; 200 if empty.
   std::vector<unsigned> ScoreStatuses;
-  /// Scoring calls, by the scored text's item.
-  std::vector<std::string> Scored;
-  /// Time that each scoring call was given.
+  /// Request identifiers of the answered scoring calls.
+  std::vector<std::string> ScoredItems;
+  /// Deadline of each scoring call.
   std::vector<Millis> ScoreDeadlines;
-  /// Resumptions, by the event that they went on after.
-  std::vector<std::uint64_t> Resumed;
-  /// Customers that runs were told to be for.
+  /// Last event before each resumption.
+  std::vector<std::uint64_t> ResumedAfter;
+  /// Customers of all runs.
   std::set<std::string> Customers;
 
 private:
--- a/Wasabi/Dispatch/Dispatcher.cpp
+++ b/Wasabi/Dispatch/Dispatcher.cpp
@@ -17,10 +17,10 @@
 
 namespace {
 
-/// Texts kept for carried-over items.
-constexpr std::size_t MaxCarried = 2000;
+/// Number of carried-over texts above which all are discarded.
+constexpr std::size_t MaxCarriedTexts = 2000;
 
-/// Expected tokens of an item of the job on average; 0 of a job without items.
+/// Returns the mean expected tokens of the items of a job; 0 if it has none.
 double meanExpected(const BatchJob &Job) {
   double sum = 0;
   for (const BatchItem &it : Job.Items)
@@ -30,16 +30,21 @@
 
 } // namespace
 
-Dispatcher::Dispatcher(Parts With, Settings Limits)
-    : Limits(Limits), Executor(std::move(With.Executor)), View(With.View),
-      Log(std::move(With.Log)), Payloads(std::move(With.Payloads)),
-      Store(std::move(With.Store)), Engines(std::move(With.Engines)),
-      Scores(std::move(With.Scores)), Crashes(std::move(With.Crashes)),
-      Decisions(std::move(With.Decisions)), Counts(With.Counts),
+Dispatcher::Dispatcher(Parts Dependencies, Settings Limits)
+    : Limits(Limits), Executor(std::move(Dependencies.Executor)),
+      View(Dependencies.View), Log(std::move(Dependencies.Log)),
+      Payloads(std::move(Dependencies.Payloads)),
+      Store(std::move(Dependencies.Store)),
+      Engines(std::move(Dependencies.Engines)),
+      Scores(std::move(Dependencies.Scores)),
+      Crashes(std::move(Dependencies.Crashes)),
+      Decisions(std::move(Dependencies.Decisions)), Counts(Dependencies.Counts),
       Wake(this->Executor), CommitWake(this->Executor) {}
 
-std::shared_ptr<Dispatcher> Dispatcher::create(Parts With, Settings Limits) {
-  return std::shared_ptr<Dispatcher>(new Dispatcher(std::move(With), Limits));
+std::shared_ptr<Dispatcher> Dispatcher::create(Parts Dependencies,
+                                               Settings Limits) {
+  return std::shared_ptr<Dispatcher>(
+      new Dispatcher(std::move(Dependencies), Limits));
 }
 
 void Dispatcher::start() {
@@ -72,9 +77,9 @@
 
 void Dispatcher::deactivate() {
   Active = false;
-  for (const std::shared_ptr<ItemTask> &it : Works)
-    drop(it);
-  Works.clear();
+  for (const std::shared_ptr<ItemTask> &it : Tasks)
+    cancel(it);
+  Tasks.clear();
   Pool.clear();
   PromptEngines.clear();
 }
@@ -82,7 +87,7 @@
 asio::awaitable<std::vector<std::string>> Dispatcher::handOverTexts() {
   std::shared_ptr<Dispatcher> self = shared_from_this();
   std::vector<PartialTextRecord> texts;
-  for (const std::shared_ptr<ItemTask> &it : Works) {
+  for (const std::shared_ptr<ItemTask> &it : Tasks) {
     bool unfinished = it->Stage == ItemStage::Running ||
                       it->Stage == ItemStage::Waiting ||
                       it->Stage == ItemStage::Scoring;
@@ -98,32 +103,34 @@
   co_return std::vector<std::string>();
 }
 
-/// Whether an item may go on from a text, as the versions of that allow.
-bool Dispatcher::fits(const PartialText &Text, const ItemTask &For) const {
+/// Returns true if the versions of a text allow the item to resume from it.
+bool Dispatcher::canResumeFrom(const PartialText &Text,
+                               const ItemTask &Task) const {
   if (Text.Versions.empty())
     return true;
-  bool fresh = Text.Versions.front() >= For.Job->Job.MinVersion;
-  return fresh && (Text.Versions.size() == 1 || !singleVersion(For));
+  bool fresh = Text.Versions.front() >= Task.Job->Job.MinVersion;
+  return fresh && (Text.Versions.size() == 1 || !requiresSingleVersion(Task));
 }
 
 void Dispatcher::addJob(const std::shared_ptr<JobState> &Job) {
-  std::vector<std::shared_ptr<ItemTask>> all;
+  std::vector<std::shared_ptr<ItemTask>> tasks;
   WeightVersion &newest = NewestMinVersions[Job->Job.Model];
   newest = std::max(newest, Job->Job.MinVersion);
   double mean = meanExpected(Job->Job);
   for (std::size_t i = 0; i < Job->Job.Items.size(); ++i) {
     if (Job->HasResult[i])
       continue;
-    std::shared_ptr<ItemTask> work = std::make_shared<ItemTask>();
-    work->Job = Job;
-    work->Index = i;
-    work->Item = Job->Job.Items[i];
-    work->ExpectedLong = work->Item.ExpectedTokens > mean;
-    all.push_back(std::move(work));
+    std::shared_ptr<ItemTask> task = std::make_shared<ItemTask>();
+    task->Job = Job;
+    task->Index = i;
+    task->Item = Job->Job.Items[i];
+    task->ExpectedLong = task->Item.ExpectedTokens > mean;
+    tasks.push_back(std::move(task));
   }
-  Works.insert(Works.end(), all.begin(), all.end());
+  Tasks.insert(Tasks.end(), tasks.begin(), tasks.end());
   asio::co_spawn(
-      Executor, [self = shared_from_this(), all] { return self->load(all); },
+      Executor,
+      [self = shared_from_this(), tasks] { return self->loadItems(tasks); },
       asio::detached);
   Decisions->line("job.taken_up",
                   {{"job", Job->Job.Id.Text},
@@ -134,16 +141,16 @@
                    {"listed", std::to_string(Job->Results.size())}});
 }
 
-void Dispatcher::drop(const std::shared_ptr<ItemTask> &Work) {
-  Work->Dropped = true;
-  if (Work->Stream != nullptr)
-    Work->Stream->cancel();
-  Work->Stop.emit(asio::cancellation_type::terminal);
+void Dispatcher::cancel(const std::shared_ptr<ItemTask> &Task) {
+  Task->Cancelled = true;
+  if (Task->Stream != nullptr)
+    Task->Stream->cancel();
+  Task->CancelSignal.emit(asio::cancellation_type::terminal);
 }
 
 void Dispatcher::clearFinished() {
-  std::erase_if(Works, [](const std::shared_ptr<ItemTask> &It) {
-    return It->Dropped || It->Stage == ItemStage::Finished;
+  std::erase_if(Tasks, [](const std::shared_ptr<ItemTask> &It) {
+    return It->Cancelled || It->Stage == ItemStage::Finished;
   });
 }
 
@@ -156,14 +163,14 @@
     Wake.notify();
   }
   if (Change.What == BatchStateChange::Kind::Ended) {
-    if (Carried.size() > MaxCarried)
-      Carried.clear();
-    for (const std::shared_ptr<ItemTask> &it : Works) {
+    if (CarriedTexts.size() > MaxCarriedTexts)
+      CarriedTexts.clear();
+    for (const std::shared_ptr<ItemTask> &it : Tasks) {
       if (it->Job != Change.Job)
         continue;
       if (it->Text.Events > 0)
-        Carried[{it->Job->Job.Id.Customer, it->Item.Id}] = it->Text;
-      drop(it);
+        CarriedTexts[{it->Job->Job.Id.Customer, it->Item.Id}] = it->Text;
+      cancel(it);
     }
     clearFinished();
     schedule();
@@ -173,77 +180,78 @@
 void Dispatcher::onFleetChange() {
   if (!Active)
     return;
-  // Registrations come in bursts, and one look serves them all.
+  // Changes come in bursts; the monitor loop handles them together.
   Wake.notify();
 }
 
-/// The item's route in the configuration in force, looked up once for each
-/// configuration: hundreds of items may wait, and there may be hundreds of
-/// routes.
-const UpstreamRoute *Dispatcher::routeOf(const ItemTask &Work) const {
+/// Returns the route of an item in the current configuration; null if there is
+/// none. Caches the lookup until the configuration changes.
+const UpstreamRoute *Dispatcher::routeOf(const ItemTask &Task) const {
   if (!View.Routes)
     return nullptr;
-  if (Work.Found.Of != View.Routes) {
-    Work.Found.Route =
-        findRoute(*View.Routes, Work.Job->Job.Host, Work.Item.Path);
-    Work.Found.Of = View.Routes;
+  if (Task.RouteCache.Table != View.Routes) {
+    Task.RouteCache.Route =
+        findRoute(*View.Routes, Task.Job->Job.Host, Task.Item.Path);
+    Task.RouteCache.Table = View.Routes;
   }
-  return Work.Found.Route;
+  return Task.RouteCache.Route;
 }
 
-/// The priority of its job's customer before that of its route.
-std::uint32_t Dispatcher::priorityOf(const ItemTask &Work,
+/// Returns the priority of the customer of the job if it has one, else that of
+/// the route.
+std::uint32_t Dispatcher::priorityOf(const ItemTask &Task,
                                      const UpstreamRoute &Route) const {
-  const CustomerName &by = Work.Job->Job.Id.Customer;
-  if (by.empty() || !View.Routes || !View.Routes->Customers)
+  const CustomerName &name = Task.Job->Job.Id.Customer;
+  if (name.empty() || !View.Routes || !View.Routes->Customers)
     return Route.Priority;
-  const Customer *customer = View.Routes->Customers->find(by);
+  const Customer *customer = View.Routes->Customers->find(name);
   return customer != nullptr ? wasabi::priorityOf(*customer, Route.Priority)
                              : Route.Priority;
 }
 
-bool Dispatcher::singleVersion(const ItemTask &Work) const {
-  const UpstreamRoute *route = routeOf(Work);
+bool Dispatcher::requiresSingleVersion(const ItemTask &Task) const {
+  const UpstreamRoute *route = routeOf(Task);
   return route != nullptr && route->SingleVersion;
 }
 
-/// Drops a text that no engine can go on with under the one version that its
-/// route allows.
-void Dispatcher::dropMixedText(ItemTask &Work) const {
-  if (Work.Text.Events == 0 || Work.Text.IsComplete || !singleVersion(Work))
+/// Discards an incomplete text that no engine can continue under the single
+/// version that its route requires.
+void Dispatcher::discardMixedText(ItemTask &Task) const {
+  if (Task.Text.Events == 0 || Task.Text.IsComplete ||
+      !requiresSingleVersion(Task))
     return;
-  const ModelName &model = Work.Job->Job.Model;
-  WeightVersion version = Work.Text.Versions.front();
-  bool there = std::any_of(
+  const ModelName &model = Task.Job->Job.Model;
+  WeightVersion version = Task.Text.Versions.front();
+  bool available = std::any_of(
       Pool.begin(), Pool.end(), [&](const std::shared_ptr<DispatchEngine> &It) {
         return It->Model == model && It->version(model) == version;
       });
-  if (!there || Work.Text.Versions.size() > 1)
-    clearText(Work);
+  if (!available || Task.Text.Versions.size() > 1)
+    clearText(Task);
 }
 
-EngineRequirements Dispatcher::needOf(const ItemTask &Work) const {
-  EngineRequirements need;
-  need.Model = Work.Job->Job.Model;
-  need.MinVersion = Work.Job->Job.MinVersion;
-  need.Avoid = Work.Avoid;
-  auto prompt = PromptEngines.find(Work.Item.Group);
+EngineRequirements Dispatcher::requirementsOf(const ItemTask &Task) const {
+  EngineRequirements requirements;
+  requirements.Model = Task.Job->Job.Model;
+  requirements.MinVersion = Task.Job->Job.MinVersion;
+  requirements.Avoid = Task.Avoid;
+  auto prompt = PromptEngines.find(Task.Item.Group);
   if (prompt != PromptEngines.end())
-    need.Preferred = prompt->second;
-  if (Work.Text.Events > 0 && singleVersion(Work))
-    need.ExactVersion = Work.Text.Versions.front();
-  need.IsLong = isLong(Work);
-  return need;
+    requirements.Preferred = prompt->second;
+  if (Task.Text.Events > 0 && requiresSingleVersion(Task))
+    requirements.ExactVersion = Task.Text.Versions.front();
+  requirements.IsLong = isLong(Task);
+  return requirements;
 }
 
-/// Whether a text is one that its step is likely to wait for: it has come far
-/// already, or is expected to be longer than its job's mean.
-bool Dispatcher::isLong(const ItemTask &Work) const {
-  return Work.ExpectedLong ||
-         Work.Text.Events >= Limits.Pool.Pace.MinLongTextEvents;
+/// Returns true if the step is likely to wait for this text: it is long already
+/// or is expected to be longer than the mean of its job.
+bool Dispatcher::isLong(const ItemTask &Task) const {
+  return Task.ExpectedLong ||
+         Task.Text.Events >= Limits.Pool.Pace.MinLongTextEvents;
 }
 
-/// Has waiting items placed, once for all that happens in one turn of the loop.
+/// Posts a call of `scheduleNow` unless one is pending.
 void Dispatcher::schedule() {
   if (!Active || Scheduled)
     return;
@@ -255,79 +263,81 @@
   });
 }
 
-/// The engines of each model that take one more sample now. One that has just
-/// failed is left alone while others of its model are well, full or not: an
-/// engine that refuses all has room always.
+/// Returns the engines of each model that can take another sample. Skips
+/// engines that failed recently as long as the model has a healthy one, even a
+/// full one, because an engine that refuses all requests always has room.
 std::map<ModelName, EngineList>
 Dispatcher::enginesWithRoom(TimePoint Now) const {
-  std::set<ModelName> well;
+  std::set<ModelName> healthy;
   for (const std::shared_ptr<DispatchEngine> &it : Pool) {
     if (it->Server->SuspectUntil <= Now)
-      well.insert(it->Model);
+      healthy.insert(it->Model);
   }
   std::map<ModelName, EngineList> found;
   for (const std::shared_ptr<DispatchEngine> &it : Pool) {
-    bool suspect = it->Server->SuspectUntil > Now && well.contains(it->Model);
+    bool suspect =
+        it->Server->SuspectUntil > Now && healthy.contains(it->Model);
     if (!suspect && hasRoom(*it, Now))
       found[it->Model].push_back(it);
   }
   return found;
 }
 
-/// Whether an item gets no engine since servers have ended under it. It stays
-/// open: it has neither been done nor failed, and its step is whole without it
-/// if enough others are.
-bool Dispatcher::updateQuarantined(ItemTask &Work) const {
-  bool now =
-      Crashes->crashStatus(Work.Guard->Digest) == CrashStatus::Quarantined;
-  if (now != Work.Quarantined)
-    Decisions->line(now ? "item.quarantined" : "item.released",
-                    {{"item", Work.Item.Id.Text},
-                     {"job", Work.Job->Job.Id.Text},
-                     {"digest", Work.Guard->Digest.Text}});
-  Work.Quarantined = now;
-  return now;
+/// Updates and returns whether the item is quarantined because it crashed
+/// servers. A quarantined item stays open without a result.
+bool Dispatcher::updateQuarantined(ItemTask &Task) const {
+  bool quarantined =
+      Crashes->crashStatus(Task.Guard->Digest) == CrashStatus::Quarantined;
+  if (quarantined != Task.Quarantined)
+    Decisions->line(quarantined ? "item.quarantined" : "item.released",
+                    {{"item", Task.Item.Id.Text},
+                     {"job", Task.Job->Job.Id.Text},
+                     {"digest", Task.Guard->Digest.Text}});
+  Task.Quarantined = quarantined;
+  return quarantined;
 }
 
-/// The engine for an item; null if none has room. Suspects are kept apart as
-/// long as there are engines for that.
+/// Returns the engine for an item; null if none has room. Avoids placing two
+/// items that may crash servers on one engine, if another engine has room.
 std::shared_ptr<DispatchEngine>
-Dispatcher::findEngineFor(const ItemTask &Work, const EngineList &Free,
-                          const PaceBaseline &Scale, TimePoint Now) const {
+Dispatcher::findEngineFor(const ItemTask &Task, const EngineList &Candidates,
+                          const PaceBaseline &Baseline, TimePoint Now) const {
   std::set<ServerIncarnation> suspects = Crashes->suspectServers();
-  bool apart = !suspects.empty() &&
-               Crashes->crashStatus(Work.Guard->Digest) != CrashStatus::Clean;
-  if (apart) {
-    EngineList others = Free;
+  bool avoidSuspects =
+      !suspects.empty() &&
+      Crashes->crashStatus(Task.Guard->Digest) != CrashStatus::Clean;
+  if (avoidSuspects) {
+    EngineList others = Candidates;
     std::erase_if(others, [&](const std::shared_ptr<DispatchEngine> &It) {
       return suspects.contains(It->Server->Entry.incarnation());
     });
     std::shared_ptr<DispatchEngine> engine =
-        chooseEngine(others, needOf(Work), Scale, Limits.Pool, Now);
+        chooseEngine(others, requirementsOf(Task), Baseline, Limits.Pool, Now);
     if (engine)
       return engine;
   }
-  return chooseEngine(Free, needOf(Work), Scale, Limits.Pool, Now);
+  return chooseEngine(Candidates, requirementsOf(Task), Baseline, Limits.Pool,
+                      Now);
 }
 
 void Dispatcher::scheduleNow() {
   using Rank = std::tuple<bool, std::uint32_t, Offset, double>;
   TimePoint now = monotonicNow();
-  PaceBaseline scale = computePaceBaseline(Pool, Limits.Pool);
-  std::map<ModelName, EngineList> free = enginesWithRoom(now);
+  PaceBaseline baseline = computePaceBaseline(Pool, Limits.Pool);
+  std::map<ModelName, EngineList> candidates = enginesWithRoom(now);
   std::vector<std::pair<Rank, std::shared_ptr<ItemTask>>> waiting;
-  for (const std::shared_ptr<ItemTask> &it : Works) {
-    if (it->Stage != ItemStage::Waiting || it->Dropped || it->NotBefore > now)
+  for (const std::shared_ptr<ItemTask> &it : Tasks) {
+    if (it->Stage != ItemStage::Waiting || it->Cancelled || it->NotBefore > now)
       continue;
     const UpstreamRoute *route = routeOf(*it);
     if (route == nullptr) {
-      terminate(it, "its route is gone");
+      terminate(it, "no route matches the item");
       continue;
     }
-    if (!free.contains(it->Job->Job.Model))
+    if (!candidates.contains(it->Job->Job.Model))
       continue;
-    // Jobs that are overdue earn less than those that can be whole in time;
-    // within a job the longest text decides when it is whole.
+    // Overdue jobs come last. Within a job the longest texts come first because
+    // they determine when it is complete.
     if (updateQuarantined(*it))
       continue;
     bool overdue = now - it->Job->Seen > route->ResultDeadline;
@@ -339,12 +349,12 @@
   }
   std::sort(waiting.begin(), waiting.end(),
             [](const auto &L, const auto &R) { return L.first < R.first; });
-  for (const auto &[rank, work] : waiting) {
-    dropMixedText(*work);
+  for (const auto &[rank, task] : waiting) {
+    discardMixedText(*task);
     std::shared_ptr<DispatchEngine> engine =
-        findEngineFor(*work, free[work->Job->Job.Model], scale, now);
+        findEngineFor(*task, candidates[task->Job->Job.Model], baseline, now);
     if (engine)
-      startRun(work, engine);
+      startRun(task, engine);
   }
   clearFinished();
 }
--- a/Wasabi/Dispatch/Dispatcher.h
+++ b/Wasabi/Dispatch/Dispatcher.h
@@ -1,11 +1,9 @@
 /// \file
-/// The dispatching duty: runs the items of all open batch jobs on the engines,
-/// has finished texts scored, commits results, and says which weights each
-/// engine should hold.
+/// Runs the items of all open batch jobs on the engines, has finished texts
+/// scored, commits results and requests weight loads.
 ///
-/// Nothing depends on its being alone: the first committed result of an item
-/// counts, whoever found it, and engines take orders from the process beside
-/// them only.
+/// Several dispatchers may run at once: the first committed result of an item
+/// counts, and an engine takes load requests from its sidecar only.
 #ifndef WASABI_DISPATCH_DISPATCHER_H
 #define WASABI_DISPATCH_DISPATCHER_H
 
@@ -30,9 +28,9 @@
 
 namespace wasabi {
 
-/// How far an item has come.
+/// Progress of an item.
 enum class ItemStage : std::uint8_t {
-  /// What it asks for, or the text that it goes on from, isn't here yet.
+  /// The request, or the saved text to resume from, is not loaded yet.
   Loading,
   Waiting,
   Running,
@@ -40,120 +38,122 @@
   Finished,
 };
 
-/// The route of an item in one configuration. Valid while `Of` is in force.
+/// The route of an item in one configuration. Valid while `Table` is the table
+/// in use.
 struct CachedRoute {
-  std::shared_ptr<const RouteTable> Of;
+  std::shared_ptr<const RouteTable> Table;
   const UpstreamRoute *Route = nullptr;
 };
 
-/// One item that the dispatcher works on.
+/// One item of an open job and the state of its run.
 struct ItemTask {
   std::shared_ptr<JobState> Job;
   std::size_t Index = 0;
-  /// The item; only what every process knows of it while `Stage` is `Loading`.
+  /// The item. While `Stage` is `Loading`, it holds only the fields that the
+  /// job record contains.
   BatchItem Item;
   ItemStage Stage = ItemStage::Loading;
-  /// Shared with whoever finds out why a run has ended.
+  /// Identifies the request in the quarantine. Shared with the check that
+  /// follows a lost connection.
   std::shared_ptr<GuardedRequest> Guard;
-  /// Whether it gets no engine since some have ended under it.
+  /// True if the item is not dispatched because it crashed servers.
   bool Quarantined = false;
-  /// Whether it is expected to be longer than its job's mean.
+  /// True if its expected length exceeds the mean of its job.
   bool ExpectedLong = false;
-  /// Where its route was found last.
-  mutable CachedRoute Found;
+  /// Result of the last route lookup.
+  mutable CachedRoute RouteCache;
   PartialText Text;
-  /// Events and bytes of `Text` that this dispatcher has saved in the topic.
+  /// Number of events and bytes of `Text` that this dispatcher has saved in the
+  /// rollout topic.
   std::uint64_t SavedEvents = 0;
   std::size_t SavedBytes = 0;
-  /// Answers of 500 by engines.
+  /// Number of runs that an engine answered with status 500.
   std::uint32_t Failures = 0;
-  /// Not sent anywhere before this.
+  /// Earliest time of the next run.
   TimePoint NotBefore;
   std::shared_ptr<DispatchEngine> Engine;
-  /// The engine that it was taken from or that failed it.
+  /// The engine of the last incomplete run, which the next run avoids.
   ServerIncarnation Avoid;
-  /// While it runs: its stream, once there is one.
+  /// The open stream of the current run; null if there is none.
   EngineStream *Stream = nullptr;
-  /// When its run began or had its last event.
+  /// Time of the last event of the run, or of its start.
   TimePoint LastEvent;
-  /// Whether its run has had an event.
-  bool Begun = false;
-  /// Why its last run broke off; empty if it did not by itself.
-  std::optional<Failure> Broken;
-  /// Whether its run was ended for a faster engine.
+  /// True once the current run has received an event.
+  bool HasEvent = false;
+  /// Failure of opening or reading the stream of the last run; empty if there
+  /// was none.
+  std::optional<Failure> RunFailure;
+  /// True if the run was cancelled to continue on a faster engine.
   bool Moved = false;
-  /// Whether it has been moved because others are always faster: once is
-  /// enough.
+  /// True if the item was moved because its engine is in a slower tier. This
+  /// happens at most once.
   bool MovedForPace = false;
-  /// Stops whatever it waits for.
-  boost::asio::cancellation_signal Stop;
-  /// Set when the run is to end without a result.
-  bool Dropped = false;
+  /// Cancels the pending open or scoring call.
+  boost::asio::cancellation_signal CancelSignal;
+  /// True if the item ends without a result.
+  bool Cancelled = false;
 };
 
-/// Lets an item begin anew.
-void clearText(ItemTask &Work);
+/// Discards the text of an item, so that its next run starts from the
+/// beginning.
+void clearText(ItemTask &Task);
 
-/// Used on one thread, that of its executor.
+/// Dispatches the items of all open jobs while this process holds the dispatch
+/// lease. Not thread-safe: used on the thread of its executor only.
 class Dispatcher : public std::enable_shared_from_this<Dispatcher> {
 public:
   struct Settings {
     EnginePoolSettings Pool;
-    /// Look at running items this often while there are any: a tenth of the
-    /// shortest objective.
-    Millis PollInterval{50};
-    /// A run without an event for this long has lost its server. An event takes
-    /// some 40 ms; a prompt that is read beside it some 10 ms more.
+    /// Interval between checks of the runs and engines while there are items.
+    Millis MonitorInterval{50};
+    /// Maximum time between two events of a run before it is cancelled and its
+    /// server counts as failed.
     Millis RunStallTimeout{450};
-    /// The same before its first event, which waits for the prompt and may wait
-    /// for a slot: some 100 ms at an engine that has a place free.
+    /// The same before the first event, which also waits for the prompt and for
+    /// a slot.
     Millis FirstEventTimeout{800};
-    /// The same while its server takes weights: a load takes 0.9 s, and longer
-    /// when several load.
+    /// The same while the engine loads weights.
     Millis LoadStallTimeout{2500};
-    /// Texts in progress are saved this often, so that a successor goes on from
-    /// there: the longest take 7 s of a step's 7.5, and what is generated again
-    /// makes their trainer late by as much.
+    /// Interval between saves of texts in progress, from which a successor
+    /// resumes.
     Millis SaveInterval{350};
-    /// Fewer new events than this are not worth a record: about as many come
-    /// between two saves.
+    /// Minimum number of new events of a text that is saved.
     std::uint64_t MinSaveEvents = 8;
-    /// How long an answer of the store may take.
+    /// Time limit of an append to the store.
     Millis AppendTimeout{800};
-    /// Weights that have not come after this are wanted anew, of this engine or
-    /// of another: a load takes 0.9 s, and longer when several load.
+    /// Time limit of a weight load. Afterwards it no longer counts as in
+    /// progress and is requested again, of this engine or another.
     Millis SwapTimeout{4000};
-    /// Longest pause between two events of a stream before it is broken, as a
-    /// last resort: `RunStallTimeout` ends it long before.
+    /// Time limit of opening a stream and of each read from it.
+    /// `RunStallTimeout` normally ends a stalled run earlier.
     Millis EventTimeout{6000};
-    /// Pause before an item is tried again after a failure.
+    /// Delay before an item is tried again after a failure.
     Millis RetryDelay{60};
-    /// Pause before a quarantined scoring call is looked at again: it is free
-    /// again when a server has answered it, which is rare.
+    /// Delay before a quarantined scoring call is tried again.
     Millis QuarantineRetryDelay{1000};
-    /// Saved texts of a job that are fetched at once: an answer of the store
-    /// takes 4 ms, and a text comes in up to ten pieces.
+    /// Maximum number of saved texts of a job that are fetched concurrently.
     std::size_t MaxTextFetches = 8;
-    /// Pause before the store is asked again for an item that it did not give.
-    Millis LoadPause{200};
-    /// Time that a scoring call is given before it is made again elsewhere: it
-    /// takes 80 ms and in one case of a hundred 400.
+    /// Delay before an item that could not be read from the store is read
+    /// again.
+    Millis LoadRetryDelay{200};
+    /// Time limit of the first scoring call of an item. It is shorter than the
+    /// later ones to replace a slow call early.
     Millis FirstScoreCallTimeout{450};
-    /// The same from the second time on.
+    /// Time limit of each later scoring call.
     Millis ScoreCallTimeout{1500};
-    /// A trainer asks for the step of a version this soon after naming it, if
-    /// it is not ahead of its time: 0.06 to 0.2 s.
+    /// Time after the naming of a version within which the trainer is expected
+    /// to submit its step.
     Millis StepArrivalTimeout{500};
-    /// Pause between two moves of an engine to another model.
+    /// Minimum time between two reassignments of engines to models.
     Millis MinMoveInterval{4000};
-    /// What a job's demand counts for: its expected tokens while it is younger
-    /// than this.
+    /// Maximum age of a job that counts toward the demand of its model.
     Millis DemandWindow{12000};
-    /// Demand of an item that does not say how long it will be, in tokens.
+    /// Length that is assumed for an item without an expected length, in
+    /// tokens.
     double DefaultExpectedTokens = 800;
   };
 
-  /// What a dispatcher works with.
+  /// Dependencies of a dispatcher.
   struct Parts {
     boost::asio::any_io_executor Executor;
     /// Outlives the dispatcher.
@@ -169,112 +169,118 @@
     Metrics &Counts;
   };
 
-  static std::shared_ptr<Dispatcher> create(Parts With, Settings Limits);
+  static std::shared_ptr<Dispatcher> create(Parts Dependencies,
+                                            Settings Limits);
 
-  /// Begins the loops, which rest while the duty is another's.
+  /// Starts the background loops, which idle while the dispatcher is inactive.
   void start();
 
-  /// The duty is this process's: takes up all open jobs.
+  /// Starts dispatching all open jobs. Call when this process has acquired the
+  /// dispatch lease.
   void activate();
-  /// The duty is another's: stops all runs.
+  /// Cancels all runs. Call when this process has lost the dispatch lease.
   void deactivate();
-  /// Stops all runs and gives their texts as records for the successor.
+  /// Cancels all runs and returns records of their unsaved texts for the
+  /// successor. Returns none if the texts could not be stored.
   boost::asio::awaitable<std::vector<std::string>> handOverTexts();
 
-  /// Takes a change of the rollout topic.
+  /// Applies a change of the rollout topic.
   void onChange(const BatchStateChange &Change);
-  /// The servers, the configuration or a named version changed.
+  /// Reports a change of the servers, the configuration or a named version.
   void onFleetChange();
-  /// The process beside the server `Of` told what it holds.
-  void onHeldWeights(const ServerName &Of, const HeldWeights &Now);
+  /// Applies a report of the weights that `Server` holds, from its sidecar.
+  void onHeldWeights(const ServerName &Server, const HeldWeights &Weights);
 
 private:
-  /// What became of bringing in an item: the store may give it later, or has it
-  /// no more.
-  enum class LoadOutcome : std::uint8_t { Loaded, Later, Never };
-  /// Items that lie together in the payload topic.
+  /// Outcome of loading an item: `Retry` if the store may return it later,
+  /// `Gone` if it is lost or unreadable.
+  enum class LoadOutcome : std::uint8_t { Loaded, Retry, Gone };
+  /// Decoded items of one payload.
   struct LoadedItems {
-    PayloadLocation From;
+    PayloadLocation Location;
     std::vector<BatchItem> Items;
   };
-  /// A text that is saved, and the record of it.
+  /// A text that is being saved, and its record.
   struct TextSave {
-    std::shared_ptr<ItemTask> Work;
+    std::shared_ptr<ItemTask> Task;
     PartialTextRecord Record;
   };
-  /// A result that the topic does not show yet.
+  /// A result that is not yet in the folded state of the rollout topic.
   struct PendingResult {
     ResultRecord Record;
-    /// Its text, until it is in the payload topic.
+    /// Output to write to the payload topic; empty if written or stored inline.
     std::string Text;
   };
 
-  Dispatcher(Parts With, Settings Limits);
+  Dispatcher(Parts Dependencies, Settings Limits);
 
   // Items.
   void addJob(const std::shared_ptr<JobState> &Job);
-  boost::asio::awaitable<void> load(std::vector<std::shared_ptr<ItemTask>> All);
-  boost::asio::awaitable<LoadOutcome> loadItem(ItemTask &Work,
-                                               LoadedItems &Near);
-  const SavedPartialText *savedText(const ItemTask &Work) const;
-  void loadSavedTexts(std::vector<std::shared_ptr<ItemTask>> All);
   boost::asio::awaitable<void>
-  fetchTexts(std::shared_ptr<std::deque<std::shared_ptr<ItemTask>>> From);
-  boost::asio::awaitable<void> loadSavedText(ItemTask &Work);
+  loadItems(std::vector<std::shared_ptr<ItemTask>> Items);
+  boost::asio::awaitable<LoadOutcome> loadItem(ItemTask &Task,
+                                               LoadedItems &Cache);
+  const SavedPartialText *findSavedText(const ItemTask &Task) const;
+  void loadSavedTexts(std::vector<std::shared_ptr<ItemTask>> Items);
+  boost::asio::awaitable<void>
+  fetchTexts(std::shared_ptr<std::deque<std::shared_ptr<ItemTask>>> Queue);
+  boost::asio::awaitable<void> loadSavedText(ItemTask &Task);
   boost::asio::awaitable<Outcome<PartialText>>
-  loadText(SavedPartialText From) const;
-  void loaded(const std::shared_ptr<ItemTask> &Work);
-  bool fits(const PartialText &Text, const ItemTask &For) const;
-  void drop(const std::shared_ptr<ItemTask> &Work);
+  loadText(SavedPartialText Saved) const;
+  void onItemLoaded(const std::shared_ptr<ItemTask> &Task);
+  bool canResumeFrom(const PartialText &Text, const ItemTask &Task) const;
+  void cancel(const std::shared_ptr<ItemTask> &Task);
   void clearFinished();
   void schedule();
   void scheduleNow();
-  bool updateQuarantined(ItemTask &Work) const;
-  std::shared_ptr<DispatchEngine> findEngineFor(const ItemTask &Work,
-                                                const EngineList &Free,
-                                                const PaceBaseline &Scale,
+  bool updateQuarantined(ItemTask &Task) const;
+  std::shared_ptr<DispatchEngine> findEngineFor(const ItemTask &Task,
+                                                const EngineList &Candidates,
+                                                const PaceBaseline &Baseline,
                                                 TimePoint Now) const;
   std::map<ModelName, EngineList> enginesWithRoom(TimePoint Now) const;
-  EngineRequirements needOf(const ItemTask &Work) const;
-  bool singleVersion(const ItemTask &Work) const;
-  void dropMixedText(ItemTask &Work) const;
-  PartialTextRecord unsavedText(const ItemTask &Work) const;
+  EngineRequirements requirementsOf(const ItemTask &Task) const;
+  bool requiresSingleVersion(const ItemTask &Task) const;
+  void discardMixedText(ItemTask &Task) const;
+  PartialTextRecord unsavedText(const ItemTask &Task) const;
   boost::asio::awaitable<void> saveLoop();
   boost::asio::awaitable<bool> saveTexts(std::vector<TextSave> Due);
   boost::asio::awaitable<Outcome<std::vector<std::string>>>
   storeTexts(std::vector<PartialTextRecord> Texts) const;
-  void startRun(const std::shared_ptr<ItemTask> &Work,
-                const std::shared_ptr<DispatchEngine> &On);
-  boost::asio::awaitable<void> run(std::shared_ptr<ItemTask> Work);
-  boost::asio::awaitable<bool> readEvents(ItemTask &Work);
-  void requeueItem(const std::shared_ptr<ItemTask> &Work, const Failure &Why);
-  bool checkStreamHead(const std::shared_ptr<ItemTask> &Work,
+  void startRun(const std::shared_ptr<ItemTask> &Task,
+                const std::shared_ptr<DispatchEngine> &Engine);
+  boost::asio::awaitable<void> run(std::shared_ptr<ItemTask> Task);
+  boost::asio::awaitable<bool> readEvents(ItemTask &Task);
+  void requeueItem(const std::shared_ptr<ItemTask> &Task, const Failure &Cause);
+  bool checkStreamHead(const std::shared_ptr<ItemTask> &Task,
                        const StreamHead &Head);
-  void terminate(const std::shared_ptr<ItemTask> &Work, std::string_view Why);
-  void startScoring(const std::shared_ptr<ItemTask> &Work);
-  boost::asio::awaitable<void> score(std::shared_ptr<ItemTask> Work);
-  void finish(const std::shared_ptr<ItemTask> &Work, ItemResult Result);
+  void terminate(const std::shared_ptr<ItemTask> &Task,
+                 std::string_view Reason);
+  void startScoring(const std::shared_ptr<ItemTask> &Task);
+  boost::asio::awaitable<void> score(std::shared_ptr<ItemTask> Task);
+  void finish(const std::shared_ptr<ItemTask> &Task, ItemResult Result);
   boost::asio::awaitable<void> commitLoop();
   boost::asio::awaitable<Outcome<Done>> commitOldestResults();
-  const UpstreamRoute *routeOf(const ItemTask &Work) const;
-  std::uint32_t priorityOf(const ItemTask &Work,
+  const UpstreamRoute *routeOf(const ItemTask &Task) const;
+  std::uint32_t priorityOf(const ItemTask &Task,
                            const UpstreamRoute &Route) const;
-  http::Request askOf(const ItemTask &Work) const;
+  http::Request makeItemRequest(const ItemTask &Task) const;
 
   // Engines.
   void syncEngines();
-  std::map<ModelName, double> demand() const;
+  std::map<ModelName, double> meanStepDemand() const;
   std::map<ModelName, ModelDemand> modelDemands();
   boost::asio::awaitable<void> monitorLoop();
   void cancelStalledRuns();
   void moveRunsToFasterEngines();
-  bool isLong(const ItemTask &Work) const;
+  bool isLong(const ItemTask &Task) const;
   void forgetPaces();
   void applyReportedWeights(DispatchEngine &Engine) const;
   void requestWeightLoads();
-  boost::asio::awaitable<void> want(std::shared_ptr<DispatchEngine> On,
-                                    WantedWeights What);
-  void noteEvent(DispatchEngine &On, ItemTask &Work);
+  boost::asio::awaitable<void>
+  requestWeightLoad(std::shared_ptr<DispatchEngine> Engine,
+                    WantedWeights Weights);
+  void noteEvent(DispatchEngine &Engine, ItemTask &Task);
   SwapMode swapMode(const ModelName &Model) const;
 
   const Settings Limits;
@@ -290,35 +296,35 @@
   Metrics &Counts;
 
   bool Active = false;
-  /// Drawn anew each time the duty is taken up.
+  /// Random identifier of the saved texts of one activation.
   std::uint64_t Source = 0;
-  std::vector<std::shared_ptr<ItemTask>> Works;
-  /// Texts of items that were not finished, for jobs that carry them over: a
-  /// customer's own only.
-  std::map<std::pair<CustomerName, ItemId>, PartialText> Carried;
-  /// The engine that read a group's prompt.
+  std::vector<std::shared_ptr<ItemTask>> Tasks;
+  /// Texts of unfinished items of ended jobs, from which a later job of the
+  /// same customer resumes.
+  std::map<std::pair<CustomerName, ItemId>, PartialText> CarriedTexts;
+  /// Engine of the last run of each group, which has read the group's prompt.
   std::map<std::string, ServerIncarnation> PromptEngines;
   EngineList Pool;
-  /// What the processes beside the servers told last, and when it came.
+  /// Last report of a sidecar.
   struct HeldReport {
     HeldWeights Held;
-    TimePoint Came;
+    TimePoint ReceivedAt;
   };
   std::map<ServerName, HeldReport> Held;
   TimePoint LastMove;
-  /// The oldest weights that the newest step of each model allows.
+  /// Highest minimum version of the jobs of each model.
   std::map<ModelName, WeightVersion> NewestMinVersions;
-  /// The version that was named last.
+  /// The version that a trainer named last.
   struct NamedVersion {
     WeightVersion Version = 0;
-    /// When this dispatcher learnt of it.
+    /// Time at which this dispatcher first saw the version.
     TimePoint Since;
-    /// `NewestMinVersions` at that time.
+    /// Value of `NewestMinVersions` at that time.
     WeightVersion MinVersionAtNaming = 0;
   };
   std::map<ModelName, NamedVersion> NamedVersions;
   std::deque<PendingResult> Uncommitted;
-  /// Whether `scheduleNow` is on its way.
+  /// True if a call of `scheduleNow` is pending.
   bool Scheduled = false;
   AsyncSignal Wake;
   AsyncSignal CommitWake;
--- a/Wasabi/Dispatch/DispatcherEngines.cpp
+++ b/Wasabi/Dispatch/DispatcherEngines.cpp
@@ -12,40 +12,39 @@
 
 namespace asio = boost::asio;
 
-//===--- Which engines there are and how they do
-//---------------------------===//
+//===--- Engine pool and pace ---------------------------------------------===//
 
-/// What a step of each model asks for on average, in expected tokens.
-std::map<ModelName, double> Dispatcher::demand() const {
-  std::map<ModelName, double> found;
+/// Returns the mean demand of a recent step of each model, in expected tokens.
+std::map<ModelName, double> Dispatcher::meanStepDemand() const {
+  std::map<ModelName, double> demand;
   std::map<ModelName, double> steps;
   TimePoint now = monotonicNow();
   for (const auto &[id, job] : Log->fold().Jobs) {
     if (now - job->Seen > Limits.DemandWindow)
       continue;
-    double &sum = found[job->Job.Model];
+    double &sum = demand[job->Job.Model];
     for (const BatchItem &it : job->Job.Items)
       sum += it.ExpectedTokens > 0 ? it.ExpectedTokens
                                    : Limits.DefaultExpectedTokens;
     steps[job->Job.Model] += 1;
   }
-  for (auto &[model, sum] : found)
+  for (auto &[model, sum] : demand)
     sum /= steps[model];
-  return found;
+  return demand;
 }
 
-/// What an engine that is new here has told earlier, if that is newer than its
-/// registration.
+/// Applies the last report of an engine that is new in the pool, where its
+/// versions are newer than those of the registration.
 void Dispatcher::applyReportedWeights(DispatchEngine &Engine) const {
-  auto news = Held.find(Engine.Server->Entry.Id);
-  if (news == Held.end() ||
-      !mayBeSameStart(news->second.Held.Start, Engine.Server->Entry.Start))
+  auto report = Held.find(Engine.Server->Entry.Id);
+  if (report == Held.end() ||
+      !mayBeSameStart(report->second.Held.Start, Engine.Server->Entry.Start))
     return;
-  for (const auto &[model, version] : news->second.Held.Models) {
-    WeightVersion &has = Engine.Versions[model];
-    has = std::max(has, version);
+  for (const auto &[model, version] : report->second.Held.Models) {
+    WeightVersion &known = Engine.Versions[model];
+    known = std::max(known, version);
   }
-  Engine.LastReported = news->second.Came;
+  Engine.LastReported = report->second.ReceivedAt;
 }
 
 void Dispatcher::syncEngines() {
@@ -53,22 +52,23 @@
     return;
   TimePoint now = monotonicNow();
   EngineList next;
-  std::map<ModelName, double> wanted;
+  std::map<ModelName, double> demand;
   for (const UpstreamService &service : View.Routes->Services) {
     if (!service.Engine)
       continue;
     for (const ModelName &it : service.Engine->Models)
-      wanted[it] = 1;
+      demand[it] = 1;
     for (const std::shared_ptr<UpstreamServer> &it :
          findUsableServers(View.Servers, service.Name, View.Contact, now)) {
-      auto known = std::find_if(Pool.begin(), Pool.end(),
-                                [&](const std::shared_ptr<DispatchEngine> &Of) {
-                                  return Of->Server == it;
-                                });
+      auto known =
+          std::find_if(Pool.begin(), Pool.end(),
+                       [&](const std::shared_ptr<DispatchEngine> &Engine) {
+                         return Engine->Server == it;
+                       });
       std::shared_ptr<DispatchEngine> engine =
           known == Pool.end() ? std::make_shared<DispatchEngine>() : *known;
       engine->Server = it;
-      // A registration is older than what the engine itself said of late.
+      // Recent reports of the engine take precedence over its registration.
       constexpr Millis RegistrationLag{2500};
       for (const auto &[model, version] : it->Entry.Models) {
         bool newer = version > engine->version(model);
@@ -81,13 +81,13 @@
     }
   }
   Pool = std::move(next);
-  std::map<ModelName, double> asked = demand();
-  // Until every model has had a job, they count alike.
-  if (asked.size() == wanted.size())
-    wanted = asked;
+  std::map<ModelName, double> measured = meanStepDemand();
+  // All models have the same demand until each has had a job.
+  if (measured.size() == demand.size())
+    demand = measured;
   bool mayMove = now - LastMove > Limits.MinMoveInterval;
   if (assignModels(Pool,
-                   poolSizes(wanted, static_cast<std::uint32_t>(Pool.size())),
+                   poolSizes(demand, static_cast<std::uint32_t>(Pool.size())),
                    View.NewestVersions, mayMove)) {
     LastMove = now;
     for (const std::shared_ptr<DispatchEngine> &it : Pool)
@@ -99,10 +99,11 @@
 }
 
 asio::awaitable<void> Dispatcher::monitorLoop() {
-  constexpr Millis Idle{1000};
+  constexpr Millis IdleInterval{1000};
   for (;;) {
-    bool busy = Active && !Works.empty();
-    co_await Wake.wait(monotonicNow() + (busy ? Limits.PollInterval : Idle));
+    bool busy = Active && !Tasks.empty();
+    co_await Wake.wait(monotonicNow() +
+                       (busy ? Limits.MonitorInterval : IdleInterval));
     if (!Active)
       continue;
     syncEngines();
@@ -115,17 +116,17 @@
   }
 }
 
-/// Ends the runs of servers that are silent, that leave or that are gone.
+/// Cancels the runs on engines that are stalled or no longer usable.
 void Dispatcher::cancelStalledRuns() {
   TimePoint now = monotonicNow();
-  for (const std::shared_ptr<ItemTask> &it : Works) {
+  for (const std::shared_ptr<ItemTask> &it : Tasks) {
     if (it->Stage != ItemStage::Running || !it->Engine)
       continue;
     DispatchEngine &engine = *it->Engine;
-    Millis patience = engine.isSwapping() ? Limits.LoadStallTimeout
-                      : it->Begun         ? Limits.RunStallTimeout
-                                          : Limits.FirstEventTimeout;
-    bool stalled = now - it->LastEvent > patience;
+    Millis timeout = engine.isSwapping() ? Limits.LoadStallTimeout
+                     : it->HasEvent      ? Limits.RunStallTimeout
+                                         : Limits.FirstEventTimeout;
+    bool stalled = now - it->LastEvent > timeout;
     bool leaving = !isUsable(View.Servers, *engine.Server, View.Contact, now);
     if (!stalled && !leaving)
       continue;
@@ -138,40 +139,40 @@
     it->LastEvent = now;
     if (it->Stream != nullptr)
       it->Stream->cancel();
-    it->Stop.emit(asio::cancellation_type::terminal);
+    it->CancelSignal.emit(asio::cancellation_type::terminal);
   }
 }
 
-/// Moves runs to faster engines that have room: all of them from engines that
-/// are slow, long ones from any that is a grade slower. Going on elsewhere
-/// costs two or three events of reading, staying costs the rest of the text at
-/// a multiple of the time.
+/// Moves runs to faster engines that have room: all runs of slow engines, and
+/// long runs of engines in a slower tier. Resuming costs a few events, whereas
+/// staying slows down the rest of the text.
 void Dispatcher::moveRunsToFasterEngines() {
   TimePoint now = monotonicNow();
   const EnginePaceSettings &limits = Limits.Pool.Pace;
-  PaceBaseline scale = computePaceBaseline(Pool, Limits.Pool);
+  PaceBaseline baseline = computePaceBaseline(Pool, Limits.Pool);
   std::map<const DispatchEngine *, std::uint32_t> promised;
-  for (const std::shared_ptr<ItemTask> &it : Works) {
-    if (it->Stage != ItemStage::Running || !it->Engine || !it->Begun ||
+  for (const std::shared_ptr<ItemTask> &it : Tasks) {
+    if (it->Stage != ItemStage::Running || !it->Engine || !it->HasEvent ||
         it->Stream == nullptr || it->Moved)
       continue;
     const DispatchEngine &from = *it->Engine;
-    bool slow = isSlow(from.Pace, scale.MedianMs, limits);
-    std::uint32_t grade = paceTier(from.Pace, scale.FastQuartileMs, limits);
-    bool late = grade > 0 && !it->MovedForPace &&
-                it->Text.Events >= limits.MinLongTextEvents;
-    if (!slow && !late)
+    bool slow = isSlow(from.Pace, baseline.MedianMs, limits);
+    std::uint32_t tier = paceTier(from.Pace, baseline.FastQuartileMs, limits);
+    bool longOnSlowTier = tier > 0 && !it->MovedForPace &&
+                          it->Text.Events >= limits.MinLongTextEvents;
+    if (!slow && !longOnSlowTier)
       continue;
-    std::shared_ptr<DispatchEngine> other =
-        chooseEngine(Pool, needOf(*it), scale, Limits.Pool, now);
-    if (!other || other->Server->SuspectUntil > now ||
-        isSlow(other->Pace, scale.MedianMs, limits) ||
-        (!slow && paceTier(other->Pace, scale.FastQuartileMs, limits) >= grade))
+    std::shared_ptr<DispatchEngine> target =
+        chooseEngine(Pool, requirementsOf(*it), baseline, Limits.Pool, now);
+    if (!target || target->Server->SuspectUntil > now ||
+        isSlow(target->Pace, baseline.MedianMs, limits) ||
+        (!slow &&
+         paceTier(target->Pace, baseline.FastQuartileMs, limits) >= tier))
       continue;
-    std::uint32_t &more = promised[other.get()];
-    if (other->Running + more >= other->Server->Entry.Slots)
+    std::uint32_t &reserved = promised[target.get()];
+    if (target->Running + reserved >= target->Server->Entry.Slots)
       continue;
-    ++more;
+    ++reserved;
     Decisions->line(
         "item.taken_away",
         {{"item", it->Item.Id.Text},
@@ -179,19 +180,18 @@
          {"reason", slow ? "slow" : "slower than another"},
          {"recent_ms", fmt::format("{:.0f}", from.Pace.RecentMs)},
          {"own_ms", fmt::format("{:.0f}", longTermMs(from.Pace, limits))},
-         {"usual_ms", fmt::format("{:.0f}", scale.MedianMs)},
-         {"fast_ms", fmt::format("{:.0f}", scale.FastQuartileMs)}});
+         {"usual_ms", fmt::format("{:.0f}", baseline.MedianMs)},
+         {"fast_ms", fmt::format("{:.0f}", baseline.FastQuartileMs)}});
     it->Moved = true;
     it->MovedForPace = it->MovedForPace || !slow;
     it->Stream->cancel();
   }
 }
 
-//===--- Which weights they should hold
-//-------------------------------------===//
+//===--- Weight loads -----------------------------------------------------===//
 
 SwapMode Dispatcher::swapMode(const ModelName &Model) const {
-  for (const std::shared_ptr<ItemTask> &it : Works) {
+  for (const std::shared_ptr<ItemTask> &it : Tasks) {
     if (it->Job->Job.Model != Model)
       continue;
     const UpstreamRoute *route = routeOf(*it);
@@ -201,16 +201,17 @@
   return SwapMode::Continue;
 }
 
-/// What is asked of each model by what waits, and by a step that is likely to
-/// follow a version that was just named.
+/// Returns the versions that the waiting items of each model require, and the
+/// version that the next step is expected to require if a version was just
+/// named.
 std::map<ModelName, ModelDemand> Dispatcher::modelDemands() {
   TimePoint now = monotonicNow();
-  std::map<ModelName, ModelDemand> found;
-  for (const std::shared_ptr<ItemTask> &it : Works) {
-    if (it->Dropped || it->Stage != ItemStage::Waiting || it->Quarantined)
+  std::map<ModelName, ModelDemand> demands;
+  for (const std::shared_ptr<ItemTask> &it : Tasks) {
+    if (it->Cancelled || it->Stage != ItemStage::Waiting || it->Quarantined)
       continue;
     const BatchJob &job = it->Job->Job;
-    WeightVersion &waiting = found[job.Model].WaitingMinVersion;
+    WeightVersion &waiting = demands[job.Model].WaitingMinVersion;
     waiting = std::max(waiting, job.MinVersion);
   }
   for (const auto &[model, version] : View.NewestVersions) {
@@ -218,28 +219,29 @@
     WeightVersion newest = NewestMinVersions[model];
     if (named.Version != version)
       named = {version, now, newest};
-    ModelDemand &demand = found[model];
+    ModelDemand &demand = demands[model];
     demand.NewestVersion = version;
     bool expected = newest == named.MinVersionAtNaming &&
                     now - named.Since < Limits.StepArrivalTimeout;
-    // Each version that is named lets a step's oldest one rise by one.
+    // Each named version raises the minimum version of the next step by one.
     if (expected)
       demand.ExpectedMinVersion = named.MinVersionAtNaming + 1;
   }
-  return found;
+  return demands;
 }
 
-/// Says which engines should take new weights now. Not all at once: the others
-/// go on serving, and more than a few loads slow each other down.
+/// Requests weight loads of the engines that are due. Limits the number of
+/// concurrent loads, because the other engines keep serving and concurrent
+/// loads slow each other down.
 void Dispatcher::requestWeightLoads() {
   TimePoint now = monotonicNow();
-  std::uint32_t swapping = 0;
+  std::uint32_t loading = 0;
   std::map<ModelName, ModelDemand> demands = modelDemands();
   EngineList due;
   for (const std::shared_ptr<DispatchEngine> &it : Pool) {
-    bool late = now - it->WantedAt > Limits.SwapTimeout;
-    if (it->isSwapping() && !late) {
-      ++swapping;
+    bool timedOut = now - it->WantedAt > Limits.SwapTimeout;
+    if (it->isSwapping() && !timedOut) {
+      ++loading;
       continue;
     }
     auto demand = demands.find(it->Model);
@@ -249,52 +251,57 @@
   }
   auto share = static_cast<std::uint32_t>(static_cast<double>(Pool.size()) *
                                           Limits.Pool.MaxLoadingFraction);
-  std::uint32_t most = std::max(Limits.Pool.MinLoadingLimit, share);
+  std::uint32_t maxLoading = std::max(Limits.Pool.MinLoadingLimit, share);
   for (const std::shared_ptr<DispatchEngine> &it :
        sortForLoading(std::move(due), demands)) {
-    if (swapping >= most)
+    if (loading >= maxLoading)
       return;
-    ++swapping;
+    ++loading;
     it->Wanted = View.NewestVersions[it->Model];
     it->WantedAt = now;
-    WantedWeights what{it->Model, it->Wanted, swapMode(it->Model),
-                       it->Server->Entry.Start};
+    WantedWeights weights{it->Model, it->Wanted, swapMode(it->Model),
+                          it->Server->Entry.Start};
     asio::co_spawn(
         Executor,
-        [self = shared_from_this(), it, what] { return self->want(it, what); },
+        [self = shared_from_this(), it, weights] {
+          return self->requestWeightLoad(it, weights);
+        },
         asio::detached);
   }
 }
 
-asio::awaitable<void> Dispatcher::want(std::shared_ptr<DispatchEngine> On,
-                                       WantedWeights What) {
+asio::awaitable<void>
+Dispatcher::requestWeightLoad(std::shared_ptr<DispatchEngine> Engine,
+                              WantedWeights Weights) {
   std::shared_ptr<Dispatcher> self = shared_from_this();
-  Outcome<Offset> got =
-      co_await Store.AppendKeyed(WantedTopic, On->Server->Entry.Id.Text,
-                                 encodeWanted(What), Limits.AppendTimeout);
-  Decisions->line("engine.wanted",
-                  {{"server", On->Server->Entry.Id.Text},
-                   {"start", std::to_string(What.Start)},
-                   {"model", What.Model.Text},
-                   {"has", std::to_string(On->version(What.Model))},
-                   {"wanted", std::to_string(What.Version)},
-                   {"result", got ? "written" : describe(got.failure())}});
-  // What the store did not take is wanted again at the next look.
-  if (!got && On->Wanted == What.Version)
-    On->Wanted = 0;
+  Outcome<Offset> appended =
+      co_await Store.AppendKeyed(WantedTopic, Engine->Server->Entry.Id.Text,
+                                 encodeWanted(Weights), Limits.AppendTimeout);
+  Decisions->line(
+      "engine.wanted",
+      {{"server", Engine->Server->Entry.Id.Text},
+       {"start", std::to_string(Weights.Start)},
+       {"model", Weights.Model.Text},
+       {"has", std::to_string(Engine->version(Weights.Model))},
+       {"wanted", std::to_string(Weights.Version)},
+       {"result", appended ? "written" : describe(appended.failure())}});
+  // A request that could not be appended is made again by the monitor loop.
+  if (!appended && Engine->Wanted == Weights.Version)
+    Engine->Wanted = 0;
 }
 
-void Dispatcher::onHeldWeights(const ServerName &Of, const HeldWeights &Now) {
-  Held[Of] = HeldReport{Now, monotonicNow()};
+void Dispatcher::onHeldWeights(const ServerName &Server,
+                               const HeldWeights &Weights) {
+  Held[Server] = HeldReport{Weights, monotonicNow()};
   for (const std::shared_ptr<DispatchEngine> &it : Pool) {
-    // What a start that has not registered yet holds is taken up when it does.
-    if (it->Server->Entry.Id != Of ||
-        !mayBeSameStart(it->Server->Entry.Start, Now.Start))
+    // The report of a start that is not registered yet is applied when it is.
+    if (it->Server->Entry.Id != Server ||
+        !mayBeSameStart(it->Server->Entry.Start, Weights.Start))
       continue;
-    for (const auto &[model, version] : Now.Models)
+    for (const auto &[model, version] : Weights.Models)
       it->Versions[model] = version;
     it->LastReported = monotonicNow();
-    it->Loading = Now.Loading;
+    it->Loading = Weights.Loading;
   }
   if (!Active)
     return;
--- a/Wasabi/Dispatch/DispatcherRecords.cpp
+++ b/Wasabi/Dispatch/DispatcherRecords.cpp
@@ -11,60 +11,59 @@
 
 namespace asio = boost::asio;
 
-//===--- Items and texts that are taken up --------------------------------===//
+//===--- Loading of items and texts ---------------------------------------===//
 
-/// Brings in what the items of a job ask for and the texts that they go on
-/// from, and lets each begin as soon as it has both.
+/// Loads the requests and saved texts of the items of a job. Each item may run
+/// as soon as both are loaded.
 asio::awaitable<void>
-Dispatcher::load(std::vector<std::shared_ptr<ItemTask>> All) {
+Dispatcher::loadItems(std::vector<std::shared_ptr<ItemTask>> Items) {
   std::shared_ptr<Dispatcher> self = shared_from_this();
-  // Items of a job lie together: one read and one decoding serve dozens.
-  LoadedItems near;
+  // Consecutive items share a payload, which is read and decoded once.
+  LoadedItems cache;
   std::vector<std::shared_ptr<ItemTask>> saved;
-  for (const std::shared_ptr<ItemTask> &it : All) {
-    LoadOutcome got = LoadOutcome::Later;
-    while (!it->Dropped && got == LoadOutcome::Later) {
-      got = co_await loadItem(*it, near);
-      if (got == LoadOutcome::Later)
-        co_await pauseFor(Executor, Limits.LoadPause);
+  for (const std::shared_ptr<ItemTask> &it : Items) {
+    LoadOutcome outcome = LoadOutcome::Retry;
+    while (!it->Cancelled && outcome == LoadOutcome::Retry) {
+      outcome = co_await loadItem(*it, cache);
+      if (outcome == LoadOutcome::Retry)
+        co_await pauseFor(Executor, Limits.LoadRetryDelay);
     }
-    // Nobody can do it any more; the others of its job can be done.
-    if (got == LoadOutcome::Never)
-      it->Dropped = true;
-    if (it->Dropped)
+    // The item is lost; the other items of its job can still run.
+    if (outcome == LoadOutcome::Gone)
+      it->Cancelled = true;
+    if (it->Cancelled)
       continue;
-    if (savedText(*it) != nullptr)
+    if (findSavedText(*it) != nullptr)
       saved.push_back(it);
     else
-      loaded(it);
+      onItemLoaded(it);
   }
   loadSavedTexts(std::move(saved));
 }
 
-/// The text that a dispatcher before has saved of the item and that it may go
-/// on from; null if there is none.
-const SavedPartialText *Dispatcher::savedText(const ItemTask &Work) const {
-  auto saved = Work.Job->Texts.find(Work.Index);
-  if (saved == Work.Job->Texts.end() || !fits(saved->second.Text, Work))
+/// Returns the saved text that the item may resume from; null if there is none.
+const SavedPartialText *Dispatcher::findSavedText(const ItemTask &Task) const {
+  auto saved = Task.Job->Texts.find(Task.Index);
+  if (saved == Task.Job->Texts.end() ||
+      !canResumeFrom(saved->second.Text, Task))
     return nullptr;
   return &saved->second;
 }
 
-/// Fetches saved texts, several at a time and the longest first: they decide
-/// when their step is whole. One after the other, a takeover of 400 items had
-/// its last ones running again after 2 s.
-void Dispatcher::loadSavedTexts(std::vector<std::shared_ptr<ItemTask>> All) {
-  auto events = [this](const std::shared_ptr<ItemTask> &Of) {
-    const SavedPartialText *saved = savedText(*Of);
+/// Fetches saved texts concurrently, the longest first because they determine
+/// when their step is complete.
+void Dispatcher::loadSavedTexts(std::vector<std::shared_ptr<ItemTask>> Items) {
+  auto events = [this](const std::shared_ptr<ItemTask> &Task) {
+    const SavedPartialText *saved = findSavedText(*Task);
     return saved == nullptr ? 0 : saved->Text.Events;
   };
-  std::stable_sort(All.begin(), All.end(),
+  std::stable_sort(Items.begin(), Items.end(),
                    [&events](const auto &Left, const auto &Right) {
                      return events(Left) > events(Right);
                    });
   using Queue = std::deque<std::shared_ptr<ItemTask>>;
   std::shared_ptr<Queue> queue =
-      std::make_shared<Queue>(All.begin(), All.end());
+      std::make_shared<Queue>(Items.begin(), Items.end());
   std::size_t fetchers = std::min(Limits.MaxTextFetches, queue->size());
   for (std::size_t i = 0; i < fetchers; ++i)
     asio::co_spawn(
@@ -74,86 +73,90 @@
 }
 
 asio::awaitable<void> Dispatcher::fetchTexts(
-    std::shared_ptr<std::deque<std::shared_ptr<ItemTask>>> From) {
-  while (!From->empty()) {
-    std::shared_ptr<ItemTask> next = From->front();
-    From->pop_front();
-    if (!next->Dropped)
+    std::shared_ptr<std::deque<std::shared_ptr<ItemTask>>> Queue) {
+  while (!Queue->empty()) {
+    std::shared_ptr<ItemTask> next = Queue->front();
+    Queue->pop_front();
+    if (!next->Cancelled)
       co_await loadSavedText(*next);
-    if (!next->Dropped)
-      loaded(next);
+    if (!next->Cancelled)
+      onItemLoaded(next);
   }
 }
 
 asio::awaitable<Dispatcher::LoadOutcome>
-Dispatcher::loadItem(ItemTask &Work, LoadedItems &Near) {
-  const ItemLocation &place = Work.Job->ItemLocations[Work.Index];
-  if (place.Items.empty())
+Dispatcher::loadItem(ItemTask &Task, LoadedItems &Cache) {
+  const ItemLocation &location = Task.Job->ItemLocations[Task.Index];
+  if (location.Items.empty())
     co_return LoadOutcome::Loaded;
-  std::optional<Failure> failed;
-  if (Near.From != place.Items) {
+  std::optional<Failure> failure;
+  if (Cache.Location != location.Items) {
     Outcome<std::vector<BatchItem>> items =
-        co_await getItems(*Payloads, place.Items, Work.Job->Job.Id);
+        co_await getItems(*Payloads, location.Items, Task.Job->Job.Id);
     if (items)
-      Near = {place.Items, std::move(*items)};
+      Cache = {location.Items, std::move(*items)};
     else
-      failed = items.failure();
+      failure = items.failure();
   }
-  if (!failed && place.Index >= Near.Items.size())
-    failed = Failure{Verdict::NotRun, FailureCode::BadInput,
-                     "items of " + Work.Job->Job.Id.Text, "too few", Millis(0)};
-  if (!failed) {
-    Work.Item = Near.Items[place.Index];
-    Work.Found = {};
+  if (!failure && location.Index >= Cache.Items.size())
+    failure =
+        Failure{Verdict::NotRun, FailureCode::BadInput,
+                "items of " + Task.Job->Job.Id.Text,
+                "payload holds fewer items than the job refers to", Millis(0)};
+  if (!failure) {
+    Task.Item = Cache.Items[location.Index];
+    Task.RouteCache = {};
     co_return LoadOutcome::Loaded;
   }
-  Decisions->line("item.not_loaded",
-                  {{"item", Work.Item.Id.Text}, {"reason", describe(*failed)}});
-  bool gone = failed->Code == FailureCode::Expired ||
-              failed->Code == FailureCode::BadInput;
-  co_return gone ? LoadOutcome::Never : LoadOutcome::Later;
+  Decisions->line("item.not_loaded", {{"item", Task.Item.Id.Text},
+                                      {"reason", describe(*failure)}});
+  bool gone = failure->Code == FailureCode::Expired ||
+              failure->Code == FailureCode::BadInput;
+  co_return gone ? LoadOutcome::Gone : LoadOutcome::Retry;
 }
 
-/// Takes the text that a dispatcher before has saved. One that can't be had is
-/// generated anew.
-asio::awaitable<void> Dispatcher::loadSavedText(ItemTask &Work) {
-  const SavedPartialText *saved = savedText(Work);
+/// Loads the saved text of an item. If it cannot be read, the item starts from
+/// the beginning.
+asio::awaitable<void> Dispatcher::loadSavedText(ItemTask &Task) {
+  const SavedPartialText *saved = findSavedText(Task);
   if (saved == nullptr)
     co_return;
   Outcome<PartialText> text = co_await loadText(*saved);
   if (text)
-    Work.Text = std::move(*text);
+    Task.Text = std::move(*text);
   else
-    Decisions->line("item.text_lost", {{"item", Work.Item.Id.Text},
+    Decisions->line("item.text_lost", {{"item", Task.Item.Id.Text},
                                        {"reason", describe(text.failure())}});
 }
 
 asio::awaitable<Outcome<PartialText>>
-Dispatcher::loadText(SavedPartialText From) const {
-  PartialText text = std::move(From.Text);
-  for (const TextPiece &it : From.Pieces) {
+Dispatcher::loadText(SavedPartialText Saved) const {
+  PartialText text = std::move(Saved.Text);
+  for (const TextPiece &it : Saved.Pieces) {
     text.Output += it.Inline;
-    Outcome<std::string> more =
+    Outcome<std::string> piece =
         co_await Payloads->get(it.Location, ReadAhead::None);
-    if (!more)
-      co_return more.failure();
-    text.Output += *more;
+    if (!piece)
+      co_return piece.failure();
+    text.Output += *piece;
   }
   co_return text;
 }
 
-/// The item has all that it needs: it goes on from the longest text that is
-/// known of it and that its job allows.
-void Dispatcher::loaded(const std::shared_ptr<ItemTask> &Work) {
-  auto carried = Carried.find({Work->Job->Job.Id.Customer, Work->Item.Id});
-  if (carried != Carried.end() && carried->second.Events > Work->Text.Events &&
-      fits(carried->second, *Work))
-    Work->Text = carried->second;
-  Work->Guard = std::make_shared<GuardedRequest>(GuardedRequest{
-      digestOf(askOf(*Work), Work->Job->Job.Id.Customer), Work->Item.Id.Text});
-  Work->Stage = ItemStage::Waiting;
-  if (Work->Text.IsComplete)
-    startScoring(Work);
+/// Makes a loaded item ready to run. It resumes from the longer of its saved
+/// and its carried-over text, as far as its job allows.
+void Dispatcher::onItemLoaded(const std::shared_ptr<ItemTask> &Task) {
+  auto carried = CarriedTexts.find({Task->Job->Job.Id.Customer, Task->Item.Id});
+  if (carried != CarriedTexts.end() &&
+      carried->second.Events > Task->Text.Events &&
+      canResumeFrom(carried->second, *Task))
+    Task->Text = carried->second;
+  Task->Guard = std::make_shared<GuardedRequest>(GuardedRequest{
+      digestOf(makeItemRequest(*Task), Task->Job->Job.Id.Customer),
+      Task->Item.Id.Text});
+  Task->Stage = ItemStage::Waiting;
+  if (Task->Text.IsComplete)
+    startScoring(Task);
   schedule();
 }
 
@@ -161,28 +164,29 @@
 
 namespace {
 
-/// Results and texts of one append: together well under the store's limit.
-constexpr std::size_t AppendBytes = 1000000;
+/// Size above which a batch of results or texts takes no more entries, in
+/// bytes. Well below the limit of the store.
+constexpr std::size_t MaxBatchBytes = 1000000;
 
-/// Whether the topic shows a result of the item, or nobody waits for one.
-bool settled(const BatchState &Fold, const ResultRecord &What) {
-  std::shared_ptr<JobState> job = findJob(Fold, What.Job);
+/// Returns true if the item has a committed result or no longer needs one.
+bool isSettled(const BatchState &State, const ResultRecord &Record) {
+  std::shared_ptr<JobState> job = findJob(State, Record.Job);
   if (!job || job->Ended)
     return true;
-  auto it = job->Index.find(What.Result.Item.Text);
+  auto it = job->Index.find(Record.Result.Item.Text);
   return it == job->Index.end() || job->HasResult[it->second];
 }
 
 } // namespace
 
 asio::awaitable<void> Dispatcher::commitLoop() {
-  constexpr Millis Idle{10000};
+  constexpr Millis IdleInterval{10000};
   for (;;) {
     std::erase_if(Uncommitted, [this](const PendingResult &It) {
-      return settled(Log->fold(), It.Record);
+      return isSettled(Log->fold(), It.Record);
     });
     if (Uncommitted.empty()) {
-      co_await CommitWake.wait(monotonicNow() + Idle);
+      co_await CommitWake.wait(monotonicNow() + IdleInterval);
       continue;
     }
     Outcome<Done> done = co_await commitOldestResults();
@@ -194,40 +198,42 @@
   }
 }
 
-/// Appends the oldest results: first the texts that stand for themselves, then
-/// the records that name them. Only this function takes results away.
+/// Appends the oldest results: first the texts that are stored as payloads,
+/// then the records that refer to them. Removes the appended results from
+/// `Uncommitted`.
 asio::awaitable<Outcome<Done>> Dispatcher::commitOldestResults() {
   std::vector<std::string> texts;
-  std::vector<std::size_t> owners;
+  std::vector<std::size_t> indices;
   std::size_t count = 0;
   std::size_t bytes = 0;
-  for (; count < Uncommitted.size() && bytes <= AppendBytes; ++count) {
+  for (; count < Uncommitted.size() && bytes <= MaxBatchBytes; ++count) {
     const PendingResult &it = Uncommitted[count];
     bytes += it.Text.size() + it.Record.Result.Output.size();
     if (it.Text.empty())
       continue;
     texts.push_back(it.Text);
-    owners.push_back(count);
+    indices.push_back(count);
   }
   if (!texts.empty()) {
-    Outcome<std::vector<PayloadLocation>> places =
+    Outcome<std::vector<PayloadLocation>> locations =
         co_await Payloads->put(std::move(texts));
-    if (!places)
-      co_return places.failure();
-    for (std::size_t i = 0; i < owners.size(); ++i) {
-      PendingResult &of = Uncommitted[owners[i]];
-      of.Record.Result.OutputLocation = std::move((*places)[i]);
-      of.Text.clear();
+    if (!locations)
+      co_return locations.failure();
+    for (std::size_t i = 0; i < indices.size(); ++i) {
+      PendingResult &result = Uncommitted[indices[i]];
+      result.Record.Result.OutputLocation = std::move((*locations)[i]);
+      result.Text.clear();
     }
   }
   std::vector<std::string> records;
   records.reserve(count);
   for (std::size_t i = 0; i < count; ++i)
     records.push_back(encodeRecord(Uncommitted[i].Record));
-  Outcome<Offset> got = co_await Log->append(std::move(records));
-  // An append of unknown outcome is made again: the first result counts.
-  if (!got)
-    co_return got.failure();
+  Outcome<Offset> appended = co_await Log->append(std::move(records));
+  // Repeating an append result unknown outcome is safe: the first result
+  // counts.
+  if (!appended)
+    co_return appended.failure();
   Uncommitted.erase(Uncommitted.begin(),
                     Uncommitted.begin() + static_cast<std::ptrdiff_t>(count));
   co_return Done{};
@@ -235,16 +241,17 @@
 
 //===--- Saved texts ------------------------------------------------------===//
 
-/// What the topic does not have of a text: what came since it was saved last,
-/// or, if this dispatcher has saved nothing of it, all.
-PartialTextRecord Dispatcher::unsavedText(const ItemTask &Work) const {
-  PartialTextRecord record{Work.Job->Job.Id, Work.Item.Id, Source,
-                           Work.SavedEvents, Work.Text};
-  record.Text.Output.erase(0, Work.SavedBytes);
+/// Returns a record of the part of a text that this dispatcher has not saved
+/// yet.
+PartialTextRecord Dispatcher::unsavedText(const ItemTask &Task) const {
+  PartialTextRecord record{Task.Job->Job.Id, Task.Item.Id, Source,
+                           Task.SavedEvents, Task.Text};
+  record.Text.Output.erase(0, Task.SavedBytes);
   return record;
 }
 
-/// Puts long texts into the payload topic and gives the records that name them.
+/// Writes long texts to the payload topic and returns the records that refer to
+/// them.
 asio::awaitable<Outcome<std::vector<std::string>>>
 Dispatcher::storeTexts(std::vector<PartialTextRecord> Texts) const {
   std::vector<std::string> payloads(Texts.size());
@@ -252,36 +259,34 @@
     if (Texts[i].Text.Output.size() > MaxInlineBytes)
       payloads[i].swap(Texts[i].Text.Output);
   }
-  Outcome<std::vector<PayloadLocation>> places =
+  Outcome<std::vector<PayloadLocation>> locations =
       co_await Payloads->put(std::move(payloads));
-  if (!places)
-    co_return places.failure();
+  if (!locations)
+    co_return locations.failure();
   std::vector<std::string> records;
   records.reserve(Texts.size());
   for (std::size_t i = 0; i < Texts.size(); ++i) {
-    Texts[i].OutputLocation = std::move((*places)[i]);
+    Texts[i].OutputLocation = std::move((*locations)[i]);
     records.push_back(encodeRecord(Texts[i]));
   }
   co_return records;
 }
 
-/// Saves what has grown, again and again. What the store did not take, or what
-/// did not fit, follows without the usual pause: processes are killed in the
-/// half second after an outage, when the texts have gone on for seconds
-/// unsaved.
+/// Saves the texts that have grown, periodically. After a failed append or a
+/// full batch, saves again after `RetryDelay` to keep the unsaved part short.
 asio::awaitable<void> Dispatcher::saveLoop() {
-  Millis pause = Limits.SaveInterval;
+  Millis delay = Limits.SaveInterval;
   for (;;) {
-    co_await pauseFor(Executor, pause);
-    pause = Limits.SaveInterval;
+    co_await pauseFor(Executor, delay);
+    delay = Limits.SaveInterval;
     std::vector<TextSave> due;
     std::size_t bytes = 0;
-    for (const std::shared_ptr<ItemTask> &it : Works) {
+    for (const std::shared_ptr<ItemTask> &it : Tasks) {
       bool grown = it->Text.Events >= it->SavedEvents + Limits.MinSaveEvents;
       if (!Active || it->Stage != ItemStage::Running || !grown)
         continue;
-      if (bytes > AppendBytes) {
-        pause = Limits.RetryDelay;
+      if (bytes > MaxBatchBytes) {
+        delay = Limits.RetryDelay;
         break;
       }
       due.push_back({it, unsavedText(*it)});
@@ -291,16 +296,16 @@
       continue;
     bool saved = co_await saveTexts(std::move(due));
     if (!saved)
-      pause = Limits.RetryDelay;
+      delay = Limits.RetryDelay;
   }
 }
 
-/// False if the store did not take them, as far as is known.
+/// Saves texts and returns true if the append is known to have succeeded.
 asio::awaitable<bool> Dispatcher::saveTexts(std::vector<TextSave> Due) {
   std::vector<PartialText> saved;
   std::vector<PartialTextRecord> texts;
   for (TextSave &it : Due) {
-    saved.push_back(it.Work->Text);
+    saved.push_back(it.Task->Text);
     texts.push_back(std::move(it.Record));
   }
   Outcome<std::vector<std::string>> records =
@@ -309,21 +314,21 @@
   if (!records)
     failed = records.failure();
   else {
-    Outcome<Offset> got = co_await Log->append(std::move(*records));
-    if (!got)
-      failed = got.failure();
+    Outcome<Offset> appended = co_await Log->append(std::move(*records));
+    if (!appended)
+      failed = appended.failure();
   }
   Decisions->line("texts.saved",
                   {{"texts", std::to_string(saved.size())},
                    {"result", failed ? describe(*failed) : "written"}});
   for (std::size_t i = 0; i < saved.size(); ++i) {
-    ItemTask &work = *Due[i].Work;
-    // A text that began anew meanwhile has nothing saved. After an append of
-    // unknown outcome the next record holds the whole text.
-    bool same = work.Text.Events >= saved[i].Events &&
-                work.Text.Output.starts_with(saved[i].Output);
-    work.SavedEvents = !failed && same ? saved[i].Events : 0;
-    work.SavedBytes = !failed && same ? saved[i].Output.size() : 0;
+    ItemTask &task = *Due[i].Task;
+    // Nothing is saved of a text that was restarted during the append. After a
+    // failed append, the next record contains the whole text.
+    bool same = task.Text.Events >= saved[i].Events &&
+                task.Text.Output.starts_with(saved[i].Output);
+    task.SavedEvents = !failed && same ? saved[i].Events : 0;
+    task.SavedBytes = !failed && same ? saved[i].Output.size() : 0;
   }
   co_return !failed;
 }
--- a/Wasabi/Dispatch/DispatcherRuns.cpp
+++ b/Wasabi/Dispatch/DispatcherRuns.cpp
@@ -27,109 +27,113 @@
 
 } // namespace
 
-http::Request Dispatcher::askOf(const ItemTask &Work) const {
-  http::Request ask;
-  ask.Method = "POST";
-  ask.Target = Work.Item.Path;
-  ask.Headers.push_back({"Host", Work.Job->Job.Host});
-  for (const ForwardedHeader &it : Work.Item.Headers)
-    ask.Headers.push_back({it.Name, it.Value});
-  ask.Body = Work.Item.Body;
-  return ask;
+http::Request Dispatcher::makeItemRequest(const ItemTask &Task) const {
+  http::Request request;
+  request.Method = "POST";
+  request.Target = Task.Item.Path;
+  request.Headers.push_back({"Host", Task.Job->Job.Host});
+  for (const ForwardedHeader &it : Task.Item.Headers)
+    request.Headers.push_back({it.Name, it.Value});
+  request.Body = Task.Item.Body;
+  return request;
 }
 
-void Dispatcher::startRun(const std::shared_ptr<ItemTask> &Work,
-                          const std::shared_ptr<DispatchEngine> &On) {
-  Work->Stage = ItemStage::Running;
-  Work->Engine = On;
-  Work->LastEvent = monotonicNow();
-  Work->Begun = false;
-  Work->Broken.reset();
-  Work->Moved = false;
-  ++On->Running;
-  ++On->Server->InFlight;
-  PromptEngines[Work->Item.Group] = On->Server->Entry.incarnation();
+void Dispatcher::startRun(const std::shared_ptr<ItemTask> &Task,
+                          const std::shared_ptr<DispatchEngine> &Engine) {
+  Task->Stage = ItemStage::Running;
+  Task->Engine = Engine;
+  Task->LastEvent = monotonicNow();
+  Task->HasEvent = false;
+  Task->RunFailure.reset();
+  Task->Moved = false;
+  ++Engine->Running;
+  ++Engine->Server->InFlight;
+  PromptEngines[Task->Item.Group] = Engine->Server->Entry.incarnation();
   Decisions->line("item.run",
-                  {{"item", Work->Item.Id.Text},
-                   {"job", Work->Job->Job.Id.Text},
-                   {"server", On->Server->Entry.Id.Text},
-                   {"version", std::to_string(On->version(On->Model))},
-                   {"resume_after", std::to_string(Work->Text.Events)}});
+                  {{"item", Task->Item.Id.Text},
+                   {"job", Task->Job->Job.Id.Text},
+                   {"server", Engine->Server->Entry.Id.Text},
+                   {"version", std::to_string(Engine->version(Engine->Model))},
+                   {"resume_after", std::to_string(Task->Text.Events)}});
   asio::co_spawn(
-      Executor, [self = shared_from_this(), Work] { return self->run(Work); },
+      Executor, [self = shared_from_this(), Task] { return self->run(Task); },
       asio::detached);
 }
 
-asio::awaitable<void> Dispatcher::run(std::shared_ptr<ItemTask> Work) {
-  std::shared_ptr<DispatchEngine> engine = Work->Engine;
-  TimePoint began = monotonicNow();
+asio::awaitable<void> Dispatcher::run(std::shared_ptr<ItemTask> Task) {
+  std::shared_ptr<DispatchEngine> engine = Task->Engine;
+  TimePoint startedAt = monotonicNow();
   std::unique_ptr<Quarantine::SuspectRun> suspect = Crashes->trackSuspectRun(
-      Work->Guard->Digest, engine->Server->Entry.incarnation());
+      Task->Guard->Digest, engine->Server->Entry.incarnation());
   SendOptions options;
-  options.RequestId = Work->Item.Id.Text;
-  options.Customer = Work->Job->Job.Id.Customer;
-  if (Work->Text.Events > 0)
-    options.ResumeAfter = Work->Text.Events;
+  options.RequestId = Task->Item.Id.Text;
+  options.Customer = Task->Job->Job.Id.Customer;
+  if (Task->Text.Events > 0)
+    options.ResumeAfter = Task->Text.Events;
   std::optional<Outcome<std::unique_ptr<EngineStream>>> opened =
       co_await cancellable(Executor,
-                           Engines.Open(engine->Server->Entry, askOf(*Work),
-                                        options, Limits.EventTimeout),
-                           Work->Stop);
-  Failure why{Verdict::MayHaveRun, FailureCode::Cancelled, "dispatcher",
-              "the run was stopped", Millis(0)};
-  bool whole = false;
+                           Engines.Open(engine->Server->Entry,
+                                        makeItemRequest(*Task), options,
+                                        Limits.EventTimeout),
+                           Task->CancelSignal);
+  Failure failure{Verdict::MayHaveRun, FailureCode::Cancelled, "dispatcher",
+                  "the run was cancelled", Millis(0)};
+  bool complete = false;
   if (opened && !*opened) {
-    why = opened->failure();
-    Work->Broken = why;
-    // An engine without runs is the least loaded one: unless it is put last,
-    // one that refuses connections draws each waiting item once.
+    failure = opened->failure();
+    Task->RunFailure = failure;
+    // Without a recorded failure, an engine that refuses connections appears
+    // to be the least loaded one and attracts every waiting item.
     wasabi::noteFailure(View.Servers, *engine->Server, monotonicNow());
   }
-  if (opened && *opened && !Work->Dropped) {
+  if (opened && *opened && !Task->Cancelled) {
     std::unique_ptr<EngineStream> stream = std::move(**opened);
-    bool good = checkStreamHead(Work, stream->head());
-    if (good) {
-      Work->Stream = stream.get();
-      whole = co_await readEvents(*Work);
-      Work->Stream = nullptr;
-      why = Work->Broken.value_or(why);
+    bool accepted = checkStreamHead(Task, stream->head());
+    if (accepted) {
+      Task->Stream = stream.get();
+      complete = co_await readEvents(*Task);
+      Task->Stream = nullptr;
+      failure = Task->RunFailure.value_or(failure);
     } else
-      why.Reason = "status " + std::to_string(stream->head().Response.Status);
+      failure.Reason =
+          "status " + std::to_string(stream->head().Response.Status);
   }
   --engine->Running;
   --engine->Server->InFlight;
   suspect.reset();
-  Work->Engine.reset();
-  bool lost = Work->Broken && Work->Broken->Run != Verdict::NotRun &&
-              Work->Broken->Code == FailureCode::ConnectionLost;
-  if (lost && Crashes->mayHaveCrashedServer(began, Work->Begun))
-    co_await Crashes->onConnectionLost(Work->Guard, engine->Server);
-  if (Work->Dropped || Work->Stage == ItemStage::Finished)
+  Task->Engine.reset();
+  bool connectionLost = Task->RunFailure &&
+                        Task->RunFailure->Run != Verdict::NotRun &&
+                        Task->RunFailure->Code == FailureCode::ConnectionLost;
+  if (connectionLost &&
+      Crashes->mayHaveCrashedServer(startedAt, Task->HasEvent))
+    co_await Crashes->onConnectionLost(Task->Guard, engine->Server);
+  if (Task->Cancelled || Task->Stage == ItemStage::Finished)
     co_return schedule();
-  if (!whole) {
-    Work->Avoid = engine->Server->Entry.incarnation();
-    requeueItem(Work, why);
+  if (!complete) {
+    Task->Avoid = engine->Server->Entry.incarnation();
+    requeueItem(Task, failure);
     co_return;
   }
   wasabi::noteSuccess(View.Servers, *engine->Server, 0);
-  Crashes->answered(*Work->Guard);
-  Work->Text.IsComplete = true;
-  startScoring(Work);
+  Crashes->answered(*Task->Guard);
+  Task->Text.IsComplete = true;
+  startScoring(Task);
   schedule();
 }
 
-void Dispatcher::startScoring(const std::shared_ptr<ItemTask> &Work) {
-  Work->Stage = ItemStage::Scoring;
+void Dispatcher::startScoring(const std::shared_ptr<ItemTask> &Task) {
+  Task->Stage = ItemStage::Scoring;
   asio::co_spawn(
-      Executor, [self = shared_from_this(), Work] { return self->score(Work); },
+      Executor, [self = shared_from_this(), Task] { return self->score(Task); },
       asio::detached);
 }
 
-/// Whether a stream may be read on; else what becomes of the item is settled,
-/// or it is tried again.
-bool Dispatcher::checkStreamHead(const std::shared_ptr<ItemTask> &Work,
+/// Returns true if the stream may be read. Otherwise the item has been
+/// terminated or is to be tried again.
+bool Dispatcher::checkStreamHead(const std::shared_ptr<ItemTask> &Task,
                                  const StreamHead &Head) {
-  DispatchEngine &engine = *Work->Engine;
+  DispatchEngine &engine = *Task->Engine;
   if (Head.Version) {
     engine.Versions[engine.Model] = *Head.Version;
     engine.LastReported = monotonicNow();
@@ -137,62 +141,62 @@
   unsigned status = Head.Response.Status;
   if (status == MisdirectedStatus)
     engine.Server->Replaced = true;
-  // It is full or about to load; a registration tells neither in time.
+  // The engine is full or about to load weights.
   if (Head.Proof == AnswerProof::NotRun) {
     engine.FullUntil = monotonicNow() + Limits.RetryDelay;
     return false;
   }
   if (status == Ok) {
-    // A server that has nothing to add to a text tells no version.
+    // A server that has no events to add to a text reports no version.
     bool known = Head.Version.has_value();
-    bool fresh = known ? *Head.Version >= Work->Job->Job.MinVersion
-                       : Work->Text.Events > 0;
-    // Where one version is allowed, a text goes on under its own or not at all.
-    bool mixed = fresh && known && Work->Text.Events > 0 &&
-                 singleVersion(*Work) &&
-                 Work->Text.Versions.front() != *Head.Version;
+    bool recentEnough = known ? *Head.Version >= Task->Job->Job.MinVersion
+                              : Task->Text.Events > 0;
+    // A route of a single version allows no continuation under another one.
+    bool mixed = recentEnough && known && Task->Text.Events > 0 &&
+                 requiresSingleVersion(*Task) &&
+                 Task->Text.Versions.front() != *Head.Version;
     if (mixed)
-      clearText(*Work);
-    if (!fresh)
+      clearText(*Task);
+    if (!recentEnough)
       Decisions->line(
           "item.stale_engine",
-          {{"item", Work->Item.Id.Text},
+          {{"item", Task->Item.Id.Text},
            {"server", engine.Server->Entry.Id.Text},
            {"version", known ? std::to_string(*Head.Version) : "unknown"}});
-    return fresh && !mixed;
+    return recentEnough && !mixed;
   }
-  Crashes->answered(*Work->Guard);
+  Crashes->answered(*Task->Guard);
   if (status == Unprocessable) {
-    terminate(Work, "the server can never do it");
+    terminate(Task, "an engine answered with status 422");
     return false;
   }
   if (status == InternalError) {
-    const UpstreamRoute *route = routeOf(*Work);
-    ++Work->Failures;
-    if (route != nullptr && Work->Failures >= route->MaxAttempts)
-      terminate(Work, "every attempt failed");
+    const UpstreamRoute *route = routeOf(*Task);
+    ++Task->Failures;
+    if (route != nullptr && Task->Failures >= route->MaxAttempts)
+      terminate(Task, "every attempt was answered with status 500");
   }
   return false;
 }
 
-asio::awaitable<bool> Dispatcher::readEvents(ItemTask &Work) {
-  DispatchEngine &engine = *Work.Engine;
-  std::optional<WeightVersion> version = Work.Stream->head().Version;
+asio::awaitable<bool> Dispatcher::readEvents(ItemTask &Task) {
+  DispatchEngine &engine = *Task.Engine;
+  std::optional<WeightVersion> version = Task.Stream->head().Version;
   for (;;) {
-    // Stalled runs are ended by `cancelStalledRuns`.
+    // `cancelStalledRuns` normally ends a stalled run earlier.
     Outcome<std::optional<EngineEvent>> event =
-        co_await Work.Stream->next(Limits.EventTimeout);
+        co_await Task.Stream->next(Limits.EventTimeout);
     if (!event) {
-      Work.Broken = event.failure();
+      Task.RunFailure = event.failure();
       co_return false;
     }
     if (!*event)
-      co_return Work.Text.Events > 0;
-    if ((*event)->Id != Work.Text.Events + 1) {
+      co_return Task.Text.Events > 0;
+    if ((*event)->Id != Task.Text.Events + 1) {
       Decisions->line("item.event_out_of_order",
-                      {{"item", Work.Item.Id.Text},
+                      {{"item", Task.Item.Id.Text},
                        {"server", engine.Server->Entry.Id.Text},
-                       {"expected", std::to_string(Work.Text.Events + 1)},
+                       {"expected", std::to_string(Task.Text.Events + 1)},
                        {"got", std::to_string((*event)->Id)}});
       co_return false;
     }
@@ -201,67 +205,67 @@
       engine.Versions[engine.Model] = *version;
       engine.LastReported = monotonicNow();
     }
-    // What cannot be labelled truthfully is not taken.
+    // An event of unknown version is rejected.
     if (!version)
       co_return false;
-    noteEvent(engine, Work);
-    if (Work.Text.Events > 0)
-      Work.Text.Output += '\n';
-    Work.Text.Output += (*event)->Data;
-    Work.Text.Events = (*event)->Id;
-    addVersion(Work.Text.Versions, *version);
-    if (Work.Text.Versions.size() > 1 && singleVersion(Work)) {
-      clearText(Work);
+    noteEvent(engine, Task);
+    if (Task.Text.Events > 0)
+      Task.Text.Output += '\n';
+    Task.Text.Output += (*event)->Data;
+    Task.Text.Events = (*event)->Id;
+    addVersion(Task.Text.Versions, *version);
+    if (Task.Text.Versions.size() > 1 && requiresSingleVersion(Task)) {
+      clearText(Task);
       co_return false;
     }
   }
 }
 
-void Dispatcher::noteEvent(DispatchEngine &On, ItemTask &Work) {
+void Dispatcher::noteEvent(DispatchEngine &Engine, ItemTask &Task) {
   TimePoint now = monotonicNow();
-  double gap =
-      std::chrono::duration<double, std::milli>(now - Work.LastEvent).count();
-  // The first pause is queue and prompt, and one across a load says nothing of
-  // the engine's pace.
-  if (Work.Begun && !On.isSwapping())
-    recordEventInterval(On.Pace, gap, now, Limits.Pool.Pace);
-  Work.Begun = true;
-  Work.LastEvent = now;
-  On.Pace.LastEvent = now;
+  double intervalMs =
+      std::chrono::duration<double, std::milli>(now - Task.LastEvent).count();
+  // The first interval includes the queue and the prompt, and intervals during
+  // a weight load do not reflect the pace of the engine.
+  if (Task.HasEvent && !Engine.isSwapping())
+    recordEventInterval(Engine.Pace, intervalMs, now, Limits.Pool.Pace);
+  Task.HasEvent = true;
+  Task.LastEvent = now;
+  Engine.Pace.LastEvent = now;
 }
 
-void Dispatcher::requeueItem(const std::shared_ptr<ItemTask> &Work,
-                             const Failure &Why) {
-  Work->Stage = ItemStage::Waiting;
-  Work->NotBefore =
-      Work->Moved ? TimePoint() : monotonicNow() + Limits.RetryDelay;
+void Dispatcher::requeueItem(const std::shared_ptr<ItemTask> &Task,
+                             const Failure &Cause) {
+  Task->Stage = ItemStage::Waiting;
+  Task->NotBefore =
+      Task->Moved ? TimePoint() : monotonicNow() + Limits.RetryDelay;
   Decisions->line("item.run_ended",
-                  {{"item", Work->Item.Id.Text},
-                   {"digest", Work->Guard->Digest.Text},
-                   {"server", Work->Avoid.Server.Text},
-                   {"events", std::to_string(Work->Text.Events)},
-                   {"reason", describe(Why)}});
+                  {{"item", Task->Item.Id.Text},
+                   {"digest", Task->Guard->Digest.Text},
+                   {"server", Task->Avoid.Server.Text},
+                   {"events", std::to_string(Task->Text.Events)},
+                   {"reason", describe(Cause)}});
   Counts.counter("item_runs_broken_total", "Runs of items that were not whole")
       .add();
   schedule();
   Wake.notify();
 }
 
-void Dispatcher::terminate(const std::shared_ptr<ItemTask> &Work,
-                           std::string_view Why) {
-  Decisions->line("item.terminated", {{"item", Work->Item.Id.Text},
-                                      {"job", Work->Job->Job.Id.Text},
-                                      {"reason", std::string(Why)}});
-  finish(Work, ItemResult{Work->Item.Id, ItemStatus::Terminated, "", {}, ""});
+void Dispatcher::terminate(const std::shared_ptr<ItemTask> &Task,
+                           std::string_view Reason) {
+  Decisions->line("item.terminated", {{"item", Task->Item.Id.Text},
+                                      {"job", Task->Job->Job.Id.Text},
+                                      {"reason", std::string(Reason)}});
+  finish(Task, ItemResult{Task->Item.Id, ItemStatus::Terminated, "", {}, ""});
 }
 
-asio::awaitable<void> Dispatcher::score(std::shared_ptr<ItemTask> Work) {
-  const BatchItem &item = Work->Item;
-  ItemResult result{item.Id, ItemStatus::Completed, Work->Text.Output,
-                    Work->Text.Versions, ""};
+asio::awaitable<void> Dispatcher::score(std::shared_ptr<ItemTask> Task) {
+  const BatchItem &item = Task->Item;
+  ItemResult result{item.Id, ItemStatus::Completed, Task->Text.Output,
+                    Task->Text.Versions, ""};
   std::uint32_t failures = 0;
   std::uint32_t calls = 0;
-  while (item.Score && !Work->Dropped && result.Score.empty()) {
+  while (item.Score && !Task->Cancelled && result.Score.empty()) {
     const UpstreamRoute *route =
         View.Routes
             ? findRoute(*View.Routes, item.Score->Host, item.Score->Path)
@@ -270,11 +274,11 @@
       co_await pauseFor(Executor, Limits.RetryDelay);
       continue;
     }
-    std::uint32_t most = route->MaxAttempts;
-    UpstreamRoute once = *route;
-    // Each failure is counted here, and a lost answer costs no attempt.
-    once.MaxAttempts = 1;
-    once.Timeout = Limits.ScoreCallTimeout;
+    std::uint32_t maxAttempts = route->MaxAttempts;
+    UpstreamRoute singleAttempt = *route;
+    // This loop counts the failures; a lost answer does not count as one.
+    singleAttempt.MaxAttempts = 1;
+    singleAttempt.Timeout = Limits.ScoreCallTimeout;
     ForwardRequest call;
     call.Id = item.Score->Id;
     call.ArrivedAt = monotonicNow();
@@ -284,53 +288,55 @@
     call.HttpRequest.Target = item.Score->Path;
     call.HttpRequest.Headers = {{"Host", item.Score->Host}};
     call.HttpRequest.Body = item.Score->Body;
-    Outcome<UpstreamResponse> got =
-        co_await Scores->answer(std::move(call), std::move(once), Work->Stop);
-    if (got && got->Response.Status >= Ok &&
-        got->Response.Status < FirstRedirect && !got->Signature.empty()) {
-      result.Score = got->Signature;
+    Outcome<UpstreamResponse> answer = co_await Scores->answer(
+        std::move(call), std::move(singleAttempt), Task->CancelSignal);
+    if (answer && answer->Response.Status >= Ok &&
+        answer->Response.Status < FirstRedirect && !answer->Signature.empty()) {
+      result.Score = answer->Signature;
       break;
     }
-    if (got && got->Response.Status == InternalError && ++failures >= most) {
-      terminate(Work, "its scoring call failed at every attempt");
+    if (answer && answer->Response.Status == InternalError &&
+        ++failures >= maxAttempts) {
+      terminate(Task, "every scoring attempt was answered with status 500");
       co_return;
     }
-    bool quarantined = !got && got.failure().Code == FailureCode::Quarantined;
-    if (!Work->Dropped)
+    bool quarantined =
+        !answer && answer.failure().Code == FailureCode::Quarantined;
+    if (!Task->Cancelled)
       co_await pauseFor(Executor, quarantined ? Limits.QuarantineRetryDelay
                                               : Limits.RetryDelay);
   }
-  if (Work->Dropped)
+  if (Task->Cancelled)
     co_return;
-  finish(Work, std::move(result));
+  finish(Task, std::move(result));
   schedule();
 }
 
-void Dispatcher::finish(const std::shared_ptr<ItemTask> &Work,
+void Dispatcher::finish(const std::shared_ptr<ItemTask> &Task,
                         ItemResult Result) {
-  Work->Stage = ItemStage::Finished;
+  Task->Stage = ItemStage::Finished;
   Decisions->line(
       "item.finished",
       {{"item", Result.Item.Text},
-       {"job", Work->Job->Job.Id.Text},
+       {"job", Task->Job->Job.Id.Text},
        {"completed", Result.Status == ItemStatus::Completed ? "yes" : "no"},
-       {"events", std::to_string(Work->Text.Events)},
+       {"events", std::to_string(Task->Text.Events)},
        {"versions", fmt::format("{}", fmt::join(Result.Versions, ","))},
        {"took_ms", std::to_string(std::chrono::duration_cast<Millis>(
-                                      monotonicNow() - Work->Job->Seen)
+                                      monotonicNow() - Task->Job->Seen)
                                       .count())}});
   std::string text;
   if (Result.Output.size() > MaxInlineBytes)
     text.swap(Result.Output);
   Uncommitted.push_back(
-      {{Work->Job->Job.Id, std::move(Result)}, std::move(text)});
+      {{Task->Job->Job.Id, std::move(Result)}, std::move(text)});
   CommitWake.notify();
 }
 
-void clearText(ItemTask &Work) {
-  Work.Text = PartialText();
-  Work.SavedEvents = 0;
-  Work.SavedBytes = 0;
+void clearText(ItemTask &Task) {
+  Task.Text = PartialText();
+  Task.SavedEvents = 0;
+  Task.SavedBytes = 0;
 }
 
 } // namespace wasabi
--- a/Wasabi/Dispatch/EngineTopics.cpp
+++ b/Wasabi/Dispatch/EngineTopics.cpp
@@ -11,31 +11,31 @@
 
 namespace {
 
-/// What is wanted should reach an engine within a fraction of a load's 0.9 s.
+/// Delay between two reads of a topic, short compared to a weight load.
 constexpr Millis TopicPollDelay{30};
 
-/// Records of a release before this one have none.
-ServerStartTime readStart(JsonReader &From) {
-  return From.has("start") ? From.number("start") : 0;
+/// Returns the start, or 0 for records of older releases, which have none.
+ServerStartTime readStart(JsonReader &Record) {
+  return Record.has("start") ? Record.number("start") : 0;
 }
 
 } // namespace
 
-std::string encodeWanted(const WantedWeights &What) {
+std::string encodeWanted(const WantedWeights &Weights) {
   return json::serialize(json::object{
-      {"model", What.Model.Text},
-      {"version", What.Version},
-      {"mode", What.Mode == SwapMode::Finish ? "finish" : "continue"},
-      {"start", What.Start}});
+      {"model", Weights.Model.Text},
+      {"version", Weights.Version},
+      {"mode", Weights.Mode == SwapMode::Finish ? "finish" : "continue"},
+      {"start", Weights.Start}});
 }
 
-std::string encodeHeld(const HeldWeights &What) {
+std::string encodeHeld(const HeldWeights &Weights) {
   json::array models;
-  for (const auto &[model, version] : What.Models)
+  for (const auto &[model, version] : Weights.Models)
     models.push_back({{"name", model.Text}, {"version", version}});
   return json::serialize(json::object{{"models", std::move(models)},
-                                      {"loading", What.Loading},
-                                      {"start", What.Start}});
+                                      {"loading", Weights.Loading},
+                                      {"start", Weights.Start}});
 }
 
 Result<WantedWeights> decodeWanted(std::string_view Text,
@@ -73,30 +73,32 @@
 
 std::shared_ptr<KeyedFollower> followWanted(
     const FeedContext &Parts,
-    std::function<void(const ServerName &, WantedWeights, Offset)> Take) {
+    std::function<void(const ServerName &, WantedWeights, Offset)> OnChange) {
   return startFeed(
       Parts, WantedTopic, TopicPollDelay,
-      [Take = std::move(Take)](const KeyedRecord &Record) -> Result<void> {
+      [OnChange =
+           std::move(OnChange)](const KeyedRecord &Record) -> Result<void> {
         if (!Record.Value)
           return {};
         BOOST_LEAF_AUTO(wanted, decodeWanted(*Record.Value, Record.Key));
-        Take(ServerName(Record.Key), std::move(wanted), Record.At);
+        OnChange(ServerName(Record.Key), std::move(wanted), Record.At);
         return {};
       });
 }
 
-std::shared_ptr<KeyedFollower>
-followHeld(const FeedContext &Parts,
-           std::function<void(const ServerName &, const HeldWeights &)> Take) {
-  return startFeed(
-      Parts, HeldTopic, TopicPollDelay,
-      [Take = std::move(Take)](const KeyedRecord &Record) -> Result<void> {
-        if (!Record.Value)
-          return {};
-        BOOST_LEAF_AUTO(held, decodeHeld(*Record.Value, Record.Key));
-        Take(ServerName(Record.Key), held);
-        return {};
-      });
+std::shared_ptr<KeyedFollower> followHeld(
+    const FeedContext &Parts,
+    std::function<void(const ServerName &, const HeldWeights &)> OnChange) {
+  return startFeed(Parts, HeldTopic, TopicPollDelay,
+                   [OnChange = std::move(OnChange)](
+                       const KeyedRecord &Record) -> Result<void> {
+                     if (!Record.Value)
+                       return {};
+                     BOOST_LEAF_AUTO(held,
+                                     decodeHeld(*Record.Value, Record.Key));
+                     OnChange(ServerName(Record.Key), held);
+                     return {};
+                   });
 }
 
 } // namespace wasabi
--- a/Wasabi/Dispatch/EngineTopics.h
+++ b/Wasabi/Dispatch/EngineTopics.h
@@ -1,6 +1,6 @@
 /// \file
-/// What dispatchers and the processes beside engines tell each other through
-/// the store: which weights an engine should hold, and which it holds.
+/// Topics of the store through which dispatchers request weight loads and
+/// sidecars report the weights that their engines hold.
 #ifndef WASABI_DISPATCH_ENGINETOPICS_H
 #define WASABI_DISPATCH_ENGINETOPICS_H
 
@@ -14,56 +14,57 @@
 
 namespace wasabi {
 
-/// Keyed by server: the weights it should hold. The newest record counts,
-/// whoever wrote it.
+/// Topic of the weights that each server should hold, keyed by server. The
+/// newest record is in force, regardless of its writer.
 inline constexpr const char *WantedTopic = "keyed.wanted";
-/// Keyed by server: the weights it holds, as the process beside it saw them.
+/// Topic of the weights that each server holds, keyed by server and written by
+/// its sidecar.
 inline constexpr const char *HeldTopic = "keyed.held";
 
-/// An order to come. An immutable value.
+/// Weights that an engine should load. An immutable value.
 struct WantedWeights {
   ModelName Model;
   WeightVersion Version = 0;
   SwapMode Mode = SwapMode::Continue;
-  /// Of which start of the server it is wanted; 0 if that is not known.
+  /// Start of the server that should load them; 0 if unknown.
   ServerStartTime Start = 0;
   bool operator==(const WantedWeights &) const = default;
 };
 
-/// What an engine holds. An immutable value.
+/// Weights that an engine holds. An immutable value.
 struct HeldWeights {
   std::map<ModelName, WeightVersion> Models;
-  /// Whether it is taking others now.
+  /// True while the engine loads other weights.
   bool Loading = false;
-  /// The start of the server that held them; 0 if that is not known.
+  /// Start of the server that holds them; 0 if unknown.
   ServerStartTime Start = 0;
   bool operator==(const HeldWeights &) const = default;
 };
 
-/// Whether what is known of one start of a server speaks for another. Where a
-/// start is not known, the server's name has to do. Pure.
+/// Returns true if both starts of a server are equal or either is unknown.
+/// Pure.
 inline bool mayBeSameStart(ServerStartTime Left, ServerStartTime Right) {
   return Left == 0 || Right == 0 || Left == Right;
 }
 
-/// The text of a record. Thread-safe.
-std::string encodeWanted(const WantedWeights &What);
-std::string encodeHeld(const HeldWeights &What);
+/// Returns the text of a record. Thread-safe.
+std::string encodeWanted(const WantedWeights &Weights);
+std::string encodeHeld(const HeldWeights &Weights);
 
-/// The reverse. Errors: `BadInput` at `Place`. Thread-safe.
+/// Decodes the text of a record. Errors: `BadInput` at `Place`. Thread-safe.
 Result<WantedWeights> decodeWanted(std::string_view Text,
                                    const std::string &Place);
 Result<HeldWeights> decodeHeld(std::string_view Text, const std::string &Place);
 
-/// Calls `Take` for each change of what is wanted of a server.
+/// Follows `WantedTopic` and calls `OnChange` with each record and its offset.
 std::shared_ptr<KeyedFollower> followWanted(
     const FeedContext &Parts,
-    std::function<void(const ServerName &, WantedWeights, Offset)> Take);
+    std::function<void(const ServerName &, WantedWeights, Offset)> OnChange);
 
-/// Calls `Take` for each change of what a server holds.
-std::shared_ptr<KeyedFollower>
-followHeld(const FeedContext &Parts,
-           std::function<void(const ServerName &, const HeldWeights &)> Take);
+/// Follows `HeldTopic` and calls `OnChange` with each record.
+std::shared_ptr<KeyedFollower> followHeld(
+    const FeedContext &Parts,
+    std::function<void(const ServerName &, const HeldWeights &)> OnChange);
 
 } // namespace wasabi
 
