--- a/UnitTests/Dispatch/DispatcherTest.cpp
+++ b/UnitTests/Dispatch/DispatcherTest.cpp
@@ -238,7 +238,8 @@
   BatchJob job = makeJob("a", 30);
   fixture.submit(job);
   REQUIRE(fixture.finishes(job));
-  // The engine gets its four slots once and occasional retries.
+  // The dispatcher fills the four slots of the engine once and then retries it
+  // occasionally.
   CHECK(fixture.server("e1").Runs.size() <= 8);
 }
 
@@ -376,8 +377,9 @@
   CHECK_FALSE(fixture.Engines.ResumedAfter.empty());
 }
 
-TEST_CASE("Jobs of a customer with a more urgent priority run first",
-          "[dispatch]") {
+TEST_CASE(
+    "Jobs of a more urgent customer run first regardless of the route priority",
+    "[dispatch]") {
   DispatcherFixture fixture;
   std::shared_ptr<RouteTable> routes =
       std::make_shared<RouteTable>(*fixture.View.Routes);
@@ -519,9 +521,9 @@
   CHECK(fixture.runUntil([&] { return wanted() == 4; }));
 }
 
-TEST_CASE(
-    "Engines load a named version only after the expected step has started",
-    "[dispatch]") {
+TEST_CASE("Loads are requested only after all items of the expected step have "
+          "started",
+          "[dispatch]") {
   DispatcherFixture fixture(Millis(80), Millis(5000));
   fixture.Engines.EventsPerText = 12;
   for (const char *id : {"e1", "e2"}) {
--- a/Wasabi/Dispatch/DispatcherEngines.cpp
+++ b/Wasabi/Dispatch/DispatcherEngines.cpp
@@ -81,10 +81,10 @@
     }
   }
   Pool = std::move(next);
-  std::map<ModelName, double> measured = meanStepDemand();
+  std::map<ModelName, double> recentDemand = meanStepDemand();
   // All models have the same demand until each has had a job.
-  if (measured.size() == demand.size())
-    demand = measured;
+  if (recentDemand.size() == demand.size())
+    demand = recentDemand;
   bool mayMove = now - LastMove > Limits.MinMoveInterval;
   if (assignModels(Pool,
                    poolSizes(demand, static_cast<std::uint32_t>(Pool.size())),
--- a/Wasabi/Dispatch/DispatcherRecords.cpp
+++ b/Wasabi/Dispatch/DispatcherRecords.cpp
@@ -200,7 +200,7 @@
 
 /// Appends the oldest results: first the texts that are stored as payloads,
 /// then the records that refer to them. Removes the appended results from
-/// `Uncommitted`.
+/// `Uncommitted`; nothing else may remove results while this function runs.
 asio::awaitable<Outcome<Done>> Dispatcher::commitOldestResults() {
   std::vector<std::string> texts;
   std::vector<std::size_t> indices;
@@ -230,8 +230,7 @@
   for (std::size_t i = 0; i < count; ++i)
     records.push_back(encodeRecord(Uncommitted[i].Record));
   Outcome<Offset> appended = co_await Log->append(std::move(records));
-  // Repeating an append result unknown outcome is safe: the first result
-  // counts.
+  // Repeating an append of unknown outcome is safe: the first result counts.
   if (!appended)
     co_return appended.failure();
   Uncommitted.erase(Uncommitted.begin(),
@@ -242,7 +241,7 @@
 //===--- Saved texts ------------------------------------------------------===//
 
 /// Returns a record of the part of a text that this dispatcher has not saved
-/// yet.
+/// yet, which is the whole text if it has saved none.
 PartialTextRecord Dispatcher::unsavedText(const ItemTask &Task) const {
   PartialTextRecord record{Task.Job->Job.Id, Task.Item.Id, Source,
                            Task.SavedEvents, Task.Text};
--- a/Wasabi/Dispatch/DispatcherRuns.cpp
+++ b/Wasabi/Dispatch/DispatcherRuns.cpp
@@ -141,7 +141,8 @@
   unsigned status = Head.Response.Status;
   if (status == MisdirectedStatus)
     engine.Server->Replaced = true;
-  // The engine is full or about to load weights.
+  // The engine is full or about to load weights. Its registration may not show
+  // this yet.
   if (Head.Proof == AnswerProof::NotRun) {
     engine.FullUntil = monotonicNow() + Limits.RetryDelay;
     return false;
@@ -174,7 +175,8 @@
     const UpstreamRoute *route = routeOf(*Task);
     ++Task->Failures;
     if (route != nullptr && Task->Failures >= route->MaxAttempts)
-      terminate(Task, "every attempt was answered with status 500");
+      terminate(Task,
+                "engines answered with status 500 until the attempt limit");
   }
   return false;
 }
@@ -297,7 +299,8 @@
     }
     if (answer && answer->Response.Status == InternalError &&
         ++failures >= maxAttempts) {
-      terminate(Task, "every scoring attempt was answered with status 500");
+      terminate(Task,
+                "scoring calls failed with status 500 until the attempt limit");
       co_return;
     }
     bool quarantined =
