--- a/UnitTests/Dispatch/DispatcherTest.cpp
+++ b/UnitTests/Dispatch/DispatcherTest.cpp
@@ -268,7 +268,7 @@
     CHECK(it.Output == wholeText(it.Item.Text, 300));
 }
 
-TEST_CASE("A run without a first event ends before the load stall timeout",
+TEST_CASE("A run without a first event crashes before the load stall timeout",
           "[dispatch]") {
   DispatcherFixture fixture;
   fixture.server("e1").Unresponsive = true;
@@ -779,13 +779,13 @@
   CHECK(fixture.runUntil(listed));
   TimePoint until = monotonicNow() + Millis(300);
   fixture.runUntil([&] { return monotonicNow() > until; });
-  std::size_t ends = 0;
+  std::size_t crashes = 0;
   for (const auto &[id, server] : fixture.Engines.Servers)
-    ends += server.Ended ? 1 : 0;
+    crashes += server.Crashed ? 1 : 0;
   // One more crash if another item of its group ran on the same engine each
   // time.
-  CHECK(ends >= 3);
-  CHECK(ends <= 4);
+  CHECK(crashes >= 3);
+  CHECK(crashes <= 4);
   CHECK(listed());
 }
 
--- a/UnitTests/Dispatch/FakeEngines.cpp
+++ b/UnitTests/Dispatch/FakeEngines.cpp
@@ -38,9 +38,9 @@
     // The server may have become unresponsive during the delay.
     if (!Cancelled && server.Unresponsive)
       co_await Wake.wait(monotonicNow() + Timeout);
-    server.Ended = server.Ended || (Item == Engines.CrashItem &&
-                                    EventsSent >= Engines.CrashAfterEvents);
-    if (server.Ended)
+    server.Crashed = server.Crashed || (Item == Engines.CrashItem &&
+                                        EventsSent >= Engines.CrashAfterEvents);
+    if (server.Crashed)
       co_return makeFailure(FailureCode::ConnectionLost);
     if (Cancelled || server.Unresponsive)
       co_return makeFailure(FailureCode::Cancelled);
@@ -93,8 +93,8 @@
 asio::awaitable<Outcome<ServerProbeResult>>
 FakeEngines::probe(UpstreamRegistration Server) {
   co_await pauseFor(Context.get_executor(), Millis(1));
-  co_return Servers[Server.Id].Ended ? ServerProbeResult::RefusesConnections
-                                     : ServerProbeResult::Listens;
+  co_return Servers[Server.Id].Crashed ? ServerProbeResult::RefusesConnections
+                                       : ServerProbeResult::Listens;
 }
 
 asio::awaitable<Outcome<std::unique_ptr<EngineStream>>>
@@ -102,7 +102,7 @@
   co_await pauseFor(Context.get_executor(), Millis(1));
   FakeServer &server = Servers[Server.Id];
   server.Runs.push_back(Options.RequestId);
-  if (server.RefusesConnections || server.Ended)
+  if (server.RefusesConnections || server.Crashed)
     co_return Failure{Verdict::NotRun, FailureCode::Unreachable, Server.Id.Text,
                       "refused", Millis(0)};
   std::uint64_t after = Options.ResumeAfter.value_or(0);
--- a/UnitTests/Dispatch/FakeEngines.h
+++ b/UnitTests/Dispatch/FakeEngines.h
@@ -26,7 +26,7 @@
   std::uint64_t BreakAfterEvents = 0;
   bool RefusesConnections = false;
   /// True once the process has crashed; it then refuses connections.
-  bool Ended = false;
+  bool Crashed = false;
   /// Neither answers scoring calls nor sends events.
   bool Unresponsive = false;
   /// Items of the runs that were opened here, in order.
