--- a/UnitTests/Dispatch/DispatcherTest.cpp
+++ b/UnitTests/Dispatch/DispatcherTest.cpp
@@ -268,7 +268,7 @@
     CHECK(it.Output == wholeText(it.Item.Text, 300));
 }
 
-TEST_CASE("A run without a first event crashes before the load stall timeout",
+TEST_CASE("A run without a first event ends before the load stall timeout",
           "[dispatch]") {
   DispatcherFixture fixture;
   fixture.server("e1").Unresponsive = true;
