--- a/UnitTests/Quarantine/CrashHistoryTest.cpp
+++ b/UnitTests/Quarantine/CrashHistoryTest.cpp
@@ -9,155 +9,155 @@
 namespace {
 
 const RequestDigest Poison("poison");
-const RequestDigest Beside("beside");
+const RequestDigest Neighbor("beside");
 const TimePoint Start = TimePoint() + Millis(1000);
 
 ServerIncarnation server(int Number) {
   return {ServerName("s" + std::to_string(Number)), 0};
 }
 
-/// Servers `First` to `Last` end under a request.
-void end(CrashHistory &Ledger, const RequestDigest &Of, int First, int Last,
-         TimePoint At = Start) {
+/// Records crashes of the servers `First` to `Last` under a request.
+void crash(CrashHistory &History, const RequestDigest &Digest, int First,
+           int Last, TimePoint At = Start) {
   for (int i = First; i <= Last; ++i)
-    recordCrashes(Ledger, Of, {server(i)}, At);
+    recordCrashes(History, Digest, {server(i)}, At);
 }
 
-CrashStatus crashStatus(const CrashHistory &Ledger, const RequestDigest &Of,
-                        TimePoint At = Start) {
-  return findCrashStatus(Ledger, Of, At);
+CrashStatus crashStatus(const CrashHistory &History,
+                        const RequestDigest &Digest, TimePoint At = Start) {
+  return findCrashStatus(History, Digest, At);
 }
 
 } // namespace
 
-TEST_CASE("A request under which three servers end gets no more",
+TEST_CASE("A request is quarantined after three server crashes",
           "[quarantine]") {
-  CrashHistory ledger;
-  CHECK(crashStatus(ledger, Poison) == CrashStatus::Clean);
-  end(ledger, Poison, 1, 2);
-  CHECK(crashStatus(ledger, Poison) == CrashStatus::Suspect);
-  // The same end, told again.
-  CHECK_FALSE(recordCrashes(ledger, Poison, {server(2)}, Start));
-  CHECK(crashStatus(ledger, Poison) == CrashStatus::Suspect);
-  end(ledger, Poison, 3, 3);
-  CHECK(crashStatus(ledger, Poison) == CrashStatus::Quarantined);
+  CrashHistory history;
+  CHECK(crashStatus(history, Poison) == CrashStatus::Clean);
+  crash(history, Poison, 1, 2);
+  CHECK(crashStatus(history, Poison) == CrashStatus::Suspect);
+  // A repeated crash.
+  CHECK_FALSE(recordCrashes(history, Poison, {server(2)}, Start));
+  CHECK(crashStatus(history, Poison) == CrashStatus::Suspect);
+  crash(history, Poison, 3, 3);
+  CHECK(crashStatus(history, Poison) == CrashStatus::Quarantined);
 }
 
-TEST_CASE("A server that starts again under its id ends once more",
+TEST_CASE("Crashes of a restarted server with the same id count separately",
           "[quarantine]") {
-  CrashHistory ledger;
+  CrashHistory history;
   ServerName id("s");
-  recordCrashes(ledger, Poison, {{id, 1}, {id, 2}, {id, 3}}, Start);
-  CHECK(crashStatus(ledger, Poison) == CrashStatus::Quarantined);
+  recordCrashes(history, Poison, {{id, 1}, {id, 2}, {id, 3}}, Start);
+  CHECK(crashStatus(history, Poison) == CrashStatus::Quarantined);
 }
 
-TEST_CASE("An answer takes back what is known against a request",
-          "[quarantine]") {
-  CrashHistory ledger;
-  end(ledger, Beside, 1, 2);
-  CHECK(clearCrashes(ledger, Beside));
-  CHECK_FALSE(clearCrashes(ledger, Beside));
-  end(ledger, Beside, 3, 4);
-  CHECK(crashStatus(ledger, Beside) == CrashStatus::Suspect);
+TEST_CASE("An answer clears the crashes of a request", "[quarantine]") {
+  CrashHistory history;
+  crash(history, Neighbor, 1, 2);
+  CHECK(clearCrashes(history, Neighbor));
+  CHECK_FALSE(clearCrashes(history, Neighbor));
+  crash(history, Neighbor, 3, 4);
+  CHECK(crashStatus(history, Neighbor) == CrashStatus::Suspect);
 }
 
-TEST_CASE("Who shares servers with a request that ends them is served on",
-          "[quarantine]") {
-  CrashHistory ledger;
-  // On three servers in turn another request was beside it.
-  end(ledger, Poison, 1, 3);
-  CHECK(crashStatus(ledger, Poison) == CrashStatus::Quarantined);
-  end(ledger, Beside, 1, 3);
-  // Which of the two it was can't be told yet.
-  CHECK(crashStatus(ledger, Poison) == CrashStatus::Suspect);
-  CHECK(crashStatus(ledger, Beside) == CrashStatus::Suspect);
-  SECTION("since the other is answered") {
-    clearCrashes(ledger, Beside);
-    CHECK(crashStatus(ledger, Poison) == CrashStatus::Quarantined);
+TEST_CASE(
+    "A request that shares servers with a poison request is not quarantined",
+    "[quarantine]") {
+  CrashHistory history;
+  // Both requests ran on the same three servers.
+  crash(history, Poison, 1, 3);
+  CHECK(crashStatus(history, Poison) == CrashStatus::Quarantined);
+  crash(history, Neighbor, 1, 3);
+  // It is unknown which of the two caused the crashes.
+  CHECK(crashStatus(history, Poison) == CrashStatus::Suspect);
+  CHECK(crashStatus(history, Neighbor) == CrashStatus::Suspect);
+  SECTION("when the other request is answered") {
+    clearCrashes(history, Neighbor);
+    CHECK(crashStatus(history, Poison) == CrashStatus::Quarantined);
   }
-  SECTION("since one more server ends under the one") {
-    end(ledger, Poison, 4, 4);
-    CHECK(crashStatus(ledger, Poison) == CrashStatus::Quarantined);
-    CHECK(crashStatus(ledger, Beside) == CrashStatus::Clean);
-    // Those ends count against it no more, later ones do.
-    end(ledger, Beside, 5, 5);
-    CHECK(crashStatus(ledger, Beside) == CrashStatus::Suspect);
+  SECTION("when one more server crashes under the poison request") {
+    crash(history, Poison, 4, 4);
+    CHECK(crashStatus(history, Poison) == CrashStatus::Quarantined);
+    CHECK(crashStatus(history, Neighbor) == CrashStatus::Clean);
+    // The explained crashes don't count against it; later ones do.
+    crash(history, Neighbor, 5, 5);
+    CHECK(crashStatus(history, Neighbor) == CrashStatus::Suspect);
   }
 }
 
-TEST_CASE("Requests that end servers are all convicted, side by side",
-          "[quarantine]") {
-  CrashHistory ledger;
-  // Both on two servers at once, then each on its own.
-  end(ledger, Poison, 1, 2);
-  end(ledger, Beside, 1, 2);
-  end(ledger, Poison, 3, 3);
-  CHECK(crashStatus(ledger, Poison) == CrashStatus::Quarantined);
-  end(ledger, Beside, 4, 5);
-  CHECK(crashStatus(ledger, Beside) == CrashStatus::Suspect);
-  end(ledger, Beside, 6, 6);
-  CHECK(crashStatus(ledger, Beside) == CrashStatus::Quarantined);
-  CHECK(crashStatus(ledger, Poison) == CrashStatus::Quarantined);
+TEST_CASE("Two poison requests are both quarantined", "[quarantine]") {
+  CrashHistory history;
+  // Both run on two servers first, then each on its own.
+  crash(history, Poison, 1, 2);
+  crash(history, Neighbor, 1, 2);
+  crash(history, Poison, 3, 3);
+  CHECK(crashStatus(history, Poison) == CrashStatus::Quarantined);
+  crash(history, Neighbor, 4, 5);
+  CHECK(crashStatus(history, Neighbor) == CrashStatus::Suspect);
+  crash(history, Neighbor, 6, 6);
+  CHECK(crashStatus(history, Neighbor) == CrashStatus::Quarantined);
+  CHECK(crashStatus(history, Poison) == CrashStatus::Quarantined);
 }
 
-TEST_CASE("Ends that are all shared convict at the fourth", "[quarantine]") {
-  CrashHistory ledger;
-  end(ledger, Poison, 1, 4);
-  end(ledger, Beside, 1, 3);
+TEST_CASE("A request is quarantined at the fourth crash if all are shared",
+          "[quarantine]") {
+  CrashHistory history;
+  crash(history, Poison, 1, 4);
+  crash(history, Neighbor, 1, 3);
   RequestDigest third("third");
-  end(ledger, third, 4, 4);
-  CHECK(crashStatus(ledger, Poison) == CrashStatus::Quarantined);
-  CHECK(crashStatus(ledger, Beside) == CrashStatus::Clean);
-  CHECK(crashStatus(ledger, third) == CrashStatus::Clean);
+  crash(history, third, 4, 4);
+  CHECK(crashStatus(history, Poison) == CrashStatus::Quarantined);
+  CHECK(crashStatus(history, Neighbor) == CrashStatus::Clean);
+  CHECK(crashStatus(history, third) == CrashStatus::Clean);
 }
 
-// Six such requests at two servers: each end was shared by some of them, one
-// that was convicted explained the others, and these went on ending servers,
-// 15 times and more.
-TEST_CASE("Requests that share all their ends are all convicted at the fifth",
+// Guards against poison requests that explain the crashes of each other, so
+// that some of them are never quarantined.
+TEST_CASE("Requests that share all their crashes are quarantined at the fifth",
           "[quarantine]") {
-  CrashHistory ledger;
+  CrashHistory history;
   RequestDigest third("third");
   for (int i = 1; i <= 5; ++i) {
-    for (const RequestDigest &it : {Poison, Beside, third})
-      end(ledger, it, i, i);
+    for (const RequestDigest &it : {Poison, Neighbor, third})
+      crash(history, it, i, i);
   }
-  for (const RequestDigest &it : {Poison, Beside, third})
-    CHECK(crashStatus(ledger, it) == CrashStatus::Quarantined);
-  // A later end that they share with another changes nothing.
-  end(ledger, RequestDigest("other"), 5, 5);
-  for (const RequestDigest &it : {Poison, Beside, third})
-    CHECK(crashStatus(ledger, it) == CrashStatus::Quarantined);
-  CHECK(crashStatus(ledger, RequestDigest("other")) == CrashStatus::Clean);
+  for (const RequestDigest &it : {Poison, Neighbor, third})
+    CHECK(crashStatus(history, it) == CrashStatus::Quarantined);
+  // A later crash that they share with another request has no effect.
+  crash(history, RequestDigest("other"), 5, 5);
+  for (const RequestDigest &it : {Poison, Neighbor, third})
+    CHECK(crashStatus(history, it) == CrashStatus::Quarantined);
+  CHECK(crashStatus(history, RequestDigest("other")) == CrashStatus::Clean);
 }
 
-TEST_CASE("A term served, one end is enough for the next", "[quarantine]") {
-  CrashHistory ledger;
-  end(ledger, Poison, 1, 3);
-  Millis term = ledger.Limits.Term;
-  CHECK(remainingQuarantine(ledger, Poison, Start + Millis(1)) ==
-        term - Millis(1));
-  CHECK(crashStatus(ledger, Poison, Start + term - Millis(1)) ==
+TEST_CASE("After the quarantine, one crash quarantines a request again",
+          "[quarantine]") {
+  CrashHistory history;
+  crash(history, Poison, 1, 3);
+  Millis quarantineTime = history.Limits.QuarantineTime;
+  CHECK(remainingQuarantine(history, Poison, Start + Millis(1)) ==
+        quarantineTime - Millis(1));
+  CHECK(crashStatus(history, Poison, Start + quarantineTime - Millis(1)) ==
         CrashStatus::Quarantined);
-  TimePoint after = Start + term;
-  CHECK(crashStatus(ledger, Poison, after) == CrashStatus::Suspect);
-  CHECK(remainingQuarantine(ledger, Poison, after) == Millis(0));
-  end(ledger, Poison, 4, 4, after);
-  CHECK(crashStatus(ledger, Poison, after) == CrashStatus::Quarantined);
+  TimePoint after = Start + quarantineTime;
+  CHECK(crashStatus(history, Poison, after) == CrashStatus::Suspect);
+  CHECK(remainingQuarantine(history, Poison, after) == Millis(0));
+  crash(history, Poison, 4, 4, after);
+  CHECK(crashStatus(history, Poison, after) == CrashStatus::Quarantined);
 }
 
-TEST_CASE("What is old or too much is forgotten, convicted requests last",
+TEST_CASE("Old and excess records are evicted, those of poison requests last",
           "[quarantine]") {
-  CrashHistory ledger;
-  ledger.Limits.MaxTrackedRequests = 2;
-  end(ledger, Poison, 1, 3);
-  end(ledger, Beside, 4, 4, Start + Millis(1));
-  end(ledger, RequestDigest("c"), 5, 5, Start + Millis(2));
-  CHECK(evictOld(ledger, Start) == std::set<RequestDigest>{Beside});
-  CHECK(crashStatus(ledger, Poison) == CrashStatus::Quarantined);
-  TimePoint later = Start + ledger.Limits.Memory + Millis(1);
-  CHECK(evictOld(ledger, later) == std::set<RequestDigest>{Poison});
-  CHECK(ledger.Requests.size() == 1);
+  CrashHistory history;
+  history.Limits.MaxTrackedRequests = 2;
+  crash(history, Poison, 1, 3);
+  crash(history, Neighbor, 4, 4, Start + Millis(1));
+  crash(history, RequestDigest("c"), 5, 5, Start + Millis(2));
+  CHECK(evictOld(history, Start) == std::set<RequestDigest>{Neighbor});
+  CHECK(crashStatus(history, Poison) == CrashStatus::Quarantined);
+  TimePoint later = Start + history.Limits.RecordRetention + Millis(1);
+  CHECK(evictOld(history, later) == std::set<RequestDigest>{Poison});
+  CHECK(history.Requests.size() == 1);
 }
 
 } // namespace wasabi
--- a/UnitTests/Usage/UsageRecordTest.cpp
+++ b/UnitTests/Usage/UsageRecordTest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-Outcome<UsageRecord> decoded(const std::string &Text) {
+Outcome<UsageRecord> tryDecode(const std::string &Text) {
   return toOutcome<UsageRecord>([&] { return decodeUsage(Text, "usage@7"); });
 }
 
@@ -16,7 +16,7 @@
 
 } // namespace
 
-TEST_CASE("Each record of usage reads as it was written", "[usage]") {
+TEST_CASE("A usage record decodes to the record that was encoded", "[usage]") {
   WallTime now(Millis(1764000000123));
   CustomerName odd("a\"b\\c");
   std::vector<UsageRecord> all{
@@ -25,44 +25,44 @@
       UsageDecision{352800000, {{odd, 12}, {CustomerName("b"), 1}}},
       UsageReported{352800000}};
   for (const UsageRecord &it : all) {
-    Outcome<UsageRecord> again = decoded(encodeUsage(it));
-    REQUIRE(again);
-    CHECK(*again == it);
+    Outcome<UsageRecord> decoded = tryDecode(encodeUsage(it));
+    REQUIRE(decoded);
+    CHECK(*decoded == it);
   }
 }
 
-TEST_CASE("A record of one request is short", "[usage]") {
+TEST_CASE("A batch of one request is encoded in at most 80 bytes", "[usage]") {
   WallTime now(Millis(1764000000123));
   UsageBatch batch{
       Edge, 4000, now, {{CustomerName("cuka620"), now - Millis(2), 1}}};
   CHECK(encodeUsage(batch).size() <= 80);
 }
 
-TEST_CASE("A malformed record of usage is an error that names its place",
-          "[usage]") {
+TEST_CASE("Decoding a malformed usage record fails with its place", "[usage]") {
   for (const char *text :
        {"", "{}", "[]", "[\"counted\"]", R"(["other",1])",
         R"(["counted",1,"edge",1,1,1,[["a"]]])", R"(["window",1,7,[]])",
         R"(["window",1,7,{"a":-1}])", R"(["told",1])"}) {
     INFO(text);
-    Outcome<UsageRecord> got = decoded(text);
+    Outcome<UsageRecord> got = tryDecode(text);
     REQUIRE_FALSE(got);
     CHECK(got.failure().Place == "usage@7");
   }
-  Outcome<UsageRecord> newer = decoded(R"(["told",2,7])");
+  Outcome<UsageRecord> newer = tryDecode(R"(["told",2,7])");
   REQUIRE_FALSE(newer);
   CHECK(newer.failure().Code == FailureCode::NewerSchema);
 }
 
-TEST_CASE("Any bytes are read as a record of usage or refused", "[usage]") {
+TEST_CASE("Arbitrary bytes are decoded as a usage record or refused",
+          "[usage]") {
   test::holds([](const std::string &Text) {
-    Outcome<UsageRecord> got = decoded(Text);
+    Outcome<UsageRecord> got = tryDecode(Text);
     if (!got)
       RC_ASSERT(got.failure().Run == Verdict::NotRun);
   });
 }
 
-TEST_CASE("Windows follow each other without a gap", "[usage]") {
+TEST_CASE("Consecutive windows have no gap", "[usage]") {
   constexpr Millis Length{5000};
   CHECK(windowOf(WallTime(Millis(0)), Length) == 0);
   CHECK(windowOf(WallTime(Millis(4999)), Length) == 0);
@@ -71,7 +71,8 @@
   CHECK(windowOf(windowEnd(41, Length), Length) == 42);
 }
 
-TEST_CASE("A wall clock goes on from its begin", "[usage]") {
+TEST_CASE("A wall clock advances from its start with monotonic time",
+          "[usage]") {
   TimePoint begin(Millis(700));
   WallClock clock(begin, std::chrono::sys_time<Micros>(Millis(1764000000000)));
   CHECK(clock.at(begin) == WallTime(Millis(1764000000000)));
--- a/UnitTests/Usage/UsageReporterTest.cpp
+++ b/UnitTests/Usage/UsageReporterTest.cpp
@@ -10,62 +10,63 @@
 const CustomerName Anna("anna");
 constexpr Millis Window{60};
 
-/// What the platform was told, and how it answers.
+/// Records the reports and answers them as configured.
 struct FakeReports {
-  struct Told {
-    UsageDecision What;
-    CallPermit By;
+  struct Report {
+    UsageDecision Decision;
+    CallPermit Permit;
   };
-  std::vector<Told> Calls;
-  /// Codes of failure of the next calls; taken when there are none.
+  std::vector<Report> Calls;
+  /// Failure codes of the next calls; calls succeed when it is empty.
   std::deque<FailureCode> Failures;
 
   ReportPort port() {
     ReportPort port;
-    port.Usage = [this](UsageDecision What, CallPermit By, Millis) {
-      return take(std::move(What), std::move(By));
+    port.Usage = [this](UsageDecision Decision, CallPermit Permit, Millis) {
+      return onReport(std::move(Decision), std::move(Permit));
     };
     return port;
   }
-  boost::asio::awaitable<Outcome<Done>> take(UsageDecision What,
-                                             CallPermit By) {
-    Calls.push_back({std::move(What), std::move(By)});
+  boost::asio::awaitable<Outcome<Done>> onReport(UsageDecision Decision,
+                                                 CallPermit Permit) {
+    Calls.push_back({std::move(Decision), std::move(Permit)});
     if (Failures.empty())
       co_return Done{};
-    Failure why{Verdict::MayHaveRun, Failures.front(), "fake", "as told", {}};
+    Failure failure{
+        Verdict::MayHaveRun, Failures.front(), "fake", "injected failure", {}};
     Failures.pop_front();
-    co_return why;
+    co_return failure;
   }
   std::set<UsageWindow> windows() const {
     std::set<UsageWindow> all;
-    for (const Told &it : Calls)
-      all.insert(it.What.Window);
+    for (const Report &it : Calls)
+      all.insert(it.Decision.Window);
     return all;
   }
 };
 
-/// One process that counts and may report.
+/// A process that counts requests and may report.
 struct ReportProcess {
   std::shared_ptr<bool> Disconnected = std::make_shared<bool>(false);
   Metrics Counts;
   std::shared_ptr<RolloutLog> Log;
-  std::shared_ptr<LeaseManager> Duty;
+  std::shared_ptr<LeaseManager> Lease;
   std::shared_ptr<UsageMeter> Meter;
   std::shared_ptr<UsageReporter> Reporter;
 
-  ReportProcess(BatchTestFixture &World, FakeReports &To,
+  ReportProcess(BatchTestFixture &Fixture, FakeReports &Reports,
                 const std::string &Name, Incarnation Life) {
-    boost::asio::any_io_executor executor = World.Context.get_executor();
-    RecordStore store = World.Store.port(Disconnected);
-    Log = World.startLog(store);
-    LeaseSettings duty;
-    duty.Self = LeaseHolder{InstanceName(Name), Life};
-    duty.LeaseTimeout = Millis(120);
-    duty.RenewInterval = Millis(10);
-    duty.MaxClaimJitter = Millis(10);
-    duty.TakeoverDelay = Millis(100);
-    Duty = LeaseManager::create(executor, Log, World.Decisions, duty,
-                                {[] {}, [] {}});
+    boost::asio::any_io_executor executor = Fixture.Context.get_executor();
+    RecordStore store = Fixture.Store.port(Disconnected);
+    Log = Fixture.startLog(store);
+    LeaseSettings lease;
+    lease.Self = LeaseHolder{InstanceName(Name), Life};
+    lease.LeaseTimeout = Millis(120);
+    lease.RenewInterval = Millis(10);
+    lease.MaxClaimJitter = Millis(10);
+    lease.TakeoverDelay = Millis(100);
+    Lease = LeaseManager::create(executor, Log, Fixture.Decisions, lease,
+                                 {[] {}, [] {}});
     UsageMeter::Settings meter;
     meter.Self = {InstanceName(Name), Life};
     meter.Windows = windows();
@@ -73,22 +74,22 @@
     meter.AppendIntervalFactor = 0;
     meter.RetryDelay = Millis(3);
     meter.MaxAppendInterval = Millis(20);
-    meter.EndSpread = Millis(2);
-    Meter = UsageMeter::create({executor, store, World.Decisions, Counts,
+    meter.MaxWriteJitter = Millis(2);
+    Meter = UsageMeter::create({executor, store, Fixture.Decisions, Counts,
                                 WallClock::create(), Log->contact()},
                                meter);
     UsageReporter::Settings reporter;
     reporter.Self = meter.Self;
     reporter.Windows = windows();
-    reporter.Wait = Millis(5);
-    reporter.Pace = Millis(2);
+    reporter.ReadTimeout = Millis(5);
+    reporter.ReadDelay = Millis(2);
     reporter.RetryDelay = Millis(5);
     reporter.MinReportInterval = Millis(1);
-    Reporter = UsageReporter::create({executor, store, To.port(), Duty,
-                                      World.Decisions, Counts,
+    Reporter = UsageReporter::create({executor, store, Reports.port(), Lease,
+                                      Fixture.Decisions, Counts,
                                       WallClock::create(), Log->contact()},
                                      reporter);
-    Duty->start();
+    Lease->start();
     Meter->start();
     Reporter->start();
   }
@@ -96,7 +97,7 @@
   static UsageSettings windows() {
     UsageSettings windows;
     windows.Window = Window;
-    windows.Settle = Millis(10);
+    windows.SettleDelay = Millis(10);
     windows.Due = Millis(300);
     windows.DueMargin = Millis(100);
     windows.FewMissingTimeout = Millis(100);
@@ -105,24 +106,25 @@
   }
 };
 
-/// Each window was told once, without a gap, by its first decision.
-void checkTold(const FakeReports &Told) {
-  std::set<UsageWindow> windows = Told.windows();
+/// Checks that no window is missing and that repeated reports of a window have
+/// the same counts.
+void checkReports(const FakeReports &Reports) {
+  std::set<UsageWindow> windows = Reports.windows();
   REQUIRE_FALSE(windows.empty());
   CHECK(windows.size() == *windows.rbegin() - *windows.begin() + 1);
   std::map<UsageWindow, UsageCounts> first;
-  for (const FakeReports::Told &it : Told.Calls)
-    CHECK(first.emplace(it.What.Window, it.What.Counts).first->second ==
-          it.What.Counts);
+  for (const FakeReports::Report &it : Reports.Calls)
+    CHECK(first.emplace(it.Decision.Window, it.Decision.Counts).first->second ==
+          it.Decision.Counts);
 }
 
-std::uint64_t sumFor(const FakeReports &Told, const CustomerName &Who) {
+std::uint64_t sumFor(const FakeReports &Reports, const CustomerName &Customer) {
   std::map<UsageWindow, UsageCounts> windows;
-  for (const FakeReports::Told &it : Told.Calls)
-    windows[it.What.Window] = it.What.Counts;
+  for (const FakeReports::Report &it : Reports.Calls)
+    windows[it.Decision.Window] = it.Decision.Counts;
   std::uint64_t sum = 0;
   for (const auto &[window, counts] : windows) {
-    auto found = counts.find(Who);
+    auto found = counts.find(Customer);
     sum += found == counts.end() ? 0 : found->second;
   }
   return sum;
@@ -130,105 +132,108 @@
 
 } // namespace
 
-TEST_CASE("Each window is reported once, with what all processes counted",
+TEST_CASE("Each window is reported once, with the counts of all processes",
           "[usage]") {
-  BatchTestFixture world;
-  FakeReports told;
-  ReportProcess one(world, told, "one", 1);
-  ReportProcess two(world, told, "two", 2);
-  REQUIRE(world.runUntil([&] { return one.Meter->known(); }));
-  REQUIRE(world.runUntil([&] { return two.Meter->known(); }));
+  BatchTestFixture fixture;
+  FakeReports reports;
+  ReportProcess one(fixture, reports, "one", 1);
+  ReportProcess two(fixture, reports, "two", 2);
+  REQUIRE(fixture.runUntil([&] { return one.Meter->known(); }));
+  REQUIRE(fixture.runUntil([&] { return two.Meter->known(); }));
   one.Meter->began(Anna);
   two.Meter->began(Anna);
-  REQUIRE(world.runUntil([&] { return sumFor(told, Anna) == 2; }));
-  REQUIRE(world.runUntil([&] { return told.Calls.size() >= 4; }));
-  checkTold(told);
-  CHECK(told.windows().size() == told.Calls.size());
-  for (const FakeReports::Told &it : told.Calls) {
-    CHECK(it.By.Holder == told.Calls[0].By.Holder);
-    CHECK(it.By.Token == told.Calls[0].By.Token);
-    CHECK(it.By.Token > 0);
+  REQUIRE(fixture.runUntil([&] { return sumFor(reports, Anna) == 2; }));
+  REQUIRE(fixture.runUntil([&] { return reports.Calls.size() >= 4; }));
+  checkReports(reports);
+  CHECK(reports.windows().size() == reports.Calls.size());
+  for (const FakeReports::Report &it : reports.Calls) {
+    CHECK(it.Permit.Holder == reports.Calls[0].Permit.Holder);
+    CHECK(it.Permit.Token == reports.Calls[0].Permit.Token);
+    CHECK(it.Permit.Token > 0);
   }
 }
 
-TEST_CASE("A report that fails is told again, the oldest first", "[usage]") {
-  BatchTestFixture world;
-  FakeReports told;
-  told.Failures = {FailureCode::TimedOut, FailureCode::Overloaded,
-                   FailureCode::ConnectionLost, FailureCode::Unreachable};
-  ReportProcess one(world, told, "one", 1);
-  REQUIRE(world.runUntil([&] { return one.Meter->known(); }));
+TEST_CASE("A failed report is retried, the oldest window first", "[usage]") {
+  BatchTestFixture fixture;
+  FakeReports reports;
+  reports.Failures = {FailureCode::TimedOut, FailureCode::Overloaded,
+                      FailureCode::ConnectionLost, FailureCode::Unreachable};
+  ReportProcess one(fixture, reports, "one", 1);
+  REQUIRE(fixture.runUntil([&] { return one.Meter->known(); }));
   one.Meter->began(Anna);
-  REQUIRE(world.runUntil([&] { return told.windows().size() >= 4; }));
-  checkTold(told);
-  CHECK(sumFor(told, Anna) == 1);
-  CHECK(told.Calls.size() >= told.windows().size() + 4);
-  for (std::size_t i = 1; i < told.Calls.size(); ++i)
-    CHECK(told.Calls[i].What.Window >= told.Calls[i - 1].What.Window);
+  REQUIRE(fixture.runUntil([&] { return reports.windows().size() >= 4; }));
+  checkReports(reports);
+  CHECK(sumFor(reports, Anna) == 1);
+  CHECK(reports.Calls.size() >= reports.windows().size() + 4);
+  for (std::size_t i = 1; i < reports.Calls.size(); ++i)
+    CHECK(reports.Calls[i].Decision.Window >=
+          reports.Calls[i - 1].Decision.Window);
 }
 
-TEST_CASE("A successor tells what was decided, under a greater token and after "
-          "a pause",
-          "[usage]") {
-  BatchTestFixture world;
-  FakeReports told;
-  // The first reporter decides and can tell nothing.
-  told.Failures.assign(1000, FailureCode::TimedOut);
+TEST_CASE(
+    "A successor reports the decided counts with a greater token after the "
+    "takeover delay",
+    "[usage]") {
+  BatchTestFixture fixture;
+  FakeReports reports;
+  // All reports of the first reporter fail.
+  reports.Failures.assign(1000, FailureCode::TimedOut);
   std::unique_ptr<ReportProcess> one =
-      std::make_unique<ReportProcess>(world, told, "one", 1);
-  REQUIRE(world.runUntil([&] { return one->Meter->known(); }));
+      std::make_unique<ReportProcess>(fixture, reports, "one", 1);
+  REQUIRE(fixture.runUntil([&] { return one->Meter->known(); }));
   one->Meter->began(Anna);
-  REQUIRE(world.runUntil([&] { return told.Calls.size() > 3; }));
-  FencingToken first = told.Calls[0].By.Token;
-  ReportProcess two(world, told, "two", 2);
-  REQUIRE(world.runUntil([&] { return two.Meter->known(); }));
+  REQUIRE(fixture.runUntil([&] { return reports.Calls.size() > 3; }));
+  FencingToken first = reports.Calls[0].Permit.Token;
+  ReportProcess two(fixture, reports, "two", 2);
+  REQUIRE(fixture.runUntil([&] { return two.Meter->known(); }));
   *one->Disconnected = true;
-  REQUIRE(world.runUntil([&] { return two.Duty->held(); }));
-  TimePoint taken = monotonicNow();
-  std::size_t before = told.Calls.size();
-  // What the store shows is the decision of the one before.
-  told.Failures.clear();
-  REQUIRE(world.runUntil([&] { return told.Calls.size() > before; }));
-  CHECK(monotonicNow() - taken >= Millis(90));
-  CHECK(told.Calls[before].By.Holder.Text == "two");
-  CHECK(told.Calls[before].By.Token > first);
-  REQUIRE(world.runUntil([&] { return sumFor(told, Anna) == 1; }));
-  checkTold(told);
-  for (std::size_t i = before; i < told.Calls.size(); ++i)
-    CHECK(told.Calls[i].By.Holder.Text == "two");
+  REQUIRE(fixture.runUntil([&] { return two.Lease->held(); }));
+  TimePoint takeoverAt = monotonicNow();
+  std::size_t before = reports.Calls.size();
+  // The successor reports the decision of its predecessor.
+  reports.Failures.clear();
+  REQUIRE(fixture.runUntil([&] { return reports.Calls.size() > before; }));
+  CHECK(monotonicNow() - takeoverAt >= Millis(90));
+  CHECK(reports.Calls[before].Permit.Holder.Text == "two");
+  CHECK(reports.Calls[before].Permit.Token > first);
+  REQUIRE(fixture.runUntil([&] { return sumFor(reports, Anna) == 1; }));
+  checkReports(reports);
+  for (std::size_t i = before; i < reports.Calls.size(); ++i)
+    CHECK(reports.Calls[i].Permit.Holder.Text == "two");
 }
 
-TEST_CASE("A reporter that is cut off from the store calls no more, and goes "
-          "on when nobody has followed it",
-          "[usage]") {
-  BatchTestFixture world;
-  FakeReports told;
-  ReportProcess one(world, told, "one", 1);
-  REQUIRE(world.runUntil([&] { return told.Calls.size() >= 2; }));
+TEST_CASE(
+    "A reporter stops while it is disconnected from the store and resumes "
+    "if there is no successor",
+    "[usage]") {
+  BatchTestFixture fixture;
+  FakeReports reports;
+  ReportProcess one(fixture, reports, "one", 1);
+  REQUIRE(fixture.runUntil([&] { return reports.Calls.size() >= 2; }));
   *one.Disconnected = true;
-  world.Context.run_for(Millis(150));
-  std::size_t before = told.Calls.size();
-  world.Context.run_for(Millis(250));
-  CHECK(told.Calls.size() == before);
+  fixture.Context.run_for(Millis(150));
+  std::size_t before = reports.Calls.size();
+  fixture.Context.run_for(Millis(250));
+  CHECK(reports.Calls.size() == before);
   *one.Disconnected = false;
-  REQUIRE(world.runUntil([&] { return told.Calls.size() > before + 4; }));
-  checkTold(told);
+  REQUIRE(fixture.runUntil([&] { return reports.Calls.size() > before + 4; }));
+  checkReports(reports);
 }
 
 TEST_CASE(
-    "Windows that no report could leave in time for are told all the same",
+    "Windows whose reports are overdue after an outage are still reported",
     "[usage]") {
-  BatchTestFixture world;
-  FakeReports told;
-  ReportProcess one(world, told, "one", 1);
-  REQUIRE(world.runUntil([&] { return told.Calls.size() >= 2; }));
+  BatchTestFixture fixture;
+  FakeReports reports;
+  ReportProcess one(fixture, reports, "one", 1);
+  REQUIRE(fixture.runUntil([&] { return reports.Calls.size() >= 2; }));
   one.Meter->began(Anna);
-  world.Store.Down = true;
-  // Longer than it takes to notice that the store is away.
-  world.Context.run_for(StoreContact::Settings().OutageTimeout + Millis(300));
-  world.Store.Down = false;
-  REQUIRE(world.runUntil([&] { return sumFor(told, Anna) == 1; }));
-  checkTold(told);
+  fixture.Store.Down = true;
+  // Longer than it takes to detect the outage.
+  fixture.Context.run_for(StoreContact::Settings().OutageTimeout + Millis(300));
+  fixture.Store.Down = false;
+  REQUIRE(fixture.runUntil([&] { return sumFor(reports, Anna) == 1; }));
+  checkReports(reports);
 }
 
 } // namespace wasabi::batchtest
--- a/Wasabi/Quarantine/CrashHistory.cpp
+++ b/Wasabi/Quarantine/CrashHistory.cpp
@@ -7,156 +7,161 @@
 
 namespace {
 
-/// Counts, for each server that has ended, the requests that it counts against.
-using EndCounts = std::map<ServerIncarnation, std::size_t>;
-
-EndCounts countEnds(const CrashHistory &Ledger) {
-  EndCounts counts;
-  for (const auto &[digest, record] : Ledger.Requests) {
-    for (const ServerIncarnation &it : record.Ends)
+/// For each crashed server, the number of requests that its crash counts
+/// against.
+using SuspectCounts = std::map<ServerIncarnation, std::size_t>;
+
+SuspectCounts countSuspects(const CrashHistory &History) {
+  SuspectCounts counts;
+  for (const auto &[digest, record] : History.Requests) {
+    for (const ServerIncarnation &it : record.Crashes)
       ++counts[it];
   }
   return counts;
 }
 
-/// Ends of a request that no convicted one explains: those are not counted any
-/// more.
-std::size_t unexplained(const CrashRecord &Of, const EndCounts &Counts) {
+/// Returns the number of crashes of a request that no poison request explains.
+/// `Counts` has no entry for an explained crash.
+std::size_t countUnexplained(const CrashRecord &Record,
+                             const SuspectCounts &Counts) {
   return static_cast<std::size_t>(std::count_if(
-      Of.Ends.begin(), Of.Ends.end(),
+      Record.Crashes.begin(), Record.Crashes.end(),
       [&](const ServerIncarnation &It) { return Counts.contains(It); }));
 }
 
-bool convicts(const CrashHistory &Ledger, const CrashRecord &Of,
-              const EndCounts &Counts) {
-  if (Of.Ends.size() >= Ledger.Limits.TotalCrashLimit)
+bool exceedsLimits(const CrashHistory &History, const CrashRecord &Record,
+                   const SuspectCounts &Counts) {
+  if (Record.Crashes.size() >= History.Limits.TotalCrashLimit)
     return true;
-  std::size_t ends = unexplained(Of, Counts);
-  if (ends >= Ledger.Limits.SharedCrashLimit)
+  std::size_t unexplained = countUnexplained(Record, Counts);
+  if (unexplained >= History.Limits.SharedCrashLimit)
     return true;
-  bool alone = std::any_of(Of.Ends.begin(), Of.Ends.end(),
-                           [&](const ServerIncarnation &It) {
-                             auto count = Counts.find(It);
-                             return count != Counts.end() && count->second == 1;
-                           });
-  return ends >= Ledger.Limits.Ends && alone;
+  bool hasUnshared =
+      std::any_of(Record.Crashes.begin(), Record.Crashes.end(),
+                  [&](const ServerIncarnation &It) {
+                    auto count = Counts.find(It);
+                    return count != Counts.end() && count->second == 1;
+                  });
+  return unexplained >= History.Limits.CrashLimit && hasUnshared;
 }
 
-/// The request to convict next: of those whose ends convict them, one of
-/// `Before`, then the one with the most ends; null if there is none.
-CrashRecord *nextConvicted(CrashHistory &Ledger, const EndCounts &Counts,
-                           const std::set<RequestDigest> &Before) {
+/// Returns the request to mark as poison next, or null if there is none. Among
+/// the requests that exceed a limit, those in `PoisonBefore` precede the
+/// others, then more crashes precede fewer.
+CrashRecord *findNextPoison(CrashHistory &History, const SuspectCounts &Counts,
+                            const std::set<RequestDigest> &PoisonBefore) {
   CrashRecord *next = nullptr;
   std::pair<bool, std::size_t> rank;
-  for (auto &[digest, record] : Ledger.Requests) {
-    std::pair<bool, std::size_t> own(Before.contains(digest),
-                                     record.Ends.size());
-    if (record.IsPoison || own <= rank || !convicts(Ledger, record, Counts))
+  for (auto &[digest, record] : History.Requests) {
+    std::pair<bool, std::size_t> candidate(PoisonBefore.contains(digest),
+                                           record.Crashes.size());
+    if (record.IsPoison || candidate <= rank ||
+        !exceedsLimits(History, record, Counts))
       continue;
     next = &record;
-    rank = own;
+    rank = candidate;
   }
   return next;
 }
 
-void judge(CrashHistory &Ledger) {
-  EndCounts counts = countEnds(Ledger);
+void updatePoisonFlags(CrashHistory &History) {
+  SuspectCounts counts = countSuspects(History);
   std::set<RequestDigest> before;
-  for (auto &[digest, record] : Ledger.Requests) {
+  for (auto &[digest, record] : History.Requests) {
     if (record.IsPoison)
       before.insert(digest);
     record.IsPoison = false;
   }
-  while (CrashRecord *convicted = nextConvicted(Ledger, counts, before)) {
-    convicted->IsPoison = true;
-    for (const ServerIncarnation &it : convicted->Ends)
+  while (CrashRecord *poison = findNextPoison(History, counts, before)) {
+    poison->IsPoison = true;
+    for (const ServerIncarnation &it : poison->Crashes)
       counts.erase(it);
   }
 }
 
-/// Whether a request is the first to go: one that is not convicted, then the
-/// one whose last end is the oldest.
-bool goesBefore(const CrashRecord &Left, const CrashRecord &Right) {
-  return std::make_pair(Left.IsPoison, Left.Newest) <
-         std::make_pair(Right.IsPoison, Right.Newest);
+/// Returns true if `Left` is evicted before `Right`: requests that are not
+/// poison come first, then those whose last crash is older.
+bool isEvictedBefore(const CrashRecord &Left, const CrashRecord &Right) {
+  return std::make_pair(Left.IsPoison, Left.LastCrash) <
+         std::make_pair(Right.IsPoison, Right.LastCrash);
 }
 
 } // namespace
 
-bool recordCrashes(CrashHistory &Ledger, const RequestDigest &Of,
-                   const std::set<ServerIncarnation> &Ends, TimePoint Now) {
-  CrashRecord &record = Ledger.Requests[Of];
-  std::size_t before = record.Ends.size();
-  for (const ServerIncarnation &it : Ends) {
-    if (record.Ends.size() < Ledger.Limits.MostEnds)
-      record.Ends.insert(it);
+bool recordCrashes(CrashHistory &History, const RequestDigest &Digest,
+                   const std::set<ServerIncarnation> &Crashes, TimePoint Now) {
+  CrashRecord &record = History.Requests[Digest];
+  std::size_t before = record.Crashes.size();
+  for (const ServerIncarnation &it : Crashes) {
+    if (record.Crashes.size() < History.Limits.MaxCrashesPerRequest)
+      record.Crashes.insert(it);
   }
-  bool news = record.Ends.size() > before;
-  // Beyond what is kept an end counts by its time alone.
-  if (news || before == Ledger.Limits.MostEnds)
-    record.Newest = Now;
-  if (news)
-    judge(Ledger);
-  return news;
+  bool isNew = record.Crashes.size() > before;
+  // At the maximum, further crashes only extend the quarantine.
+  if (isNew || before == History.Limits.MaxCrashesPerRequest)
+    record.LastCrash = Now;
+  if (isNew)
+    updatePoisonFlags(History);
+  return isNew;
 }
 
-bool clearCrashes(CrashHistory &Ledger, const RequestDigest &Of) {
-  if (Ledger.Requests.erase(Of) == 0)
+bool clearCrashes(CrashHistory &History, const RequestDigest &Digest) {
+  if (History.Requests.erase(Digest) == 0)
     return false;
-  judge(Ledger);
+  updatePoisonFlags(History);
   return true;
 }
 
-CrashStatus findCrashStatus(const CrashHistory &Ledger, const RequestDigest &Of,
-                            TimePoint Now) {
-  auto it = Ledger.Requests.find(Of);
-  if (it == Ledger.Requests.end())
+CrashStatus findCrashStatus(const CrashHistory &History,
+                            const RequestDigest &Digest, TimePoint Now) {
+  auto it = History.Requests.find(Digest);
+  if (it == History.Requests.end())
     return CrashStatus::Clean;
   if (it->second.IsPoison)
-    return remainingQuarantine(Ledger, Of, Now) > Millis(0)
+    return remainingQuarantine(History, Digest, Now) > Millis(0)
                ? CrashStatus::Quarantined
                : CrashStatus::Suspect;
   bool explained = true;
-  for (const ServerIncarnation &end : it->second.Ends) {
-    explained =
-        explained && std::any_of(Ledger.Requests.begin(), Ledger.Requests.end(),
-                                 [&](const auto &Other) {
-                                   return Other.second.IsPoison &&
-                                          Other.second.Ends.contains(end);
-                                 });
+  for (const ServerIncarnation &server : it->second.Crashes) {
+    explained = explained &&
+                std::any_of(History.Requests.begin(), History.Requests.end(),
+                            [&](const auto &Other) {
+                              return Other.second.IsPoison &&
+                                     Other.second.Crashes.contains(server);
+                            });
   }
   return explained ? CrashStatus::Clean : CrashStatus::Suspect;
 }
 
-Millis remainingQuarantine(const CrashHistory &Ledger, const RequestDigest &Of,
-                           TimePoint Now) {
-  auto it = Ledger.Requests.find(Of);
-  if (it == Ledger.Requests.end() || !it->second.IsPoison)
+Millis remainingQuarantine(const CrashHistory &History,
+                           const RequestDigest &Digest, TimePoint Now) {
+  auto it = History.Requests.find(Digest);
+  if (it == History.Requests.end() || !it->second.IsPoison)
     return Millis(0);
-  Millis left =
-      std::chrono::ceil<Millis>(it->second.Newest + Ledger.Limits.Term - Now);
+  Millis left = std::chrono::ceil<Millis>(it->second.LastCrash +
+                                          History.Limits.QuarantineTime - Now);
   return std::max(left, Millis(0));
 }
 
-std::set<RequestDigest> evictOld(CrashHistory &Ledger, TimePoint Now) {
+std::set<RequestDigest> evictOld(CrashHistory &History, TimePoint Now) {
   std::set<RequestDigest> old;
-  for (const auto &[digest, record] : Ledger.Requests) {
-    if (Now - record.Newest > Ledger.Limits.Memory)
+  for (const auto &[digest, record] : History.Requests) {
+    if (Now - record.LastCrash > History.Limits.RecordRetention)
       old.insert(digest);
   }
   for (const RequestDigest &it : old)
-    Ledger.Requests.erase(it);
-  while (Ledger.Requests.size() > Ledger.Limits.MaxTrackedRequests) {
+    History.Requests.erase(it);
+  while (History.Requests.size() > History.Limits.MaxTrackedRequests) {
     auto first =
-        std::min_element(Ledger.Requests.begin(), Ledger.Requests.end(),
+        std::min_element(History.Requests.begin(), History.Requests.end(),
                          [](const auto &L, const auto &R) {
-                           return goesBefore(L.second, R.second);
+                           return isEvictedBefore(L.second, R.second);
                          });
     old.insert(first->first);
-    Ledger.Requests.erase(first);
+    History.Requests.erase(first);
   }
   if (!old.empty())
-    judge(Ledger);
+    updatePoisonFlags(History);
   return old;
 }
 
--- a/Wasabi/Quarantine/CrashHistory.h
+++ b/Wasabi/Quarantine/CrashHistory.h
@@ -1,12 +1,10 @@
 /// \file
-/// Which requests servers have ended under, and which of them get no more
-/// servers.
+/// Tracks the requests that were running when servers crashed, and decides
+/// which of them are quarantined.
 ///
-/// The load that this answers: one request ends each server that begins to run
-/// it, and comes again under a new id at any process. With four servers and two
-/// tries an attempt it took all of them down ten times in 80 s. Others run
-/// beside it: whatever a server was running ends with it, so that an end alone
-/// convicts nobody.
+/// A crash affects every request on the server, so that one crash doesn't show
+/// which request caused it. A request that crashes servers is retried under new
+/// ids at any process, so that requests are identified by digest.
 #ifndef WASABI_QUARANTINE_CRASHHISTORY_H
 #define WASABI_QUARANTINE_CRASHHISTORY_H
 
@@ -21,85 +19,85 @@
 
 namespace wasabi {
 
-/// What is known against one request.
+/// The crashes recorded for one request.
 struct CrashRecord {
-  /// Servers that ended while they ran it, since it was last answered.
-  std::set<ServerIncarnation> Ends;
-  /// When the newest of them became known here.
-  TimePoint Newest;
-  /// Whether its ends convict it; see `CrashHistory`.
+  /// Servers that crashed while they ran the request, since it was last
+  /// answered.
+  std::set<ServerIncarnation> Crashes;
+  /// When this process learned of the last of them.
+  TimePoint LastCrash;
+  /// True if the request is poison: its crashes suffice to quarantine it. See
+  /// `recordCrashes`.
   bool IsPoison = false;
 };
 
-/// How a request stands. In the order of suspicion.
+/// Status of a request, in increasing order of suspicion.
 enum class CrashStatus : std::uint8_t {
-  /// No server has ended under it, or another request explains those that have.
+  /// No server has crashed under the request, or poison requests explain all of
+  /// its crashes.
   Clean,
-  /// Servers have ended under it, too few to convict it.
+  /// Servers have crashed under the request, but it is not quarantined now.
   Suspect,
-  /// It gets no server now.
+  /// The request is not sent to any server.
   Quarantined,
 };
 
-/// Everything that one process knows of such requests. Owned by one thread.
+/// The crash records of one process. Owned by one thread.
 struct CrashHistory {
   struct Settings {
-    /// Ends that convict a request if at least one is not shared with another
-    /// suspect: what the users allow to happen.
-    std::size_t Ends = 3;
-    /// Ends that convict it however many other suspects share them all. With
-    /// suspects kept apart an innocent one is answered long before.
+    /// Crashes that make a request poison if at least one of them is not shared
+    /// with another suspect.
+    std::size_t CrashLimit = 3;
+    /// Crashes that make a request poison even if other suspects share all of
+    /// them.
     std::size_t SharedCrashLimit = 4;
-    /// Ends that convict it whatever explains them: several requests that end
-    /// servers at once share all of theirs, and one would explain the others.
-    /// An innocent one would have to be beside such a request five times
-    /// without an answer in between.
+    /// Crashes that make a request poison even if another poison request
+    /// explains them: several requests that crash servers together share all
+    /// their crashes, and one of them would explain those of the others.
     std::size_t TotalCrashLimit = 5;
-    /// How long a convicted request gets no server after its last end; then it
-    /// may run, and one more end convicts it again. Bounds what a caller who
-    /// never stops costs to a server an hour, and what a wrong conviction costs
-    /// its caller.
-    Millis Term{3600000};
-    /// A request under which no server has ended for this long is forgotten:
-    /// well after `Term`, so that a caller who comes back then finds one end
-    /// left and not three.
-    Millis Memory{7200000};
-    /// Most requests that are kept for long. Each end of a server adds those
-    /// that it ran, some ten; those that are answered go again.
+    /// How long a poison request is quarantined after its last crash.
+    /// Afterwards it may run, and one more crash quarantines it again.
+    Millis QuarantineTime{3600000};
+    /// A record is removed after this long without a crash. Longer than
+    /// `QuarantineTime`, so that a retry after the quarantine still finds the
+    /// earlier crashes.
+    Millis RecordRetention{7200000};
+    /// Maximum number of requests that `evictOld` keeps.
     std::size_t MaxTrackedRequests = 1000;
-    /// Most ends that are kept of one request: an hour each after the first.
-    std::size_t MostEnds = 64;
+    /// Maximum number of crashes that are kept for one request.
+    std::size_t MaxCrashesPerRequest = 64;
   };
 
   Settings Limits;
   std::map<RequestDigest, CrashRecord> Requests;
 };
 
-/// Adds ends to what is known against a request, and judges all anew. Returns
-/// whether any of them is news.
+/// Adds crashes to the record of a request and updates which requests are
+/// poison. Returns true if any of the crashes is new.
 ///
-/// An end that a convicted request shares counts against nobody else, up to
-/// `Settings::TotalCrashLimit`: it explains it. Those that were convicted
-/// before are judged first, then those with the most ends.
-bool recordCrashes(CrashHistory &Ledger, const RequestDigest &Of,
-                   const std::set<ServerIncarnation> &Ends, TimePoint Now);
+/// A crash that a poison request shares doesn't count against other requests,
+/// except towards `Settings::TotalCrashLimit`. Requests that were poison before
+/// are considered first, then those with the most crashes.
+bool recordCrashes(CrashHistory &History, const RequestDigest &Digest,
+                   const std::set<ServerIncarnation> &Crashes, TimePoint Now);
 
-/// Takes back all that is known against a request: a server has answered it, or
-/// another process says so. Returns whether anything was known.
-bool clearCrashes(CrashHistory &Ledger, const RequestDigest &Of);
+/// Removes the record of a request, since a server has answered it or another
+/// process removed the record. Returns true if there was one.
+bool clearCrashes(CrashHistory &History, const RequestDigest &Digest);
 
-/// How a request stands at `Now`. Pure.
-CrashStatus findCrashStatus(const CrashHistory &Ledger, const RequestDigest &Of,
-                            TimePoint Now);
+/// Returns the status of a request at `Now`. Pure.
+CrashStatus findCrashStatus(const CrashHistory &History,
+                            const RequestDigest &Digest, TimePoint Now);
 
-/// How long a quarantined request still gets no server; 0 for any other. Pure.
-Millis remainingQuarantine(const CrashHistory &Ledger, const RequestDigest &Of,
-                           TimePoint Now);
+/// Returns the remaining quarantine of a request; 0 if it is not quarantined.
+/// Pure.
+Millis remainingQuarantine(const CrashHistory &History,
+                           const RequestDigest &Digest, TimePoint Now);
 
-/// Forgets what is older than `Settings::Memory` and what is beyond
-/// `Settings::MaxTrackedRequests`, the oldest first and convicted requests
-/// last. Returns the requests that are forgotten.
-std::set<RequestDigest> evictOld(CrashHistory &Ledger, TimePoint Now);
+/// Removes records older than `Settings::RecordRetention`, then the oldest
+/// records beyond `Settings::MaxTrackedRequests`, those of poison requests
+/// last. Returns the removed requests.
+std::set<RequestDigest> evictOld(CrashHistory &History, TimePoint Now);
 
 } // namespace wasabi
 
--- a/Wasabi/Quarantine/Quarantine.cpp
+++ b/Wasabi/Quarantine/Quarantine.cpp
@@ -17,12 +17,12 @@
 
 namespace {
 
-/// Every process should know of an end before the request comes to it: a caller
-/// is back after some 10 ms.
-constexpr Millis FollowPace{10};
+/// Short, so that a process learns of a crash before the request is retried
+/// there.
+constexpr Millis FollowDelay{10};
 
-std::string_view toText(CrashStatus Standing) {
-  switch (Standing) {
+std::string_view toText(CrashStatus Status) {
+  switch (Status) {
   case CrashStatus::Clean:
     return "clean";
   case CrashStatus::Suspect:
@@ -35,11 +35,11 @@
 
 } // namespace
 
-std::string encodeCrashes(const std::set<ServerIncarnation> &Ends) {
-  json::array ends;
-  for (const ServerIncarnation &it : Ends)
-    ends.push_back({{"server", it.Server.Text}, {"start", it.Start}});
-  return json::serialize(json::object{{"ends", std::move(ends)}});
+std::string encodeCrashes(const std::set<ServerIncarnation> &Crashes) {
+  json::array crashes;
+  for (const ServerIncarnation &it : Crashes)
+    crashes.push_back({{"server", it.Server.Text}, {"start", it.Start}});
+  return json::serialize(json::object{{"ends", std::move(crashes)}});
 }
 
 Result<std::set<ServerIncarnation>> decodeCrashes(std::string_view Text,
@@ -47,20 +47,20 @@
   BOOST_LEAF_AUTO(value, parseJson(Text, Place));
   JsonReader root(value, Place);
   root.allowUnknown();
-  std::set<ServerIncarnation> ends;
+  std::set<ServerIncarnation> crashes;
   for (JsonReader &it : root.objects("ends", true)) {
     it.allowUnknown();
-    ends.insert({ServerName(it.text("server")), it.number("start")});
+    crashes.insert({ServerName(it.text("server")), it.number("start")});
     root.mergeError(it);
   }
   BOOST_LEAF_CHECK(root.finish());
-  return ends;
+  return crashes;
 }
 
 Quarantine::Quarantine(const FeedContext &Feed, EnginePort Engines,
                        Metrics &Counts, Settings Limits)
     : Limits(Limits), Feed(Feed), Engines(std::move(Engines)), Counts(Counts),
-      Ledger{Limits.Ledger, {}}, WriteWake(Feed.Executor) {}
+      History{Limits.History, {}}, WriteWake(Feed.Executor) {}
 
 std::shared_ptr<Quarantine> Quarantine::create(const FeedContext &Feed,
                                                EnginePort Engines,
@@ -72,12 +72,12 @@
 
 void Quarantine::start() {
   std::weak_ptr<Quarantine> weak = weak_from_this();
-  Follower = startFeed(Feed, CrashTopic, FollowPace,
+  Follower = startFeed(Feed, CrashTopic, FollowDelay,
                        [weak](const KeyedRecord &Record) -> Result<void> {
                          std::shared_ptr<Quarantine> self = weak.lock();
                          if (!self)
                            return {};
-                         return self->take(Record);
+                         return self->applyRecord(Record);
                        });
   asio::co_spawn(
       Feed.Executor,
@@ -88,144 +88,150 @@
       asio::detached);
 }
 
-CrashStatus Quarantine::crashStatus(const RequestDigest &Of) const {
-  return findCrashStatus(Ledger, Of, monotonicNow());
+CrashStatus Quarantine::crashStatus(const RequestDigest &Digest) const {
+  return findCrashStatus(History, Digest, monotonicNow());
 }
 
-Failure Quarantine::refuse(const RequestDigest &Of) const {
-  return Failure{Verdict::NotRun, FailureCode::Quarantined, Of.Text,
-                 "servers have ended under this request",
-                 remainingQuarantine(Ledger, Of, monotonicNow())};
+Failure Quarantine::refuse(const RequestDigest &Digest) const {
+  return Failure{Verdict::NotRun, FailureCode::Quarantined, Digest.Text,
+                 "servers crashed while running this request",
+                 remainingQuarantine(History, Digest, monotonicNow())};
 }
 
-//===--- Ends and answers -------------------------------------------------===//
+//===--- Crashes and answers ----------------------------------------------===//
 
 asio::awaitable<Done>
-Quarantine::onConnectionLost(std::shared_ptr<GuardedRequest> Of,
-                             std::shared_ptr<UpstreamServer> On) {
+Quarantine::onConnectionLost(std::shared_ptr<GuardedRequest> Request,
+                             std::shared_ptr<UpstreamServer> Server) {
   std::shared_ptr<Quarantine> self = shared_from_this();
-  // A server whose address nobody listens at has ended; one that takes
-  // connections has lost this one only, or is back already.
+  // A server that refuses connections has crashed. One that accepts them lost
+  // only this connection, or has already restarted.
   Outcome<ServerProbeResult> found =
-      co_await Engines.Probe(On->Entry, Limits.ProbeTime);
+      co_await Engines.Probe(Server->Entry, Limits.ServerProbeTimeout);
   bool refused = found && *found == ServerProbeResult::RefusesConnections;
-  if (refused && !Of->Answered)
-    noteEnd(*Of, On->Entry.incarnation());
+  if (refused && !Request->Answered)
+    recordCrash(*Request, Server->Entry.incarnation());
   else if (!refused)
     asio::co_spawn(
-        Feed.Executor, [self, Of, On] { return self->watch(Of, On); },
+        Feed.Executor,
+        [self, Request, Server] {
+          return self->watchRegistration(Request, Server);
+        },
         asio::detached);
   co_return Done{};
 }
 
-asio::awaitable<void> Quarantine::watch(std::shared_ptr<GuardedRequest> Of,
-                                        std::shared_ptr<UpstreamServer> On) {
+asio::awaitable<void>
+Quarantine::watchRegistration(std::shared_ptr<GuardedRequest> Request,
+                              std::shared_ptr<UpstreamServer> Server) {
   TimePoint until = monotonicNow() + Limits.CrashWatchTimeout;
-  while (monotonicNow() < until && !Of->Answered) {
-    if (On->Replaced || On->UnregisteredAt) {
-      noteEnd(*Of, On->Entry.incarnation());
+  while (monotonicNow() < until && !Request->Answered) {
+    if (Server->Replaced || Server->UnregisteredAt) {
+      recordCrash(*Request, Server->Entry.incarnation());
       co_return;
     }
     co_await pauseFor(Feed.Executor, Limits.CrashWatchInterval);
   }
 }
 
-void Quarantine::noteEnd(const GuardedRequest &Of,
-                         const ServerIncarnation &Ended) {
-  CrashStatus before = crashStatus(Of.Digest);
-  Seen[Of.Digest].insert(Ended);
-  recordCrashes(Ledger, Of.Digest, {Ended}, monotonicNow());
+void Quarantine::recordCrash(const GuardedRequest &Request,
+                             const ServerIncarnation &Crashed) {
+  CrashStatus before = crashStatus(Request.Digest);
+  OwnCrashes[Request.Digest].insert(Crashed);
+  recordCrashes(History, Request.Digest, {Crashed}, monotonicNow());
   Feed.Decisions->line(
       "request.server_ended",
-      {{"request", Of.Id},
-       {"digest", Of.Digest.Text},
-       {"server", Ended.Server.Text},
-       {"start", std::to_string(Ended.Start)},
-       {"ends", std::to_string(Ledger.Requests[Of.Digest].Ends.size())},
-       {"standing", std::string(toText(crashStatus(Of.Digest)))}});
+      {{"request", Request.Id},
+       {"digest", Request.Digest.Text},
+       {"server", Crashed.Server.Text},
+       {"start", std::to_string(Crashed.Start)},
+       {"ends",
+        std::to_string(History.Requests[Request.Digest].Crashes.size())},
+       {"standing", std::string(toText(crashStatus(Request.Digest)))}});
   Counts.counter("server_ends_total", "Ends of servers under a request").add();
-  logStatusChange(Of.Digest, before);
-  Unwritten.insert(Of.Digest);
+  logStatusChange(Request.Digest, before);
+  Unwritten.insert(Request.Digest);
   WriteWake.notify();
 }
 
-void Quarantine::answered(GuardedRequest &Of) {
-  Of.Answered = true;
-  Seen.erase(Of.Digest);
-  CrashStatus before = crashStatus(Of.Digest);
-  if (!clearCrashes(Ledger, Of.Digest))
+void Quarantine::answered(GuardedRequest &Request) {
+  Request.Answered = true;
+  OwnCrashes.erase(Request.Digest);
+  CrashStatus before = crashStatus(Request.Digest);
+  if (!clearCrashes(History, Request.Digest))
     return;
-  logStatusChange(Of.Digest, before);
-  Unwritten.insert(Of.Digest);
+  logStatusChange(Request.Digest, before);
+  Unwritten.insert(Request.Digest);
   WriteWake.notify();
 }
 
-void Quarantine::logStatusChange(const RequestDigest &Of,
+void Quarantine::logStatusChange(const RequestDigest &Digest,
                                  CrashStatus Before) const {
-  CrashStatus now = crashStatus(Of);
+  CrashStatus now = crashStatus(Digest);
   if (now != Before)
     Feed.Decisions->line("request.standing",
-                         {{"digest", Of.Text},
+                         {{"digest", Digest.Text},
                           {"before", std::string(toText(Before))},
                           {"now", std::string(toText(now))}});
 }
 
-//===--- Suspects at servers ----------------------------------------------===//
+//===--- Running suspects -------------------------------------------------===//
 
 std::set<ServerIncarnation> Quarantine::suspectServers() const {
   std::set<ServerIncarnation> found;
-  for (const auto &[server, count] : Suspects)
+  for (const auto &[server, count] : SuspectRuns)
     found.insert(server);
   return found;
 }
 
-Quarantine::SuspectRun::SuspectRun(std::shared_ptr<Quarantine> In,
-                                   ServerIncarnation At)
-    : In(std::move(In)), At(std::move(At)) {
-  ++this->In->Suspects[this->At];
+Quarantine::SuspectRun::SuspectRun(std::shared_ptr<Quarantine> Owner,
+                                   ServerIncarnation Server)
+    : Owner(std::move(Owner)), Server(std::move(Server)) {
+  ++this->Owner->SuspectRuns[this->Server];
 }
 
 Quarantine::SuspectRun::~SuspectRun() {
-  auto it = In->Suspects.find(At);
+  auto it = Owner->SuspectRuns.find(Server);
   if (--it->second == 0)
-    In->Suspects.erase(it);
+    Owner->SuspectRuns.erase(it);
 }
 
 std::unique_ptr<Quarantine::SuspectRun>
-Quarantine::trackSuspectRun(const RequestDigest &Of,
-                            const ServerIncarnation &At) {
-  if (crashStatus(Of) == CrashStatus::Clean)
+Quarantine::trackSuspectRun(const RequestDigest &Digest,
+                            const ServerIncarnation &Server) {
+  if (crashStatus(Digest) == CrashStatus::Clean)
     return nullptr;
-  return std::make_unique<SuspectRun>(shared_from_this(), At);
+  return std::make_unique<SuspectRun>(shared_from_this(), Server);
 }
 
 //===--- The topic --------------------------------------------------------===//
 
-Result<void> Quarantine::take(const KeyedRecord &Record) {
+Result<void> Quarantine::applyRecord(const KeyedRecord &Record) {
   RequestDigest digest(Record.Key);
   CrashStatus before = crashStatus(digest);
   if (!Record.Value) {
-    Seen.erase(digest);
-    clearCrashes(Ledger, digest);
+    OwnCrashes.erase(digest);
+    clearCrashes(History, digest);
     logStatusChange(digest, before);
     return {};
   }
-  BOOST_LEAF_AUTO(ends, decodeCrashes(*Record.Value, Record.Key));
-  recordCrashes(Ledger, digest, ends, monotonicNow());
+  BOOST_LEAF_AUTO(crashes, decodeCrashes(*Record.Value, Record.Key));
+  recordCrashes(History, digest, crashes, monotonicNow());
   logStatusChange(digest, before);
-  // Two processes that write at once overwrite each other.
-  auto seen = Seen.find(digest);
-  if (seen != Seen.end() &&
-      !std::includes(ends.begin(), ends.end(), seen->second.begin(),
-                     seen->second.end())) {
+  // Concurrent writers overwrite each other: write the record again if it lacks
+  // crashes that this process detected.
+  auto own = OwnCrashes.find(digest);
+  if (own != OwnCrashes.end() &&
+      !std::includes(crashes.begin(), crashes.end(), own->second.begin(),
+                     own->second.end())) {
     Unwritten.insert(digest);
     WriteWake.notify();
   }
   return {};
 }
 
-/// Writes what the store lacks, one record after the other; while the store is
-/// away it waits here.
+/// Writes the records that the store lacks, one at a time. Retries while the
+/// store is unreachable.
 asio::awaitable<void> Quarantine::publishLoop() {
   constexpr Millis Idle{10000};
   for (;;) {
@@ -235,11 +241,11 @@
     }
     RequestDigest digest = *Unwritten.begin();
     Unwritten.erase(Unwritten.begin());
-    auto known = Ledger.Requests.find(digest);
-    // A key without a value is dropped.
-    std::string text = known == Ledger.Requests.end()
+    auto known = History.Requests.find(digest);
+    // An empty value deletes the key.
+    std::string text = known == History.Requests.end()
                            ? std::string()
-                           : encodeCrashes(known->second.Ends);
+                           : encodeCrashes(known->second.Crashes);
     Outcome<Offset> got = co_await Feed.Store.AppendKeyed(
         CrashTopic, digest.Text, std::move(text), Limits.AppendTimeout);
     if (got) {
@@ -257,8 +263,8 @@
 asio::awaitable<void> Quarantine::sweepLoop() {
   for (;;) {
     co_await pauseFor(Feed.Executor, Limits.SweepInterval);
-    for (const RequestDigest &it : evictOld(Ledger, monotonicNow())) {
-      Seen.erase(it);
+    for (const RequestDigest &it : evictOld(History, monotonicNow())) {
+      OwnCrashes.erase(it);
       Unwritten.insert(it);
     }
     WriteWake.notify();
--- a/Wasabi/Quarantine/Quarantine.h
+++ b/Wasabi/Quarantine/Quarantine.h
@@ -1,6 +1,6 @@
 /// \file
-/// Finds out under which requests servers end, tells the other processes
-/// through the store, and keeps such requests from further servers.
+/// Detects requests that crash servers, shares the crashes with the other
+/// processes through the store, and keeps these requests away from servers.
 #ifndef WASABI_QUARANTINE_QUARANTINE_H
 #define WASABI_QUARANTINE_QUARANTINE_H
 
@@ -18,111 +18,117 @@
 
 namespace wasabi {
 
-/// Keyed by request: the servers that ended under it. A key that was dropped is
-/// a request that has been answered. Kept in the store, since such a request
-/// comes again at other processes, and after all of them have started anew.
+/// Topic of the crashed servers by request digest. A request that was answered
+/// has its key deleted. Crashes are kept in the store because a request may be
+/// retried at any process, also after all processes have restarted.
 inline constexpr const char *CrashTopic = "keyed.crashes";
 
-/// The text of a record. Thread-safe.
-std::string encodeCrashes(const std::set<ServerIncarnation> &Ends);
-/// The reverse. Errors: `BadInput` at `Place`. Thread-safe.
+/// Encodes the value of a record. Thread-safe.
+std::string encodeCrashes(const std::set<ServerIncarnation> &Crashes);
+/// Decodes the value of a record. Errors: `BadInput` at `Place`. Thread-safe.
 Result<std::set<ServerIncarnation>> decodeCrashes(std::string_view Text,
                                                   const std::string &Place);
 
-/// One request at servers, for as long as its caller waits. Used on the
-/// quarantine's thread.
+/// A request that may be sent to several servers; lives as long as its caller
+/// waits. Used on the thread of the quarantine.
 struct GuardedRequest {
   RequestDigest Digest;
-  /// For logs.
+  /// The id of the request, for logs.
   std::string Id;
-  /// Whether a server has answered it.
+  /// True if a server has answered the request.
   bool Answered = false;
 };
 
-/// Used on one thread, that of its executor.
+/// Tracks crashing requests for one process. Used on one thread, that of its
+/// executor.
 class Quarantine : public std::enable_shared_from_this<Quarantine> {
 public:
   struct Settings {
-    CrashHistory::Settings Ledger;
-    /// An end this soon after a run began counts against the request even if
-    /// events came before it. Requests that ended servers did so 35 to 110 ms
-    /// after the run began; one that was only there runs for seconds.
+    CrashHistory::Settings History;
+    /// A crash this soon after the start of a run counts against the request
+    /// even if the run had made progress.
     Millis EarlyCrashThreshold{800};
-    /// How long the address of a server that gave no answer is tried: a
-    /// connection takes some milliseconds, and its request waits meanwhile.
-    Millis ProbeTime{40};
-    /// A server that neither takes nor refuses connections has ended if its
-    /// registration goes within this: three heartbeats of 1.2 s and a margin.
+    /// Time limit of the probe of a server that lost a connection. The request
+    /// waits for it.
+    Millis ServerProbeTimeout{40};
+    /// A server that neither accepts nor refuses connections has crashed if its
+    /// registration is removed or replaced within this time, which covers
+    /// several heartbeats.
     Millis CrashWatchTimeout{5000};
-    /// Pause between two looks at its registration.
+    /// Interval between checks of the registration of a server.
     Millis CrashWatchInterval{200};
-    /// How long an answer of the store may take.
+    /// Time limit of an append to the store.
     Millis AppendTimeout{800};
-    /// Pause after a record that the store did not take.
+    /// Delay before a failed append is retried.
     Millis RetryDelay{100};
-    /// Pause between two looks for records that are too old.
+    /// Interval between removals of old records.
     Millis SweepInterval{60000};
   };
 
-  /// `Feed.View` is only read, but for its contact with the store.
+  /// Creates a quarantine. It reads `Feed.View` and changes only its contact
+  /// with the store.
   static std::shared_ptr<Quarantine> create(const FeedContext &Feed,
                                             EnginePort Engines, Metrics &Counts,
                                             Settings Limits);
 
-  /// Begins to follow and to write the topic, for as long as the context runs.
+  /// Starts following and writing the topic, until the execution context stops.
   void start();
 
-  /// How a request stands now.
-  CrashStatus crashStatus(const RequestDigest &Of) const;
-  /// Why a quarantined request gets no server, and when to come back. It has
-  /// not run.
-  Failure refuse(const RequestDigest &Of) const;
+  /// Returns the current status of a request.
+  CrashStatus crashStatus(const RequestDigest &Digest) const;
+  /// Returns the failure for a quarantined request, with the time after which
+  /// to retry. The request has not run.
+  Failure refuse(const RequestDigest &Digest) const;
 
-  /// `On` gave no answer to a request that may have run there and lost its
-  /// connection. Returns once it is known whether the server has ended, or that
-  /// this takes longer than the request should wait for.
+  /// Called when a request that may have run lost its connection to `Server`.
+  /// Probes the server and returns once the probe ends, within
+  /// `ServerProbeTimeout`. Unless the server refuses the connection, its
+  /// registration is then watched in the background.
   boost::asio::awaitable<Done>
-  onConnectionLost(std::shared_ptr<GuardedRequest> Of,
-                   std::shared_ptr<UpstreamServer> On);
-  /// Whether a run that lost its connection may have ended its server, when it
-  /// began at `Began` and has come further than the runs before it if
-  /// `Progress`: a request that ends servers does so soon, or at the same event
-  /// each time.
+  onConnectionLost(std::shared_ptr<GuardedRequest> Request,
+                   std::shared_ptr<UpstreamServer> Server);
+  /// Returns true if a run that lost its connection may have crashed its
+  /// server. `Began` is the start of the run; `Progress` is true if it got
+  /// further than the runs before it. A request that crashes servers does so
+  /// early or at the same event each time.
   bool mayHaveCrashedServer(TimePoint Began, bool Progress) const {
     return !Progress || monotonicNow() - Began < Limits.EarlyCrashThreshold;
   }
-  /// A server has run the request and answered: it ends no servers.
-  void answered(GuardedRequest &Of);
+  /// Called when a server has run the request and answered: removes its crash
+  /// record.
+  void answered(GuardedRequest &Request);
 
-  /// Servers at which this process has suspects now. Others are better sent
-  /// elsewhere: two suspects at one server can't be told apart when it ends,
-  /// and whoever is beside one may lose its server.
+  /// Returns the servers that run suspects of this process. Other requests
+  /// should avoid them: after a crash, two suspects on one server can't be told
+  /// apart, and any other request there may lose its server.
   std::set<ServerIncarnation> suspectServers() const;
 
-  /// Marks a server as one that a suspect runs at while it lives.
+  /// Marks a server as running a suspect for as long as the object lives.
   class SuspectRun {
   public:
-    SuspectRun(std::shared_ptr<Quarantine> In, ServerIncarnation At);
+    SuspectRun(std::shared_ptr<Quarantine> Owner, ServerIncarnation Server);
     SuspectRun(const SuspectRun &) = delete;
     SuspectRun &operator=(const SuspectRun &) = delete;
     ~SuspectRun();
 
   private:
-    const std::shared_ptr<Quarantine> In;
-    const ServerIncarnation At;
+    const std::shared_ptr<Quarantine> Owner;
+    const ServerIncarnation Server;
   };
-  /// Null unless the request is a suspect now.
-  std::unique_ptr<SuspectRun> trackSuspectRun(const RequestDigest &Of,
-                                              const ServerIncarnation &At);
+  /// Returns null unless the request is suspect or quarantined now.
+  std::unique_ptr<SuspectRun> trackSuspectRun(const RequestDigest &Digest,
+                                              const ServerIncarnation &Server);
 
 private:
   Quarantine(const FeedContext &Feed, EnginePort Engines, Metrics &Counts,
              Settings Limits);
-  Result<void> take(const KeyedRecord &Record);
-  void noteEnd(const GuardedRequest &Of, const ServerIncarnation &Ended);
-  void logStatusChange(const RequestDigest &Of, CrashStatus Before) const;
-  boost::asio::awaitable<void> watch(std::shared_ptr<GuardedRequest> Of,
-                                     std::shared_ptr<UpstreamServer> On);
+  Result<void> applyRecord(const KeyedRecord &Record);
+  void recordCrash(const GuardedRequest &Request,
+                   const ServerIncarnation &Crashed);
+  void logStatusChange(const RequestDigest &Digest, CrashStatus Before) const;
+  boost::asio::awaitable<void>
+  watchRegistration(std::shared_ptr<GuardedRequest> Request,
+                    std::shared_ptr<UpstreamServer> Server);
   boost::asio::awaitable<void> publishLoop();
   boost::asio::awaitable<void> sweepLoop();
 
@@ -130,14 +136,14 @@
   const FeedContext Feed;
   const EnginePort Engines;
   Metrics &Counts;
-  CrashHistory Ledger;
-  /// Ends that this process has seen itself: it sees to it that the store
-  /// knows them.
-  std::map<RequestDigest, std::set<ServerIncarnation>> Seen;
-  /// Records that the store does not have as they are here.
+  CrashHistory History;
+  /// Crashes that this process detected itself. It writes a record again if the
+  /// one in the store lacks any of them.
+  std::map<RequestDigest, std::set<ServerIncarnation>> OwnCrashes;
+  /// Requests whose records are out of date in the store.
   std::set<RequestDigest> Unwritten;
   AsyncSignal WriteWake;
-  std::map<ServerIncarnation, std::size_t> Suspects;
+  std::map<ServerIncarnation, std::size_t> SuspectRuns;
   std::shared_ptr<KeyedFollower> Follower;
 };
 
--- a/Wasabi/Quarantine/RequestDigest.cpp
+++ b/Wasabi/Quarantine/RequestDigest.cpp
@@ -9,13 +9,14 @@
 
 namespace {
 
-/// Frees a state of xxhash.
-struct StateEnd {
+/// Frees a hash state of xxHash.
+struct HashStateDeleter {
   void operator()(XXH3_state_t *State) const { XXH3_freeState(State); }
 };
-using HashState = std::unique_ptr<XXH3_state_t, StateEnd>;
+using HashState = std::unique_ptr<XXH3_state_t, HashStateDeleter>;
 
-/// Each part with its length, so that no two lists of parts read alike.
+/// Hashes a part with its length, so that different lists of parts never hash
+/// the same bytes.
 void addPart(XXH3_state_t &State, std::string_view Part) {
   std::uint64_t size = Part.size();
   XXH3_128bits_update(&State, &size, sizeof(size));
@@ -24,16 +25,17 @@
 
 } // namespace
 
-RequestDigest digestOf(const http::Request &Ask, const CustomerName &By) {
+RequestDigest digestOf(const http::Request &Request,
+                       const CustomerName &Customer) {
   HashState state(XXH3_createState());
   XXH3_128bits_reset(state.get());
-  addPart(*state, Ask.Method);
-  addPart(*state, Ask.Target);
+  addPart(*state, Request.Method);
+  addPart(*state, Request.Target);
   for (const char *it : {"Host", "Authorization", "User-Agent"})
-    addPart(*state, Ask.header(it));
-  if (!By.empty())
-    addPart(*state, By.Text);
-  addPart(*state, Ask.Body);
+    addPart(*state, Request.header(it));
+  if (!Customer.empty())
+    addPart(*state, Customer.Text);
+  addPart(*state, Request.Body);
   XXH128_hash_t hash = XXH3_128bits_digest(state.get());
   return RequestDigest(fmt::format("{:016x}{:016x}", hash.high64, hash.low64));
 }
--- a/Wasabi/Quarantine/RequestDigest.h
+++ b/Wasabi/Quarantine/RequestDigest.h
@@ -1,5 +1,6 @@
 /// \file
-/// What makes two requests the same one, whatever id each attempt of it bears.
+/// Identifies a request by its content, so that all attempts of one request
+/// have the same digest.
 #ifndef WASABI_QUARANTINE_REQUESTDIGEST_H
 #define WASABI_QUARANTINE_REQUESTDIGEST_H
 
@@ -8,16 +9,16 @@
 
 namespace wasabi {
 
-/// 128 bits in hexadecimal.
+/// A 128-bit hash in hexadecimal.
 using RequestDigest = Name<struct RequestDigestTag>;
 
-/// Of what a server is given of a request and what stays the same when it is
-/// sent again: its method, host, target, caller and body. The caller is named
-/// by its customer, its credentials and its agent. Left out is what each
-/// attempt has anew: its id, what is left of its time, where a stream goes on.
-/// Pure; thread-safe.
-RequestDigest digestOf(const http::Request &Ask,
-                       const CustomerName &By = CustomerName());
+/// Returns the digest of a request's method, target, host, caller and body. The
+/// caller is identified by its customer, its credentials and its user agent.
+/// Fields that differ between attempts are left out: the request id, the
+/// remaining time and the position at which a stream resumes. Pure;
+/// thread-safe.
+RequestDigest digestOf(const http::Request &Request,
+                       const CustomerName &Customer = CustomerName());
 
 } // namespace wasabi
 
--- a/Wasabi/Usage/UsageMeter.cpp
+++ b/Wasabi/Usage/UsageMeter.cpp
@@ -10,166 +10,171 @@
 
 namespace asio = boost::asio;
 
-UsageMeter::UsageMeter(Parts With, Settings Limits)
-    : Limits(std::move(Limits)), With(std::move(With)), Allowed(1),
-      Pause(this->Limits.Pace), Wake(this->With.Executor) {
+UsageMeter::UsageMeter(Parts Deps, Settings Limits)
+    : Limits(std::move(Limits)), Deps(std::move(Deps)), AppendTokens(1),
+      AppendInterval(this->Limits.Pace), Wake(this->Deps.Executor) {
   std::mt19937_64 random(this->Limits.Self.Life);
-  Spread = Millis(static_cast<std::int64_t>(
+  WriteJitter = Millis(static_cast<std::int64_t>(
       random() %
-      static_cast<std::uint64_t>(this->Limits.EndSpread.count() + 1)));
+      static_cast<std::uint64_t>(this->Limits.MaxWriteJitter.count() + 1)));
 }
 
-std::shared_ptr<UsageMeter> UsageMeter::create(Parts With, Settings Limits) {
+std::shared_ptr<UsageMeter> UsageMeter::create(Parts Deps, Settings Limits) {
   return std::shared_ptr<UsageMeter>(
-      new UsageMeter(std::move(With), std::move(Limits)));
+      new UsageMeter(std::move(Deps), std::move(Limits)));
 }
 
 void UsageMeter::start() {
   asio::co_spawn(
-      With.Executor, [self = shared_from_this()] { return self->writeLoop(); },
+      Deps.Executor, [self = shared_from_this()] { return self->writeLoop(); },
       asio::detached);
 }
 
-UsageEntry UsageMeter::began(const CustomerName &Of) {
-  UsageEntry entry{Of, now(), 1};
+UsageEntry UsageMeter::began(const CustomerName &Customer) {
+  UsageEntry entry{Customer, now(), 1};
   add(entry);
-  With.Counts.counter("usage_counted_total", "Requests that were counted")
+  Deps.Counts.counter("usage_counted_total", "Requests that were counted")
       .add();
   return entry;
 }
 
-void UsageMeter::withdraw(const UsageEntry &What) {
-  // What nobody has read yet is as if it had not been.
-  auto found = std::find(Waiting.begin(), Waiting.end(), What);
-  if (found != Waiting.end())
-    Waiting.erase(found);
+void UsageMeter::withdraw(const UsageEntry &Entry) {
+  // A pending entry is just removed.
+  auto found = std::find(Pending.begin(), Pending.end(), Entry);
+  if (found != Pending.end())
+    Pending.erase(found);
   else
-    add({What.Of, What.At, -What.Count});
-  With.Counts
+    add({Entry.Of, Entry.At, -Entry.Count});
+  Deps.Counts
       .counter("usage_withdrawn_total", "Counted requests that did not run")
       .add();
 }
 
-void UsageMeter::add(UsageEntry What) {
-  Waiting.push_back(std::move(What));
-  if (Waiting.size() > Limits.MaxPendingEntries)
+void UsageMeter::add(UsageEntry Entry) {
+  Pending.push_back(std::move(Entry));
+  if (Pending.size() > Limits.MaxPendingEntries)
     compact();
   Wake.notify();
 }
 
-/// Joins the entries of each customer and second.
+/// Merges the entries of each customer and second.
 void UsageMeter::compact() {
   using Second = std::chrono::sys_seconds;
   std::map<std::pair<CustomerName, Second>, std::int64_t> sums;
-  for (const UsageEntry &it : Waiting)
+  for (const UsageEntry &it : Pending)
     sums[{it.Of, std::chrono::floor<std::chrono::seconds>(it.At)}] += it.Count;
-  Waiting.clear();
+  Pending.clear();
   for (const auto &[key, sum] : sums) {
     if (sum != 0)
-      Waiting.push_back({key.first, key.second, sum});
+      Pending.push_back({key.first, key.second, sum});
   }
 }
 
-/// Whether there is something to write: counts, or that there were none in a
+/// Returns true if there is something to write: counts, or an empty batch for a
 /// window that has ended.
-bool UsageMeter::due() const {
-  if (!Waiting.empty() || !Unacked.empty())
+bool UsageMeter::needsWrite() const {
+  if (!Pending.empty() || !Unacked.empty())
     return true;
   Millis length = Limits.Windows.Window;
-  return windowOf(now() - Spread, length) > windowOf(Through, length);
+  return windowOf(now() - WriteJitter, length) > windowOf(Through, length);
 }
 
 TimePoint UsageMeter::nextWriteTime() const {
   WallTime end = windowEnd(windowOf(Through, Limits.Windows.Window),
                            Limits.Windows.Window);
-  return monotonicNow() + std::max(Millis(1), end + Spread - now());
+  return monotonicNow() + std::max(Millis(1), end + WriteJitter - now());
 }
 
 asio::awaitable<void> UsageMeter::writeLoop() {
-  while (!Left) {
+  while (!IsLeaving) {
     TimePoint now = monotonicNow();
     refill(now);
-    if (!due())
+    if (!needsWrite())
       co_await Wake.wait(nextWriteTime());
     else if (now < NotBefore)
       co_await Wake.wait(NotBefore);
-    else if (Allowed < 1)
-      co_await Wake.wait(now +
-                         std::chrono::ceil<Millis>(Pause * (1 - Allowed)));
+    else if (AppendTokens < 1)
+      co_await Wake.wait(
+          now + std::chrono::ceil<Millis>(AppendInterval * (1 - AppendTokens)));
     else
       co_await write();
   }
-  Ended = true;
+  WriteLoopEnded = true;
   Wake.notify();
 }
 
 void UsageMeter::refill(TimePoint Now) {
-  double pauses = std::chrono::duration<double>(Now - LastRefill) /
-                  std::chrono::duration<double>(Pause);
+  double tokens = std::chrono::duration<double>(Now - LastRefill) /
+                  std::chrono::duration<double>(AppendInterval);
   double burst = std::chrono::duration<double>(Limits.BurstSpan) /
-                 std::chrono::duration<double>(Pause);
-  Allowed = std::min(std::max(1.0, burst), Allowed + pauses);
+                 std::chrono::duration<double>(AppendInterval);
+  AppendTokens = std::min(std::max(1.0, burst), AppendTokens + tokens);
   LastRefill = Now;
 }
 
-/// The store did not take an append. One that is away is tried again and again,
-/// so that its return is heard of; one that answers has too much to do.
+/// Reduces the append rate after a failed append. An unreachable store is
+/// retried at a fixed delay, so that its recovery is noticed early; a reachable
+/// one is overloaded.
 void UsageMeter::slowDown(TimePoint Now) {
-  if (With.Contact.Lost) {
-    Allowed = 1;
+  if (Deps.Contact.Lost) {
+    AppendTokens = 1;
     NotBefore = Now + Limits.RetryDelay;
     return;
   }
-  Pause = std::clamp(Pause * 2, Limits.RetryDelay, Limits.MaxAppendInterval);
-  Allowed = 0;
-  NotBefore = Now + Pause;
+  AppendInterval = std::clamp(AppendInterval * 2, Limits.RetryDelay,
+                              Limits.MaxAppendInterval);
+  AppendTokens = 0;
+  NotBefore = Now + AppendInterval;
 }
 
-/// Makes a batch of what waits; of nothing, it says that there was nothing.
+/// Makes a batch of the pending entries. An empty batch states that nothing was
+/// counted.
 UsageBatch UsageMeter::nextBatch() {
-  std::size_t count = std::min(Waiting.size(), Limits.MaxBatchEntries);
-  auto end = Waiting.begin() + static_cast<std::ptrdiff_t>(count);
+  std::size_t count = std::min(Pending.size(), Limits.MaxBatchEntries);
+  auto end = Pending.begin() + static_cast<std::ptrdiff_t>(count);
   UsageBatch batch;
-  batch.From = Limits.Self;
+  batch.Source = Limits.Self;
   batch.Sequence = Sequence++;
-  // What waits on is not in it.
-  if (end == Waiting.end())
+  // Entries that stay pending are not covered by `Through`.
+  if (end == Pending.end())
     Through = now();
   batch.Through = Through;
-  batch.Entries.assign(Waiting.begin(), end);
-  Waiting.erase(Waiting.begin(), end);
+  batch.Entries.assign(Pending.begin(), end);
+  Pending.erase(Pending.begin(), end);
   return batch;
 }
 
-/// The newest batch certainly isn't in the topic: its number is free again.
+/// Returns the entries of the newest batch, which isn't in the topic, to the
+/// pending ones. Its number is used again.
 void UsageMeter::requeueBatch(UsageBatch Unwritten) {
   --Sequence;
-  Waiting.insert(Waiting.begin(), Unwritten.Entries.begin(),
+  Pending.insert(Pending.begin(), Unwritten.Entries.begin(),
                  Unwritten.Entries.end());
-  if (Waiting.size() > Limits.MaxPendingEntries)
+  if (Pending.size() > Limits.MaxPendingEntries)
     compact();
 }
 
-/// Writes what is counted; true if the topic holds it. Batches of unknown
-/// outcome go before the newest one, all or none.
+/// Writes the pending entries; returns true if the topic holds them. Batches of
+/// unknown outcome are appended together with the new one.
 asio::awaitable<bool> UsageMeter::write() {
   TimePoint sent = monotonicNow();
-  Allowed -= 1;
+  AppendTokens -= 1;
   WallTime before = Through;
   Unacked.push_back(nextBatch());
   std::vector<std::string> records;
   records.reserve(Unacked.size());
   for (const UsageBatch &it : Unacked)
     records.push_back(encodeUsage(it));
-  Outcome<Offset> got = co_await With.Store.Append(
+  Outcome<Offset> got = co_await Deps.Store.Append(
       UsageTopic, std::move(records), std::nullopt, Limits.AppendTimeout);
   TimePoint now = monotonicNow();
   if (!got) {
-    With.Counts
+    Deps.Counts
         .counter("usage_appends_failed_total",
                  "Records of counts that the store did not take")
         .add();
-    // What was ended because the store is back is written again at once.
+    // A cancelled append is retried at once: it was cancelled because the store
+    // is reachable again.
     if (got.failure().Code != FailureCode::Cancelled)
       slowDown(now);
     if (got.failure().Run == Verdict::NotRun) {
@@ -179,7 +184,7 @@
     }
     co_return false;
   }
-  With.Decisions->line(
+  Deps.Decisions->line(
       "usage.written",
       {{"sequence", std::to_string(Sequence - 1)},
        {"requests", std::to_string(Unacked.back().Entries.size())},
@@ -189,34 +194,34 @@
             std::chrono::duration_cast<Millis>(now - sent).count())}});
   Unacked.clear();
   Known = true;
-  Pause = std::clamp(std::chrono::duration_cast<Millis>(
-                         (now - sent) * Limits.AppendIntervalFactor),
-                     Limits.Pace, Limits.MaxAppendInterval);
+  AppendInterval = std::clamp(std::chrono::duration_cast<Millis>(
+                                  (now - sent) * Limits.AppendIntervalFactor),
+                              Limits.Pace, Limits.MaxAppendInterval);
   co_return true;
 }
 
 asio::awaitable<void> UsageMeter::leave(TimePoint Until) {
   std::shared_ptr<UsageMeter> self = shared_from_this();
-  Left = true;
+  IsLeaving = true;
   Wake.notify();
-  while (!Ended && monotonicNow() < Until)
+  while (!WriteLoopEnded && monotonicNow() < Until)
     co_await Wake.wait(Until);
   while (monotonicNow() < Until) {
-    if (!Waiting.empty() || !Unacked.empty()) {
+    if (!Pending.empty() || !Unacked.empty()) {
       bool written = co_await write();
       if (!written)
-        co_await pauseFor(With.Executor, Limits.RetryDelay);
+        co_await pauseFor(Deps.Executor, Limits.RetryDelay);
       continue;
     }
     std::vector<std::string> records{encodeUsage(UsageLeave{Limits.Self})};
-    Outcome<Offset> got = co_await With.Store.Append(
+    Outcome<Offset> got = co_await Deps.Store.Append(
         UsageTopic, std::move(records), std::nullopt, Limits.AppendTimeout);
     if (got)
       co_return;
-    co_await pauseFor(With.Executor, Limits.RetryDelay);
+    co_await pauseFor(Deps.Executor, Limits.RetryDelay);
   }
-  With.Decisions->line("usage.left_unwritten",
-                       {{"requests", std::to_string(Waiting.size())},
+  Deps.Decisions->line("usage.left_unwritten",
+                       {{"requests", std::to_string(Pending.size())},
                         {"batches", std::to_string(Unacked.size())}});
 }
 
--- a/Wasabi/Usage/UsageMeter.h
+++ b/Wasabi/Usage/UsageMeter.h
@@ -1,13 +1,10 @@
 /// \file
-/// Counts the requests that servers begin to run for this process, and writes
-/// the counts to the usage topic before they can be lost.
+/// Counts the requests that servers start to run for this process, and writes
+/// the counts to the usage topic.
 ///
-/// The pattern that this answers: a handful of requests a window and customer,
-/// where one that is missing makes the report wrong, and processes that are
-/// killed half a second after they served one. A request is written when it is
-/// sent, beside its run, and taken back in the rare case that it proves not to
-/// have run; a process writes at once what it counts after a pause, and
-/// gathers what comes faster than that.
+/// A request is written when it is sent, so that little is lost if the process
+/// is killed, and withdrawn if it turns out not to have run. Counts that arrive
+/// faster than the allowed append rate are batched.
 #ifndef WASABI_USAGE_USAGEMETER_H
 #define WASABI_USAGE_USAGEMETER_H
 
@@ -28,40 +25,41 @@
 /// The topic of `UsageRecord`s.
 inline constexpr const char *UsageTopic = "usage";
 
-/// Used on one thread, that of its executor.
+/// Counts the requests of one process. Used on one thread, that of its
+/// executor.
 class UsageMeter : public std::enable_shared_from_this<UsageMeter> {
 public:
   struct Settings {
     UsageSource Self;
     UsageSettings Windows;
-    /// How long an append may take before its outcome is unknown.
+    /// Time limit of an append, after which its outcome is unknown.
     Millis AppendTimeout{1200};
-    /// Least pause between two appends in the long run.
+    /// Minimum average interval between appends.
     Millis Pace{50};
-    /// That pause is this many times what the last append took, if that is
-    /// more: all processes share one partition, which takes one append after
-    /// the other, 500 a second as a rule and 8 when the store is sixty times
-    /// slower. What is gathered meanwhile costs nothing more.
+    /// The average interval between appends is at least this multiple of the
+    /// duration of the last append. Reduces the load on a slow store, since all
+    /// processes append to one partition.
     double AppendIntervalFactor = 25;
-    /// Most of it: each process writes once a window anyway.
+    /// Maximum average interval between appends.
     Millis MaxAppendInterval{5000};
-    /// Appends whose pauses lie within this may follow each other at once: what
-    /// waits for one is lost if the process is killed meanwhile.
+    /// Maximum burst of appends, as the time in which their tokens accrue.
+    /// Bursts keep counts from waiting for an append, since pending counts are
+    /// lost if the process is killed.
     Millis BurstSpan{400};
-    /// Least pause after an append that failed; it doubles with each further
-    /// one.
+    /// Minimum delay after a failed append. Doubles with each further failure
+    /// while the store is reachable.
     Millis RetryDelay{200};
-    /// Windows end for all processes at once: each writes within this long
-    /// after.
-    Millis EndSpread{300};
-    /// Most entries of a record; further ones go into the next.
+    /// Maximum random delay of the write after the end of a window, so that the
+    /// processes don't all write at once.
+    Millis MaxWriteJitter{300};
+    /// Maximum number of entries per batch.
     std::size_t MaxBatchEntries = 2000;
-    /// Entries that wait for the store, at most: those of one customer and
-    /// second are then kept as one.
+    /// Above this number of pending entries, those of one customer and second
+    /// are merged.
     std::size_t MaxPendingEntries = 20000;
   };
 
-  /// What a meter works with.
+  /// Dependencies of a meter.
   struct Parts {
     boost::asio::any_io_executor Executor;
     RecordStore Store;
@@ -69,32 +67,32 @@
     /// Outlives the meter.
     Metrics &Counts;
     WallClock Wall;
-    /// Of this process; outlives the meter.
+    /// Contact of this process with the store; outlives the meter.
     const StoreContact &Contact;
   };
 
-  static std::shared_ptr<UsageMeter> create(Parts With, Settings Limits);
+  static std::shared_ptr<UsageMeter> create(Parts Deps, Settings Limits);
 
-  /// Begins to write, for as long as the context runs.
+  /// Starts writing, until the execution context stops.
   void start();
-  /// Whether the topic knows that this process counts: windows wait for it from
-  /// then on.
+  /// Returns true once the store has taken a batch of this process; from then
+  /// on, windows wait for its counts.
   bool known() const { return Known; }
-  /// Writes what is counted, says that no more will be, and ends; gives up at
+  /// Writes the pending counts and a `UsageLeave`, then returns. Gives up at
   /// `Until`.
   boost::asio::awaitable<void> leave(TimePoint Until);
 
-  /// A server begins to run a request of a customer now.
-  UsageEntry began(const CustomerName &Of);
-  /// What was counted has proved not to have run.
-  void withdraw(const UsageEntry &What);
+  /// Counts a request of a customer that a server starts to run now.
+  UsageEntry began(const CustomerName &Customer);
+  /// Withdraws a counted request that did not run.
+  void withdraw(const UsageEntry &Entry);
 
 private:
-  UsageMeter(Parts With, Settings Limits);
-  WallTime now() const { return With.Wall.at(monotonicNow()); }
-  void add(UsageEntry What);
+  UsageMeter(Parts Deps, Settings Limits);
+  WallTime now() const { return Deps.Wall.at(monotonicNow()); }
+  void add(UsageEntry Entry);
   void compact();
-  bool due() const;
+  bool needsWrite() const;
   TimePoint nextWriteTime() const;
   boost::asio::awaitable<void> writeLoop();
   UsageBatch nextBatch();
@@ -104,28 +102,29 @@
   void slowDown(TimePoint Now);
 
   const Settings Limits;
-  const Parts With;
-  /// Counted, and in no batch yet.
-  std::vector<UsageEntry> Waiting;
-  /// Batches that may stand in the topic or not: they are written again under
-  /// their numbers, before newer ones, until the store says that it has them.
+  const Parts Deps;
+  /// Counted entries that are in no batch yet.
+  std::vector<UsageEntry> Pending;
+  /// Batches that the topic may or may not hold. They are written again under
+  /// their numbers, before newer ones, until the store acknowledges them.
   std::vector<UsageBatch> Unacked;
-  /// Of the next batch.
+  /// Number of the next batch.
   std::uint64_t Sequence = 1;
-  /// Through when all that was counted is in some batch.
+  /// Entries before this time are in some batch.
   WallTime Through;
-  /// Whether the store has taken a batch.
+  /// True if the store has acknowledged a batch.
   bool Known = false;
-  /// Appends that may be made now; one more comes each `Pause`.
-  double Allowed;
-  Millis Pause;
+  /// Token bucket of the append rate: the number of appends that may be made
+  /// now. One token is added per `AppendInterval`.
+  double AppendTokens;
+  Millis AppendInterval;
   TimePoint LastRefill;
   TimePoint NotBefore;
-  /// This process's part of `EndSpread`.
-  Millis Spread{0};
-  bool Left = false;
-  /// Whether the loop writes nothing any more.
-  bool Ended = false;
+  /// Write delay of this process, up to `MaxWriteJitter`.
+  Millis WriteJitter{0};
+  bool IsLeaving = false;
+  /// True once the write loop has ended.
+  bool WriteLoopEnded = false;
   AsyncSignal Wake;
 };
 
--- a/Wasabi/Usage/UsageRecord.cpp
+++ b/Wasabi/Usage/UsageRecord.cpp
@@ -12,103 +12,106 @@
 
 namespace json = boost::json;
 
-/// Raised when an older release could misread what a newer one writes.
+/// Version of the encoding. Incremented when an older release could misread the
+/// new one.
 constexpr std::uint64_t Schema = 1;
-// First member of each record.
+// The first member of a record is the tag of its type.
 constexpr std::string_view BatchTag = "counted";
 constexpr std::string_view LeaveTag = "leave";
 constexpr std::string_view DecisionTag = "window";
-constexpr std::string_view ToldTag = "told";
+constexpr std::string_view ReportedTag = "told";
 
 std::int64_t millisOf(WallTime At) { return At.time_since_epoch().count(); }
 
-/// Entries tell their time as the difference to the batch's: some digits in
-/// place of thirteen.
-json::value valueOf(const UsageBatch &What) {
+/// Encodes the time of an entry relative to `Through`, which takes fewer
+/// digits.
+json::value toJson(const UsageBatch &Record) {
   json::array entries;
-  for (const UsageEntry &it : What.Entries) {
-    json::array entry{it.Of.Text, (What.Through - it.At).count()};
+  for (const UsageEntry &it : Record.Entries) {
+    json::array entry{it.Of.Text, (Record.Through - it.At).count()};
     if (it.Count != 1)
       entry.emplace_back(it.Count);
     entries.push_back(std::move(entry));
   }
-  return json::array{BatchTag,          Schema,        What.From.Instance.Text,
-                     What.From.Life,    What.Sequence, millisOf(What.Through),
-                     std::move(entries)};
+  return json::array{
+      BatchTag,           Schema,          Record.Source.Instance.Text,
+      Record.Source.Life, Record.Sequence, millisOf(Record.Through),
+      std::move(entries)};
 }
 
-json::value valueOf(const UsageLeave &What) {
-  return json::array{LeaveTag, Schema, What.From.Instance.Text, What.From.Life};
+json::value toJson(const UsageLeave &Record) {
+  return json::array{LeaveTag, Schema, Record.Source.Instance.Text,
+                     Record.Source.Life};
 }
 
-json::value valueOf(const UsageDecision &What) {
+json::value toJson(const UsageDecision &Record) {
   json::object counts;
-  for (const auto &[customer, count] : What.Counts)
+  for (const auto &[customer, count] : Record.Counts)
     counts[customer.Text] = count;
-  return json::array{DecisionTag, Schema, What.Window, std::move(counts)};
+  return json::array{DecisionTag, Schema, Record.Window, std::move(counts)};
 }
 
-json::value valueOf(const UsageReported &What) {
-  return json::array{ToldTag, Schema, What.Window};
+json::value toJson(const UsageReported &Record) {
+  return json::array{ReportedTag, Schema, Record.Window};
 }
 
-// Missing or mistyped members throw inside of Boost.JSON; `decodeUsage` turns
-// that into a result.
+// Boost.JSON throws on a missing member or a wrong type; `decodeUsage` turns
+// the exception into an error.
 
-std::string textOf(const json::value &From) {
-  const json::string &text = From.as_string();
+std::string textOf(const json::value &Value) {
+  const json::string &text = Value.as_string();
   return std::string(text.data(), text.size());
 }
 
-std::uint64_t numberOf(const json::value &From) {
-  return From.to_number<std::uint64_t>();
+std::uint64_t numberOf(const json::value &Value) {
+  return Value.to_number<std::uint64_t>();
 }
 
-UsageSource sourceOf(const json::array &From) {
-  return {InstanceName(textOf(From.at(2))), numberOf(From.at(3))};
+UsageSource sourceOf(const json::array &Members) {
+  return {InstanceName(textOf(Members.at(2))), numberOf(Members.at(3))};
 }
 
-UsageRecord readBatch(const json::array &From) {
+UsageRecord readBatch(const json::array &Members) {
   UsageBatch batch;
-  batch.From = sourceOf(From);
-  batch.Sequence = numberOf(From.at(4));
-  batch.Through = WallTime(Millis(From.at(5).to_number<std::int64_t>()));
-  for (const json::value &it : From.at(6).as_array()) {
+  batch.Source = sourceOf(Members);
+  batch.Sequence = numberOf(Members.at(4));
+  batch.Through = WallTime(Millis(Members.at(5).to_number<std::int64_t>()));
+  for (const json::value &it : Members.at(6).as_array()) {
     const json::array &entry = it.as_array();
-    Millis before(entry.at(1).to_number<std::int64_t>());
+    Millis age(entry.at(1).to_number<std::int64_t>());
     std::int64_t count =
         entry.size() > 2 ? entry.at(2).to_number<std::int64_t>() : 1;
     batch.Entries.push_back(
-        {CustomerName(textOf(entry.at(0))), batch.Through - before, count});
+        {CustomerName(textOf(entry.at(0))), batch.Through - age, count});
   }
   return batch;
 }
 
-UsageRecord readDecision(const json::array &From) {
+UsageRecord readDecision(const json::array &Members) {
   UsageDecision decision;
-  decision.Window = numberOf(From.at(2));
-  for (const json::key_value_pair &it : From.at(3).as_object())
+  decision.Window = numberOf(Members.at(2));
+  for (const json::key_value_pair &it : Members.at(3).as_object())
     decision.Counts[CustomerName(std::string(it.key()))] = numberOf(it.value());
   return decision;
 }
 
-UsageRecord readRecord(const json::array &From, std::string_view Tag) {
+UsageRecord readRecord(const json::array &Members, std::string_view Tag) {
   if (Tag == BatchTag)
-    return readBatch(From);
+    return readBatch(Members);
   if (Tag == LeaveTag)
-    return UsageLeave{sourceOf(From)};
+    return UsageLeave{sourceOf(Members)};
   if (Tag == DecisionTag)
-    return readDecision(From);
-  if (Tag == ToldTag)
-    return UsageReported{numberOf(From.at(2))};
+    return readDecision(Members);
+  if (Tag == ReportedTag)
+    return UsageReported{numberOf(Members.at(2))};
   throw std::invalid_argument("unknown kind '" + std::string(Tag) + "'");
 }
 
 } // namespace
 
-std::string encodeUsage(const UsageRecord &What) {
+std::string encodeUsage(const UsageRecord &Record) {
   return json::serialize(
-      std::visit([](const auto &Kind) { return valueOf(Kind); }, What));
+      std::visit([](const auto &It) { return toJson(It); }, Record));
 }
 
 Result<UsageRecord> decodeUsage(std::string_view Text,
@@ -133,8 +136,8 @@
   return static_cast<UsageWindow>(At.time_since_epoch() / Length);
 }
 
-WallTime windowEnd(UsageWindow Of, Millis Length) {
-  return WallTime(Length * static_cast<std::int64_t>(Of + 1));
+WallTime windowEnd(UsageWindow Window, Millis Length) {
+  return WallTime(Length * static_cast<std::int64_t>(Window + 1));
 }
 
 } // namespace wasabi
--- a/Wasabi/Usage/UsageRecord.h
+++ b/Wasabi/Usage/UsageRecord.h
@@ -1,6 +1,7 @@
 /// \file
-/// The records of the usage topic: what each process has counted, what was
-/// decided to be reported of each window, and what has been.
+/// The records of the usage topic: the requests that each process has counted,
+/// the counts that were decided for each window, and the windows that were
+/// reported.
 #ifndef WASABI_USAGE_USAGERECORD_H
 #define WASABI_USAGE_USAGERECORD_H
 
@@ -17,60 +18,61 @@
 
 namespace wasabi {
 
-/// Milliseconds of wall time: of the clock of whoever says it.
+/// Wall time in milliseconds, by the clock of the process that records it.
 using WallTime = std::chrono::sys_time<Millis>;
 
-/// A stretch of wall time for which customers' requests are counted together:
-/// its number counts the stretches since 1970.
+/// The number of a window, an interval of wall time over which requests are
+/// summed by customer. Windows are numbered from the Unix epoch.
 using UsageWindow = std::uint64_t;
 
-/// Requests by customer.
+/// Number of requests by customer.
 using UsageCounts = std::map<CustomerName, std::uint64_t>;
 
-/// A process that counts. An immutable value.
+/// A process that counts requests. An immutable value.
 struct UsageSource {
   InstanceName Instance;
-  /// Tells a restarted process from its predecessor.
+  /// Distinguishes a restarted process from its predecessor.
   Incarnation Life = 0;
   auto operator<=>(const UsageSource &) const = default;
 };
 
-/// Requests of one customer that servers began to run.
+/// Requests of one customer that servers started to run.
 struct UsageEntry {
   CustomerName Of;
   WallTime At;
-  /// Negative for what was counted before and proved not to have run.
+  /// Negative to withdraw requests that were counted before but did not run.
   std::int64_t Count = 0;
   bool operator==(const UsageEntry &) const = default;
 };
 
-/// What a process has counted since its last such record.
+/// The requests that a process has counted since its last batch.
 struct UsageBatch {
-  UsageSource From;
-  /// Counts the batches of a process, from 1. One may stand in the topic twice,
-  /// when the answer to its first append was lost.
+  UsageSource Source;
+  /// Number of the batch, from 1 for each process. A batch may be in the topic
+  /// twice if the response to its first append was lost.
   std::uint64_t Sequence = 0;
-  /// All that the process counted before this time is in this batch or in an
-  /// earlier one.
+  /// Requests that the process counted before this time are in this batch or in
+  /// an earlier one.
   WallTime Through;
   std::vector<UsageEntry> Entries;
   bool operator==(const UsageBatch &) const = default;
 };
 
-/// The process counts no more: all that it counted stands before.
+/// The process has stopped counting; all its batches precede this record.
 struct UsageLeave {
-  UsageSource From;
+  UsageSource Source;
   bool operator==(const UsageLeave &) const = default;
 };
 
-/// What is reported of a window, whoever reports it. The first decision counts.
+/// The counts to report for a window, independent of the reporting process. The
+/// first decision for a window is the valid one.
 struct UsageDecision {
   UsageWindow Window = 0;
   UsageCounts Counts;
   bool operator==(const UsageDecision &) const = default;
 };
 
-/// The platform has taken the report of a window.
+/// The platform has accepted the report of a window.
 struct UsageReported {
   UsageWindow Window = 0;
   bool operator==(const UsageReported &) const = default;
@@ -79,17 +81,18 @@
 using UsageRecord =
     std::variant<UsageBatch, UsageLeave, UsageDecision, UsageReported>;
 
-/// The text of a record as it is appended. Thread-safe.
-std::string encodeUsage(const UsageRecord &What);
+/// Encodes a record as it is appended to the topic. Thread-safe.
+std::string encodeUsage(const UsageRecord &Record);
 
-/// The reverse. Errors: `BadInput` at `Place` for a malformed record,
-/// `NewerSchema` for one that a later release wrote. Thread-safe.
+/// Decodes a record. Errors: `BadInput` at `Place` for a malformed record,
+/// `NewerSchema` for a record of a later release. Thread-safe.
 Result<UsageRecord> decodeUsage(std::string_view Text,
                                 const std::string &Place);
 
-/// The window of a time, and the time at which a window ends. Pure.
+/// Returns the window that contains a time, and the time at which a window
+/// ends. Pure.
 UsageWindow windowOf(WallTime At, Millis Length);
-WallTime windowEnd(UsageWindow Of, Millis Length);
+WallTime windowEnd(UsageWindow Window, Millis Length);
 
 } // namespace wasabi
 
--- a/Wasabi/Usage/UsageReporter.cpp
+++ b/Wasabi/Usage/UsageReporter.cpp
@@ -29,74 +29,74 @@
 
 } // namespace
 
-UsageReporter::UsageReporter(Parts With, Settings Limits)
-    : Limits(std::move(Limits)), With(std::move(With)),
-      Changed(this->With.Executor) {}
+UsageReporter::UsageReporter(Parts Deps, Settings Limits)
+    : Limits(std::move(Limits)), Deps(std::move(Deps)),
+      Changed(this->Deps.Executor) {}
 
-std::shared_ptr<UsageReporter> UsageReporter::create(Parts With,
+std::shared_ptr<UsageReporter> UsageReporter::create(Parts Deps,
                                                      Settings Limits) {
   return std::shared_ptr<UsageReporter>(
-      new UsageReporter(std::move(With), std::move(Limits)));
+      new UsageReporter(std::move(Deps), std::move(Limits)));
 }
 
 void UsageReporter::start() {
   std::shared_ptr<UsageReporter> self = shared_from_this();
   asio::co_spawn(
-      With.Executor, [self] { return self->followLoop(); }, asio::detached);
+      Deps.Executor, [self] { return self->followLoop(); }, asio::detached);
   asio::co_spawn(
-      With.Executor, [self] { return self->reportLoop(); }, asio::detached);
+      Deps.Executor, [self] { return self->reportLoop(); }, asio::detached);
 }
 
 WallTime UsageReporter::trueNow() const {
-  return With.Wall.at(monotonicNow()) -
-         clockSkew(Fold, Limits.Self, Limits.Windows);
+  return Deps.Wall.at(monotonicNow()) -
+         clockSkew(State, Limits.Self, Limits.Windows);
 }
 
-//===--- What is known and decided ----------------------------------------===//
+//===--- Reading and deciding ---------------------------------------------===//
 
 asio::awaitable<void> UsageReporter::followLoop() {
   for (;;) {
-    if (!With.Duty->held()) {
+    if (!Deps.Lease->held()) {
       CaughtUp = false;
-      co_await pauseFor(With.Executor, Limits.RetryDelay);
+      co_await pauseFor(Deps.Executor, Limits.RetryDelay);
       continue;
     }
     bool read = co_await readOnce();
     if (!read)
-      co_await pauseFor(With.Executor, Limits.RetryDelay);
+      co_await pauseFor(Deps.Executor, Limits.RetryDelay);
     else if (CaughtUp)
       co_await decide();
   }
 }
 
-/// Reads a stretch of the topic; false if the store did not give it.
+/// Reads the next range of the topic; returns false if the read failed.
 asio::awaitable<bool> UsageReporter::readOnce() {
-  bool fresh = CaughtUp;
+  bool wasCaughtUp = CaughtUp;
   TimePoint before = ReadAt;
-  Outcome<LogRange> got = co_await With.Store.Read(
-      UsageTopic, Fold.Next, Limits.Wait, Limits.ReadBytes);
+  Outcome<LogRange> got = co_await Deps.Store.Read(
+      UsageTopic, State.Next, Limits.ReadTimeout, Limits.MaxReadBytes);
   if (!got) {
-    // What comes next may have waited for as long as the store was away.
+    // The next records may have been delayed for the whole outage.
     CaughtUp = false;
     co_return got.failure().Code == FailureCode::Cancelled;
   }
   ReadAt = monotonicNow();
-  // What comes now was written since the last read, if that saw the end.
-  take(*got,
-       fresh ? std::chrono::ceil<Millis>(ReadAt - before) : Millis::max());
-  if (fresh && !got->Entries.empty())
-    co_await pauseFor(With.Executor, Limits.Pace);
+  // If the last read reached the end, these records were written since then.
+  applyRange(*got, wasCaughtUp ? std::chrono::ceil<Millis>(ReadAt - before)
+                               : Millis::max());
+  if (wasCaughtUp && !got->Entries.empty())
+    co_await pauseFor(Deps.Executor, Limits.ReadDelay);
   co_return true;
 }
 
-void UsageReporter::take(const LogRange &Range, Millis Age) {
+void UsageReporter::applyRange(const LogRange &Range, Millis Age) {
   TimePoint now = monotonicNow();
-  UsageReadContext when{now, With.Wall.at(now), Age};
-  if (Range.First > Fold.Next) {
-    With.Decisions->line("usage.records_expired",
-                         {{"expected", std::to_string(Fold.Next)},
+  UsageReadContext context{now, Deps.Wall.at(now), Age};
+  if (Range.First > State.Next) {
+    Deps.Decisions->line("usage.records_expired",
+                         {{"expected", std::to_string(State.Next)},
                           {"first", std::to_string(Range.First)}});
-    Fold.Next = Range.First;
+    State.Next = Range.First;
   }
   for (const LogEntry &it : Range.Entries) {
     Outcome<UsageRecord> record = toOutcome<UsageRecord>([&] {
@@ -104,63 +104,65 @@
                          std::string(UsageTopic) + "@" + std::to_string(it.At));
     });
     if (record)
-      apply(Fold, it.At, *record, when, Limits.Windows);
+      apply(State, it.At, *record, context, Limits.Windows);
     else
-      With.Decisions->line("usage.record_unreadable",
+      Deps.Decisions->line("usage.record_unreadable",
                            {{"reason", describe(record.failure())}});
-    Fold.Next = std::max(Fold.Next, it.At + 1);
+    State.Next = std::max(State.Next, it.At + 1);
   }
-  expire(Fold, now, Limits.Windows);
-  CaughtUp = Fold.Next >= Range.End;
-  if (Fold.Late > LateLogged)
-    With.Decisions->line("usage.late",
-                         {{"requests", std::to_string(Fold.Late - LateLogged)},
-                          {"all", std::to_string(Fold.Late)}});
-  LateLogged = Fold.Late;
+  expire(State, now, Limits.Windows);
+  CaughtUp = State.Next >= Range.End;
+  if (State.Late > LateLogged)
+    Deps.Decisions->line("usage.late",
+                         {{"requests", std::to_string(State.Late - LateLogged)},
+                          {"all", std::to_string(State.Late)}});
+  LateLogged = State.Late;
   if (!Range.Entries.empty())
     Changed.notify();
 }
 
-/// Logs once for whom a window waits that could be decided else.
+/// Logs the processes whose counts are missing for the next window, once per
+/// window, if its settle delay has passed.
 void UsageReporter::logMissingSources(WallTime TrueNow, TimePoint Now) {
-  if (!Fold.FirstUndecided || LastLoggedWindow == Fold.FirstUndecided ||
-      TrueNow < windowEnd(*Fold.FirstUndecided, Limits.Windows.Window) +
-                    Limits.Windows.Settle)
+  if (!State.FirstUndecided || LastLoggedWindow == State.FirstUndecided ||
+      TrueNow < windowEnd(*State.FirstUndecided, Limits.Windows.Window) +
+                    Limits.Windows.SettleDelay)
     return;
-  LastLoggedWindow = Fold.FirstUndecided;
-  With.Decisions->line(
+  LastLoggedWindow = State.FirstUndecided;
+  Deps.Decisions->line(
       "usage.waiting",
-      {{"window", std::to_string(*Fold.FirstUndecided)},
-       {"missing", namesOf(missingSources(Fold, *Fold.FirstUndecided, Now,
+      {{"window", std::to_string(*State.FirstUndecided)},
+       {"missing", namesOf(missingSources(State, *State.FirstUndecided, Now,
                                           Limits.Windows))}});
 }
 
-asio::awaitable<Outcome<Offset>> UsageReporter::append(UsageRecord What) {
-  std::vector<std::string> records{encodeUsage(What)};
-  co_return co_await With.Store.Append(UsageTopic, std::move(records),
+asio::awaitable<Outcome<Offset>> UsageReporter::append(UsageRecord Record) {
+  std::vector<std::string> records{encodeUsage(Record)};
+  co_return co_await Deps.Store.Append(UsageTopic, std::move(records),
                                        std::nullopt, Limits.AppendTimeout);
 }
 
-/// Decides the next window if it is time. Another process may have decided it
-/// otherwise: what counts is read from the topic.
+/// Decides the next window if it is due. Another process may append a different
+/// decision; the first one in the topic is valid.
 asio::awaitable<void> UsageReporter::decide() {
   TimePoint now = monotonicNow();
-  WallTime wall = trueNow();
+  WallTime trueTime = trueNow();
   std::optional<UsageWindow> due =
-      findDueWindow(Fold, wall, now, With.Contact, Limits.Windows);
+      findDueWindow(State, trueTime, now, Deps.Contact, Limits.Windows);
   if (!due) {
-    logMissingSources(wall, now);
+    logMissingSources(trueTime, now);
     co_return;
   }
-  UsageDecision decision{*due, countsOf(Fold, *due, Limits.Windows)};
+  UsageDecision decision{*due, countsOf(State, *due, Limits.Windows)};
   std::vector<UsageSource> missing =
-      missingSources(Fold, *due, now, Limits.Windows);
+      missingSources(State, *due, now, Limits.Windows);
   std::uint64_t sum = sumOf(decision.Counts);
   std::size_t customers = decision.Counts.size();
-  // GCC 12 destroys what is converted within a co_await twice.
+  // GCC 12 destroys a temporary twice if it is converted within a co_await
+  // expression.
   UsageRecord record = std::move(decision);
   Outcome<Offset> got = co_await append(std::move(record));
-  With.Decisions->line(
+  Deps.Decisions->line(
       "usage.decided",
       {{"window", std::to_string(*due)},
        {"requests", std::to_string(sum)},
@@ -168,60 +170,61 @@
        {"missing", namesOf(missing)},
        {"after_ms",
         std::to_string(
-            (wall - windowEnd(*due, Limits.Windows.Window)).count())},
+            (trueTime - windowEnd(*due, Limits.Windows.Window)).count())},
        {"result", got ? "appended" : describe(got.failure())}});
   if (!got)
-    co_await pauseFor(With.Executor, Limits.RetryDelay);
+    co_await pauseFor(Deps.Executor, Limits.RetryDelay);
 }
 
-//===--- What is told -----------------------------------------------------===//
+//===--- Reporting --------------------------------------------------------===//
 
 asio::awaitable<void> UsageReporter::reportLoop() {
   for (;;) {
-    std::optional<LeasePermit> permit = With.Duty->permit();
+    std::optional<LeasePermit> permit = Deps.Lease->permit();
     TimePoint now = monotonicNow();
-    bool may = permit && permit->From <= now && now < permit->Until;
-    if (!may || !CaughtUp || Fold.Untold.empty()) {
+    bool permitted = permit && permit->From <= now && now < permit->Until;
+    if (!permitted || !CaughtUp || State.Untold.empty()) {
       co_await Changed.wait(now + Limits.RetryDelay);
       continue;
     }
-    bool told = co_await reportOldest(*permit);
-    co_await pauseFor(With.Executor,
-                      told ? Limits.MinReportInterval : Limits.RetryDelay);
+    bool reported = co_await reportOldest(*permit);
+    co_await pauseFor(Deps.Executor,
+                      reported ? Limits.MinReportInterval : Limits.RetryDelay);
   }
 }
 
-asio::awaitable<bool> UsageReporter::reportOldest(LeasePermit Under) {
-  UsageDecision what{Fold.Untold.begin()->first, Fold.Untold.begin()->second};
-  UsageWindow window = what.Window;
-  std::uint64_t sum = sumOf(what.Counts);
-  CallPermit stamp{Limits.Self.Instance, Under.Token, Under.Until};
-  Outcome<Done> got =
-      co_await With.Platform.Usage(std::move(what), stamp, Limits.CallTimeout);
+asio::awaitable<bool> UsageReporter::reportOldest(LeasePermit Permit) {
+  UsageDecision decision{State.Untold.begin()->first,
+                         State.Untold.begin()->second};
+  UsageWindow window = decision.Window;
+  std::uint64_t sum = sumOf(decision.Counts);
+  CallPermit stamp{Limits.Self.Instance, Permit.Token, Permit.Until};
+  Outcome<Done> got = co_await Deps.Platform.Usage(std::move(decision), stamp,
+                                                   Limits.CallTimeout);
   Millis after = std::chrono::duration_cast<Millis>(
       trueNow() - windowEnd(window, Limits.Windows.Window));
-  With.Decisions->line("usage.report",
+  Deps.Decisions->line("usage.report",
                        {{"window", std::to_string(window)},
-                        {"token", std::to_string(Under.Token)},
+                        {"token", std::to_string(Permit.Token)},
                         {"requests", std::to_string(sum)},
                         {"after_ms", std::to_string(after.count())},
                         {"late", after > Limits.Windows.Due ? "yes" : "no"},
                         {"result", got ? "taken" : describe(got.failure())}});
-  With.Counts
+  Deps.Counts
       .counter("usage_reports_total", "Reports of windows, by outcome",
                {{"outcome", got ? "taken" : "failed"}})
       .add();
   if (!got)
     co_return false;
-  // Told again by a successor it does no harm; told again here it would be in
-  // vain.
-  Fold.Untold.erase(window);
-  UsageRecord told = UsageReported{window};
-  Outcome<Offset> noted = co_await append(std::move(told));
-  if (!noted)
-    With.Decisions->line("usage.told_not_noted",
+  // A report that a successor repeats is harmless; this process does not repeat
+  // it.
+  State.Untold.erase(window);
+  UsageRecord reported = UsageReported{window};
+  Outcome<Offset> appended = co_await append(std::move(reported));
+  if (!appended)
+    Deps.Decisions->line("usage.told_not_noted",
                          {{"window", std::to_string(window)},
-                          {"reason", describe(noted.failure())}});
+                          {"reason", describe(appended.failure())}});
   co_return true;
 }
 
--- a/Wasabi/Usage/UsageReporter.h
+++ b/Wasabi/Usage/UsageReporter.h
@@ -1,12 +1,11 @@
 /// \file
-/// Reports the usage of each window once: decides in the usage topic what is to
-/// be reported, and has the holder of the dispatching duty tell it.
+/// Reports the usage of each window: appends the decided counts to the usage
+/// topic, and sends them to the platform.
 ///
-/// The pattern that this answers: the address that takes reports checks nothing
-/// and can't be asked what it has, while reporters die, freeze and are cut off
-/// at each step. What is sent stands in the topic before, so that whoever sends
-/// it again sends the same; and it is sent only under a lease that this process
-/// has proved to hold (`LeasePermit`).
+/// The platform does not detect duplicate or conflicting reports. Counts are
+/// therefore decided in the topic before they are sent, so that every process
+/// that sends them sends the same, and only the proven holder of the dispatch
+/// lease sends (`LeasePermit`).
 #ifndef WASABI_USAGE_USAGEREPORTER_H
 #define WASABI_USAGE_USAGEREPORTER_H
 
@@ -23,72 +22,75 @@
 
 namespace wasabi {
 
-/// Used on one thread, that of its executor.
+/// Reports the usage of all processes while this process holds the dispatch
+/// lease. Used on one thread, that of its executor.
 class UsageReporter : public std::enable_shared_from_this<UsageReporter> {
 public:
   struct Settings {
     UsageSource Self;
     UsageSettings Windows;
-    /// How long a read waits for a record: windows are looked at as often.
-    Millis Wait{200};
-    /// Pause after a read that brought records.
-    Millis Pace{100};
-    /// Pause after a call that failed, and between two looks while another
-    /// process reports.
+    /// Maximum time that a read waits for a record; also the interval at which
+    /// windows are checked.
+    Millis ReadTimeout{200};
+    /// Delay after a read that returned records.
+    Millis ReadDelay{100};
+    /// Delay after a failed call, and interval of the checks for the lease
+    /// while another process holds it.
     Millis RetryDelay{250};
-    std::size_t ReadBytes = 256u << 10;
-    /// How long an append may take.
+    std::size_t MaxReadBytes = 256u << 10;
+    /// Time limit of an append.
     Millis AppendTimeout{1200};
-    /// How long a report may take. It must have left and arrived well within
-    /// `LeaseSettings::TakeoverDelay`.
+    /// Time limit of a report. Must be well below
+    /// `LeaseSettings::TakeoverDelay`, so that no report arrives after a
+    /// takeover.
     Millis CallTimeout{1000};
-    /// Least pause between two reports: the platform bounds them.
+    /// Minimum interval between reports, since the platform limits their rate.
     Millis MinReportInterval{50};
   };
 
-  /// What a reporter works with.
+  /// Dependencies of a reporter.
   struct Parts {
     boost::asio::any_io_executor Executor;
     RecordStore Store;
     ReportPort Platform;
-    std::shared_ptr<LeaseManager> Duty;
+    std::shared_ptr<LeaseManager> Lease;
     std::shared_ptr<DecisionLog> Decisions;
     /// Outlives the reporter.
     Metrics &Counts;
     WallClock Wall;
-    /// Of this process; outlives the reporter.
+    /// Contact of this process with the store; outlives the reporter.
     const StoreContact &Contact;
   };
 
-  static std::shared_ptr<UsageReporter> create(Parts With, Settings Limits);
+  static std::shared_ptr<UsageReporter> create(Parts Deps, Settings Limits);
 
-  /// Begins the loops, which rest while the duty is another's.
+  /// Starts the loops, which are idle while another process holds the lease.
   void start();
 
-  /// For tests and metrics.
-  const UsageState &fold() const { return Fold; }
+  /// Returns the folded state, for tests and metrics.
+  const UsageState &state() const { return State; }
 
 private:
-  UsageReporter(Parts With, Settings Limits);
+  UsageReporter(Parts Deps, Settings Limits);
   WallTime trueNow() const;
   boost::asio::awaitable<void> followLoop();
   boost::asio::awaitable<bool> readOnce();
-  void take(const LogRange &Range, Millis Age);
+  void applyRange(const LogRange &Range, Millis Age);
   boost::asio::awaitable<void> decide();
   void logMissingSources(WallTime TrueNow, TimePoint Now);
   boost::asio::awaitable<void> reportLoop();
-  boost::asio::awaitable<bool> reportOldest(LeasePermit Under);
-  boost::asio::awaitable<Outcome<Offset>> append(UsageRecord What);
+  boost::asio::awaitable<bool> reportOldest(LeasePermit Permit);
+  boost::asio::awaitable<Outcome<Offset>> append(UsageRecord Record);
 
   const Settings Limits;
-  const Parts With;
-  UsageState Fold;
-  /// Whether the last read showed the end of the topic.
+  const Parts Deps;
+  UsageState State;
+  /// True if the last read reached the end of the topic.
   bool CaughtUp = false;
-  /// When that read ended.
+  /// When the last successful read ended.
   TimePoint ReadAt;
   std::uint64_t LateLogged = 0;
-  /// The window that was last logged as waiting.
+  /// The last window that was logged as waiting.
   std::optional<UsageWindow> LastLoggedWindow;
   AsyncSignal Changed;
 };
--- a/Wasabi/Usage/UsageState.cpp
+++ b/Wasabi/Usage/UsageState.cpp
@@ -6,79 +6,81 @@
 
 namespace {
 
-Millis middleOf(std::vector<Millis> Values) {
-  auto middle = Values.begin() + static_cast<std::ptrdiff_t>(Values.size() / 2);
-  std::nth_element(Values.begin(), middle, Values.end());
-  return *middle;
+Millis medianOf(std::vector<Millis> Values) {
+  auto median = Values.begin() + static_cast<std::ptrdiff_t>(Values.size() / 2);
+  std::nth_element(Values.begin(), median, Values.end());
+  return *median;
 }
 
-/// The window of an entry by the middle clock.
-UsageWindow trueWindow(const UsageState &Fold, const UsageSourceEntry &Of,
+/// Returns the window of an entry by the median clock.
+UsageWindow trueWindow(const UsageState &State, const UsageSourceEntry &Entry,
                        const UsageSettings &Limits) {
-  return windowOf(Of.What.At - clockSkew(Fold, Of.From, Limits), Limits.Window);
+  return windowOf(Entry.Entry.At - clockSkew(State, Entry.Source, Limits),
+                  Limits.Window);
 }
 
-void applyKind(UsageState &Fold, const UsageBatch &What,
-               const UsageReadContext &When, const UsageSettings &Limits) {
-  UsageSourceState &source = Fold.Sources[What.From];
-  source.Heard = When.Now;
-  Millis ahead = What.Through - When.Wall;
-  if (When.Age <= Limits.MaxClockSampleAge)
+void applyRecord(UsageState &State, const UsageBatch &Record,
+                 const UsageReadContext &Context, const UsageSettings &Limits) {
+  UsageSourceState &source = State.Sources[Record.Source];
+  source.LastReadAt = Context.Now;
+  Millis ahead = Record.Through - Context.Wall;
+  if (Context.Age <= Limits.MaxClockSampleAge)
     source.ClockOffset = std::max(source.ClockOffset.value_or(ahead), ahead);
-  if (What.Sequence <= source.Sequence)
+  if (Record.Sequence <= source.Sequence)
     return;
-  if (!Fold.FirstUndecided)
-    Fold.FirstUndecided = windowOf(What.Through, Limits.Window);
-  source.Sequence = What.Sequence;
-  source.Through = What.Through;
-  for (const UsageEntry &it : What.Entries) {
-    UsageSourceEntry entry{What.From, it};
-    bool late = trueWindow(Fold, entry, Limits) < *Fold.FirstUndecided;
+  if (!State.FirstUndecided)
+    State.FirstUndecided = windowOf(Record.Through, Limits.Window);
+  source.Sequence = Record.Sequence;
+  source.Through = Record.Through;
+  for (const UsageEntry &it : Record.Entries) {
+    UsageSourceEntry entry{Record.Source, it};
+    bool late = trueWindow(State, entry, Limits) < *State.FirstUndecided;
     if (late && it.Count > 0)
-      Fold.Late += static_cast<std::uint64_t>(it.Count);
+      State.Late += static_cast<std::uint64_t>(it.Count);
     if (!late)
-      Fold.Entries.push_back(std::move(entry));
+      State.Entries.push_back(std::move(entry));
   }
 }
 
-void applyKind(UsageState &Fold, const UsageLeave &What,
-               const UsageReadContext &, const UsageSettings &) {
-  Fold.Sources[What.From].Left = true;
+void applyRecord(UsageState &State, const UsageLeave &Record,
+                 const UsageReadContext &, const UsageSettings &) {
+  State.Sources[Record.Source].Left = true;
 }
 
-void applyKind(UsageState &Fold, const UsageDecision &What,
-               const UsageReadContext &, const UsageSettings &Limits) {
-  if (Fold.FirstUndecided && What.Window < *Fold.FirstUndecided)
+void applyRecord(UsageState &State, const UsageDecision &Record,
+                 const UsageReadContext &, const UsageSettings &Limits) {
+  if (State.FirstUndecided && Record.Window < *State.FirstUndecided)
     return;
-  std::erase_if(Fold.Entries, [&](const UsageSourceEntry &It) {
-    return trueWindow(Fold, It, Limits) <= What.Window;
+  std::erase_if(State.Entries, [&](const UsageSourceEntry &It) {
+    return trueWindow(State, It, Limits) <= Record.Window;
   });
-  Fold.FirstUndecided = What.Window + 1;
-  Fold.Untold[What.Window] = What.Counts;
+  State.FirstUndecided = Record.Window + 1;
+  State.Untold[Record.Window] = Record.Counts;
 }
 
-void applyKind(UsageState &Fold, const UsageReported &What,
-               const UsageReadContext &, const UsageSettings &) {
-  Fold.Untold.erase(What.Window);
+void applyRecord(UsageState &State, const UsageReported &Record,
+                 const UsageReadContext &, const UsageSettings &) {
+  State.Untold.erase(Record.Window);
 }
 
-/// Whether a process counts still, as far as is known. A later process of its
-/// instance shows that it has ended.
-bool counts(const UsageState &Fold, const UsageSource &Source,
-            const UsageSourceState &State, TimePoint Now,
-            const UsageSettings &Limits) {
-  if (State.Left || Now - State.Heard > Limits.SourceTimeout)
+/// Returns true if a process is still counting, as far as is known. A later
+/// incarnation of its instance shows that it has ended.
+bool isCounting(const UsageState &State, const UsageSource &Source,
+                const UsageSourceState &SourceState, TimePoint Now,
+                const UsageSettings &Limits) {
+  if (SourceState.Left || Now - SourceState.LastReadAt > Limits.SourceTimeout)
     return false;
-  auto next = std::next(Fold.Sources.find(Source));
-  return next == Fold.Sources.end() || next->first.Instance != Source.Instance;
+  auto next = std::next(State.Sources.find(Source));
+  return next == State.Sources.end() || next->first.Instance != Source.Instance;
 }
 
-/// Whether so many processes of those that count make no difference.
-bool isFew(const UsageState &Fold, std::size_t Missing, TimePoint Now,
-           const UsageSettings &Limits) {
+/// Returns true if `Missing` processes are few enough for their counts to be
+/// well within the tolerance, assuming equal counts of all processes.
+bool isNegligible(const UsageState &State, std::size_t Missing, TimePoint Now,
+                  const UsageSettings &Limits) {
   std::size_t all = 0;
-  for (const auto &[source, state] : Fold.Sources)
-    all += counts(Fold, source, state, Now, Limits) ? 1 : 0;
+  for (const auto &[source, state] : State.Sources)
+    all += isCounting(State, source, state, Now, Limits) ? 1 : 0;
   constexpr double Margin = 2;
   return static_cast<double>(Missing) * Margin <=
          static_cast<double>(all) * Limits.Tolerance;
@@ -86,45 +88,45 @@
 
 } // namespace
 
-void apply(UsageState &Fold, Offset At, const UsageRecord &What,
-           const UsageReadContext &When, const UsageSettings &Limits) {
-  if (At < Fold.Next)
+void apply(UsageState &State, Offset At, const UsageRecord &Record,
+           const UsageReadContext &Context, const UsageSettings &Limits) {
+  if (At < State.Next)
     return;
-  Fold.Next = At + 1;
+  State.Next = At + 1;
   std::visit(
-      [&](const auto &Kind) { return applyKind(Fold, Kind, When, Limits); },
-      What);
+      [&](const auto &It) { return applyRecord(State, It, Context, Limits); },
+      Record);
 }
 
-void expire(UsageState &Fold, TimePoint Now, const UsageSettings &Limits) {
-  std::erase_if(Fold.Sources, [&](const auto &It) {
-    return Now - It.second.Heard > Limits.SourceRetention;
+void expire(UsageState &State, TimePoint Now, const UsageSettings &Limits) {
+  std::erase_if(State.Sources, [&](const auto &It) {
+    return Now - It.second.LastReadAt > Limits.SourceRetention;
   });
 }
 
-Millis clockSkew(const UsageState &Fold, const UsageSource &Of,
+Millis clockSkew(const UsageState &State, const UsageSource &Source,
                  const UsageSettings &Limits) {
-  // Of two clocks that differ nobody can say which is right.
-  constexpr std::size_t LeastClocks = 3;
+  // With two clocks it is unknown which one is wrong.
+  constexpr std::size_t MinClocks = 3;
   std::vector<Millis> known;
-  for (const auto &[source, state] : Fold.Sources) {
+  for (const auto &[source, state] : State.Sources) {
     if (state.ClockOffset)
       known.push_back(*state.ClockOffset);
   }
-  auto found = Fold.Sources.find(Of);
-  if (found == Fold.Sources.end() || !found->second.ClockOffset ||
-      known.size() < LeastClocks)
+  auto found = State.Sources.find(Source);
+  if (found == State.Sources.end() || !found->second.ClockOffset ||
+      known.size() < MinClocks)
     return Millis(0);
-  Millis error = *found->second.ClockOffset - middleOf(std::move(known));
-  return std::chrono::abs(error) > Limits.MaxClockSkew ? error : Millis(0);
+  Millis skew = *found->second.ClockOffset - medianOf(std::move(known));
+  return std::chrono::abs(skew) > Limits.MaxClockSkew ? skew : Millis(0);
 }
 
-UsageCounts countsOf(const UsageState &Fold, UsageWindow Window,
+UsageCounts countsOf(const UsageState &State, UsageWindow Window,
                      const UsageSettings &Limits) {
   std::map<CustomerName, std::int64_t> sums;
-  for (const UsageSourceEntry &it : Fold.Entries) {
-    if (trueWindow(Fold, it, Limits) <= Window)
-      sums[it.What.Of] += it.What.Count;
+  for (const UsageSourceEntry &it : State.Entries) {
+    if (trueWindow(State, it, Limits) <= Window)
+      sums[it.Entry.Of] += it.Entry.Count;
   }
   UsageCounts counts;
   for (const auto &[customer, sum] : sums) {
@@ -134,35 +136,35 @@
   return counts;
 }
 
-std::vector<UsageSource> missingSources(const UsageState &Fold,
+std::vector<UsageSource> missingSources(const UsageState &State,
                                         UsageWindow Window, TimePoint Now,
                                         const UsageSettings &Limits) {
   std::vector<UsageSource> missing;
-  for (const auto &[source, state] : Fold.Sources) {
-    WallTime through = state.Through - clockSkew(Fold, source, Limits);
+  for (const auto &[source, state] : State.Sources) {
+    WallTime through = state.Through - clockSkew(State, source, Limits);
     if (through < windowEnd(Window, Limits.Window) &&
-        counts(Fold, source, state, Now, Limits))
+        isCounting(State, source, state, Now, Limits))
       missing.push_back(source);
   }
   return missing;
 }
 
-std::optional<UsageWindow> findDueWindow(const UsageState &Fold,
+std::optional<UsageWindow> findDueWindow(const UsageState &State,
                                          WallTime TrueNow, TimePoint Now,
                                          const StoreContact &Contact,
                                          const UsageSettings &Limits) {
-  if (!Fold.FirstUndecided)
+  if (!State.FirstUndecided)
     return std::nullopt;
-  UsageWindow window = *Fold.FirstUndecided;
+  UsageWindow window = *State.FirstUndecided;
   WallTime end = windowEnd(window, Limits.Window);
-  if (TrueNow < end + Limits.Settle)
+  if (TrueNow < end + Limits.SettleDelay)
     return std::nullopt;
-  std::size_t missing = missingSources(Fold, window, Now, Limits).size();
-  Millis patience = Limits.Due - Limits.DueMargin;
-  if (isFew(Fold, missing, Now, Limits))
-    patience = std::min(patience, Limits.FewMissingTimeout);
-  bool justBack = !reachableFor(Contact, Limits.StoreRecoveryDelay, Now);
-  if (missing > 0 && (justBack || TrueNow < end + patience))
+  std::size_t missing = missingSources(State, window, Now, Limits).size();
+  Millis maxWait = Limits.Due - Limits.DueMargin;
+  if (isNegligible(State, missing, Now, Limits))
+    maxWait = std::min(maxWait, Limits.FewMissingTimeout);
+  bool recovering = !reachableFor(Contact, Limits.StoreRecoveryDelay, Now);
+  if (missing > 0 && (recovering || TrueNow < end + maxWait))
     return std::nullopt;
   return window;
 }
--- a/Wasabi/Usage/UsageState.h
+++ b/Wasabi/Usage/UsageState.h
@@ -1,6 +1,7 @@
 /// \file
-/// What follows from the usage topic's order: who counts, what was counted and
-/// is not decided yet, which windows are decided and not told. Pure.
+/// The state that is folded from the usage topic: the processes that count
+/// requests, the counts of windows that are not decided, and the decided
+/// windows that are not reported. Pure.
 #ifndef WASABI_USAGE_USAGESTATE_H
 #define WASABI_USAGE_USAGESTATE_H
 
@@ -12,65 +13,65 @@
 
 namespace wasabi {
 
-/// How windows are told apart and when they are decided.
+/// Settings of the windows and of the times at which they are decided and
+/// reported.
 struct UsageSettings {
   /// Length of a window.
   Millis Window{5000};
-  /// When a window's report is due, after its end.
+  /// A report is due this long after the end of its window.
   Millis Due{10000};
-  /// Kept of `Due` for a decision without those that are missing: a report
-  /// takes some milliseconds, and a reporter that ends then has no successor in
-  /// time anyway.
+  /// A window is decided this long before its report is due, even if counts are
+  /// missing. Leaves time to send the report.
   Millis DueMargin{2000};
-  /// A window is decided this long after its end at the earliest: what was sent
-  /// in its last moments may yet prove not to have run, for which a server that
-  /// refuses connections takes 0.3 s.
-  Millis Settle{1000};
-  /// After the store was away nobody is given up for this long: all write what
-  /// they counted meanwhile, and it takes them some hundred milliseconds.
+  /// Minimum delay from the end of a window to its decision. Requests that turn
+  /// out not to have run are withdrawn meanwhile.
+  Millis SettleDelay{1000};
+  /// After an outage of the store, a window with missing counts is not decided
+  /// for this long, so that all processes can write the counts that they have
+  /// gathered.
   Millis StoreRecoveryDelay{1000};
-  /// Part of a window's requests by which its report may be off.
+  /// Maximum relative error of the report of a window.
   double Tolerance = 0.05;
-  /// Where half of `Tolerance` at most can be missing, as far as processes
-  /// count alike, a window waits this long only: what a single process may yet
-  /// bring is not worth the risk that the store or the reporter is gone when
-  /// the report is due.
+  /// If the missing processes account for at most half of `Tolerance`, assuming
+  /// equal counts of all processes, a window is decided this long after its
+  /// end. Waiting longer risks missing the due time if the store or the
+  /// reporter fails.
   Millis FewMissingTimeout{2500};
-  /// A process that has written nothing for this long is gone: it writes once a
-  /// window at least.
+  /// A process that has written nothing for this long is no longer waited for.
+  /// Each process writes at least once per window.
   Millis SourceTimeout{30000};
-  /// Ended processes are kept this long, so that a batch of theirs that comes a
-  /// second time is known; records of the store expire then.
+  /// Processes without new records are removed after this long. Until then,
+  /// repeated batches are recognized.
   Millis SourceRetention{300000};
-  /// Clocks that differ from the middle one by more than this have been set
-  /// wrong; smaller differences can't be told from the time that a record
-  /// takes.
+  /// A clock is corrected if it differs from the median clock by more than
+  /// this. Smaller differences can't be distinguished from the latency of the
+  /// store.
   Millis MaxClockSkew{1000};
-  /// A record that may be older than this when it is read says nothing of
-  /// clocks.
+  /// A record that may be older than this when it is read is not used to
+  /// estimate the clock of its process.
   Millis MaxClockSampleAge{500};
   bool operator==(const UsageSettings &) const = default;
 };
 
-/// What is known of a process that counts.
+/// State of a process that counts requests.
 struct UsageSourceState {
-  /// The newest batch that was taken.
+  /// Number of the last batch that was applied.
   std::uint64_t Sequence = 0;
   WallTime Through;
-  /// How far its clock is ahead of this process's, less the time that a record
-  /// takes: the most that any record showed, since a process's clock keeps its
-  /// error (`WallClock`) and its records are delayed now and then. Empty while
-  /// none was read as soon as it was written.
+  /// Offset of the clock of the process from the clock of the reader, less the
+  /// latency of a record. This is the maximum over all records, since the error
+  /// of a clock is constant (`WallClock`) and latency only reduces the offset.
+  /// Empty until a record was read within `UsageSettings::MaxClockSampleAge`.
   std::optional<Millis> ClockOffset;
-  /// When this process read its newest record.
-  TimePoint Heard;
+  /// When the reader read the last batch of the process.
+  TimePoint LastReadAt;
   bool Left = false;
 };
 
-/// An entry and whose it is.
+/// An entry and the process that counted it.
 struct UsageSourceEntry {
-  UsageSource From;
-  UsageEntry What;
+  UsageSource Source;
+  UsageEntry Entry;
 };
 
 /// The folded state. Owned by one thread.
@@ -78,55 +79,56 @@
   /// The next offset to read.
   Offset Next = 0;
   std::map<UsageSource, UsageSourceState> Sources;
-  /// Of windows that are not decided.
+  /// Entries of windows that are not decided.
   std::vector<UsageSourceEntry> Entries;
-  /// The first window that is not decided: at the beginning that in which the
-  /// first process began to count. Empty while none has.
+  /// The first window that is not decided; initially the window of the first
+  /// batch. Empty before the first batch.
   std::optional<UsageWindow> FirstUndecided;
-  /// Decided, and not known to be told.
+  /// Windows that are decided but not known to be reported.
   std::map<UsageWindow, UsageCounts> Untold;
-  /// Requests that came to be known after their window was decided.
+  /// Number of requests that were read after their window was decided.
   std::uint64_t Late = 0;
 };
 
-/// When a record is read.
+/// The circumstances in which a record is read.
 struct UsageReadContext {
   TimePoint Now;
-  /// The wall time of this process.
+  /// The wall time of the reader.
   WallTime Wall;
-  /// How long ago the record may have been written, as far as this process
-  /// knows.
+  /// Upper bound of the age of the record.
   Millis Age{0};
 };
 
-/// Applies the record at `At`. One before `Next` was applied already and
-/// changes nothing. Precondition: records come in their order.
-void apply(UsageState &Fold, Offset At, const UsageRecord &What,
-           const UsageReadContext &When, const UsageSettings &Limits);
+/// Applies the record at offset `At`. A record before `Next` has no effect.
+/// Precondition: records are applied in the order of their offsets.
+void apply(UsageState &State, Offset At, const UsageRecord &Record,
+           const UsageReadContext &Context, const UsageSettings &Limits);
 
-/// Forgets processes that ended long ago.
-void expire(UsageState &Fold, TimePoint Now, const UsageSettings &Limits);
+/// Removes processes that have written no batch for `SourceRetention`.
+void expire(UsageState &State, TimePoint Now, const UsageSettings &Limits);
 
-/// How far a process's clock is ahead of the middle one of all that are known;
-/// 0 if that is within `MaxClockSkew` or not known.
-Millis clockSkew(const UsageState &Fold, const UsageSource &Of,
+/// Returns by how much the clock of a process is ahead of the median clock of
+/// all processes; 0 if the difference is within `MaxClockSkew` or unknown.
+Millis clockSkew(const UsageState &State, const UsageSource &Source,
                  const UsageSettings &Limits);
 
-/// The requests of a window as they are known.
-UsageCounts countsOf(const UsageState &Fold, UsageWindow Window,
+/// Returns the known counts of all undecided windows up to and including
+/// `Window`.
+UsageCounts countsOf(const UsageState &State, UsageWindow Window,
                      const UsageSettings &Limits);
 
-/// The window that can be decided at a true time, as far as it is known; empty
-/// if none can. It is the first undecided one, once all processes that count
-/// have told what they counted in it, or it should wait for them no longer.
-/// `Contact` is that of this process with the store.
-std::optional<UsageWindow> findDueWindow(const UsageState &Fold,
+/// Returns the first undecided window if it can be decided at `TrueNow`, the
+/// wall time corrected by `clockSkew`; empty otherwise. A window can be decided
+/// once all processes have written their counts for it, or once it should not
+/// wait for them any longer. `Contact` is the contact of this process with the
+/// store.
+std::optional<UsageWindow> findDueWindow(const UsageState &State,
                                          WallTime TrueNow, TimePoint Now,
                                          const StoreContact &Contact,
                                          const UsageSettings &Limits);
 
-/// Processes whose counts of a window are missing.
-std::vector<UsageSource> missingSources(const UsageState &Fold,
+/// Returns the processes whose counts for a window are missing.
+std::vector<UsageSource> missingSources(const UsageState &State,
                                         UsageWindow Window, TimePoint Now,
                                         const UsageSettings &Limits);
 
--- a/Wasabi/Usage/WallClock.h
+++ b/Wasabi/Usage/WallClock.h
@@ -1,5 +1,5 @@
 /// \file
-/// Wall time that steps of the machine's clock do not reach.
+/// A wall clock that is unaffected by adjustments of the system clock.
 #ifndef WASABI_USAGE_WALLCLOCK_H
 #define WASABI_USAGE_WALLCLOCK_H
 
@@ -7,13 +7,13 @@
 
 namespace wasabi {
 
-/// Reads the wall clock once and counts on from there with the monotonic one:
-/// a clock that is set forward or back while the process runs changes nothing.
-/// It is as wrong as the machine's clock was then; `clockSkew` tells of one
-/// that was seconds away. An immutable value; thread-safe.
+/// Reads the system's wall clock once and advances it by the monotonic clock,
+/// so that later adjustments of the system clock have no effect. An initial
+/// error of the system clock remains; `clockSkew` detects one of more than
+/// `UsageSettings::MaxClockSkew`. An immutable value; thread-safe.
 class WallClock {
 public:
-  /// Begins now.
+  /// Creates a clock that starts at the current time.
   static WallClock create() {
     return WallClock(monotonicNow(), std::chrono::time_point_cast<Micros>(
                                          std::chrono::system_clock::now()));
@@ -21,7 +21,7 @@
   WallClock(TimePoint Begin, std::chrono::sys_time<Micros> WallAtBegin)
       : Begin(Begin), WallAtBegin(WallAtBegin) {}
 
-  /// The wall time at `Now`.
+  /// Returns the wall time at `Now`.
   WallTime at(TimePoint Now) const {
     return std::chrono::time_point_cast<Millis>(WallAtBegin + (Now - Begin));
   }
