--- a/Wasabi/Quarantine/CrashHistory.cpp
+++ b/Wasabi/Quarantine/CrashHistory.cpp
@@ -29,6 +29,7 @@
       [&](const ServerIncarnation &It) { return Counts.contains(It); }));
 }
 
+/// Returns true if the crashes of a request make it poison.
 bool exceedsLimits(const CrashHistory &History, const CrashRecord &Record,
                    const SuspectCounts &Counts) {
   if (Record.Crashes.size() >= History.Limits.TotalCrashLimit)
@@ -64,6 +65,8 @@
   return next;
 }
 
+/// Decides again which requests are poison, one request at a time: the crashes
+/// of each one then no longer count against the others.
 void updatePoisonFlags(CrashHistory &History) {
   SuspectCounts counts = countSuspects(History);
   std::set<RequestDigest> before;
--- a/Wasabi/Quarantine/CrashHistory.h
+++ b/Wasabi/Quarantine/CrashHistory.h
@@ -2,9 +2,9 @@
 /// Tracks the requests that were running when servers crashed, and decides
 /// which of them are quarantined.
 ///
-/// A crash affects every request on the server, so that one crash doesn't show
-/// which request caused it. A request that crashes servers is retried under new
-/// ids at any process, so that requests are identified by digest.
+/// A crash ends all requests on the server, so a single crash doesn't identify
+/// the request that caused it. Requests are identified by digest, since a retry
+/// has a new id and may reach any process.
 #ifndef WASABI_QUARANTINE_CRASHHISTORY_H
 #define WASABI_QUARANTINE_CRASHHISTORY_H
 
@@ -81,8 +81,9 @@
 bool recordCrashes(CrashHistory &History, const RequestDigest &Digest,
                    const std::set<ServerIncarnation> &Crashes, TimePoint Now);
 
-/// Removes the record of a request, since a server has answered it or another
-/// process removed the record. Returns true if there was one.
+/// Removes the record of a request. Called when a server has answered the
+/// request, or when another process has removed the record. Returns true if
+/// there was one.
 bool clearCrashes(CrashHistory &History, const RequestDigest &Digest);
 
 /// Returns the status of a request at `Now`. Pure.
