--- a/UnitTests/Batch/BatchFixture.h
+++ b/UnitTests/Batch/BatchFixture.h
@@ -1,5 +1,6 @@
 /// \file
-/// Jobs, processes and a clock for tests of batch jobs.
+/// Shared fixture for tests of batch jobs: jobs, results and processes that
+/// follow a fake store.
 #ifndef WASABI_UNITTESTS_BATCH_BATCHFIXTURE_H
 #define WASABI_UNITTESTS_BATCH_BATCHFIXTURE_H
 
@@ -18,7 +19,7 @@
 
 namespace wasabi::batchtest {
 
-/// A job of `Items` items, two a group.
+/// Makes a job of `Items` items in groups of two.
 inline BatchJob makeJob(const std::string &Id, std::size_t Items) {
   BatchJob job;
   job.Id = JobId(Id);
@@ -46,12 +47,12 @@
       Job.Items[Index].Id, ItemStatus::Completed, Text, {1, 2}, "signed"};
 }
 
-/// A context, a store, and processes that follow it.
+/// An I/O context, a fake store and the logs of processes that follow it.
 struct BatchTestFixture {
   boost::asio::io_context Context;
-  /// Lets the context run on while nothing is to be done.
+  /// Keeps the context running while it has no work.
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
-      Rest = boost::asio::make_work_guard(Context);
+      WorkGuard = boost::asio::make_work_guard(Context);
   FakeStore Store{Context};
   std::shared_ptr<DecisionLog> Decisions = makeDiscardingLog();
 
@@ -72,16 +73,17 @@
     return log;
   }
 
-  /// Runs until `Until` holds; false after ten seconds.
-  bool runUntil(const std::function<bool()> &Until) {
-    constexpr std::chrono::seconds Patience{10};
-    TimePoint end = monotonicNow() + Patience;
-    while (!Until() && monotonicNow() < end)
+  /// Runs the context until `Condition` is true; returns false after ten
+  /// seconds.
+  bool runUntil(const std::function<bool()> &Condition) {
+    constexpr std::chrono::seconds RunTimeout{10};
+    TimePoint end = monotonicNow() + RunTimeout;
+    while (!Condition() && monotonicNow() < end)
       Context.run_one_for(Millis(5));
-    return Until();
+    return Condition();
   }
 
-  /// Runs a coroutine to its end.
+  /// Runs a coroutine to completion.
   void run(std::function<boost::asio::awaitable<void>()> Body) {
     bool done = false;
     boost::asio::co_spawn(Context, std::move(Body),
--- a/UnitTests/Batch/BatchServiceTest.cpp
+++ b/UnitTests/Batch/BatchServiceTest.cpp
@@ -8,48 +8,55 @@
 
 namespace asio = boost::asio;
 
-/// Two processes over one store.
-struct DeskWorld : BatchTestFixture {
+/// Two processes that share a store; the first can be disconnected from the
+/// rollout topic. Both reach the payload topic only while it is connected.
+struct BatchServiceFixture : BatchTestFixture {
   Millis ResultTimeout{0};
   std::shared_ptr<bool> Disconnected = std::make_shared<bool>(false);
   std::shared_ptr<RolloutLog> Log = startLog(Store.port(Disconnected));
   std::shared_ptr<RolloutLog> OtherLog = startLog(Store.port());
-  std::shared_ptr<BatchService> Desk = makeDesk(Log);
-  std::shared_ptr<BatchService> Other = makeDesk(OtherLog);
+  std::shared_ptr<BatchService> Service = makeService(Log);
+  std::shared_ptr<BatchService> OtherService = makeService(OtherLog);
 
-  DeskWorld() {
+  BatchServiceFixture() {
     REQUIRE(
         runUntil([this] { return Log->caughtUp() && OtherLog->caughtUp(); }));
   }
 
-  std::shared_ptr<BatchService> makeDesk(std::shared_ptr<RolloutLog> Of) {
+  std::shared_ptr<BatchService>
+  makeService(std::shared_ptr<RolloutLog> Source) {
     BatchService::Settings limits;
     limits.MaxStateAge = Millis(30);
     return BatchService::create(
-        {std::move(Of), PayloadStore::create(Store.port(Disconnected), {}),
+        {std::move(Source), PayloadStore::create(Store.port(Disconnected), {}),
          Decisions, [this](const BatchJob &) { return ResultTimeout; }},
         limits);
   }
 
-  JobRequestStatus submit(BatchService &At, const BatchJob &Job) {
-    JobRequestStatus verdict = JobRequestStatus::Unknown;
-    run([&]() -> asio::awaitable<void> { verdict = co_await At.submit(Job); });
-    return verdict;
+  JobRequestStatus submit(BatchService &Target, const BatchJob &Job) {
+    JobRequestStatus status = JobRequestStatus::Unknown;
+    run([&]() -> asio::awaitable<void> {
+      status = co_await Target.submit(Job);
+    });
+    return status;
   }
-  JobRequestStatus end(BatchService &At, const BatchJob &Job) {
-    JobRequestStatus verdict = JobRequestStatus::Unknown;
-    run([&]() -> asio::awaitable<void> { verdict = co_await At.end(Job.Id); });
-    return verdict;
+  JobRequestStatus end(BatchService &Target, const BatchJob &Job) {
+    JobRequestStatus status = JobRequestStatus::Unknown;
+    run([&]() -> asio::awaitable<void> {
+      status = co_await Target.end(Job.Id);
+    });
+    return status;
   }
-  Outcome<ResultPage> read(BatchService &At, const BatchJob &Job,
+  Outcome<ResultPage> read(BatchService &Target, const BatchJob &Job,
                            std::size_t After, Millis Wait = Millis(0)) {
     std::optional<Outcome<ResultPage>> page;
     run([&]() -> asio::awaitable<void> {
-      page.emplace(co_await At.read(Job.Id, After, Wait));
+      page.emplace(co_await Target.read(Job.Id, After, Wait));
     });
     return *page;
   }
-  void list(const BatchJob &Job, std::size_t Index, const std::string &Text) {
+  void addResult(const BatchJob &Job, std::size_t Index,
+                 const std::string &Text) {
     Store.append("rollout", encodeRecord(ResultRecord{
                                 Job.Id, makeResult(Job, Index, Text)}));
   }
@@ -57,217 +64,224 @@
 
 } // namespace
 
-TEST_CASE("A job accepted by one process is known to another at once",
+TEST_CASE("A job accepted by one process is immediately known to another",
           "[batch]") {
-  DeskWorld world;
+  BatchServiceFixture fixture;
   BatchJob job = makeJob("a", 2);
-  CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
-  Outcome<ResultPage> page = world.read(*world.Other, job, 0);
+  CHECK(fixture.submit(*fixture.Service, job) == JobRequestStatus::Accepted);
+  Outcome<ResultPage> page = fixture.read(*fixture.OtherService, job, 0);
   REQUIRE(page);
   CHECK(page->Total == 2);
-  CHECK(world.submit(*world.Other, job) == JobRequestStatus::Accepted);
+  CHECK(fixture.submit(*fixture.OtherService, job) ==
+        JobRequestStatus::Accepted);
 }
 
-TEST_CASE("A submission whose items are not stored is refused, truly",
-          "[batch]") {
-  DeskWorld world;
+TEST_CASE(
+    "A submission is refused and not appended if its items cannot be stored",
+    "[batch]") {
+  BatchServiceFixture fixture;
   BatchJob job = makeJob("a", 1);
-  world.Store.PayloadAppendFaults = {AppendFault::AnswerLost,
-                                     AppendFault::Lost};
-  CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Refused);
-  CHECK(world.Store.Topics["rollout"].empty());
-  world.Store.PayloadAppendFaults = {AppendFault::AnswerLost};
-  CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
+  fixture.Store.PayloadAppendFaults = {AppendFault::AnswerLost,
+                                       AppendFault::Lost};
+  CHECK(fixture.submit(*fixture.Service, job) == JobRequestStatus::Refused);
+  CHECK(fixture.Store.Topics["rollout"].empty());
+  fixture.Store.PayloadAppendFaults = {AppendFault::AnswerLost};
+  CHECK(fixture.submit(*fixture.Service, job) == JobRequestStatus::Accepted);
 }
 
-TEST_CASE("Bodies of items come from where they lie", "[batch]") {
-  DeskWorld world;
+TEST_CASE("Item bodies are read from the payload topic", "[batch]") {
+  BatchServiceFixture fixture;
   BatchJob job = makeJob("a", 3);
-  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
-  auto body = [&](BatchService &At) {
+  REQUIRE(fixture.submit(*fixture.Service, job) == JobRequestStatus::Accepted);
+  auto body = [&](BatchService &Target) {
     std::optional<Outcome<std::string>> got;
-    world.run([&]() -> asio::awaitable<void> {
-      got.emplace(co_await At.body(job.Id, job.Items[2].Id));
+    fixture.run([&]() -> asio::awaitable<void> {
+      got.emplace(co_await Target.body(job.Id, job.Items[2].Id));
     });
     return *got;
   };
-  Outcome<std::string> first = body(*world.Other);
+  Outcome<std::string> first = body(*fixture.OtherService);
   REQUIRE(first);
   CHECK(*first == job.Items[2].Body);
-  *world.Disconnected = true;
-  Outcome<std::string> cut = body(*world.Desk);
-  REQUIRE_FALSE(cut);
-  CHECK(cut.failure().Code == FailureCode::Unavailable);
+  *fixture.Disconnected = true;
+  Outcome<std::string> disconnected = body(*fixture.Service);
+  REQUIRE_FALSE(disconnected);
+  CHECK(disconnected.failure().Code == FailureCode::Unavailable);
 }
 
-TEST_CASE("Long texts are read from where they lie, or are not shown",
-          "[batch]") {
-  DeskWorld world;
+TEST_CASE(
+    "Long texts are read from the payload topic or the read is unavailable",
+    "[batch]") {
+  BatchServiceFixture fixture;
   BatchJob job = makeJob("a", 2);
-  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
+  REQUIRE(fixture.submit(*fixture.Service, job) == JobRequestStatus::Accepted);
   std::string longText(3000, 'x');
-  world.Store.append("payload", longText);
+  fixture.Store.append("payload", longText);
   ResultRecord record{job.Id, makeResult(job, 0, "")};
   record.Result.OutputLocation = {
-      {world.Store.Topics["payload"].size() - 1, 3000}};
-  world.Store.append("rollout", encodeRecord(record));
-  world.list(job, 1, "short");
-  REQUIRE(world.runUntil([&] {
-    std::shared_ptr<JobState> known = findJob(world.Log->fold(), job.Id);
+      {fixture.Store.Topics["payload"].size() - 1, 3000}};
+  fixture.Store.append("rollout", encodeRecord(record));
+  fixture.addResult(job, 1, "short");
+  REQUIRE(fixture.runUntil([&] {
+    std::shared_ptr<JobState> known = findJob(fixture.Log->fold(), job.Id);
     return known && known->Results.size() == 2;
   }));
-  *world.Disconnected = true;
-  Outcome<ResultPage> away = world.read(*world.Desk, job, 0);
-  REQUIRE_FALSE(away);
-  CHECK(away.failure().Code == FailureCode::Unavailable);
-  *world.Disconnected = false;
-  Outcome<ResultPage> page = world.read(*world.Desk, job, 0);
+  *fixture.Disconnected = true;
+  Outcome<ResultPage> unavailable = fixture.read(*fixture.Service, job, 0);
+  REQUIRE_FALSE(unavailable);
+  CHECK(unavailable.failure().Code == FailureCode::Unavailable);
+  *fixture.Disconnected = false;
+  Outcome<ResultPage> page = fixture.read(*fixture.Service, job, 0);
   REQUIRE(page);
   REQUIRE(page->Results.size() == 2);
   CHECK(page->Results[0].Output == longText);
   CHECK(page->Results[1].Output == "short");
-  // What was read once stays at hand.
-  *world.Disconnected = true;
-  CHECK(world.read(*world.Desk, job, 0));
+  // Records that were read once are cached.
+  *fixture.Disconnected = true;
+  CHECK(fixture.read(*fixture.Service, job, 0));
 }
 
-TEST_CASE("A process that has not caught up ends a job all the same",
-          "[batch]") {
-  DeskWorld world;
+TEST_CASE("A process that has not read a job can still end it", "[batch]") {
+  BatchServiceFixture fixture;
   BatchJob job = makeJob("a", 4);
-  // A process that can append, and that reads nothing after its first look.
-  RecordStore blind = world.Store.port();
-  std::shared_ptr<bool> cut = std::make_shared<bool>(false);
-  blind.Read = world.Store.port(cut).Read;
-  std::shared_ptr<RolloutLog> log = world.startLog(blind);
-  std::shared_ptr<BatchService> desk = world.makeDesk(log);
-  REQUIRE(world.runUntil([&] { return log->caughtUp(); }));
-  *cut = true;
-  REQUIRE(world.submit(*world.Other, job) == JobRequestStatus::Accepted);
+  // A process that can append, but whose reads fail after it has caught up.
+  RecordStore appendOnly = fixture.Store.port();
+  std::shared_ptr<bool> disconnected = std::make_shared<bool>(false);
+  appendOnly.Read = fixture.Store.port(disconnected).Read;
+  std::shared_ptr<RolloutLog> log = fixture.startLog(appendOnly);
+  std::shared_ptr<BatchService> service = fixture.makeService(log);
+  REQUIRE(fixture.runUntil([&] { return log->caughtUp(); }));
+  *disconnected = true;
+  REQUIRE(fixture.submit(*fixture.OtherService, job) ==
+          JobRequestStatus::Accepted);
   CHECK(findJob(log->fold(), job.Id) == nullptr);
-  CHECK(world.end(*desk, job) == JobRequestStatus::Accepted);
-  CHECK(world.runUntil(
-      [&] { return findJob(world.OtherLog->fold(), job.Id)->Ended; }));
+  CHECK(fixture.end(*service, job) == JobRequestStatus::Accepted);
+  CHECK(fixture.runUntil(
+      [&] { return findJob(fixture.OtherLog->fold(), job.Id)->Ended; }));
 }
 
 TEST_CASE("A refused submission is not in the topic", "[batch]") {
-  DeskWorld world;
+  BatchServiceFixture fixture;
   BatchJob job = makeJob("a", 1);
-  world.Store.AppendFaults = {AppendFault::Refused};
-  CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Refused);
-  CHECK(world.Store.Topics["rollout"].empty());
+  fixture.Store.AppendFaults = {AppendFault::Refused};
+  CHECK(fixture.submit(*fixture.Service, job) == JobRequestStatus::Refused);
+  CHECK(fixture.Store.Topics["rollout"].empty());
 }
 
-TEST_CASE("A submission whose answer is lost is found in the topic",
+TEST_CASE("A submission whose response is lost is found in the topic",
           "[batch]") {
-  DeskWorld world;
+  BatchServiceFixture fixture;
   BatchJob job = makeJob("a", 1);
-  world.Store.AppendFaults = {AppendFault::AnswerLost};
-  CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
+  fixture.Store.AppendFaults = {AppendFault::AnswerLost};
+  CHECK(fixture.submit(*fixture.Service, job) == JobRequestStatus::Accepted);
 }
 
-TEST_CASE("A submission of which nobody can say is never called refused",
+TEST_CASE("A submission with an unknown outcome is not reported as refused",
           "[batch]") {
-  DeskWorld world;
+  BatchServiceFixture fixture;
   BatchJob job = makeJob("a", 1);
-  // It may still be carried out later, so "not run" would be a lie.
-  world.Store.AppendFaults = {AppendFault::Lost};
-  CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Unknown);
+  // The append may still take effect, so `Refused` would be wrong.
+  fixture.Store.AppendFaults = {AppendFault::Lost};
+  CHECK(fixture.submit(*fixture.Service, job) == JobRequestStatus::Unknown);
 }
 
-TEST_CASE("A process out of reach of the store refuses without sending",
+TEST_CASE("A process that cannot reach the store refuses without sending",
           "[batch]") {
-  DeskWorld world;
-  *world.Disconnected = true;
-  REQUIRE(world.runUntil([&] { return world.Log->contact().Lost; }));
+  BatchServiceFixture fixture;
+  *fixture.Disconnected = true;
+  REQUIRE(fixture.runUntil([&] { return fixture.Log->contact().Lost; }));
   BatchJob job = makeJob("a", 1);
-  world.Store.AppendFaults = {AppendFault::AnswerLost};
-  CHECK(world.submit(*world.Desk, job) == JobRequestStatus::Refused);
-  CHECK(world.Store.AppendFaults.size() == 1);
-  CHECK(world.Store.Topics["rollout"].empty());
+  fixture.Store.AppendFaults = {AppendFault::AnswerLost};
+  CHECK(fixture.submit(*fixture.Service, job) == JobRequestStatus::Refused);
+  CHECK(fixture.Store.AppendFaults.size() == 1);
+  CHECK(fixture.Store.Topics["rollout"].empty());
 }
 
-TEST_CASE("An unknown job is missing only after a look at the store",
+TEST_CASE("An unknown job is reported as missing only after reading the topic",
           "[batch]") {
-  DeskWorld world;
+  BatchServiceFixture fixture;
   BatchJob job = makeJob("a", 1);
-  Outcome<ResultPage> page = world.read(*world.Desk, job, 0);
+  Outcome<ResultPage> page = fixture.read(*fixture.Service, job, 0);
   REQUIRE_FALSE(page);
   CHECK(page.failure().Code == FailureCode::Expired);
-  *world.Disconnected = true;
-  page = world.read(*world.Desk, job, 0);
+  *fixture.Disconnected = true;
+  page = fixture.read(*fixture.Service, job, 0);
   REQUIRE_FALSE(page);
   CHECK(page.failure().Code == FailureCode::Unavailable);
 }
 
-TEST_CASE("A process without news does not call a position empty", "[batch]") {
-  DeskWorld world;
+TEST_CASE("A process with a stale state does not report a position as empty",
+          "[batch]") {
+  BatchServiceFixture fixture;
   BatchJob job = makeJob("a", 2);
-  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
-  world.list(job, 0, "x");
-  REQUIRE(world.runUntil([&] {
-    std::shared_ptr<JobState> known = findJob(world.Log->fold(), job.Id);
+  REQUIRE(fixture.submit(*fixture.Service, job) == JobRequestStatus::Accepted);
+  fixture.addResult(job, 0, "x");
+  REQUIRE(fixture.runUntil([&] {
+    std::shared_ptr<JobState> known = findJob(fixture.Log->fold(), job.Id);
     return known && !known->Results.empty();
   }));
-  *world.Disconnected = true;
-  world.list(job, 1, "y");
-  REQUIRE(world.runUntil([&] {
-    return unreachableFor(world.Log->contact(), Millis(40), monotonicNow());
+  *fixture.Disconnected = true;
+  fixture.addResult(job, 1, "y");
+  REQUIRE(fixture.runUntil([&] {
+    return unreachableFor(fixture.Log->contact(), Millis(40), monotonicNow());
   }));
-  // What it has read it may give; what it has not, it cannot speak of.
-  Outcome<ResultPage> first = world.read(*world.Desk, job, 0);
+  // Known results may be returned; positions beyond them may not be reported as
+  // empty.
+  Outcome<ResultPage> first = fixture.read(*fixture.Service, job, 0);
   REQUIRE(first);
   CHECK(first->Next == 1);
-  CHECK_FALSE(world.read(*world.Desk, job, 1));
-  Outcome<ResultPage> beyond = world.read(*world.Desk, job, 2);
+  CHECK_FALSE(fixture.read(*fixture.Service, job, 1));
+  Outcome<ResultPage> beyond = fixture.read(*fixture.Service, job, 2);
   CHECK_FALSE(beyond);
 }
 
-TEST_CASE("A process that has just started does not call a position empty",
+TEST_CASE("A process that has just started does not report a position as empty",
           "[batch]") {
-  DeskWorld world;
+  BatchServiceFixture fixture;
   BatchJob job = makeJob("a", 4);
-  world.Store.append("rollout", encodeRecord(JobPart{job, 0, 1}));
+  fixture.Store.append("rollout", encodeRecord(JobPart{job, 0, 1}));
   for (std::size_t i = 0; i < 4; ++i)
-    world.list(job, i, "x");
-  // The topic comes record by record, so that the job is known before what
-  // stands at its positions.
-  world.Store.MaxEntries = 1;
-  std::shared_ptr<RolloutLog> log = world.startLog(world.Store.port());
-  std::shared_ptr<BatchService> desk = world.makeDesk(log);
-  REQUIRE(
-      world.runUntil([&] { return findJob(log->fold(), job.Id) != nullptr; }));
-  Outcome<ResultPage> page = world.read(*desk, job, 0);
+    fixture.addResult(job, i, "x");
+  // Records are read one by one, so the job is known before its results.
+  fixture.Store.MaxEntries = 1;
+  std::shared_ptr<RolloutLog> log = fixture.startLog(fixture.Store.port());
+  std::shared_ptr<BatchService> service = fixture.makeService(log);
+  REQUIRE(fixture.runUntil(
+      [&] { return findJob(log->fold(), job.Id) != nullptr; }));
+  Outcome<ResultPage> page = fixture.read(*service, job, 0);
   REQUIRE(page);
   CHECK(page->Results.size() == 4);
 }
 
-TEST_CASE("A process that is back from a cut does not call a position empty",
+TEST_CASE("A reconnected process does not report a position as empty",
           "[batch]") {
-  DeskWorld world;
+  BatchServiceFixture fixture;
   BatchJob job = makeJob("a", 4);
-  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
-  REQUIRE(world.runUntil(
-      [&] { return findJob(world.Log->fold(), job.Id) != nullptr; }));
-  *world.Disconnected = true;
-  world.Context.run_for(Millis(100));
+  REQUIRE(fixture.submit(*fixture.Service, job) == JobRequestStatus::Accepted);
+  REQUIRE(fixture.runUntil(
+      [&] { return findJob(fixture.Log->fold(), job.Id) != nullptr; }));
+  *fixture.Disconnected = true;
+  fixture.Context.run_for(Millis(100));
   for (std::size_t i = 0; i < 4; ++i)
-    world.list(job, i, "x");
-  world.Store.MaxEntries = 1;
-  *world.Disconnected = false;
-  REQUIRE(world.runUntil([&] { return !world.Log->contact().Lost; }));
-  Outcome<ResultPage> page = world.read(*world.Desk, job, 2);
+    fixture.addResult(job, i, "x");
+  fixture.Store.MaxEntries = 1;
+  *fixture.Disconnected = false;
+  REQUIRE(fixture.runUntil([&] { return !fixture.Log->contact().Lost; }));
+  Outcome<ResultPage> page = fixture.read(*fixture.Service, job, 2);
   REQUIRE(page);
   CHECK(page->Next == 4);
 }
 
-TEST_CASE("A reader waits for a result and gets it when it comes", "[batch]") {
-  DeskWorld world;
+TEST_CASE("A read waits for a result and returns it when it is added",
+          "[batch]") {
+  BatchServiceFixture fixture;
   BatchJob job = makeJob("a", 2);
-  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
-  BootTimer timer(world.Context, Millis(40));
-  timer.async_wait([&](boost::system::error_code) { world.list(job, 1, "x"); });
-  Outcome<ResultPage> page = world.read(*world.Other, job, 0, Millis(5000));
+  REQUIRE(fixture.submit(*fixture.Service, job) == JobRequestStatus::Accepted);
+  BootTimer timer(fixture.Context, Millis(40));
+  timer.async_wait(
+      [&](boost::system::error_code) { fixture.addResult(job, 1, "x"); });
+  Outcome<ResultPage> page =
+      fixture.read(*fixture.OtherService, job, 0, Millis(5000));
   REQUIRE(page);
   REQUIRE(page->Results.size() == 1);
   CHECK(page->Results[0].Output == "x");
@@ -276,26 +290,27 @@
 
 namespace {
 
-/// When a result comes, from the begin of a read.
+/// A result that is added a given time after the start of a read.
 struct TimedResult {
   Millis At;
   std::size_t Index;
 };
 
-/// How many results a reader who waits gets, and after what time.
-std::pair<std::size_t, Millis> readWhile(DeskWorld &World, const BatchJob &Job,
-                                         const std::vector<TimedResult> &Coming,
-                                         Millis Wait) {
-  for (const TimedResult &it : Coming)
+/// Returns the number of results that a waiting read returns and how long it
+/// took.
+std::pair<std::size_t, Millis>
+readDuring(BatchServiceFixture &Fixture, const BatchJob &Job,
+           const std::vector<TimedResult> &Results, Millis Wait) {
+  for (const TimedResult &it : Results)
     asio::co_spawn(
-        World.Context,
-        [&World, &Job, it]() -> asio::awaitable<void> {
-          co_await pauseFor(World.Context.get_executor(), it.At);
-          World.list(Job, it.Index, "text");
+        Fixture.Context,
+        [&Fixture, &Job, it]() -> asio::awaitable<void> {
+          co_await pauseFor(Fixture.Context.get_executor(), it.At);
+          Fixture.addResult(Job, it.Index, "text");
         },
         asio::detached);
   TimePoint begin = monotonicNow();
-  Outcome<ResultPage> page = World.read(*World.Desk, Job, 0, Wait);
+  Outcome<ResultPage> page = Fixture.read(*Fixture.Service, Job, 0, Wait);
   REQUIRE(page);
   Millis took = std::chrono::duration_cast<Millis>(monotonicNow() - begin);
   return {page->Results.size(), took};
@@ -303,111 +318,111 @@
 
 } // namespace
 
-TEST_CASE("The longest texts of a step end side by side and are read together",
-          "[batch]") {
-  // Two groups of two; the trainer waits for both.
+TEST_CASE("The last results of a step are returned together", "[batch]") {
+  // Two groups of two items; the trainer waits for both.
   BatchJob job = makeJob("a", 4);
   job.TargetGroups = 2;
-  DeskWorld world;
-  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
-  auto [count, took] = readWhile(
-      world, job,
+  BatchServiceFixture fixture;
+  REQUIRE(fixture.submit(*fixture.Service, job) == JobRequestStatus::Accepted);
+  auto [count, took] = readDuring(
+      fixture, job,
       {{Millis(20), 0}, {Millis(60), 1}, {Millis(90), 2}, {Millis(120), 3}},
       Millis(1000));
   CHECK(count == 4);
-  // A step that is whole is told at once.
+  // A complete step is returned at once.
   CHECK(took < Millis(240));
 }
 
-TEST_CASE("A reader of a step that is not whole waits as long as it allows",
-          "[batch]") {
+TEST_CASE("A read of an incomplete step waits up to its limit", "[batch]") {
   BatchJob job = makeJob("a", 4);
   job.TargetGroups = 2;
-  DeskWorld world;
-  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
-  auto [count, took] =
-      readWhile(world, job, {{Millis(20), 0}, {Millis(250), 1}}, Millis(400));
+  BatchServiceFixture fixture;
+  REQUIRE(fixture.submit(*fixture.Service, job) == JobRequestStatus::Accepted);
+  auto [count, took] = readDuring(
+      fixture, job, {{Millis(20), 0}, {Millis(250), 1}}, Millis(400));
   CHECK(count == 2);
   CHECK(took >= Millis(390));
   CHECK(took < Millis(600));
-  // One that has results to get waits no longer than it would stay away.
+  // A read with results to return waits at most for the read interval.
   TimePoint begin = monotonicNow();
-  CHECK(world.read(*world.Desk, job, 0, Millis(1000))->Results.size() == 2);
+  CHECK(fixture.read(*fixture.Service, job, 0, Millis(1000))->Results.size() ==
+        2);
   CHECK(monotonicNow() - begin < Millis(700));
   begin = monotonicNow();
-  CHECK(world.read(*world.Desk, job, 0)->Results.size() == 2);
+  CHECK(fixture.read(*fixture.Service, job, 0)->Results.size() == 2);
   CHECK(monotonicNow() - begin < Millis(100));
 }
 
-TEST_CASE("A reader of a step that is late gets what there is at once",
+TEST_CASE("A read of a late step returns the available results at once",
           "[batch]") {
   BatchJob job = makeJob("a", 4);
   job.TargetGroups = 2;
-  DeskWorld world;
-  world.ResultTimeout = Millis(1);
-  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
-  world.Context.run_for(Millis(750));
-  auto [count, took] =
-      readWhile(world, job, {{Millis(20), 0}, {Millis(700), 1}}, Millis(1000));
+  BatchServiceFixture fixture;
+  fixture.ResultTimeout = Millis(1);
+  REQUIRE(fixture.submit(*fixture.Service, job) == JobRequestStatus::Accepted);
+  fixture.Context.run_for(Millis(750));
+  auto [count, took] = readDuring(
+      fixture, job, {{Millis(20), 0}, {Millis(700), 1}}, Millis(1000));
   CHECK(count == 1);
   CHECK(took < Millis(500));
   TimePoint begin = monotonicNow();
-  CHECK(world.read(*world.Desk, job, 0, Millis(1000))->Results.size() == 1);
+  CHECK(fixture.read(*fixture.Service, job, 0, Millis(1000))->Results.size() ==
+        1);
   CHECK(monotonicNow() - begin < Millis(100));
 }
 
-TEST_CASE("A reader waits a short while only for what comes with a result",
+TEST_CASE("After its first result a read waits only briefly for more",
           "[batch]") {
   BatchJob job = makeJob("a", 4);
-  DeskWorld world;
-  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
-  auto [count, took] =
-      readWhile(world, job, {{Millis(20), 0}, {Millis(500), 1}}, Millis(1000));
+  BatchServiceFixture fixture;
+  REQUIRE(fixture.submit(*fixture.Service, job) == JobRequestStatus::Accepted);
+  auto [count, took] = readDuring(
+      fixture, job, {{Millis(20), 0}, {Millis(500), 1}}, Millis(1000));
   CHECK(count == 1);
   CHECK(took < Millis(400));
-  // What is there already is told without a wait, and nobody waits longer than
-  // he allows.
+  // Available results are returned at once, and no read exceeds its own limit.
   TimePoint begin = monotonicNow();
-  CHECK(world.read(*world.Desk, job, 0, Millis(1000))->Results.size() == 1);
+  CHECK(fixture.read(*fixture.Service, job, 0, Millis(1000))->Results.size() ==
+        1);
   CHECK(monotonicNow() - begin < Millis(100));
-  DeskWorld other;
-  REQUIRE(other.submit(*other.Desk, job) == JobRequestStatus::Accepted);
-  CHECK(readWhile(other, job, {{Millis(20), 0}}, Millis(100)).second <
+  BatchServiceFixture other;
+  REQUIRE(other.submit(*other.Service, job) == JobRequestStatus::Accepted);
+  CHECK(readDuring(other, job, {{Millis(20), 0}}, Millis(100)).second <
         Millis(200));
 }
 
-TEST_CASE("An end is taken again when it is repeated", "[batch]") {
-  DeskWorld world;
+TEST_CASE("A repeated end is accepted again", "[batch]") {
+  BatchServiceFixture fixture;
   BatchJob job = makeJob("a", 1);
-  CHECK(world.end(*world.Desk, job) == JobRequestStatus::JobNotFound);
-  REQUIRE(world.submit(*world.Desk, job) == JobRequestStatus::Accepted);
-  CHECK(world.end(*world.Other, job) == JobRequestStatus::Accepted);
-  CHECK(world.end(*world.Desk, job) == JobRequestStatus::Accepted);
-  CHECK(world.end(*world.Desk, job) == JobRequestStatus::Accepted);
+  CHECK(fixture.end(*fixture.Service, job) == JobRequestStatus::JobNotFound);
+  REQUIRE(fixture.submit(*fixture.Service, job) == JobRequestStatus::Accepted);
+  CHECK(fixture.end(*fixture.OtherService, job) == JobRequestStatus::Accepted);
+  CHECK(fixture.end(*fixture.Service, job) == JobRequestStatus::Accepted);
+  CHECK(fixture.end(*fixture.Service, job) == JobRequestStatus::Accepted);
 }
 
-TEST_CASE("A topic whose first records have expired is read on from there",
+TEST_CASE("A topic whose first records have expired is read from the next one",
           "[batch]") {
-  BatchTestFixture world;
+  BatchTestFixture fixture;
   BatchJob old = makeJob("old", 1);
   BatchJob job = makeJob("new", 1);
-  world.Store.append("rollout", encodeRecord(JobPart{old, 0, 1}));
-  world.Store.append("rollout", encodeRecord(JobPart{job, 0, 1}));
-  world.Store.First["rollout"] = 1;
-  std::shared_ptr<RolloutLog> log = world.startLog(world.Store.port());
-  CHECK(world.runUntil([&] { return log->caughtUp(); }));
+  fixture.Store.append("rollout", encodeRecord(JobPart{old, 0, 1}));
+  fixture.Store.append("rollout", encodeRecord(JobPart{job, 0, 1}));
+  fixture.Store.First["rollout"] = 1;
+  std::shared_ptr<RolloutLog> log = fixture.startLog(fixture.Store.port());
+  CHECK(fixture.runUntil([&] { return log->caughtUp(); }));
   CHECK(findJob(log->fold(), job.Id) != nullptr);
   CHECK(findJob(log->fold(), old.Id) == nullptr);
 }
 
-TEST_CASE("A record that nobody can read does not stop the others", "[batch]") {
-  BatchTestFixture world;
+TEST_CASE("An undecodable record does not stop the following ones", "[batch]") {
+  BatchTestFixture fixture;
   BatchJob job = makeJob("a", 1);
-  world.Store.append("rollout", "no record");
-  world.Store.append("rollout", encodeRecord(JobPart{job, 0, 1}));
-  std::shared_ptr<RolloutLog> log = world.startLog(world.Store.port());
-  CHECK(
-      world.runUntil([&] { return findJob(log->fold(), job.Id) != nullptr; }));
+  fixture.Store.append("rollout", "no record");
+  fixture.Store.append("rollout", encodeRecord(JobPart{job, 0, 1}));
+  std::shared_ptr<RolloutLog> log = fixture.startLog(fixture.Store.port());
+  CHECK(fixture.runUntil(
+      [&] { return findJob(log->fold(), job.Id) != nullptr; }));
 }
 
 } // namespace wasabi::batchtest
--- a/UnitTests/Batch/BatchStateTest.cpp
+++ b/UnitTests/Batch/BatchStateTest.cpp
@@ -12,13 +12,14 @@
 
 using test::holds;
 
-std::vector<ItemResult> resultsOf(const BatchState &Fold, const JobId &Id) {
-  std::shared_ptr<JobState> job = findJob(Fold, Id);
+std::vector<ItemResult> resultsOf(const BatchState &State, const JobId &Id) {
+  std::shared_ptr<JobState> job = findJob(State, Id);
   return job ? job->Results : std::vector<ItemResult>();
 }
 
-/// A topic in which several dispatchers and trainers write about a few jobs.
-std::vector<BatchRecord> anyTopic() {
+/// Generates a topic with records of several dispatchers and trainers about a
+/// few jobs.
+std::vector<BatchRecord> makeRandomTopic() {
   constexpr std::size_t Items = 4;
   std::vector<BatchRecord> topic;
   int records = *rc::gen::inRange(0, 60);
@@ -45,7 +46,8 @@
   return topic;
 }
 
-BatchState folded(const std::vector<BatchRecord> &Topic, std::size_t Count) {
+BatchState foldRecords(const std::vector<BatchRecord> &Topic,
+                       std::size_t Count) {
   BatchState fold;
   for (std::size_t i = 0; i < Count; ++i)
     apply(fold, i, Topic[i], TimePoint());
@@ -54,7 +56,7 @@
 
 } // namespace
 
-TEST_CASE("A step is whole when as many groups are as its trainer waits for",
+TEST_CASE("A step is complete when its target number of groups is complete",
           "[batch]") {
   BatchState fold;
   BatchJob job = makeJob("a", 6);
@@ -70,7 +72,7 @@
   CHECK_FALSE(isStepComplete(state));
   apply(fold, at++, ResultRecord{job.Id, makeResult(job, 5, "t")}, TimePoint());
   CHECK(isStepComplete(state));
-  // A trainer that names no number waits for all.
+  // Without a target number all groups have to be complete.
   BatchJob all = makeJob("b", 2);
   apply(fold, at++, JobPart{all, 0, 1}, TimePoint());
   apply(fold, at++, ResultRecord{all.Id, makeResult(all, 0, "t")}, TimePoint());
@@ -79,7 +81,8 @@
   CHECK(isStepComplete(*findJob(fold, all.Id)));
 }
 
-TEST_CASE("Jobs of two customers are two, whatever their names", "[batch]") {
+TEST_CASE("Jobs of different customers with the same name are distinct",
+          "[batch]") {
   BatchState fold;
   BatchJob anna = makeJob("a", 2);
   BatchJob bert = makeJob("a", 3);
@@ -99,7 +102,7 @@
   CHECK_FALSE(findJob(fold, JobId("a")));
 }
 
-TEST_CASE("The first submission of a job counts", "[batch]") {
+TEST_CASE("Only the first submission of a job counts", "[batch]") {
   BatchState fold;
   BatchJob job = makeJob("a", 2);
   BatchJob other = makeJob("a", 3);
@@ -110,7 +113,7 @@
   CHECK(findJob(fold, job.Id)->Job == job);
 }
 
-TEST_CASE("The first result of an item counts, whoever found it", "[batch]") {
+TEST_CASE("Only the first result of an item counts", "[batch]") {
   BatchState fold;
   BatchJob job = makeJob("a", 2);
   apply(fold, 0, JobPart{job, 0, 1}, TimePoint());
@@ -123,8 +126,7 @@
   CHECK(results[1].Output == "z");
 }
 
-TEST_CASE("A result of an item that the job has not is passed over",
-          "[batch]") {
+TEST_CASE("A result of an item that is not in the job is ignored", "[batch]") {
   BatchState fold;
   BatchJob job = makeJob("a", 1);
   BatchJob other = makeJob("b", 1);
@@ -145,21 +147,20 @@
   CHECK(findJob(fold, next.Id) != nullptr);
 }
 
-TEST_CASE("Positions never change as the topic grows, in any process",
-          "[batch]") {
+TEST_CASE("Positions of results never change as the topic grows", "[batch]") {
   holds([] {
-    std::vector<BatchRecord> topic = anyTopic();
-    std::size_t cut = *rc::gen::inRange<std::size_t>(0, topic.size() + 1);
-    BatchState early = folded(topic, cut);
-    BatchState whole = folded(topic, topic.size());
-    // A process that reads some stretch twice folds the same.
-    BatchState twice = folded(topic, cut);
+    std::vector<BatchRecord> topic = makeRandomTopic();
+    std::size_t count = *rc::gen::inRange<std::size_t>(0, topic.size() + 1);
+    BatchState prefix = foldRecords(topic, count);
+    BatchState complete = foldRecords(topic, topic.size());
+    // Reading a range twice produces the same state.
+    BatchState twice = foldRecords(topic, count);
     for (std::size_t i = 0; i < topic.size(); ++i)
       apply(twice, i, topic[i], TimePoint());
     for (const char *name : {"0", "1", "2"}) {
       JobId id{std::string(name)};
-      std::vector<ItemResult> before = resultsOf(early, id);
-      std::vector<ItemResult> after = resultsOf(whole, id);
+      std::vector<ItemResult> before = resultsOf(prefix, id);
+      std::vector<ItemResult> after = resultsOf(complete, id);
       RC_ASSERT(before.size() <= after.size());
       RC_ASSERT(std::equal(before.begin(), before.end(), after.begin()));
       RC_ASSERT(resultsOf(twice, id) == after);
@@ -170,7 +171,7 @@
   });
 }
 
-TEST_CASE("A saved text goes on only from its own dispatcher's", "[batch]") {
+TEST_CASE("A partial text is continued only by its own dispatcher", "[batch]") {
   BatchState fold;
   BatchJob job = makeJob("a", 1);
   ItemId item = job.Items[0].Id;
@@ -188,8 +189,7 @@
   };
   CHECK(save(1, 7, 0, "a", 1).Output == "a");
   CHECK(save(2, 7, 1, "\nb", 2).Output == "a\nb");
-  // Another dispatcher's events are not joined to these, nor are later ones of
-  // the same one when some between are missing.
+  // Events are not joined to those of another dispatcher, nor across a gap.
   CHECK(save(3, 8, 2, "\nX", 3).Output == "a\nb");
   CHECK(save(4, 7, 3, "\nd", 4).Output == "a\nb");
   CHECK(save(5, 8, 0, "x\ny", 2).Output == "x\ny");
@@ -198,7 +198,7 @@
   CHECK(findJob(fold, job.Id)->Texts.empty());
 }
 
-TEST_CASE("A renewal under an old term does not hold the lease", "[batch]") {
+TEST_CASE("A renewal with an old term does not renew the lease", "[batch]") {
   BatchState fold;
   TimePoint start = TimePoint() + Millis(1000);
   LeaseHolder a{InstanceName("a"), 1};
@@ -215,7 +215,8 @@
   CHECK(fold.Lease.Released);
 }
 
-TEST_CASE("Of claims at once the first one in the topic counts", "[batch]") {
+TEST_CASE("The first of several concurrent claims in the topic is valid",
+          "[batch]") {
   BatchState fold;
   TimePoint now = TimePoint() + Millis(1000);
   LeaseHolder a{InstanceName("a"), 1};
@@ -224,13 +225,13 @@
   apply(fold, 0, LeaseClaim{a}, now);
   apply(fold, 1, LeaseClaim{b}, now);
   CHECK(fold.Lease.Holder == a);
-  // Of other records between, none matters.
+  // Records of other kinds in between do not matter.
   apply(fold, 2, JobPart{makeJob("a", 1), 0, 1}, now);
   apply(fold, 3, LeaseClaim{b, 0}, now);
   apply(fold, 4, LeaseClaim{c, 0}, now);
   CHECK(fold.Lease.Holder == b);
   CHECK(fold.Lease.Term == 3);
-  // The holder has prolonged it since the claimant looked.
+  // The holder has renewed the lease since the claimant read it.
   apply(fold, 5, LeaseRenewal{3, b}, now);
   apply(fold, 6, LeaseClaim{c, 3}, now);
   CHECK(fold.Lease.Holder == b);
@@ -241,7 +242,7 @@
   CHECK(fold.Lease.Holder == c);
 }
 
-TEST_CASE("Who reads from the middle of the topic learns who holds the lease",
+TEST_CASE("A process that starts within the topic learns the lease holder",
           "[batch]") {
   TimePoint now = TimePoint() + Millis(1000);
   LeaseHolder a{InstanceName("a"), 1};
@@ -262,13 +263,13 @@
   }
 }
 
-TEST_CASE("A job is forgotten after nobody may read it any more", "[batch]") {
+TEST_CASE("A job is removed after its retention time", "[batch]") {
   BatchState fold;
   BatchJob job = makeJob("a", 1);
   apply(fold, 0, JobPart{job, 0, 1}, TimePoint());
-  expire(fold, TimePoint() + fold.Limits.JobRetention);
+  expireJobs(fold, TimePoint() + fold.Limits.JobRetention);
   CHECK(findJob(fold, job.Id) != nullptr);
-  expire(fold, TimePoint() + fold.Limits.JobRetention + Millis(1));
+  expireJobs(fold, TimePoint() + fold.Limits.JobRetention + Millis(1));
   CHECK(findJob(fold, job.Id) == nullptr);
 }
 
--- a/UnitTests/Batch/FakeStore.cpp
+++ b/UnitTests/Batch/FakeStore.cpp
@@ -8,18 +8,18 @@
 namespace {
 
 Failure failure(Verdict Run, FailureCode Code) {
-  return Failure{Run, Code, "fake store", "as told", {}};
+  return Failure{Run, Code, "fake store", "injected fault", {}};
 }
 
 Failure unreachable() {
   return failure(Verdict::MayHaveRun, FailureCode::TimedOut);
 }
 
-KeyedRecord keyed(const LogEntry &Entry) {
-  std::size_t bar = Entry.Text.find('|');
-  KeyedRecord record{Entry.At, Entry.Text.substr(0, bar), std::nullopt};
-  if (bar != std::string::npos)
-    record.Value = Entry.Text.substr(bar + 1);
+KeyedRecord makeKeyedRecord(const LogEntry &Entry) {
+  std::size_t separator = Entry.Text.find('|');
+  KeyedRecord record{Entry.At, Entry.Text.substr(0, separator), std::nullopt};
+  if (separator != std::string::npos)
+    record.Value = Entry.Text.substr(separator + 1);
   return record;
 }
 
@@ -32,23 +32,24 @@
   port.Append = [this, Disconnected](std::string Topic,
                                      std::vector<std::string> Records,
                                      std::optional<Offset> At, Millis) {
-    return take(Disconnected, std::move(Topic), std::move(Records), At);
+    return appendRecords(Disconnected, std::move(Topic), std::move(Records),
+                         At);
   };
   port.AppendKeyed = [this, Disconnected](std::string Topic,
                                           const std::string &Key,
                                           const std::string &Value, Millis) {
-    // Without a value the key is dropped.
+    // An empty value deletes the key.
     std::vector<std::string> records{Value.empty() ? Key : Key + "|" + Value};
-    return take(Disconnected, std::move(Topic), std::move(records),
-                std::nullopt);
+    return appendRecords(Disconnected, std::move(Topic), std::move(records),
+                         std::nullopt);
   };
-  port.Read = [this, Disconnected](std::string Topic, Offset From, Millis Wait,
-                                   std::size_t) {
-    return read(Disconnected, std::move(Topic), From, Wait);
+  port.Read = [this, Disconnected](std::string Topic, Offset From,
+                                   Millis PollTimeout, std::size_t) {
+    return read(Disconnected, std::move(Topic), From, PollTimeout);
   };
   port.ReadKeyed = [this, Disconnected](std::string Topic, Offset From,
-                                        Millis Wait) {
-    return readKeyed(Disconnected, std::move(Topic), From, Wait);
+                                        Millis PollTimeout) {
+    return readKeyed(Disconnected, std::move(Topic), From, PollTimeout);
   };
   port.Newest = [this, Disconnected](std::string Topic) {
     return newest(Disconnected, std::move(Topic));
@@ -58,27 +59,28 @@
 
 void FakeStore::append(const std::string &Topic, std::string Record) {
   Topics[Topic].push_back(std::move(Record));
-  Grown.notify();
+  Appended.notify();
 }
 
 asio::awaitable<Outcome<Offset>>
-FakeStore::take(std::shared_ptr<bool> Disconnected, std::string Topic,
-                std::vector<std::string> Records, std::optional<Offset> At) {
+FakeStore::appendRecords(std::shared_ptr<bool> Disconnected, std::string Topic,
+                         std::vector<std::string> Records,
+                         std::optional<Offset> At) {
   co_await pauseFor(Context.get_executor(), Millis(1));
   if (Unresponsive) {
     co_await hang();
     co_return unreachable();
   }
-  AppendFault fate = AppendFault::Taken;
-  std::deque<AppendFault> &fates =
+  AppendFault fault = AppendFault::None;
+  std::deque<AppendFault> &faults =
       Topic == "payload" ? PayloadAppendFaults : AppendFaults;
-  if (!fates.empty()) {
-    fate = fates.front();
-    fates.pop_front();
+  if (!faults.empty()) {
+    fault = faults.front();
+    faults.pop_front();
   }
-  if (Down || *Disconnected || fate == AppendFault::Lost)
+  if (Down || *Disconnected || fault == AppendFault::Lost)
     co_return unreachable();
-  if (fate == AppendFault::Refused)
+  if (fault == AppendFault::Refused)
     co_return failure(Verdict::NotRun, FailureCode::Overloaded);
   std::vector<std::string> &all = Topics[Topic];
   if (At && *At != all.size())
@@ -86,8 +88,8 @@
   Offset first = all.size();
   for (std::string &it : Records)
     all.push_back(std::move(it));
-  Grown.notify();
-  if (fate == AppendFault::AnswerLost)
+  Appended.notify();
+  if (fault == AppendFault::AnswerLost)
     co_return unreachable();
   co_return first;
 }
@@ -99,15 +101,15 @@
 
 asio::awaitable<Outcome<LogRange>>
 FakeStore::read(std::shared_ptr<bool> Disconnected, std::string Topic,
-                Offset From, Millis Wait) {
+                Offset From, Millis PollTimeout) {
   if (Unresponsive) {
     co_await pauseFor(Context.get_executor(), SilentReadTimeout);
     co_return unreachable();
   }
-  TimePoint until = monotonicNow() + Wait;
+  TimePoint deadline = monotonicNow() + PollTimeout;
   while (!Down && !*Disconnected && Topics[Topic].size() <= From &&
-         monotonicNow() < until)
-    co_await Grown.wait(until);
+         monotonicNow() < deadline)
+    co_await Appended.wait(deadline);
   co_await pauseFor(Context.get_executor(), Millis(1));
   if (Down || *Disconnected)
     co_return unreachable();
@@ -124,15 +126,16 @@
 
 asio::awaitable<Outcome<KeyedRange>>
 FakeStore::readKeyed(std::shared_ptr<bool> Disconnected, std::string Topic,
-                     Offset From, Millis Wait) {
-  Outcome<LogRange> got = co_await read(Disconnected, Topic, From, Wait);
-  if (!got)
-    co_return got.failure();
+                     Offset From, Millis PollTimeout) {
+  Outcome<LogRange> entries =
+      co_await read(Disconnected, Topic, From, PollTimeout);
+  if (!entries)
+    co_return entries.failure();
   KeyedRange range;
-  range.First = got->First;
-  range.End = got->End;
-  for (const LogEntry &it : got->Entries)
-    range.Records.push_back(keyed(it));
+  range.First = entries->First;
+  range.End = entries->End;
+  for (const LogEntry &it : entries->Entries)
+    range.Records.push_back(makeKeyedRecord(it));
   co_return range;
 }
 
@@ -144,7 +147,7 @@
   const std::vector<std::string> &all = Topics[Topic];
   std::map<std::string, KeyedRecord> last;
   for (Offset at = 0; at < all.size(); ++at) {
-    KeyedRecord record = keyed({at, all[at]});
+    KeyedRecord record = makeKeyedRecord({at, all[at]});
     last[record.Key] = record;
   }
   KeyedRange range;
--- a/UnitTests/Batch/FakeStore.h
+++ b/UnitTests/Batch/FakeStore.h
@@ -1,5 +1,5 @@
 /// \file
-/// A store in memory that fails as it is told to.
+/// An in-memory store with injectable faults.
 #ifndef WASABI_UNITTESTS_BATCH_FAKESTORE_H
 #define WASABI_UNITTESTS_BATCH_FAKESTORE_H
 
@@ -15,58 +15,58 @@
 
 namespace wasabi::batchtest {
 
-/// What happens to an append.
+/// Fault injected into an append.
 enum class AppendFault : std::uint8_t {
-  Taken,
-  /// Refused, with nothing done.
+  None,
+  /// The append is refused and has no effect.
   Refused,
-  /// Done, but the answer is lost.
+  /// The records are appended, but the response is lost.
   AnswerLost,
-  /// Neither done nor answered.
+  /// The records are not appended and there is no response.
   Lost,
 };
 
-/// All topics of one store, and its faults. Used on one thread.
+/// The topics of one store and its faults. Not thread-safe.
 struct FakeStore {
   explicit FakeStore(boost::asio::io_context &Context)
-      : Context(Context), Grown(Context.get_executor()) {}
+      : Context(Context), Appended(Context.get_executor()) {}
   FakeStore(const FakeStore &) = delete;
   FakeStore &operator=(const FakeStore &) = delete;
 
-  /// The port of one process; `Disconnected` of it is the process's own.
+  /// Returns the port of a process that is always connected.
   RecordStore port();
-  /// The port of a process that is out of reach of the store while
+  /// Returns the port of a process that cannot reach the store while
   /// `*Disconnected`.
   RecordStore port(const std::shared_ptr<bool> &Disconnected);
   void append(const std::string &Topic, std::string Record);
 
   boost::asio::io_context &Context;
-  AsyncSignal Grown;
+  AsyncSignal Appended;
   std::map<std::string, std::vector<std::string>> Topics;
-  /// The oldest offset kept of each topic.
+  /// The oldest offset that each topic still has.
   std::map<std::string, Offset> First;
-  /// Faults of the next appends; `Taken` when there are none.
+  /// Faults of the next appends, in order; `None` if empty.
   std::deque<AppendFault> AppendFaults;
-  /// The same for the topic of payloads.
+  /// Faults of the next appends to the payload topic.
   std::deque<AppendFault> PayloadAppendFaults;
   bool Down = false;
-  /// Connections are taken and nothing is answered: appends hang for good,
-  /// reads until their time limit, `SilentReadTimeout`.
+  /// True if the store accepts connections but does not respond: appends never
+  /// return, reads fail after `SilentReadTimeout`.
   bool Unresponsive = false;
   Millis SilentReadTimeout{30};
-  /// Most records of one read.
+  /// Maximum number of records in one read.
   std::size_t MaxEntries = 1000;
 
 private:
   boost::asio::awaitable<Outcome<Offset>>
-  take(std::shared_ptr<bool> Disconnected, std::string Topic,
-       std::vector<std::string> Records, std::optional<Offset> At);
+  appendRecords(std::shared_ptr<bool> Disconnected, std::string Topic,
+                std::vector<std::string> Records, std::optional<Offset> At);
   boost::asio::awaitable<Outcome<LogRange>>
   read(std::shared_ptr<bool> Disconnected, std::string Topic, Offset From,
-       Millis Wait);
+       Millis PollTimeout);
   boost::asio::awaitable<Outcome<KeyedRange>>
   readKeyed(std::shared_ptr<bool> Disconnected, std::string Topic, Offset From,
-            Millis Wait);
+            Millis PollTimeout);
   boost::asio::awaitable<void> hang();
   boost::asio::awaitable<Outcome<KeyedRange>>
   newest(std::shared_ptr<bool> Disconnected, std::string Topic);
--- a/UnitTests/Batch/StepReadTest.cpp
+++ b/UnitTests/Batch/StepReadTest.cpp
@@ -11,54 +11,57 @@
 namespace {
 
 constexpr StepReadSettings Limits;
-constexpr Millis Allowed{1000};
-/// From an answer to the next question of a reader that was away long enough.
+constexpr Millis MaxWait{1000};
+/// Time from a response to the next request of a reader that polls slower than
+/// the read interval.
 constexpr Millis RoundTrip{10};
 
-/// When each result of a step is listed, and which one makes it whole.
+/// Times at which the results of a step are added, and the time at which the
+/// step is complete.
 struct StepResults {
-  std::vector<TimePoint> Listed;
-  TimePoint Whole;
+  std::vector<TimePoint> ResultTimes;
+  TimePoint CompletedAt;
 };
 
-/// What a reader gets of a step.
+/// What a simulated reader observes of a step.
 struct ReaderView {
-  /// When it ends the step.
-  TimePoint Ended;
+  /// When the reader ends the step.
+  TimePoint EndedAt;
   std::size_t Reads = 0;
 };
 
-std::size_t listedBy(const StepResults &Of, TimePoint Now) {
+std::size_t countResults(const StepResults &Step, TimePoint Time) {
   return static_cast<std::size_t>(
-      std::upper_bound(Of.Listed.begin(), Of.Listed.end(), Now) -
-      Of.Listed.begin());
+      std::upper_bound(Step.ResultTimes.begin(), Step.ResultTimes.end(), Time) -
+      Step.ResultTimes.begin());
 }
 
-/// Reads a step twice a second until it is whole. `AnswerBy` says when a read
-/// of a step that is not whole is answered.
+/// Polls a step until it is complete. `Answer` computes when a read of an
+/// incomplete step is answered.
 template <typename AnswerBy>
-ReaderView readThrough(const StepResults &Of, TimePoint Begin,
-                       const AnswerBy &Answer) {
+ReaderView simulateReader(const StepResults &Step, TimePoint Start,
+                          const AnswerBy &Answer) {
   ReaderView view;
   std::size_t known = 0;
-  TimePoint came = Begin;
+  TimePoint arrived = Start;
   for (;;) {
     ++view.Reads;
-    TimePoint answered = Answer(came, known);
-    if (came < Of.Whole && Of.Whole < answered)
-      answered = Of.Whole;
-    TimePoint back = std::max(answered + RoundTrip, came + Limits.Pace);
-    if (answered >= Of.Whole) {
-      view.Ended = back;
+    TimePoint answered = Answer(arrived, known);
+    if (arrived < Step.CompletedAt && Step.CompletedAt < answered)
+      answered = Step.CompletedAt;
+    TimePoint nextArrival =
+        std::max(answered + RoundTrip, arrived + Limits.ReadInterval);
+    if (answered >= Step.CompletedAt) {
+      view.EndedAt = nextArrival;
       return view;
     }
-    known = listedBy(Of, answered);
-    came = back;
+    known = countResults(Step, answered);
+    arrived = nextArrival;
   }
 }
 
-/// Steps as a trainer of long texts sees them: most results come within three
-/// seconds, the last ones some tenths of a second apart.
+/// Generates steps with long texts: most results come within three seconds, the
+/// last ones some tenths of a second apart.
 std::vector<StepResults> makeSteps(std::size_t Count) {
   std::mt19937 random(7);
   std::uniform_int_distribution<int> early(200, 3000);
@@ -66,84 +69,90 @@
   std::vector<StepResults> steps(Count);
   for (StepResults &it : steps) {
     for (int i = 0; i < 90; ++i)
-      it.Listed.push_back(TimePoint() + Millis(early(random)));
+      it.ResultTimes.push_back(TimePoint() + Millis(early(random)));
     for (int i = 0; i < 14; ++i)
-      it.Listed.push_back(TimePoint() + Millis(late(random)));
-    std::sort(it.Listed.begin(), it.Listed.end());
-    it.Whole = it.Listed[it.Listed.size() - 2];
+      it.ResultTimes.push_back(TimePoint() + Millis(late(random)));
+    std::sort(it.ResultTimes.begin(), it.ResultTimes.end());
+    it.CompletedAt = it.ResultTimes[it.ResultTimes.size() - 2];
   }
   return steps;
 }
 
-/// Mean milliseconds from a step's last text to its end.
+/// Mean time from the completion of a step to its end by the reader, in
+/// milliseconds.
 template <typename MakeAnswer>
 double meanDelay(const std::vector<StepResults> &Steps,
                  const MakeAnswer &Answer) {
   double sum = 0;
   int offset = 0;
   for (const StepResults &it : Steps) {
-    offset = (offset + 37) % static_cast<int>(Limits.Pace.count());
-    ReaderView view = readThrough(it, TimePoint() + Millis(offset), Answer(it));
-    sum += std::chrono::duration<double, std::milli>(view.Ended - it.Whole)
-               .count();
+    offset = (offset + 37) % static_cast<int>(Limits.ReadInterval.count());
+    ReaderView view =
+        simulateReader(it, TimePoint() + Millis(offset), Answer(it));
+    sum +=
+        std::chrono::duration<double, std::milli>(view.EndedAt - it.CompletedAt)
+            .count();
   }
   return sum / static_cast<double>(Steps.size());
 }
 
 } // namespace
 
-TEST_CASE("A trainer learns soon that its step of long texts is whole",
+TEST_CASE("A trainer soon learns that a step with long texts is complete",
           "[batch]") {
   std::vector<StepResults> steps = makeSteps(200);
-  double held = meanDelay(steps, [](const StepResults &Of) {
-    return [&Of](TimePoint Came, std::size_t Known) {
-      bool results = listedBy(Of, Came) > Known;
-      return computeAnswerDeadline({Came, Allowed, results, std::nullopt},
+  double heldDelay = meanDelay(steps, [](const StepResults &Step) {
+    return [&Step](TimePoint ArrivedAt, std::size_t Known) {
+      bool results = countResults(Step, ArrivedAt) > Known;
+      return computeAnswerDeadline({ArrivedAt, MaxWait, results, std::nullopt},
                                    Limits);
     };
   });
-  double first = meanDelay(steps, [](const StepResults &Of) {
-    return [&Of](TimePoint Came, std::size_t Known) {
-      std::size_t now = listedBy(Of, Came);
+  double unheldDelay = meanDelay(steps, [](const StepResults &Step) {
+    return [&Step](TimePoint ArrivedAt, std::size_t Known) {
+      std::size_t now = countResults(Step, ArrivedAt);
       if (now > Known)
-        return Came;
-      TimePoint next = now < Of.Listed.size() ? Of.Listed[now] : Came + Allowed;
-      return std::min(next, TimePoint(Came + Allowed));
+        return ArrivedAt;
+      TimePoint next = now < Step.ResultTimes.size() ? Step.ResultTimes[now]
+                                                     : ArrivedAt + MaxWait;
+      return std::min(next, TimePoint(ArrivedAt + MaxWait));
     };
   });
-  INFO("held " << held << " ms, answered at the first result " << first);
-  // A reader that is never away but for its round trip learns of it within half
-  // its pace on average.
-  CHECK(held < 250);
-  CHECK(held < first / 2);
+  INFO("mean delay with held reads: "
+       << heldDelay
+       << " ms, with reads answered at the first result: " << unheldDelay);
+  // A reader that arrives at random times waits half of the read interval on
+  // average.
+  CHECK(heldDelay < 250);
+  CHECK(heldDelay < unheldDelay / 2);
 }
 
-TEST_CASE("A reader is held no longer than it allows and has use for",
+TEST_CASE("A read waits no longer than its limit and the read interval",
           "[batch]") {
-  TimePoint came = TimePoint() + Millis(5000);
-  CHECK(computeAnswerDeadline({came, Allowed, false, std::nullopt}, Limits) ==
-        came + Allowed);
-  CHECK(computeAnswerDeadline({came, Allowed, true, std::nullopt}, Limits) ==
-        came + Limits.Pace);
-  CHECK(computeAnswerDeadline({came, Millis(200), true, std::nullopt},
-                              Limits) == came + Millis(200));
-  CHECK(computeAnswerDeadline({came, Millis(0), false, std::nullopt}, Limits) ==
-        came);
+  TimePoint arrived = TimePoint() + Millis(5000);
+  CHECK(computeAnswerDeadline({arrived, MaxWait, false, std::nullopt},
+                              Limits) == arrived + MaxWait);
+  CHECK(computeAnswerDeadline({arrived, MaxWait, true, std::nullopt}, Limits) ==
+        arrived + Limits.ReadInterval);
+  CHECK(computeAnswerDeadline({arrived, Millis(200), true, std::nullopt},
+                              Limits) == arrived + Millis(200));
+  CHECK(computeAnswerDeadline({arrived, Millis(0), false, std::nullopt},
+                              Limits) == arrived);
 }
 
-TEST_CASE("What is in time is read in time", "[batch]") {
+TEST_CASE("Results available in time are delivered in time", "[batch]") {
   TimePoint due = TimePoint() + Millis(7500);
-  TimePoint inTime = due + Limits.Grace;
-  // Whenever a reader comes before the limit, it has its answer by then.
-  for (Millis at(6000); due - Limits.Delivery > TimePoint() + at;
+  TimePoint inTime = due + Limits.LateTolerance;
+  // Every reader that arrives before the limit has its response in time.
+  for (Millis at(6000); due - Limits.DeliveryDelay > TimePoint() + at;
        at += Millis(10)) {
     TimePoint until =
-        computeAnswerDeadline({TimePoint() + at, Allowed, false, due}, Limits);
-    CHECK(until + Limits.Delivery <= inTime);
+        computeAnswerDeadline({TimePoint() + at, MaxWait, false, due}, Limits);
+    CHECK(until + Limits.DeliveryDelay <= inTime);
   }
-  // A step that is late holds nobody.
+  // A read of a late step does not wait.
   TimePoint late = inTime + Millis(50);
-  CHECK(computeAnswerDeadline({late, Allowed, true, due}, Limits) == late);
+  CHECK(computeAnswerDeadline({late, MaxWait, true, due}, Limits) == late);
 }
 
 } // namespace wasabi
--- a/Wasabi/Batch/BatchJob.h
+++ b/Wasabi/Batch/BatchJob.h
@@ -1,5 +1,5 @@
 /// \file
-/// A batch job of a trainer's step, its items, and their results.
+/// Batch jobs, their items and the results of the items.
 #ifndef WASABI_BATCH_BATCHJOB_H
 #define WASABI_BATCH_BATCHJOB_H
 
@@ -12,23 +12,23 @@
 
 namespace wasabi {
 
-/// A record of the payload topic (`PayloadStore.h`). An immutable value.
+/// Names a record of the payload topic (`PayloadStore.h`). An immutable value.
 struct PayloadRecordRef {
   Offset At = 0;
   std::uint64_t Bytes = 0;
   bool operator==(const PayloadRecordRef &) const = default;
 };
 
-/// Where bytes lie in the payload topic: those of the records, joined. Empty
-/// where the bytes stand in the record itself.
+/// Location of a payload in the payload topic: its records in order, whose
+/// contents are concatenated. Empty if the bytes are stored inline.
 using PayloadLocation = std::vector<PayloadRecordRef>;
 
-/// A batch job as its submitter names it. Names are a customer's own: two
-/// customers may choose the same one, and know nothing of each other's job.
+/// Identifies a batch job by the name that its submitter chose. Names are
+/// scoped to a customer: two customers may use the same one for different jobs.
 /// Immutable in use.
 struct JobId {
   std::string Text;
-  /// Empty where customers are not told apart.
+  /// Empty if customers are not distinguished.
   CustomerName Customer;
 
   JobId() = default;
@@ -37,19 +37,20 @@
   bool empty() const { return Text.empty(); }
   auto operator<=>(const JobId &) const = default;
 };
-/// A sample of a batch job; carried over to a later job it keeps its name.
+/// Identifies a sample of a batch job. A sample that is carried over to a later
+/// job keeps its id.
 using ItemId = Name<struct ItemTag>;
 
-/// A header that goes to the server as it came.
+/// A header that is forwarded to the server unchanged.
 struct ForwardedHeader {
   std::string Name;
-  std::string Value;
+  std::string Id;
   bool operator==(const ForwardedHeader &) const = default;
 };
 
 /// The request that scores a finished sample.
 struct ScoreRequest {
-  /// The id that the scoring server sees.
+  /// Request id that the scoring server receives.
   std::string Id;
   std::string Host;
   std::string Path;
@@ -57,19 +58,20 @@
   bool operator==(const ScoreRequest &) const = default;
 };
 
-/// One sample to generate. An immutable value. Where its job's items lie in the
-/// payload topic, all but `Id`, `Group` and `ExpectedTokens` is empty.
+/// One sample to generate. An immutable value. If the job's items are stored in
+/// the payload topic, only `Id`, `Group` and `ExpectedTokens` are set.
 struct BatchItem {
   ItemId Id;
   std::string Path;
   std::vector<ForwardedHeader> Headers;
   std::string Body;
-  /// Items of one group share their prompt and count only together.
+  /// Items of a group share their prompt; a group is complete when all its
+  /// items have results.
   std::string Group;
-  /// Set when the sample needs a score before it counts as complete.
+  /// Set if the sample needs a score before it is complete.
   std::optional<ScoreRequest> Score;
-  /// Output length that the caller expects, in tokens; 0 when it does not say.
-  /// True at the median only.
+  /// Output length that the caller expects, in tokens; 0 if not given. An
+  /// estimate of the median only.
   double ExpectedTokens = 0;
   bool operator==(const BatchItem &) const = default;
 };
@@ -77,44 +79,46 @@
 /// A batch job: the samples of one training step. An immutable value.
 struct BatchJob {
   JobId Id;
-  /// Host and path that it was submitted under; they select its route.
+  /// Host and path of the submission; they select the route.
   std::string Host;
   std::string Path;
   ModelName Model;
   std::uint64_t Step = 0;
-  /// The oldest weights that may generate its tokens.
+  /// The oldest weight version that may generate tokens of this job.
   WeightVersion MinVersion = 0;
-  /// Complete groups that the trainer waits for; 0 for all.
+  /// Number of complete groups that the trainer waits for; 0 for all.
   std::uint64_t TargetGroups = 0;
   std::vector<BatchItem> Items;
   bool operator==(const BatchJob &) const = default;
 };
 
-/// How an item ended.
+/// Final status of an item.
 enum class ItemStatus : std::uint8_t { Completed, Terminated };
 
-/// What stands at one position of a job's results. An immutable value.
+/// The result at one position of a job's results. An immutable value.
 struct ItemResult {
   ItemId Item;
   ItemStatus Status = ItemStatus::Completed;
   /// The data of all events in order, joined by line feeds.
   std::string Output;
-  /// Every version that generated an event, ascending.
+  /// Every weight version that generated an event, ascending.
   std::vector<WeightVersion> Versions;
-  /// What the scoring server signed; empty if the item needs no score.
+  /// Signed score from the scoring server; empty if the item needs no score.
   std::string Score;
-  /// Where `Output` lies if it isn't here.
+  /// Location of `Output` in the payload topic; empty if it is inline.
   PayloadLocation OutputLocation = {};
   bool operator==(const ItemResult &) const = default;
 };
 
-/// The text that an item has so far, and what made it. A value.
+/// The partial output of an item and the weight versions that generated it.
+/// A value.
 struct PartialText {
   std::string Output;
-  /// Events in `Output`; the last one's id, as ids count from 1.
+  /// Number of events in `Output`, which is also the id of the last one: ids
+  /// count from 1.
   std::uint64_t Events = 0;
   std::vector<WeightVersion> Versions;
-  /// Whether it is the item's whole text, which only lacks its score.
+  /// True if the output is complete and only the score is missing.
   bool IsComplete = false;
   bool operator==(const PartialText &) const = default;
 };
@@ -122,10 +126,10 @@
 } // namespace wasabi
 
 template <> struct std::hash<wasabi::JobId> {
-  std::size_t operator()(const wasabi::JobId &Value) const noexcept {
-    constexpr std::size_t Spread = 31;
-    return std::hash<std::string>()(Value.Text) * Spread +
-           std::hash<wasabi::CustomerName>()(Value.Customer);
+  std::size_t operator()(const wasabi::JobId &Id) const noexcept {
+    constexpr std::size_t HashMultiplier = 31;
+    return std::hash<std::string>()(Id.Text) * HashMultiplier +
+           std::hash<wasabi::CustomerName>()(Id.Customer);
   }
 };
 
--- a/Wasabi/Batch/BatchRecord.cpp
+++ b/Wasabi/Batch/BatchRecord.cpp
@@ -14,24 +14,24 @@
 
 namespace json = boost::json;
 
-/// Raised when an older release could misread what a newer one writes.
-constexpr std::uint64_t Schema = 3;
-/// Of records that name no customer: the release before reads them.
+/// Incremented when an older release could misread new records.
+constexpr std::uint64_t CurrentSchema = 3;
+/// Schema of records without a customer, which the previous release can read.
 constexpr std::uint64_t SchemaWithoutCustomer = 2;
-/// First member of a record that is an array.
+/// Tag that is the first member of a record encoded as an array.
 constexpr std::string_view ResultTag = "result";
 constexpr std::string_view TextTag = "text";
-/// What an item takes beside its texts, in bytes, at most.
-constexpr std::size_t ItemHeadBytes = 256;
+/// Upper bound of the encoded size of an item apart from its texts, in bytes.
+constexpr std::size_t ItemOverheadBytes = 256;
 
 //===--- Writing ----------------------------------------------------------===//
 
-std::uint64_t schemaFor(const JobId &Of) {
-  return Of.Customer.empty() ? SchemaWithoutCustomer : Schema;
+std::uint64_t schemaFor(const JobId &Job) {
+  return Job.Customer.empty() ? SchemaWithoutCustomer : CurrentSchema;
 }
 
-/// A job's name, with its customer's if it has one.
-json::value jobValue(const JobId &Id) {
+/// The job's id as a string, or as an array if it has a customer.
+json::value jobIdValue(const JobId &Id) {
   if (Id.Customer.empty())
     return json::string(Id.Text);
   return json::array{Id.Customer.Text, Id.Text};
@@ -55,271 +55,275 @@
   return value;
 }
 
-/// What every process needs of an item whose rest lies elsewhere.
-json::value sketchValue(const BatchItem &Item) {
+/// The fields of an item that every process needs if the item itself is stored
+/// in the payload topic.
+json::value itemSummaryValue(const BatchItem &Item) {
   return json::array{Item.Id.Text, Item.Group, Item.ExpectedTokens};
 }
 
-json::array placeValue(const PayloadLocation &Place) {
+json::array locationValue(const PayloadLocation &Location) {
   json::array records;
-  for (const PayloadRecordRef &it : Place)
+  for (const PayloadRecordRef &it : Location)
     records.push_back(json::array{it.At, it.Bytes});
   return records;
 }
 
-json::object fieldsOf(const JobPart &What) {
+json::object recordValue(const JobPart &Record) {
   json::array items;
-  for (const BatchItem &it : What.Job.Items)
-    items.push_back(What.ItemsLocation.empty() ? itemValue(it)
-                                               : sketchValue(it));
+  for (const BatchItem &it : Record.Job.Items)
+    items.push_back(Record.ItemsLocation.empty() ? itemValue(it)
+                                                 : itemSummaryValue(it));
   return {{"kind", "job"},
-          {"schema", schemaFor(What.Job.Id)},
-          {"job", jobValue(What.Job.Id)},
-          {"part", What.Part},
-          {"parts", What.Parts},
-          {"host", What.Job.Host},
-          {"path", What.Job.Path},
-          {"model", What.Job.Model.Text},
-          {"step", What.Job.Step},
-          {"min", What.Job.MinVersion},
-          {"groups", What.Job.TargetGroups},
-          {"at", placeValue(What.ItemsLocation)},
+          {"schema", schemaFor(Record.Job.Id)},
+          {"job", jobIdValue(Record.Job.Id)},
+          {"part", Record.PartIndex},
+          {"parts", Record.PartCount},
+          {"host", Record.Job.Host},
+          {"path", Record.Job.Path},
+          {"model", Record.Job.Model.Text},
+          {"step", Record.Job.Step},
+          {"min", Record.Job.MinVersion},
+          {"groups", Record.Job.TargetGroups},
+          {"at", locationValue(Record.ItemsLocation)},
           {"items", std::move(items)}};
 }
 
-/// Records that there are thousands of are arrays: all processes read all of
-/// them, and at a restart of all at once.
-json::value fieldsOf(const ResultRecord &What) {
+/// Frequent records are arrays, to keep them short: every process reads all of
+/// them.
+json::value recordValue(const ResultRecord &Record) {
   return json::array{ResultTag,
-                     schemaFor(What.Job),
-                     jobValue(What.Job),
-                     What.Result.Item.Text,
-                     What.Result.Status == ItemStatus::Completed,
-                     What.Result.Output,
-                     placeValue(What.Result.OutputLocation),
-                     json::value_from(What.Result.Versions),
-                     What.Result.Score};
+                     schemaFor(Record.Job),
+                     jobIdValue(Record.Job),
+                     Record.Result.Item.Text,
+                     Record.Result.Status == ItemStatus::Completed,
+                     Record.Result.Output,
+                     locationValue(Record.Result.OutputLocation),
+                     json::value_from(Record.Result.Versions),
+                     Record.Result.Score};
 }
 
-json::object fieldsOf(const JobEnd &What) {
+json::object recordValue(const JobEnd &Record) {
   return {{"kind", "end"},
-          {"schema", schemaFor(What.Job)},
-          {"job", jobValue(What.Job)}};
+          {"schema", schemaFor(Record.Job)},
+          {"job", jobIdValue(Record.Job)}};
 }
 
-json::value fieldsOf(const PartialTextRecord &What) {
+json::value recordValue(const PartialTextRecord &Record) {
   return json::array{TextTag,
-                     schemaFor(What.Job),
-                     jobValue(What.Job),
-                     What.Item.Text,
-                     What.Source,
-                     What.After,
-                     What.Text.Output,
-                     placeValue(What.OutputLocation),
-                     What.Text.Events,
-                     What.Text.IsComplete,
-                     json::value_from(What.Text.Versions)};
-}
-
-json::object fieldsOf(const LeaseClaim &What) {
+                     schemaFor(Record.Job),
+                     jobIdValue(Record.Job),
+                     Record.Item.Text,
+                     Record.Source,
+                     Record.After,
+                     Record.Text.Output,
+                     locationValue(Record.OutputLocation),
+                     Record.Text.Events,
+                     Record.Text.IsComplete,
+                     json::value_from(Record.Text.Versions)};
+}
+
+json::object recordValue(const LeaseClaim &Record) {
   json::object fields{{"kind", "claim"},
-                      {"holder", What.Holder.Instance.Text},
-                      {"life", What.Holder.Life}};
-  if (What.After)
-    fields["after"] = *What.After;
+                      {"holder", Record.Holder.Instance.Text},
+                      {"life", Record.Holder.Life}};
+  if (Record.After)
+    fields["after"] = *Record.After;
   return fields;
 }
 
-json::object fieldsOf(const LeaseRenewal &What) {
+json::object recordValue(const LeaseRenewal &Record) {
   return {{"kind", "renew"},
-          {"term", What.Term},
-          {"holder", What.Holder.Instance.Text},
-          {"life", What.Holder.Life}};
+          {"term", Record.Term},
+          {"holder", Record.Holder.Instance.Text},
+          {"life", Record.Holder.Life}};
 }
 
-json::object fieldsOf(const LeaseRelease &What) {
-  return {{"kind", "release"}, {"term", What.Term}};
+json::object recordValue(const LeaseRelease &Record) {
+  return {{"kind", "release"}, {"term", Record.Term}};
 }
 
 //===--- Reading ----------------------------------------------------------===//
-// Missing or mistyped members throw inside of Boost.JSON; `decodeRecord` turns
-// that into a result.
+// Missing or mistyped members throw inside Boost.JSON; `decodeRecord` converts
+// the exceptions to errors.
 
-std::string textOf(const json::object &From, std::string_view Key) {
-  const json::string &text = From.at(Key).as_string();
+std::string readString(const json::object &Object, std::string_view Key) {
+  const json::string &text = Object.at(Key).as_string();
   return std::string(text.data(), text.size());
 }
 
-std::uint64_t numberOf(const json::object &From, std::string_view Key) {
-  return From.at(Key).to_number<std::uint64_t>();
+std::uint64_t readNumber(const json::object &Object, std::string_view Key) {
+  return Object.at(Key).to_number<std::uint64_t>();
 }
 
-std::string bytesOf(const json::value &From) {
-  const json::string &text = From.as_string();
+std::string readBytes(const json::value &Value) {
+  const json::string &text = Value.as_string();
   std::optional<std::string> bytes = decodeBase64({text.data(), text.size()});
   if (!bytes)
-    throw std::invalid_argument("not base64");
+    throw std::invalid_argument("not valid base64");
   return std::move(*bytes);
 }
 
-std::string plainText(const json::value &From) {
-  const json::string &text = From.as_string();
+std::string toStdString(const json::value &Value) {
+  const json::string &text = Value.as_string();
   return std::string(text.data(), text.size());
 }
 
-PayloadLocation placeOf(const json::value &From) {
-  PayloadLocation place;
-  for (const json::value &it : From.as_array())
-    place.push_back(
+PayloadLocation readLocation(const json::value &Value) {
+  PayloadLocation location;
+  for (const json::value &it : Value.as_array())
+    location.push_back(
         {it.at(0).to_number<Offset>(), it.at(1).to_number<std::uint64_t>()});
-  return place;
+  return location;
 }
 
-JobId jobOf(const json::value &From) {
-  if (From.is_string())
-    return JobId(plainText(From));
-  return JobId(plainText(From.at(1)), CustomerName(plainText(From.at(0))));
+JobId readJobId(const json::value &Value) {
+  if (Value.is_string())
+    return JobId(toStdString(Value));
+  return JobId(toStdString(Value.at(1)),
+               CustomerName(toStdString(Value.at(0))));
 }
 
-/// The members of a record that is an array, in their order.
+/// Reads the members of an array in order.
 class ArrayReader {
 public:
-  explicit ArrayReader(const json::array &From) : From(From) {}
+  explicit ArrayReader(const json::array &Members) : Members(Members) {}
 
-  const json::value &next() { return From.at(Place++); }
-  std::string text() { return plainText(next()); }
+  const json::value &next() { return Members.at(Index++); }
+  std::string text() { return toStdString(next()); }
   std::uint64_t number() { return next().to_number<std::uint64_t>(); }
   std::vector<WeightVersion> versions() {
     return json::value_to<std::vector<WeightVersion>>(next());
   }
 
 private:
-  const json::array &From;
-  std::size_t Place = 0;
+  const json::array &Members;
+  std::size_t Index = 0;
 };
 
-BatchItem readSketch(const json::array &From) {
-  ArrayReader at(From);
+BatchItem readItemSummary(const json::array &Members) {
+  ArrayReader reader(Members);
   BatchItem item;
-  item.Id = ItemId(at.text());
-  item.Group = at.text();
-  item.ExpectedTokens = at.next().to_number<double>();
+  item.Id = ItemId(reader.text());
+  item.Group = reader.text();
+  item.ExpectedTokens = reader.next().to_number<double>();
   return item;
 }
 
-BatchItem readItem(const json::object &From) {
+BatchItem readItem(const json::object &Object) {
   BatchItem item;
-  item.Id = ItemId(textOf(From, "id"));
-  item.Group = textOf(From, "group");
-  item.ExpectedTokens = From.at("expect").to_number<double>();
-  item.Path = textOf(From, "path");
-  for (const json::value &it : From.at("headers").as_array()) {
+  item.Id = ItemId(readString(Object, "id"));
+  item.Group = readString(Object, "group");
+  item.ExpectedTokens = Object.at("expect").to_number<double>();
+  item.Path = readString(Object, "path");
+  for (const json::value &it : Object.at("headers").as_array()) {
     const json::array &pair = it.as_array();
-    item.Headers.push_back({plainText(pair.at(0)), plainText(pair.at(1))});
+    item.Headers.push_back({toStdString(pair.at(0)), toStdString(pair.at(1))});
   }
-  item.Body = bytesOf(From.at("body"));
-  const json::value *score = From.if_contains("score");
+  item.Body = readBytes(Object.at("body"));
+  const json::value *score = Object.if_contains("score");
   if (score != nullptr) {
     const json::array &parts = score->as_array();
-    item.Score = ScoreRequest{plainText(parts.at(0)), plainText(parts.at(1)),
-                              plainText(parts.at(2)), bytesOf(parts.at(3))};
+    item.Score =
+        ScoreRequest{toStdString(parts.at(0)), toStdString(parts.at(1)),
+                     toStdString(parts.at(2)), readBytes(parts.at(3))};
   }
   return item;
 }
 
-BatchRecord readJob(const json::object &From) {
+BatchRecord readJob(const json::object &Object) {
   JobPart part;
-  part.Part = static_cast<std::uint32_t>(numberOf(From, "part"));
-  part.Parts = static_cast<std::uint32_t>(numberOf(From, "parts"));
-  part.Job.Id = jobOf(From.at("job"));
-  part.Job.Host = textOf(From, "host");
-  part.Job.Path = textOf(From, "path");
-  part.Job.Model = ModelName(textOf(From, "model"));
-  part.Job.Step = numberOf(From, "step");
-  part.Job.MinVersion = numberOf(From, "min");
-  part.Job.TargetGroups = numberOf(From, "groups");
-  part.ItemsLocation = placeOf(From.at("at"));
-  for (const json::value &it : From.at("items").as_array())
+  part.PartIndex = static_cast<std::uint32_t>(readNumber(Object, "part"));
+  part.PartCount = static_cast<std::uint32_t>(readNumber(Object, "parts"));
+  part.Job.Id = readJobId(Object.at("job"));
+  part.Job.Host = readString(Object, "host");
+  part.Job.Path = readString(Object, "path");
+  part.Job.Model = ModelName(readString(Object, "model"));
+  part.Job.Step = readNumber(Object, "step");
+  part.Job.MinVersion = readNumber(Object, "min");
+  part.Job.TargetGroups = readNumber(Object, "groups");
+  part.ItemsLocation = readLocation(Object.at("at"));
+  for (const json::value &it : Object.at("items").as_array())
     part.Job.Items.push_back(part.ItemsLocation.empty()
                                  ? readItem(it.as_object())
-                                 : readSketch(it.as_array()));
+                                 : readItemSummary(it.as_array()));
   return part;
 }
 
-BatchRecord readResult(ArrayReader &From) {
+BatchRecord readResult(ArrayReader &Reader) {
   ResultRecord record;
-  record.Job = jobOf(From.next());
-  record.Result.Item = ItemId(From.text());
+  record.Job = readJobId(Reader.next());
+  record.Result.Item = ItemId(Reader.text());
   record.Result.Status =
-      From.next().as_bool() ? ItemStatus::Completed : ItemStatus::Terminated;
-  record.Result.Output = From.text();
-  record.Result.OutputLocation = placeOf(From.next());
-  record.Result.Versions = From.versions();
-  record.Result.Score = From.text();
+      Reader.next().as_bool() ? ItemStatus::Completed : ItemStatus::Terminated;
+  record.Result.Output = Reader.text();
+  record.Result.OutputLocation = readLocation(Reader.next());
+  record.Result.Versions = Reader.versions();
+  record.Result.Score = Reader.text();
   return record;
 }
 
-BatchRecord readText(ArrayReader &From) {
+BatchRecord readText(ArrayReader &Reader) {
   PartialTextRecord record;
-  record.Job = jobOf(From.next());
-  record.Item = ItemId(From.text());
-  record.Source = From.number();
-  record.After = From.number();
-  record.Text.Output = From.text();
-  record.OutputLocation = placeOf(From.next());
-  record.Text.Events = From.number();
-  record.Text.IsComplete = From.next().as_bool();
-  record.Text.Versions = From.versions();
+  record.Job = readJobId(Reader.next());
+  record.Item = ItemId(Reader.text());
+  record.Source = Reader.number();
+  record.After = Reader.number();
+  record.Text.Output = Reader.text();
+  record.OutputLocation = readLocation(Reader.next());
+  record.Text.Events = Reader.number();
+  record.Text.IsComplete = Reader.next().as_bool();
+  record.Text.Versions = Reader.versions();
   return record;
 }
 
-LeaseHolder readHolder(const json::object &From) {
-  return {InstanceName(textOf(From, "holder")), numberOf(From, "life")};
+LeaseHolder readHolder(const json::object &Object) {
+  return {InstanceName(readString(Object, "holder")),
+          readNumber(Object, "life")};
 }
 
-BatchRecord readClaim(const json::object &From) {
-  LeaseClaim claim{readHolder(From)};
-  if (From.contains("after"))
-    claim.After = numberOf(From, "after");
+BatchRecord readClaim(const json::object &Object) {
+  LeaseClaim claim{readHolder(Object)};
+  if (Object.contains("after"))
+    claim.After = readNumber(Object, "after");
   return claim;
 }
 
-BatchRecord readRecord(const json::object &From) {
-  std::string kind = textOf(From, "kind");
+BatchRecord readRecord(const json::object &Object) {
+  std::string kind = readString(Object, "kind");
   if (kind == "job")
-    return readJob(From);
+    return readJob(Object);
   if (kind == "end")
-    return JobEnd{jobOf(From.at("job"))};
+    return JobEnd{readJobId(Object.at("job"))};
   if (kind == "claim")
-    return readClaim(From);
+    return readClaim(Object);
   if (kind == "renew")
-    return LeaseRenewal{numberOf(From, "term"), readHolder(From)};
+    return LeaseRenewal{readNumber(Object, "term"), readHolder(Object)};
   if (kind == "release")
-    return LeaseRelease{numberOf(From, "term")};
+    return LeaseRelease{readNumber(Object, "term")};
   throw std::invalid_argument("unknown kind '" + kind + "'");
 }
 
-BatchRecord readTagged(ArrayReader &From, const std::string &Tag) {
+BatchRecord readTagged(ArrayReader &Reader, const std::string &Tag) {
   if (Tag == ResultTag)
-    return readResult(From);
+    return readResult(Reader);
   if (Tag == TextTag)
-    return readText(From);
+    return readText(Reader);
   throw std::invalid_argument("unknown kind '" + Tag + "'");
 }
 
 json::value parseText(std::string_view Text) {
   json::parse_options options;
-  // Generated text is passed on as it came, whatever its encoding.
+  // Generated text is passed through unchanged, whatever its encoding.
   options.allow_invalid_utf8 = true;
   return json::parse({Text.data(), Text.size()}, json::storage_ptr(), options);
 }
 
-std::size_t sizeOf(const BatchItem &Item) {
-  constexpr std::size_t PerHeader = 16;
-  std::size_t bytes = ItemHeadBytes + Item.Path.size() + Item.Group.size() +
+std::size_t estimateItemBytes(const BatchItem &Item) {
+  constexpr std::size_t HeaderOverheadBytes = 16;
+  std::size_t bytes = ItemOverheadBytes + Item.Path.size() + Item.Group.size() +
                       Item.Body.size() * 4 / 3;
   for (const ForwardedHeader &it : Item.Headers)
-    bytes += PerHeader + it.Name.size() + it.Value.size();
+    bytes += HeaderOverheadBytes + it.Name.size() + it.Value.size();
   if (Item.Score)
     bytes += Item.Score->Path.size() + Item.Score->Body.size() * 4 / 3;
   return bytes;
@@ -327,10 +331,13 @@
 
 } // namespace
 
-std::string encodeRecord(const BatchRecord &What) {
+std::string encodeRecord(const BatchRecord &Record) {
   json::value fields = std::visit(
-      [](const auto &Kind) { return json::value(fieldsOf(Kind)); }, What);
-  // Records that name no job read alike in both.
+      [](const auto &Alternative) {
+        return json::value(recordValue(Alternative));
+      },
+      Record);
+  // Records without a job id are the same in both schemas.
   if (json::object *members = fields.if_object())
     members->emplace("schema", SchemaWithoutCustomer);
   return json::serialize(fields);
@@ -338,8 +345,8 @@
 
 namespace {
 
-Result<void> checkSchema(std::uint64_t Found, const std::string &Place) {
-  if (Found <= Schema)
+Result<void> checkSchema(std::uint64_t RecordSchema, const std::string &Place) {
+  if (RecordSchema <= CurrentSchema)
     return {};
   return boost::leaf::new_error(Failure{Verdict::NotRun,
                                         FailureCode::NewerSchema,
@@ -361,10 +368,10 @@
       return readTagged(from, tag);
     }
     const json::object &fields = value.as_object();
-    BOOST_LEAF_CHECK(checkSchema(numberOf(fields, "schema"), Place));
+    BOOST_LEAF_CHECK(checkSchema(readNumber(fields, "schema"), Place));
     return readRecord(fields);
-  } catch (const std::exception &Caught) {
-    return badInput(Place, Caught.what());
+  } catch (const std::exception &Error) {
+    return badInput(Place, Error.what());
   }
 }
 
@@ -383,8 +390,8 @@
     for (const json::value &it : value.as_array())
       items.push_back(readItem(it.as_object()));
     return items;
-  } catch (const std::exception &Caught) {
-    return badInput(Place, Caught.what());
+  } catch (const std::exception &Error) {
+    return badInput(Place, Error.what());
   }
 }
 
@@ -392,20 +399,20 @@
   std::vector<JobPart> parts;
   std::size_t bytes = MaxBytes;
   for (const BatchItem &it : Job.Items) {
-    std::size_t more = sizeOf(it);
-    if (bytes + more > MaxBytes) {
+    std::size_t itemBytes = estimateItemBytes(it);
+    if (bytes + itemBytes > MaxBytes) {
       JobPart part;
       part.Job = Job;
       part.Job.Items.clear();
       parts.push_back(std::move(part));
       bytes = 0;
     }
-    bytes += more;
+    bytes += itemBytes;
     parts.back().Job.Items.push_back(it);
   }
   for (std::size_t i = 0; i < parts.size(); ++i) {
-    parts[i].Part = static_cast<std::uint32_t>(i);
-    parts[i].Parts = static_cast<std::uint32_t>(parts.size());
+    parts[i].PartIndex = static_cast<std::uint32_t>(i);
+    parts[i].PartCount = static_cast<std::uint32_t>(parts.size());
   }
   return parts;
 }
--- a/Wasabi/Batch/BatchRecord.h
+++ b/Wasabi/Batch/BatchRecord.h
@@ -1,6 +1,6 @@
 /// \file
-/// The records of the rollout topic: jobs, results, ends, unfinished texts, and
-/// the lease of the dispatching duty. JSON with a schema number.
+/// Records of the rollout topic: job submissions, results, job ends, partial
+/// texts and the dispatch lease. Encoded as JSON with a schema number.
 #ifndef WASABI_BATCH_BATCHRECORD_H
 #define WASABI_BATCH_BATCHRECORD_H
 
@@ -15,74 +15,74 @@
 
 namespace wasabi {
 
-/// Who writes under a lease. A value.
+/// The process that holds a lease. A value.
 struct LeaseHolder {
   InstanceName Instance;
-  /// Tells a restarted process from its predecessor.
+  /// Incarnation of the process; it changes with each restart.
   Incarnation Life = 0;
   bool operator==(const LeaseHolder &) const = default;
 };
 
-/// A part of a submitted job. Parts of one submission are appended together.
+/// A part of a submitted job. All parts of a submission are appended together.
 struct JobPart {
-  /// The job's data with the items of this part only.
+  /// The job with the items of this part only.
   BatchJob Job;
-  std::uint32_t Part = 0;
-  std::uint32_t Parts = 1;
-  /// Where the items of this part lie as a whole (`encodeItems`).
+  std::uint32_t PartIndex = 0;
+  std::uint32_t PartCount = 1;
+  /// Location of the payload with this part's items (`encodeItems`).
   PayloadLocation ItemsLocation = {};
   bool operator==(const JobPart &) const = default;
 };
 
-/// An item's result; the first one of an item in a job counts.
+/// An item's result. Only the first result of an item in a job counts.
 struct ResultRecord {
   JobId Job;
   ItemResult Result;
   bool operator==(const ResultRecord &) const = default;
 };
 
-/// The job was ended by its submitter.
+/// The submitter has ended the job.
 struct JobEnd {
   JobId Job;
   bool operator==(const JobEnd &) const = default;
 };
 
-/// What an item's dispatcher has of its unfinished text, whole or what came
-/// since its last such record.
+/// The partial text of an item as saved by its dispatcher: either the whole
+/// text or the events since the dispatcher's previous record of the item.
 struct PartialTextRecord {
   JobId Job;
   ItemId Item;
-  /// Tells the texts of two dispatchers apart, which must not be joined.
+  /// Identifies the dispatcher; texts of different sources must not be joined.
   std::uint64_t Source = 0;
-  /// Events that came before those here; 0 for a whole text.
+  /// Number of events that precede those in this record; 0 for a whole text.
   std::uint64_t After = 0;
-  /// `Output` holds what came after them, `Events` and `Versions` are of the
-  /// whole text.
+  /// `Output` holds only the events after `After`; `Events` and `Versions`
+  /// describe the whole text.
   PartialText Text;
-  /// Where `Text.Output` lies if it isn't here.
+  /// Location of `Text.Output` in the payload topic; empty if it is inline.
   PayloadLocation OutputLocation = {};
   bool operator==(const PartialTextRecord &) const = default;
 };
 
-/// Takes the lease. Valid if no record of the lease lies between `After` and
-/// it: what else is appended meanwhile does not matter.
+/// Claims the lease. Valid if no lease record lies between `After` and this
+/// record; records of other kinds in between do not matter.
 struct LeaseClaim {
   LeaseHolder Holder;
-  /// Offset of the newest record of the lease that the claimant has seen; empty
-  /// if it has seen none.
+  /// Offset of the newest lease record that the claimant has read; empty if
+  /// there was none.
   std::optional<Offset> After = std::nullopt;
   bool operator==(const LeaseClaim &) const = default;
 };
 
-/// Holds the lease further. `Term` is the offset of the claim. Names the holder
-/// for those who begin to read after the claim has expired.
+/// Renews the lease. `Term` is the offset of the claim. Repeats the holder for
+/// processes that start reading after the claim has expired from the topic.
 struct LeaseRenewal {
   FencingToken Term = 0;
   LeaseHolder Holder;
   bool operator==(const LeaseRenewal &) const = default;
 };
 
-/// Gives the lease back.
+/// Releases the lease.
 struct LeaseRelease {
   FencingToken Term = 0;
   bool operator==(const LeaseRelease &) const = default;
@@ -92,26 +92,26 @@
     std::variant<JobPart, ResultRecord, JobEnd, PartialTextRecord, LeaseClaim,
                  LeaseRenewal, LeaseRelease>;
 
-/// The text of a record as it is appended. Thread-safe.
-std::string encodeRecord(const BatchRecord &What);
+/// Encodes a record as it is appended to the topic. Thread-safe.
+std::string encodeRecord(const BatchRecord &Record);
 
-/// The reverse. Errors: `BadInput` at `Place` for a malformed record,
-/// `NewerSchema` for one that a later release wrote. Thread-safe.
+/// Decodes a record. Errors: `BadInput` at `Place` for a malformed record,
+/// `NewerSchema` for a record written by a later release. Thread-safe.
 Result<BatchRecord> decodeRecord(std::string_view Text,
                                  const std::string &Place);
 
-/// A text up to this long, in bytes, stands in its record: to name it and to
-/// read it elsewhere would cost as much.
+/// Maximum length in bytes of a text that is stored inline in its record: a
+/// payload reference would take about as much space.
 inline constexpr std::size_t MaxInlineBytes = 256;
 
-/// The parts of one submission, the items of each some `MaxBytes` long.
+/// Splits a job into parts whose items take about `MaxBytes` each when encoded.
 /// Thread-safe.
 std::vector<JobPart> splitJob(const BatchJob &Job, std::size_t MaxBytes);
 
-/// Items as a payload. Thread-safe.
+/// Encodes items as a payload. Thread-safe.
 std::string encodeItems(const std::vector<BatchItem> &Items);
 
-/// The reverse. Errors: `BadInput` at `Place`. Thread-safe.
+/// Decodes the items of a payload. Errors: `BadInput` at `Place`. Thread-safe.
 Result<std::vector<BatchItem>> decodeItems(std::string_view Text,
                                            const std::string &Place);
 
--- a/Wasabi/Batch/BatchService.cpp
+++ b/Wasabi/Batch/BatchService.cpp
@@ -6,21 +6,21 @@
 
 namespace {
 
-Failure noJob(const JobId &Id) {
+Failure makeJobNotFound(const JobId &Id) {
   return Failure{Verdict::NotRun, FailureCode::Expired, "job " + Id.Text,
                  "there is no such job", Millis(0)};
 }
 
-Failure unsure(const JobId &Id, const std::string &Reason) {
-  constexpr Millis ComeBack{200};
+Failure makeUnavailable(const JobId &Id, const std::string &Reason) {
+  constexpr Millis RetryAfter{200};
   return Failure{Verdict::NotRun, FailureCode::Unavailable, "job " + Id.Text,
-                 "this process is behind the store: " + Reason, ComeBack};
+                 "this process is behind the store: " + Reason, RetryAfter};
 }
 
 } // namespace
 
-std::string_view toText(JobRequestStatus Verdict) {
-  switch (Verdict) {
+std::string_view toText(JobRequestStatus Status) {
+  switch (Status) {
   case JobRequestStatus::Accepted:
     return "taken";
   case JobRequestStatus::Refused:
@@ -33,40 +33,43 @@
   return "unknown";
 }
 
-BatchService::BatchService(Parts With, Settings Limits)
-    : Limits(Limits), Log(std::move(With.Log)),
-      Payloads(std::move(With.Payloads)), Decisions(std::move(With.Decisions)),
-      ResultTimeout(std::move(With.ResultTimeout)) {}
+BatchService::BatchService(Parts Components, Settings Limits)
+    : Limits(Limits), Log(std::move(Components.Log)),
+      Payloads(std::move(Components.Payloads)),
+      Decisions(std::move(Components.Decisions)),
+      ResultTimeout(std::move(Components.ResultTimeout)) {}
 
-std::shared_ptr<BatchService> BatchService::create(Parts With,
+std::shared_ptr<BatchService> BatchService::create(Parts Components,
                                                    Settings Limits) {
   return std::shared_ptr<BatchService>(
-      new BatchService(std::move(With), Limits));
+      new BatchService(std::move(Components), Limits));
 }
 
-/// Appends until the store takes the records or the topic shows what they say.
-/// `Refused` only if no append can have happened or can still happen.
+/// Appends records and, if the outcome is unknown, reads the topic to look for
+/// them. Returns `Refused` only if the records were not and will not be
+/// appended. `IsVisible` is true once the state contains their effect.
 template <typename Check>
 asio::awaitable<JobRequestStatus>
-BatchService::appendAndConfirm(std::vector<std::string> Records, Check Shows) {
-  // Out of reach of the store nothing is sent: the submitter hears at once that
-  // nothing was taken, and another process may reach it.
+BatchService::appendAndConfirm(std::vector<std::string> Records,
+                               Check IsVisible) {
+  // While the store is unreachable nothing is sent: the submitter gets an
+  // immediate refusal and can try another process.
   if (Log->contact().Lost)
     co_return JobRequestStatus::Refused;
-  Outcome<Offset> got = co_await Log->append(std::move(Records));
-  if (got || Shows())
+  Outcome<Offset> appended = co_await Log->append(std::move(Records));
+  if (appended || IsVisible())
     co_return JobRequestStatus::Accepted;
-  if (got.failure().Run == Verdict::NotRun)
+  if (appended.failure().Run == Verdict::NotRun)
     co_return JobRequestStatus::Refused;
-  // It may be there, or come yet: the topic tells.
-  Outcome<Done> fresh = co_await Log->refresh();
-  if (fresh && Shows())
+  // The records may have been appended, or may be later; read the topic.
+  Outcome<Done> refreshed = co_await Log->refresh();
+  if (refreshed && IsVisible())
     co_return JobRequestStatus::Accepted;
   co_return JobRequestStatus::Unknown;
 }
 
-/// Stores the items of a job and gives the records that make it one. Until one
-/// of these is in the topic nothing has been accepted.
+/// Stores the items of a job as payloads and returns the records that submit
+/// it. The job is accepted once all of the records are in the topic.
 asio::awaitable<Outcome<std::vector<std::string>>>
 BatchService::storeItems(const BatchJob &Job) {
   std::vector<JobPart> parts =
@@ -75,16 +78,17 @@
   items.reserve(parts.size());
   for (const JobPart &it : parts)
     items.push_back(encodeItems(it.Job.Items));
-  Outcome<std::vector<PayloadLocation>> places = co_await Payloads->put(items);
-  // A repeated store of items does no harm, so one lost answer is borne.
-  if (!places && !Log->contact().Lost)
-    places = co_await Payloads->put(std::move(items));
-  if (!places)
-    co_return places.failure();
+  Outcome<std::vector<PayloadLocation>> locations =
+      co_await Payloads->put(items);
+  // Storing the items twice is harmless, so a failed append is retried once.
+  if (!locations && !Log->contact().Lost)
+    locations = co_await Payloads->put(std::move(items));
+  if (!locations)
+    co_return locations.failure();
   std::vector<std::string> records;
   records.reserve(parts.size());
   for (std::size_t i = 0; i < parts.size(); ++i) {
-    parts[i].ItemsLocation = std::move((*places)[i]);
+    parts[i].ItemsLocation = std::move((*locations)[i]);
     records.push_back(encodeRecord(parts[i]));
   }
   co_return records;
@@ -93,77 +97,77 @@
 asio::awaitable<JobRequestStatus> BatchService::submit(BatchJob Job) {
   std::shared_ptr<BatchService> self = shared_from_this();
   JobId id = Job.Id;
-  auto shows = [this, id] { return findJob(Log->fold(), id) != nullptr; };
-  JobRequestStatus verdict = JobRequestStatus::Accepted;
-  if (Log->contact().Lost && !shows())
-    verdict = JobRequestStatus::Refused;
-  else if (!shows()) {
+  auto isVisible = [this, id] { return findJob(Log->fold(), id) != nullptr; };
+  JobRequestStatus status = JobRequestStatus::Accepted;
+  if (Log->contact().Lost && !isVisible())
+    status = JobRequestStatus::Refused;
+  else if (!isVisible()) {
     Outcome<std::vector<std::string>> records = co_await storeItems(Job);
-    verdict = records ? co_await appendAndConfirm(std::move(*records), shows)
-                      : JobRequestStatus::Refused;
+    status = records ? co_await appendAndConfirm(std::move(*records), isVisible)
+                     : JobRequestStatus::Refused;
   }
   Decisions->line("job.submitted", {{"job", id.Text},
                                     {"model", Job.Model.Text},
                                     {"step", std::to_string(Job.Step)},
                                     {"items", std::to_string(Job.Items.size())},
-                                    {"verdict", std::string(toText(verdict))}});
-  co_return verdict;
+                                    {"verdict", std::string(toText(status))}});
+  co_return status;
 }
 
 asio::awaitable<JobRequestStatus> BatchService::end(JobId Id) {
   std::shared_ptr<BatchService> self = shared_from_this();
-  Outcome<std::shared_ptr<JobState>> job = co_await find(Id);
+  Outcome<std::shared_ptr<JobState>> job = co_await findOrRefresh(Id);
   if (!job && job.failure().Code == FailureCode::Expired)
     co_return JobRequestStatus::JobNotFound;
-  JobRequestStatus verdict = JobRequestStatus::Accepted;
-  // Whether there is such a job matters to nobody: the end of none is passed
-  // over by all who read it.
+  JobRequestStatus status = JobRequestStatus::Accepted;
+  // Appended even if the job's existence is unknown: the end of an unknown job
+  // is ignored by all readers.
   if (!job || !(*job)->Ended) {
     std::vector<std::string> records{encodeRecord(JobEnd{Id})};
-    // GCC 12 destroys a lambda that is a temporary of a `co_await` twice.
-    auto ended = [this, Id] {
+    // GCC 12 destroys a temporary lambda in a `co_await` expression twice.
+    auto isEnded = [this, Id] {
       std::shared_ptr<JobState> state = findJob(Log->fold(), Id);
       return state && state->Ended;
     };
-    verdict = co_await appendAndConfirm(std::move(records), ended);
+    status = co_await appendAndConfirm(std::move(records), isEnded);
   }
-  Decisions->line("job.ended", {{"job", Id.Text},
-                                {"verdict", std::string(toText(verdict))}});
-  co_return verdict;
+  Decisions->line("job.ended",
+                  {{"job", Id.Text}, {"verdict", std::string(toText(status))}});
+  co_return status;
 }
 
 asio::awaitable<Outcome<std::shared_ptr<JobState>>>
-BatchService::find(JobId Id) {
+BatchService::findOrRefresh(JobId Id) {
   std::shared_ptr<JobState> job = findJob(Log->fold(), Id);
   if (job)
     co_return job;
-  // What is not known here may have been accepted elsewhere a moment ago.
-  Outcome<Done> fresh = co_await Log->refresh();
-  if (!fresh)
-    co_return unsure(Id, fresh.failure().Reason);
+  // Another process may have accepted the job a moment ago.
+  Outcome<Done> refreshed = co_await Log->refresh();
+  if (!refreshed)
+    co_return makeUnavailable(Id, refreshed.failure().Reason);
   job = findJob(Log->fold(), Id);
   if (job)
     co_return job;
-  co_return noJob(Id);
+  co_return makeJobNotFound(Id);
 }
 
 asio::awaitable<Outcome<ResultPage>>
-BatchService::read(JobId Id, std::size_t After, Millis Wait) {
+BatchService::read(JobId Id, std::size_t After, Millis MaxWait) {
   std::shared_ptr<BatchService> self = shared_from_this();
-  Outcome<std::shared_ptr<JobState>> found = co_await find(Id);
+  Outcome<std::shared_ptr<JobState>> found = co_await findOrRefresh(Id);
   if (!found)
     co_return found.failure();
   const JobState &job = **found;
   TimePoint arrived = monotonicNow();
-  co_await awaitResults(*found, After, arrived, Wait);
-  // That a position is empty may be said only by who knows the present: another
-  // process may have shown what stands there.
-  bool beyond = After > job.Results.size();
-  bool stale = monotonicNow() - Log->lastCaughtUpTime() > Limits.MaxStateAge;
-  if (job.Results.size() <= After && (beyond || stale)) {
-    Outcome<Done> fresh = co_await Log->refresh();
-    if (!fresh)
-      co_return unsure(Id, fresh.failure().Reason);
+  co_await awaitResults(*found, After, arrived, MaxWait);
+  // A position may be reported as empty only if the state is fresh: another
+  // process may already have returned a result for it.
+  bool isBeyondEnd = After > job.Results.size();
+  bool isStale = monotonicNow() - Log->lastCaughtUpTime() > Limits.MaxStateAge;
+  if (job.Results.size() <= After && (isBeyondEnd || isStale)) {
+    Outcome<Done> refreshed = co_await Log->refresh();
+    if (!refreshed)
+      co_return makeUnavailable(Id, refreshed.failure().Reason);
   }
 
   Outcome<ResultPage> page = co_await loadResultPage(*found, After);
@@ -180,40 +184,46 @@
   co_return page;
 }
 
-/// Until when a reader of a trainer's step waits for it to be whole; `Came` for
-/// a reader of another job.
+/// Returns the time until which a read of a trainer's step waits for the step
+/// to be complete; `ArrivedAt` for other jobs.
 TimePoint BatchService::computeAnswerDeadline(const JobState &Job,
-                                              std::size_t After, TimePoint Came,
-                                              Millis Wait) const {
+                                              std::size_t After,
+                                              TimePoint ArrivedAt,
+                                              Millis MaxWait) const {
   if (Job.Job.TargetGroups == 0)
-    return Came;
-  StepRead read{Came, Wait, Job.Results.size() > After, std::nullopt};
-  Millis time = ResultTimeout ? ResultTimeout(Job.Job) : Millis(0);
-  if (time > Millis(0))
-    read.Due = Job.Seen + time;
-  return wasabi::computeAnswerDeadline(read, Limits.Steps);
+    return ArrivedAt;
+  StepRead read{ArrivedAt, MaxWait, Job.Results.size() > After, std::nullopt};
+  Millis timeout = ResultTimeout ? ResultTimeout(Job.Job) : Millis(0);
+  if (timeout > Millis(0))
+    read.Due = Job.Seen + timeout;
+  return wasabi::computeAnswerDeadline(read, Limits.StepReads);
 }
 
-/// Waits for a step to be whole; else for a result at `After`, and for those
-/// that come with it.
+/// Waits until the step is complete or its answer deadline has passed. If there
+/// is no result at `After` by then, waits for one and briefly for further ones.
 asio::awaitable<void> BatchService::awaitResults(std::shared_ptr<JobState> Job,
                                                  std::size_t After,
-                                                 TimePoint Came, Millis Wait) {
-  TimePoint held = computeAnswerDeadline(*Job, After, Came, Wait);
-  while (!isStepComplete(*Job) && !Job->Ended && monotonicNow() < held)
-    co_await Log->changes().wait(held);
+                                                 TimePoint ArrivedAt,
+                                                 Millis MaxWait) {
+  TimePoint stepDeadline =
+      computeAnswerDeadline(*Job, After, ArrivedAt, MaxWait);
+  while (!isStepComplete(*Job) && !Job->Ended && monotonicNow() < stepDeadline)
+    co_await Log->changes().wait(stepDeadline);
   if (Job->Results.size() > After)
     co_return;
-  TimePoint until = Came + Wait;
-  while (Job->Results.size() <= After && !Job->Ended && monotonicNow() < until)
-    co_await Log->changes().wait(until);
-  TimePoint gathered = std::min(until, monotonicNow() + Limits.Gather);
-  while (!isStepComplete(*Job) && !Job->Ended && monotonicNow() < gathered)
-    co_await Log->changes().wait(gathered);
+  TimePoint deadline = ArrivedAt + MaxWait;
+  while (Job->Results.size() <= After && !Job->Ended &&
+         monotonicNow() < deadline)
+    co_await Log->changes().wait(deadline);
+  TimePoint coalesceDeadline =
+      std::min(deadline, monotonicNow() + Limits.CoalesceDelay);
+  while (!isStepComplete(*Job) && !Job->Ended &&
+         monotonicNow() < coalesceDeadline)
+    co_await Log->changes().wait(coalesceDeadline);
 }
 
-/// The results from `After` on with their texts: as many as there are, as fit
-/// into a page and as the store gives now.
+/// Returns the results from `After` on with their texts, limited by the page
+/// size and by the texts that the store returns now.
 asio::awaitable<Outcome<ResultPage>>
 BatchService::loadResultPage(std::shared_ptr<JobState> Job, std::size_t After) {
   ResultPage page;
@@ -223,7 +233,7 @@
     ItemResult result = Job->Results[i];
     Outcome<std::string> text = co_await Payloads->get(result.OutputLocation);
     if (!text && page.Results.empty())
-      co_return unsure(Job->Job.Id, text.failure().Reason);
+      co_return makeUnavailable(Job->Job.Id, text.failure().Reason);
     if (!text)
       break;
     result.Output += *text;
@@ -240,23 +250,23 @@
 asio::awaitable<Outcome<std::string>> BatchService::body(JobId Id,
                                                          ItemId Item) {
   std::shared_ptr<BatchService> self = shared_from_this();
-  Outcome<std::shared_ptr<JobState>> found = co_await find(Id);
+  Outcome<std::shared_ptr<JobState>> found = co_await findOrRefresh(Id);
   if (!found)
     co_return found.failure();
   const JobState &job = **found;
   auto it = job.Index.find(Item.Text);
   if (it == job.Index.end())
-    co_return noJob(Id);
-  ItemLocation place = job.ItemLocations[it->second];
-  if (place.Items.empty())
+    co_return makeJobNotFound(Id);
+  ItemLocation location = job.ItemLocations[it->second];
+  if (location.Items.empty())
     co_return job.Job.Items[it->second].Body;
   Outcome<std::vector<BatchItem>> items =
-      co_await getItems(*Payloads, place.Items, Id);
+      co_await getItems(*Payloads, location.Items, Id);
   if (!items)
-    co_return unsure(Id, items.failure().Reason);
-  if (place.Index >= items->size())
-    co_return unsure(Id, "its items are too few");
-  co_return std::move((*items)[place.Index].Body);
+    co_return makeUnavailable(Id, items.failure().Reason);
+  if (location.Index >= items->size())
+    co_return makeUnavailable(Id, "the payload of its items is too short");
+  co_return std::move((*items)[location.Index].Body);
 }
 
 } // namespace wasabi
--- a/Wasabi/Batch/BatchService.h
+++ b/Wasabi/Batch/BatchService.h
@@ -1,7 +1,7 @@
 /// \file
-/// What submitters of batch jobs are told: acceptance, results, bodies, ends.
-/// Any process answers alike, since all fold the same topic; one that cannot be
-/// sure says so.
+/// Serves submitters of batch jobs: submission, results, item bodies and ends.
+/// Every process gives the same answers, since all read the same topic; a
+/// process that may be behind reports `Unavailable`.
 #ifndef WASABI_BATCH_BATCHSERVICE_H
 #define WASABI_BATCH_BATCHSERVICE_H
 
@@ -16,91 +16,95 @@
 
 namespace wasabi {
 
-/// What became of a submission or an end.
+/// Outcome of a submission or of a request to end a job.
 enum class JobRequestStatus : std::uint8_t {
-  /// It is in the topic and will not be lost.
+  /// The request is stored in the topic and will not be lost.
   Accepted,
-  /// It certainly is not and will not be.
+  /// The request is not in the topic and will not be appended later.
   Refused,
-  /// Nobody can say.
+  /// It is unknown whether the request was or will be appended.
   Unknown,
-  /// There is no such job.
+  /// The job does not exist.
   JobNotFound,
 };
 
-/// Results from one position on.
+/// A page of consecutive results.
 struct ResultPage {
-  /// Items of the job.
+  /// Number of items in the job.
   std::size_t Total = 0;
-  /// Position after the last one here.
+  /// Position after the last result of this page.
   std::size_t Next = 0;
   std::vector<ItemResult> Results;
 };
 
-/// Used on one thread, that of its executor.
+/// Not thread-safe: all calls come from the thread of its executor.
 class BatchService : public std::enable_shared_from_this<BatchService> {
 public:
   struct Settings {
-    /// How long a submission may stay unknown before its submitter is told so.
+    /// Maximum time that a submission may stay unconfirmed before `Unknown` is
+    /// returned.
     Millis SubmitTimeout{1500};
-    /// A process that has not seen the end of the topic for longer than this
-    /// looks again before it calls a position empty. Longer than the wait of a
-    /// read, and shorter than the second in which all deployments known must
-    /// agree.
+    /// Maximum age of the state for reporting a position as empty; if it is
+    /// older, the topic is read first. Longer than the poll timeout, and
+    /// shorter than the second within which all deployments must agree.
     Millis MaxStateAge{850};
-    /// A reader of a job that is no trainer's step, or of a step that is late,
-    /// waits this long after its first result, within what it allows, for those
-    /// that come with it.
-    Millis Gather{250};
-    /// For readers of a trainer's step.
-    StepReadSettings Steps;
-    /// Text of one page of results, in bytes.
+    /// After its first result, a read of a job without a target number of
+    /// groups, or of a late step, waits this long for further results, within
+    /// the reader's own limit.
+    Millis CoalesceDelay{250};
+    /// Timing of reads of a trainer's step.
+    StepReadSettings StepReads;
+    /// Maximum size of the texts of one result page, in bytes; a page always
+    /// holds at least one result.
     std::size_t MaxPageBytes = 900000;
   };
 
-  /// What a desk works with.
+  /// Dependencies of the service.
   struct Parts {
     std::shared_ptr<RolloutLog> Log;
     std::shared_ptr<PayloadStore> Payloads;
     std::shared_ptr<DecisionLog> Decisions;
-    /// Time after its submission in which a job's results are due; 0 if that is
-    /// not known.
+    /// Time after the submission until the job's results are due; 0 if unknown.
     std::function<Millis(const BatchJob &)> ResultTimeout;
   };
 
-  static std::shared_ptr<BatchService> create(Parts With, Settings Limits);
+  static std::shared_ptr<BatchService> create(Parts Components,
+                                              Settings Limits);
 
-  /// Accepts a job once; a repeated submission is `Accepted` again.
+  /// Submits a job. Idempotent: a repeated submission returns `Accepted`.
   boost::asio::awaitable<JobRequestStatus> submit(BatchJob Job);
 
-  /// Ends a job; a repeated end is `Accepted` again. A process that is behind
-  /// the store ends a job that it does not know of, too.
+  /// Ends a job. Idempotent: a repeated end returns `Accepted`. A process that
+  /// cannot read the store appends the end even if it does not know the job.
   boost::asio::awaitable<JobRequestStatus> end(JobId Id);
 
-  /// Results from `After` on, waiting up to `Wait` for one, or at a trainer's
-  /// step for it to be whole. Failures: `Expired` when there is no such job,
-  /// `Unavailable` when nobody can be sure here.
+  /// Returns the results from position `After` on. Waits up to `MaxWait` for a
+  /// first result or, for a trainer's step, until the step is complete.
+  /// Failures: `Expired` if the job does not exist, `Unavailable` if this
+  /// process may be behind.
   boost::asio::awaitable<Outcome<ResultPage>> read(JobId Id, std::size_t After,
-                                                   Millis Wait);
+                                                   Millis MaxWait);
 
-  /// The body of an item. Failures as for `read`.
+  /// Returns the body of an item. Failures as for `read`.
   boost::asio::awaitable<Outcome<std::string>> body(JobId Id, ItemId Item);
 
 private:
-  BatchService(Parts With, Settings Limits);
+  BatchService(Parts Components, Settings Limits);
   boost::asio::awaitable<Outcome<std::vector<std::string>>>
   storeItems(const BatchJob &Job);
   TimePoint computeAnswerDeadline(const JobState &Job, std::size_t After,
-                                  TimePoint Came, Millis Wait) const;
+                                  TimePoint ArrivedAt, Millis MaxWait) const;
   boost::asio::awaitable<void> awaitResults(std::shared_ptr<JobState> Job,
-                                            std::size_t After, TimePoint Came,
-                                            Millis Wait);
+                                            std::size_t After,
+                                            TimePoint ArrivedAt,
+                                            Millis MaxWait);
   boost::asio::awaitable<Outcome<ResultPage>>
   loadResultPage(std::shared_ptr<JobState> Job, std::size_t After);
-  boost::asio::awaitable<Outcome<std::shared_ptr<JobState>>> find(JobId Id);
+  boost::asio::awaitable<Outcome<std::shared_ptr<JobState>>>
+  findOrRefresh(JobId Id);
   template <typename Check>
   boost::asio::awaitable<JobRequestStatus>
-  appendAndConfirm(std::vector<std::string> Records, Check Shows);
+  appendAndConfirm(std::vector<std::string> Records, Check IsVisible);
 
   const Settings Limits;
   const std::shared_ptr<RolloutLog> Log;
@@ -109,8 +113,8 @@
   const std::function<Millis(const BatchJob &)> ResultTimeout;
 };
 
-/// The word for a verdict. Thread-safe.
-std::string_view toText(JobRequestStatus Verdict);
+/// Returns the text of a status for the decision log. Thread-safe.
+std::string_view toText(JobRequestStatus Status);
 
 } // namespace wasabi
 
--- a/Wasabi/Batch/BatchState.cpp
+++ b/Wasabi/Batch/BatchState.cpp
@@ -6,16 +6,17 @@
 
 namespace {
 
-void addPlaces(std::vector<ItemLocation> &To, const JobPart &Of) {
-  for (std::size_t i = 0; i < Of.Job.Items.size(); ++i)
-    To.push_back({Of.ItemsLocation, i});
+void appendItemLocations(std::vector<ItemLocation> &Locations,
+                         const JobPart &Added) {
+  for (std::size_t i = 0; i < Added.Job.Items.size(); ++i)
+    Locations.push_back({Added.ItemsLocation, i});
 }
 
 std::shared_ptr<JobState> makeState(BatchJob Job,
-                                    std::vector<ItemLocation> Places, Offset At,
-                                    TimePoint Now) {
+                                    std::vector<ItemLocation> Locations,
+                                    Offset At, TimePoint Now) {
   std::shared_ptr<JobState> state = std::make_shared<JobState>();
-  state->ItemLocations = std::move(Places);
+  state->ItemLocations = std::move(Locations);
   state->At = At;
   state->Seen = Now;
   state->HasResult.resize(Job.Items.size(), false);
@@ -32,154 +33,160 @@
   return state;
 }
 
-/// The parts of one submission lie side by side, since they are appended at
-/// once; a part that does not continue the one before starts anew.
-BatchStateChange applyKind(BatchState &Fold, Offset At, const JobPart &What,
-                           TimePoint Now) {
-  if (What.Part == 0) {
-    Fold.Unfinished = What;
-    Fold.PendingItemLocations.clear();
-  } else if (Fold.Unfinished && Fold.Unfinished->Job.Id == What.Job.Id &&
-             Fold.Unfinished->Part + 1 == What.Part) {
-    std::vector<BatchItem> &items = Fold.Unfinished->Job.Items;
-    items.insert(items.end(), What.Job.Items.begin(), What.Job.Items.end());
-    Fold.Unfinished->Part = What.Part;
+/// The parts of a submission are adjacent in the topic, since they are appended
+/// together. A first part discards an incomplete submission; a part that does
+/// not continue the pending submission is ignored.
+BatchStateChange applyRecord(BatchState &State, Offset At,
+                             const JobPart &Record, TimePoint Now) {
+  if (Record.PartIndex == 0) {
+    State.PendingSubmission = Record;
+    State.PendingItemLocations.clear();
+  } else if (State.PendingSubmission &&
+             State.PendingSubmission->Job.Id == Record.Job.Id &&
+             State.PendingSubmission->PartIndex + 1 == Record.PartIndex) {
+    std::vector<BatchItem> &items = State.PendingSubmission->Job.Items;
+    items.insert(items.end(), Record.Job.Items.begin(), Record.Job.Items.end());
+    State.PendingSubmission->PartIndex = Record.PartIndex;
   } else
     return {};
-  addPlaces(Fold.PendingItemLocations, What);
-  if (What.Part + 1 < What.Parts)
+  appendItemLocations(State.PendingItemLocations, Record);
+  if (Record.PartIndex + 1 < Record.PartCount)
     return {};
 
-  BatchJob job = std::move(Fold.Unfinished->Job);
-  Fold.Unfinished.reset();
+  BatchJob job = std::move(State.PendingSubmission->Job);
+  State.PendingSubmission.reset();
   JobId id = job.Id;
-  // The first submission counts; a repeated one is the same job.
-  if (Fold.Jobs.contains(id))
+  // A repeated submission of a known job changes nothing.
+  if (State.Jobs.contains(id))
     return {};
   std::shared_ptr<JobState> state =
-      makeState(std::move(job), std::move(Fold.PendingItemLocations), At, Now);
-  Fold.PendingItemLocations.clear();
-  Fold.Jobs.emplace(std::move(id), state);
+      makeState(std::move(job), std::move(State.PendingItemLocations), At, Now);
+  State.PendingItemLocations.clear();
+  State.Jobs.emplace(std::move(id), state);
   return {BatchStateChange::Kind::Accepted, state};
 }
 
-BatchStateChange applyKind(BatchState &Fold, Offset, const ResultRecord &What,
-                           TimePoint) {
-  std::shared_ptr<JobState> job = findJob(Fold, What.Job);
+BatchStateChange applyRecord(BatchState &State, Offset,
+                             const ResultRecord &Record, TimePoint) {
+  std::shared_ptr<JobState> job = findJob(State, Record.Job);
   if (!job)
     return {};
-  auto it = job->Index.find(What.Result.Item.Text);
-  // The first result of an item counts, whoever found it.
+  auto it = job->Index.find(Record.Result.Item.Text);
+  // Only the first result of an item counts.
   if (it == job->Index.end() || job->HasResult[it->second])
     return {};
   job->HasResult[it->second] = true;
   if (--job->PendingPerGroup[job->GroupIndices[it->second]] == 0)
     ++job->CompleteGroups;
   job->Texts.erase(it->second);
-  job->Results.push_back(What.Result);
-  return {BatchStateChange::Kind::Listed, job};
+  job->Results.push_back(Record.Result);
+  return {BatchStateChange::Kind::ResultAdded, job};
 }
 
-BatchStateChange applyKind(BatchState &Fold, Offset, const JobEnd &What,
-                           TimePoint) {
-  std::shared_ptr<JobState> job = findJob(Fold, What.Job);
+BatchStateChange applyRecord(BatchState &State, Offset, const JobEnd &Record,
+                             TimePoint) {
+  std::shared_ptr<JobState> job = findJob(State, Record.Job);
   if (!job || job->Ended)
     return {};
   job->Ended = true;
   return {BatchStateChange::Kind::Ended, job};
 }
 
-BatchStateChange applyKind(BatchState &Fold, Offset,
-                           const PartialTextRecord &What, TimePoint) {
-  std::shared_ptr<JobState> job = findJob(Fold, What.Job);
+BatchStateChange applyRecord(BatchState &State, Offset,
+                             const PartialTextRecord &Record, TimePoint) {
+  std::shared_ptr<JobState> job = findJob(State, Record.Job);
   if (!job)
     return {};
-  auto it = job->Index.find(What.Item.Text);
+  auto it = job->Index.find(Record.Item.Text);
   if (it == job->Index.end() || job->HasResult[it->second])
     return {};
-  SavedPartialText &stored = job->Texts[it->second];
-  bool goesOn = What.After > 0 && stored.Source == What.Source &&
-                stored.Text.Events == What.After;
-  if (What.After > 0 && !goesOn)
+  SavedPartialText &saved = job->Texts[it->second];
+  bool continues = Record.After > 0 && saved.Source == Record.Source &&
+                   saved.Text.Events == Record.After;
+  if (Record.After > 0 && !continues)
     return {};
-  if (!goesOn)
-    stored.Pieces.clear();
-  stored.Pieces.push_back({What.Text.Output, What.OutputLocation});
-  stored.Source = What.Source;
-  stored.Text = What.Text;
-  stored.Text.Output.clear();
+  if (!continues)
+    saved.Pieces.clear();
+  saved.Pieces.push_back({Record.Text.Output, Record.OutputLocation});
+  saved.Source = Record.Source;
+  saved.Text = Record.Text;
+  saved.Text.Output.clear();
   return {};
 }
 
-BatchStateChange applyKind(BatchState &Fold, Offset At, const LeaseClaim &What,
-                           TimePoint Now) {
-  // Compare and swap: its writer found the lease free, and nobody has taken or
-  // prolonged it since.
-  std::optional<Offset> last;
-  if (Fold.Lease.Holder)
-    last = Fold.Lease.LastRecordOffset;
-  if (What.After != last)
+BatchStateChange applyRecord(BatchState &State, Offset At,
+                             const LeaseClaim &Record, TimePoint Now) {
+  // Compare and swap: the claim is valid only if no lease record was appended
+  // since the claimant read the lease.
+  std::optional<Offset> lastRecord;
+  if (State.Lease.Holder)
+    lastRecord = State.Lease.LastRecordOffset;
+  if (Record.After != lastRecord)
     return {};
-  Fold.Lease = LeaseState{What.Holder, At, At, Now, false};
+  State.Lease = LeaseState{Record.Holder, At, At, Now, false};
   return {BatchStateChange::Kind::Lease, nullptr};
 }
 
-BatchStateChange applyKind(BatchState &Fold, Offset At,
-                           const LeaseRenewal &What, TimePoint Now) {
-  // Only who has read a claim that is valid renews under it: one that is not
-  // known here has expired before this process began to read.
-  bool unread = !Fold.Lease.Holder || What.Term > Fold.Lease.Term;
-  if (unread)
-    Fold.Lease = LeaseState{What.Holder, What.Term, At, Now, false};
-  if (Fold.Lease.Term != What.Term || Fold.Lease.Released)
+BatchStateChange applyRecord(BatchState &State, Offset At,
+                             const LeaseRenewal &Record, TimePoint Now) {
+  // A renewal is written only under a valid claim. If the claim is not known,
+  // it expired from the topic before this process began to read.
+  bool claimUnread = !State.Lease.Holder || Record.Term > State.Lease.Term;
+  if (claimUnread)
+    State.Lease = LeaseState{Record.Holder, Record.Term, At, Now, false};
+  if (State.Lease.Term != Record.Term || State.Lease.Released)
     return {};
-  Fold.Lease.LastRecordOffset = At;
-  Fold.Lease.Seen = Now;
+  State.Lease.LastRecordOffset = At;
+  State.Lease.Seen = Now;
   return {BatchStateChange::Kind::Lease, nullptr};
 }
 
-BatchStateChange applyKind(BatchState &Fold, Offset At,
-                           const LeaseRelease &What, TimePoint Now) {
-  if (!Fold.Lease.Holder || Fold.Lease.Term != What.Term)
+BatchStateChange applyRecord(BatchState &State, Offset At,
+                             const LeaseRelease &Record, TimePoint Now) {
+  if (!State.Lease.Holder || State.Lease.Term != Record.Term)
     return {};
-  Fold.Lease.Released = true;
-  Fold.Lease.LastRecordOffset = At;
-  Fold.Lease.Seen = Now;
+  State.Lease.Released = true;
+  State.Lease.LastRecordOffset = At;
+  State.Lease.Seen = Now;
   return {BatchStateChange::Kind::Lease, nullptr};
 }
 
 } // namespace
 
-BatchStateChange apply(BatchState &Fold, Offset At, const BatchRecord &What,
+BatchStateChange apply(BatchState &State, Offset At, const BatchRecord &Record,
                        TimePoint Now) {
-  if (At < Fold.Next)
+  if (At < State.Next)
     return {};
-  Fold.Next = At + 1;
+  State.Next = At + 1;
   return std::visit(
-      [&](const auto &Kind) { return applyKind(Fold, At, Kind, Now); }, What);
+      [&](const auto &Alternative) {
+        return applyRecord(State, At, Alternative, Now);
+      },
+      Record);
 }
 
-void skip(BatchState &Fold, Offset At) {
-  if (At >= Fold.Next)
-    Fold.Next = At + 1;
+void skip(BatchState &State, Offset At) {
+  if (At >= State.Next)
+    State.Next = At + 1;
 }
 
-void expire(BatchState &Fold, TimePoint Now) {
-  for (auto it = Fold.Jobs.begin(); it != Fold.Jobs.end();) {
-    bool old = Now - it->second->Seen > Fold.Limits.JobRetention;
-    it = old ? Fold.Jobs.erase(it) : std::next(it);
+void expireJobs(BatchState &State, TimePoint Now) {
+  for (auto it = State.Jobs.begin(); it != State.Jobs.end();) {
+    bool isExpired = Now - it->second->Seen > State.Limits.JobRetention;
+    it = isExpired ? State.Jobs.erase(it) : std::next(it);
   }
 }
 
-bool isStepComplete(const JobState &Of) {
-  std::uint64_t wanted =
-      Of.Job.TargetGroups > 0 ? Of.Job.TargetGroups : Of.PendingPerGroup.size();
-  return Of.CompleteGroups >= wanted;
+bool isStepComplete(const JobState &Job) {
+  std::uint64_t targetGroups = Job.Job.TargetGroups > 0
+                                   ? Job.Job.TargetGroups
+                                   : Job.PendingPerGroup.size();
+  return Job.CompleteGroups >= targetGroups;
 }
 
-std::shared_ptr<JobState> findJob(const BatchState &Fold, const JobId &Id) {
-  auto it = Fold.Jobs.find(Id);
-  return it == Fold.Jobs.end() ? nullptr : it->second;
+std::shared_ptr<JobState> findJob(const BatchState &State, const JobId &Id) {
+  auto it = State.Jobs.find(Id);
+  return it == State.Jobs.end() ? nullptr : it->second;
 }
 
 } // namespace wasabi
--- a/Wasabi/Batch/BatchState.h
+++ b/Wasabi/Batch/BatchState.h
@@ -1,7 +1,7 @@
 /// \file
-/// What follows from the rollout topic's order: which jobs were accepted, what
-/// stands at each position of their results, and who holds the dispatching
-/// duty. The same records give the same state in every process.
+/// The state folded from the rollout topic: accepted jobs, their results by
+/// position, and the holder of the dispatch lease. The same records produce the
+/// same state in every process.
 #ifndef WASABI_BATCH_BATCHSTATE_H
 #define WASABI_BATCH_BATCHSTATE_H
 
@@ -18,111 +18,118 @@
 
 namespace wasabi {
 
-/// A stretch of an unfinished text, here or in the payload topic.
+/// A piece of a partial text, inline or in the payload topic.
 struct TextPiece {
   std::string Inline;
   PayloadLocation Location;
 };
 
-/// An unfinished text, and whose it is.
+/// A partial text and the dispatcher that saved it.
 struct SavedPartialText {
-  /// `Output` is empty: `Pieces` joined.
+  /// `Output` is empty here: the text is the concatenation of `Pieces`.
   PartialText Text;
   std::vector<TextPiece> Pieces;
   /// See `PartialTextRecord::Source`.
   std::uint64_t Source = 0;
 };
 
-/// Where an item lies in the payload topic.
+/// Location of an item in the payload topic.
 struct ItemLocation {
-  /// Of the items that lie together; empty if the item is here as a whole.
+  /// Location of the payload that contains the item; empty if the item is
+  /// stored inline.
   PayloadLocation Items;
-  /// Its number among them.
+  /// Index of the item within the payload.
   std::size_t Index = 0;
 };
 
-/// An accepted job as this process knows it.
+/// State of an accepted job as known to this process.
 struct JobState {
   BatchJob Job;
   /// By item.
   std::vector<ItemLocation> ItemLocations;
-  /// Offset of its first record: jobs are ordered by it.
+  /// Offset of the last record of its submission; jobs are ordered by it.
   Offset At = 0;
-  /// When this process learnt of it.
+  /// When this process read the submission.
   TimePoint Seen;
   bool Ended = false;
-  /// By position.
+  /// Results by position.
   std::vector<ItemResult> Results;
-  /// Index in `Job.Items` of each item.
+  /// Index in `Job.Items` by item id.
   std::unordered_map<std::string, std::size_t> Index;
-  /// By item: whether it stands in `Results`.
+  /// By item: true if `Results` contains its result.
   std::vector<bool> HasResult;
-  /// By item: the number of its group.
+  /// By item: index of its group.
   std::vector<std::size_t> GroupIndices;
-  /// By group: its items that do not stand in `Results`.
+  /// By group: number of items without a result.
   std::vector<std::size_t> PendingPerGroup;
   std::size_t CompleteGroups = 0;
-  /// Unfinished texts that dispatchers have saved, by item.
+  /// Partial texts saved by dispatchers, by item index.
   std::map<std::size_t, SavedPartialText> Texts;
 };
 
-/// The dispatching duty.
+/// State of the dispatch lease.
 struct LeaseState {
-  /// Empty while nobody has ever held it.
+  /// Empty until the first claim.
   std::optional<LeaseHolder> Holder;
-  /// Offset of the holder's claim, its fencing token.
+  /// Offset of the holder's claim, which serves as its fencing token.
   FencingToken Term = 0;
-  /// Offset of the newest record that changed or prolonged it.
+  /// Offset of the newest record that claimed, renewed or released the lease.
   Offset LastRecordOffset = 0;
-  /// When this process saw the holder's last record.
+  /// When this process read the newest record of the lease.
   TimePoint Seen;
   bool Released = false;
 };
 
-/// The folded state. Owned by one thread.
+/// The state folded from the topic. Owned by one thread.
 struct BatchState {
   struct Settings {
-    /// A job is kept this long: results must be readable for 120 s after the
-    /// submission on all deployments known, and records expire at 300 s.
+    /// How long a job is kept after it was read. Results must be readable for
+    /// 120 s after the submission, and records expire from the topic at 300 s.
     Millis JobRetention{150000};
     bool operator==(const Settings &) const = default;
   };
 
   Settings Limits;
-  /// The next offset to read.
+  /// Next offset to read.
   Offset Next = 0;
   std::unordered_map<JobId, std::shared_ptr<JobState>> Jobs;
   LeaseState Lease;
-  /// Parts of a submission whose last part has not been seen.
-  std::optional<JobPart> Unfinished;
-  /// Places of the items in `Unfinished`.
+  /// Submission whose last part has not been read yet.
+  std::optional<JobPart> PendingSubmission;
+  /// Locations of the items in `PendingSubmission`.
   std::vector<ItemLocation> PendingItemLocations;
 };
 
-/// What a record changed, for whoever acts on it.
+/// The change that a record caused, as passed to listeners.
 struct BatchStateChange {
-  enum class Kind : std::uint8_t { Nothing, Accepted, Listed, Ended, Lease };
+  enum class Kind : std::uint8_t {
+    Nothing,
+    Accepted,
+    ResultAdded,
+    Ended,
+    Lease
+  };
   Kind What = Kind::Nothing;
   std::shared_ptr<JobState> Job;
 };
 
-/// Applies the record at `At`. A record before `Next` was applied already and
-/// changes nothing. Precondition: records come in their order.
-BatchStateChange apply(BatchState &Fold, Offset At, const BatchRecord &What,
+/// Applies the record at offset `At`. A record before `Next` has been applied
+/// already and changes nothing. Precondition: records are applied in order of
+/// their offsets.
+BatchStateChange apply(BatchState &State, Offset At, const BatchRecord &Record,
                        TimePoint Now);
 
-/// Passes over the record at `At`, which could not be read.
-void skip(BatchState &Fold, Offset At);
+/// Skips the record at offset `At`, which could not be decoded.
+void skip(BatchState &State, Offset At);
 
-/// Forgets jobs that nobody may ask for any more.
-void expire(BatchState &Fold, TimePoint Now);
+/// Removes jobs older than `Settings::JobRetention`.
+void expireJobs(BatchState &State, TimePoint Now);
 
-/// Whether as many groups are listed whole as the job's trainer waits for.
-/// Pure.
-bool isStepComplete(const JobState &Of);
+/// True if as many groups are complete as the job's trainer waits for. Pure.
+bool isStepComplete(const JobState &Job);
 
-/// The job of this name, null if it is not known.
-std::shared_ptr<JobState> findJob(const BatchState &Fold, const JobId &Id);
+/// Returns the job with this id, or null if it is not known.
+std::shared_ptr<JobState> findJob(const BatchState &State, const JobId &Id);
 
 } // namespace wasabi
 
--- a/Wasabi/Batch/PayloadStore.cpp
+++ b/Wasabi/Batch/PayloadStore.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-/// One append: its records, and where they belong.
+/// Records of one append and the payloads that they belong to.
 struct PayloadAppend {
   std::vector<std::string> Records;
-  /// Of each record: the payload that it is a part of.
-  std::vector<std::size_t> Owners;
+  /// By record: index of the payload that it is a part of.
+  std::vector<std::size_t> PayloadIndices;
   std::size_t Bytes = 0;
 };
 
@@ -22,14 +22,14 @@
                                        const PayloadStore::Settings &Limits) {
   std::vector<PayloadAppend> appends(1);
   for (std::size_t i = 0; i < Payloads.size(); ++i) {
-    std::string_view rest = Payloads[i];
-    while (!rest.empty()) {
-      std::string_view part = rest.substr(0, Limits.MaxRecordBytes);
-      rest.remove_prefix(part.size());
+    std::string_view remaining = Payloads[i];
+    while (!remaining.empty()) {
+      std::string_view part = remaining.substr(0, Limits.MaxRecordBytes);
+      remaining.remove_prefix(part.size());
       if (appends.back().Bytes + part.size() > Limits.MaxAppendBytes)
         appends.emplace_back();
       appends.back().Records.emplace_back(part);
-      appends.back().Owners.push_back(i);
+      appends.back().PayloadIndices.push_back(i);
       appends.back().Bytes += part.size();
     }
   }
@@ -50,7 +50,7 @@
 asio::awaitable<Outcome<std::vector<PayloadLocation>>>
 PayloadStore::put(std::vector<std::string> Payloads) {
   std::shared_ptr<PayloadStore> self = shared_from_this();
-  std::vector<PayloadLocation> places(Payloads.size());
+  std::vector<PayloadLocation> locations(Payloads.size());
   for (PayloadAppend &it : planAppends(Payloads, Limits)) {
     if (it.Records.empty())
       continue;
@@ -62,73 +62,76 @@
         co_await Store.Append(Limits.Topic, std::move(it.Records), std::nullopt,
                               Limits.AppendTimeout);
     if (!first) {
-      Failure why = first.failure();
-      why.Run = Verdict::NotRun;
-      co_return why;
+      Failure failure = first.failure();
+      failure.Run = Verdict::NotRun;
+      co_return failure;
     }
     for (std::size_t i = 0; i < sizes.size(); ++i)
-      places[it.Owners[i]].push_back(PayloadRecordRef{*first + i, sizes[i]});
+      locations[it.PayloadIndices[i]].push_back(
+          PayloadRecordRef{*first + i, sizes[i]});
   }
-  co_return places;
+  co_return locations;
 }
 
-void PayloadStore::keep(Offset At, std::string Bytes) {
+void PayloadStore::addToCache(Offset At, std::string Bytes) {
   std::size_t size = Bytes.size();
-  if (!Kept.emplace(At, std::move(Bytes)).second)
+  if (!Cache.emplace(At, std::move(Bytes)).second)
     return;
-  Order.push_back(At);
-  KeptBytes += size;
-  while (KeptBytes > Limits.MaxCacheBytes && Order.size() > 1) {
-    auto oldest = Kept.find(Order.front());
-    KeptBytes -= oldest->second.size();
-    Kept.erase(oldest);
-    Order.pop_front();
+  CacheOrder.push_back(At);
+  CachedBytes += size;
+  while (CachedBytes > Limits.MaxCacheBytes && CacheOrder.size() > 1) {
+    auto oldest = Cache.find(CacheOrder.front());
+    CachedBytes -= oldest->second.size();
+    Cache.erase(oldest);
+    CacheOrder.pop_front();
   }
 }
 
-asio::awaitable<Outcome<Done>> PayloadStore::load(PayloadRecordRef What,
-                                                  ReadAhead More) {
-  std::size_t ahead = More == ReadAhead::Neighbours ? Limits.MaxReadBytes : 0;
-  std::size_t most = std::max<std::size_t>(ahead, What.Bytes);
-  Outcome<LogRange> got =
-      co_await Store.Read(Limits.Topic, What.At, Millis(0), most);
-  if (!got)
-    co_return got.failure();
-  bool there = !got->Entries.empty() && got->Entries.front().At == What.At;
-  if (!there)
+asio::awaitable<Outcome<Done>> PayloadStore::load(PayloadRecordRef Record,
+                                                  ReadAhead Ahead) {
+  std::size_t aheadBytes =
+      Ahead == ReadAhead::Neighbours ? Limits.MaxReadBytes : 0;
+  std::size_t maxBytes = std::max<std::size_t>(aheadBytes, Record.Bytes);
+  Outcome<LogRange> range =
+      co_await Store.Read(Limits.Topic, Record.At, Millis(0), maxBytes);
+  if (!range)
+    co_return range.failure();
+  bool found =
+      !range->Entries.empty() && range->Entries.front().At == Record.At;
+  if (!found)
     co_return Failure{Verdict::NotRun, FailureCode::Expired,
-                      Limits.Topic + "@" + std::to_string(What.At),
-                      "the store has it no more", Millis(0)};
-  // The one asked for is kept last, so that the others can't push it out.
-  std::string first = std::move(got->Entries.front().Text);
-  for (std::size_t i = 1; i < got->Entries.size(); ++i)
-    keep(got->Entries[i].At, std::move(got->Entries[i].Text));
-  keep(What.At, std::move(first));
+                      Limits.Topic + "@" + std::to_string(Record.At),
+                      "the record is no longer in the store", Millis(0)};
+  // The requested record is added last, so that the others cannot evict it.
+  std::string first = std::move(range->Entries.front().Text);
+  for (std::size_t i = 1; i < range->Entries.size(); ++i)
+    addToCache(range->Entries[i].At, std::move(range->Entries[i].Text));
+  addToCache(Record.At, std::move(first));
   co_return Done{};
 }
 
-asio::awaitable<Outcome<std::string>> PayloadStore::get(PayloadLocation Place,
-                                                        ReadAhead More) {
+asio::awaitable<Outcome<std::string>>
+PayloadStore::get(PayloadLocation Location, ReadAhead Ahead) {
   std::shared_ptr<PayloadStore> self = shared_from_this();
   std::string bytes;
-  for (const PayloadRecordRef &it : Place) {
-    if (!Kept.contains(it.At)) {
-      Outcome<Done> loaded = co_await load(it, More);
+  for (const PayloadRecordRef &it : Location) {
+    if (!Cache.contains(it.At)) {
+      Outcome<Done> loaded = co_await load(it, Ahead);
       if (!loaded)
         co_return loaded.failure();
     }
-    bytes += Kept.at(it.At);
+    bytes += Cache.at(it.At);
   }
   co_return bytes;
 }
 
 asio::awaitable<Outcome<std::vector<BatchItem>>>
-getItems(PayloadStore &From, PayloadLocation Place, JobId Of) {
-  Outcome<std::string> stored = co_await From.get(std::move(Place));
+getItems(PayloadStore &Payloads, PayloadLocation Location, JobId Job) {
+  Outcome<std::string> stored = co_await Payloads.get(std::move(Location));
   if (!stored)
     co_return stored.failure();
   co_return toOutcome<std::vector<BatchItem>>(
-      [&] { return decodeItems(*stored, "items of " + Of.Text); });
+      [&] { return decodeItems(*stored, "items of " + Job.Text); });
 }
 
 } // namespace wasabi
--- a/Wasabi/Batch/PayloadStore.h
+++ b/Wasabi/Batch/PayloadStore.h
@@ -1,7 +1,7 @@
 /// \file
-/// Bytes that one or two processes need and the others do not: items as they
-/// were submitted, and generated texts. They are kept in a topic of their own,
-/// and records of the rollout topic, which every process follows, name them.
+/// Stores bulk data, that is submitted items and generated texts, in a topic of
+/// its own. Records of the rollout topic, which every process reads, refer to
+/// it by location.
 #ifndef WASABI_BATCH_PAYLOADSTORE_H
 #define WASABI_BATCH_PAYLOADSTORE_H
 
@@ -16,68 +16,69 @@
 
 namespace wasabi {
 
-/// What is read beside the bytes that are asked for.
+/// Which records a read fetches in addition to the requested one.
 enum class ReadAhead : std::uint8_t {
-  /// Those that lie behind them, up to `Settings::MaxReadBytes`.
+  /// The following records, up to `Settings::MaxReadBytes`.
   Neighbours,
-  /// Nothing: hundreds of pieces that lie apart are wanted at once, and all
-  /// reads share the store's bandwidth.
+  /// None. For reads of many scattered payloads, which share the store's
+  /// bandwidth.
   None,
 };
 
-/// Used on one thread, that of the store's port.
+/// Not thread-safe: all calls come from the thread of the store's port.
 class PayloadStore : public std::enable_shared_from_this<PayloadStore> {
 public:
   struct Settings {
     std::string Topic = "payload";
-    /// How long an append may take.
+    /// Time limit of an append.
     Millis AppendTimeout{800};
-    /// Longest record, in bytes; the store's own limit is above it.
+    /// Maximum size of a record in bytes; below the store's own limit.
     std::size_t MaxRecordBytes = 64000;
-    /// Most bytes of one append; the store takes twice as many.
+    /// Maximum size of one append in bytes; below the store's own limit.
     std::size_t MaxAppendBytes = 1000000;
-    /// Bytes of one read, unless a payload is longer. Payloads that are shown
-    /// together lie side by side, so those behind the one asked for are kept.
+    /// Maximum size of one read in bytes, unless a single record is longer.
+    /// Payloads that are read together are stored next to each other, so
+    /// records that follow the requested one are cached, too.
     std::size_t MaxReadBytes = 128u << 10;
-    /// Payloads kept in memory, in bytes: a second's worth at 1 MB/s, as long
-    /// as a reader needs them.
+    /// Maximum size of the cache in bytes; holds what a reader fetches within
+    /// about a second.
     std::size_t MaxCacheBytes = 2u << 20;
   };
 
   static std::shared_ptr<PayloadStore> create(RecordStore Store,
                                               Settings Limits);
 
-  /// Appends each payload, in records of at most `MaxRecordBytes`, and gives
-  /// where each one lies. A failure leaves some that nobody names; it may be
-  /// called again. Failures are `NotRun`: what no record names has no effect.
+  /// Appends payloads in records of at most `MaxRecordBytes` and returns the
+  /// location of each. A failed call may leave records that nothing refers to;
+  /// it can be repeated safely, so failures are always `NotRun`.
   boost::asio::awaitable<Outcome<std::vector<PayloadLocation>>>
   put(std::vector<std::string> Payloads);
 
-  /// The bytes at a place. Failures: `Expired` when the store has them no more,
-  /// those of the store otherwise.
+  /// Returns the bytes at a location. Failures: `Expired` if the store no
+  /// longer has them, otherwise those of the store.
   boost::asio::awaitable<Outcome<std::string>>
-  get(PayloadLocation Place, ReadAhead More = ReadAhead::Neighbours);
+  get(PayloadLocation Location, ReadAhead Ahead = ReadAhead::Neighbours);
 
   const Settings &settings() const { return Limits; }
 
 private:
   PayloadStore(RecordStore Store, Settings Limits);
-  boost::asio::awaitable<Outcome<Done>> load(PayloadRecordRef What,
-                                             ReadAhead More);
-  void keep(Offset At, std::string Bytes);
+  boost::asio::awaitable<Outcome<Done>> load(PayloadRecordRef Record,
+                                             ReadAhead Ahead);
+  void addToCache(Offset At, std::string Bytes);
 
   const Settings Limits;
   const RecordStore Store;
-  std::map<Offset, std::string> Kept;
-  /// Offsets in `Kept`, the oldest first.
-  std::deque<Offset> Order;
-  std::size_t KeptBytes = 0;
+  std::map<Offset, std::string> Cache;
+  /// Offsets in `Cache`, oldest first.
+  std::deque<Offset> CacheOrder;
+  std::size_t CachedBytes = 0;
 };
 
-/// The items of `Of` that lie at `Place`. Failures: those of
-/// `PayloadStore::get`; `BadInput` when these are no items.
+/// Returns the items of `Job` at `Location`. Failures: those of
+/// `PayloadStore::get`; `BadInput` if the payload is not a list of items.
 boost::asio::awaitable<Outcome<std::vector<BatchItem>>>
-getItems(PayloadStore &From, PayloadLocation Place, JobId Of);
+getItems(PayloadStore &Payloads, PayloadLocation Location, JobId Job);
 
 } // namespace wasabi
 
--- a/Wasabi/Batch/RolloutLog.cpp
+++ b/Wasabi/Batch/RolloutLog.cpp
@@ -8,9 +8,9 @@
 namespace asio = boost::asio;
 
 Millis replayDelay(double CpuShare) {
-  constexpr double Strong = 0.5;
-  constexpr Millis Rest{800};
-  return CpuShare < Strong ? Rest : Millis(0);
+  constexpr double MinUndelayedCpuShare = 0.5;
+  constexpr Millis Delay{800};
+  return CpuShare < MinUndelayedCpuShare ? Delay : Millis(0);
 }
 
 RolloutLog::RolloutLog(asio::any_io_executor Executor, RecordStore Store,
@@ -29,29 +29,29 @@
 
 void RolloutLog::start() {
   asio::co_spawn(
-      Executor, [self = shared_from_this()] { return self->follow(); },
+      Executor, [self = shared_from_this()] { return self->followLoop(); },
       asio::detached);
 }
 
-asio::awaitable<void> RolloutLog::follow() {
+asio::awaitable<void> RolloutLog::followLoop() {
   for (;;) {
-    Outcome<LogRange> got = co_await Store.Read(
-        Limits.Topic, Fold.Next, Limits.PollTimeout, nextReadBytes());
-    // A read that was ended because the store is back is made again at once.
-    if (!got && got.failure().Code == FailureCode::Cancelled)
+    Outcome<LogRange> range = co_await Store.Read(
+        Limits.Topic, State.Next, Limits.PollTimeout, nextReadBytes());
+    // A read is cancelled when the store becomes reachable again; read at once.
+    if (!range && range.failure().Code == FailureCode::Cancelled)
       continue;
-    if (!got) {
-      failed(got.failure());
+    if (!range) {
+      onReadFailed(range.failure());
       co_await pauseFor(Executor, Limits.RetryDelay);
       continue;
     }
-    bool more = got->End > got->First && !got->Entries.empty();
-    take(*got);
-    expire(Fold, monotonicNow());
-    // While behind, the next stretch is read at once.
-    if (more && CaughtUp)
+    bool hasRecords = range->End > range->First && !range->Entries.empty();
+    applyRange(*range);
+    expireJobs(State, monotonicNow());
+    // While catching up, the next range is read without a delay.
+    if (hasRecords && CaughtUp)
       co_await pauseFor(Executor, Limits.PollDelay);
-    if (!ReplayDelayDone && isFarBehind(*got))
+    if (!ReplayDelayDone && isFarBehind(*range))
       co_await pauseFor(Executor, Limits.ReplayDelay);
     ReplayDelayDone = true;
   }
@@ -60,14 +60,14 @@
 asio::awaitable<Outcome<Done>> RolloutLog::refresh() {
   std::shared_ptr<RolloutLog> self = shared_from_this();
   for (;;) {
-    Outcome<LogRange> got = co_await Store.Read(Limits.Topic, Fold.Next,
-                                                Millis(0), Limits.MaxReadBytes);
-    if (!got) {
-      failed(got.failure());
-      co_return got.failure();
+    Outcome<LogRange> range = co_await Store.Read(
+        Limits.Topic, State.Next, Millis(0), Limits.MaxReadBytes);
+    if (!range) {
+      onReadFailed(range.failure());
+      co_return range.failure();
     }
-    take(*got);
-    if (Fold.Next >= got->End)
+    applyRange(*range);
+    if (State.Next >= range->End)
       co_return Done{};
   }
 }
@@ -80,46 +80,47 @@
 }
 
 std::size_t RolloutLog::nextReadBytes() const {
-  bool look = !ReplayDelayDone && Limits.ReplayDelay > Millis(0);
-  return look ? Limits.MaxFirstReadBytes : Limits.MaxReadBytes;
+  bool isFirstRead = !ReplayDelayDone && Limits.ReplayDelay > Millis(0);
+  return isFirstRead ? Limits.MaxFirstReadBytes : Limits.MaxReadBytes;
 }
 
-/// Whether what is left takes more than one read, by the size of what came.
+/// True if the remaining records need more than one read, estimated from the
+/// mean size of those just read.
 bool RolloutLog::isFarBehind(const LogRange &Range) const {
-  if (Range.Entries.empty() || Range.End <= Fold.Next)
+  if (Range.Entries.empty() || Range.End <= State.Next)
     return false;
   std::size_t bytes = 0;
   for (const LogEntry &it : Range.Entries)
     bytes += it.Text.size();
-  return bytes / Range.Entries.size() * (Range.End - Fold.Next) >
+  return bytes / Range.Entries.size() * (Range.End - State.Next) >
          Limits.MaxReadBytes;
 }
 
-void RolloutLog::take(const LogRange &Range) {
-  answered();
-  if (Range.First > Fold.Next) {
+void RolloutLog::applyRange(const LogRange &Range) {
+  onReadSucceeded();
+  if (Range.First > State.Next) {
     Decisions->line("rollout_log.expired",
-                    {{"expected", std::to_string(Fold.Next)},
+                    {{"expected", std::to_string(State.Next)},
                      {"first", std::to_string(Range.First)}});
-    Fold.Next = Range.First;
+    State.Next = Range.First;
   }
   for (const LogEntry &it : Range.Entries)
-    takeEntry(it);
-  if (Fold.Next >= Range.End)
-    FreshAt = monotonicNow();
-  if (Fold.Next >= Range.End && !CaughtUp) {
+    applyEntry(it);
+  if (State.Next >= Range.End)
+    LastCaughtUpTime = monotonicNow();
+  if (State.Next >= Range.End && !CaughtUp) {
     CaughtUp = true;
     Decisions->line("rollout_log.caught_up",
-                    {{"next", std::to_string(Fold.Next)},
-                     {"jobs", std::to_string(Fold.Jobs.size())}});
+                    {{"next", std::to_string(State.Next)},
+                     {"jobs", std::to_string(State.Jobs.size())}});
     Changed.notify();
   }
   if (!Range.Entries.empty())
     Changed.notify();
 }
 
-void RolloutLog::takeEntry(const LogEntry &Entry) {
-  if (Entry.At < Fold.Next)
+void RolloutLog::applyEntry(const LogEntry &Entry) {
+  if (Entry.At < State.Next)
     return;
   Outcome<BatchRecord> record = toOutcome<BatchRecord>([&] {
     return decodeRecord(Entry.Text,
@@ -128,23 +129,23 @@
   if (!record) {
     Decisions->line("rollout_log.unreadable",
                     {{"reason", describe(record.failure())}});
-    skip(Fold, Entry.At);
+    skip(State, Entry.At);
     return;
   }
-  BatchStateChange change = apply(Fold, Entry.At, *record, monotonicNow());
+  BatchStateChange change = apply(State, Entry.At, *record, monotonicNow());
   if (Listener && change.What != BatchStateChange::Kind::Nothing)
     Listener(change);
 }
 
-void RolloutLog::answered() {
+void RolloutLog::onReadSucceeded() {
   if (noteAnswer(Contact, monotonicNow()))
     Decisions->line("store.regained", {{"topic", Limits.Topic}});
 }
 
-void RolloutLog::failed(const Failure &Why) {
+void RolloutLog::onReadFailed(const Failure &Reason) {
   if (noteFailure(Contact, monotonicNow()))
     Decisions->line("store.lost",
-                    {{"topic", Limits.Topic}, {"reason", describe(Why)}});
+                    {{"topic", Limits.Topic}, {"reason", describe(Reason)}});
 }
 
 } // namespace wasabi
--- a/Wasabi/Batch/RolloutLog.h
+++ b/Wasabi/Batch/RolloutLog.h
@@ -1,6 +1,6 @@
 /// \file
-/// The rollout topic as one process follows it: the folded state, whether it is
-/// fresh, and appends.
+/// Follows the rollout topic in one process: maintains the folded state and its
+/// freshness, and appends records.
 #ifndef WASABI_BATCH_ROLLOUTLOG_H
 #define WASABI_BATCH_ROLLOUTLOG_H
 
@@ -17,36 +17,33 @@
 
 namespace wasabi {
 
-/// How long an instance with `CpuShare` of a processor core leaves the store's
-/// bandwidth to others when all start at once: those that may take the duty
-/// read first. Of 134 processes restarted at once the 60 strong ones knew the
-/// present 1.5 to 1.75 s after it, 2.0 to 2.5 s without the pause, by the logs
-/// of one failure domain on two days. Pure.
+/// Delay before an instance with `CpuShare` of a processor core reads a long
+/// topic after its start. When all processes start at once, this leaves the
+/// store's bandwidth to those that may hold the dispatch lease. Pure.
 Millis replayDelay(double CpuShare);
 
-/// Used on one thread, that of its executor.
+/// Not thread-safe: all calls come from the thread of its executor.
 class RolloutLog : public std::enable_shared_from_this<RolloutLog> {
 public:
   struct Settings {
     std::string Topic = "rollout";
-    /// How long a read waits for a record. A read that hears nothing although
-    /// there is something must not hide it for long.
+    /// Maximum time that a read waits at the store for a record. Bounds the
+    /// delay if the store fails to wake a waiting read.
     Millis PollTimeout{700};
-    /// Pause after a read that brought records, so that records that come one
-    /// by one are read several at a time: at most 33 reads a second.
+    /// Delay after a read that returned records, so that several records are
+    /// read at a time: at most 33 reads a second.
     Millis PollDelay{30};
-    /// Pause after a failed read.
+    /// Delay after a failed read.
     Millis RetryDelay{100};
-    /// Most bytes of one read. After a power loss all processes read the topic
-    /// at once and share the store's bandwidth: 50 of them get this much within
-    /// 0.2 s at 80 MB/s, well inside a read's time limit.
+    /// Maximum size of one read in bytes. Small enough that reads succeed
+    /// within their time limit when all processes read the topic at once.
     std::size_t MaxReadBytes = 256u << 10;
-    /// A process that starts and finds more than one read's worth pauses this
-    /// long before it reads the rest: see `replayDelay`.
+    /// Delay at the start if the topic is longer than one read; see
+    /// `replayDelay`.
     Millis ReplayDelay{0};
-    /// Most bytes of the first read of a process that may have to pause.
+    /// Maximum size in bytes of the first read if `ReplayDelay` is set.
     std::size_t MaxFirstReadBytes = 8u << 10;
-    /// How long an append may take before its outcome is unknown.
+    /// Time limit of an append, after which its outcome is unknown.
     Millis AppendTimeout{1200};
   };
 
@@ -54,28 +51,27 @@
   create(boost::asio::any_io_executor Executor, RecordStore Store,
          std::shared_ptr<DecisionLog> Decisions, Settings Limits);
 
-  /// Begins to follow the topic, for as long as the context runs.
+  /// Starts following the topic until the execution context stops.
   void start();
 
-  const BatchState &fold() const { return Fold; }
+  const BatchState &fold() const { return State; }
   const StoreContact &contact() const { return Contact; }
-  /// Whether the topic has been read to its end since the start.
+  /// True once the topic has been read to its end.
   bool caughtUp() const { return CaughtUp; }
-  /// When an answer of the store last showed that nothing was left to read. A
-  /// process that is catching up has contact, and does not know the present.
-  TimePoint lastCaughtUpTime() const { return FreshAt; }
-  /// Woken after each change of the fold.
+  /// When a read last reached the end of the topic. A process that is catching
+  /// up can reach the store, but its state is stale.
+  TimePoint lastCaughtUpTime() const { return LastCaughtUpTime; }
+  /// Notified after each change of the state.
   AsyncSignal &changes() { return Changed; }
-  /// Called for each change, in order.
+  /// Sets the callback that is called for each change, in order.
   void onChange(std::function<void(const BatchStateChange &)> Callback) {
     Listener = std::move(Callback);
   }
 
-  /// Reads up to the end as of now. A failure says that this process cannot be
-  /// sure of what the topic holds.
+  /// Reads to the current end of the topic. On failure the state may be stale.
   boost::asio::awaitable<Outcome<Done>> refresh();
 
-  /// Appends records, all or none; see `RecordStore::Append`.
+  /// Appends records atomically; see `RecordStore::Append`.
   boost::asio::awaitable<Outcome<Offset>>
   append(std::vector<std::string> Records, std::optional<Offset> At = {});
 
@@ -84,26 +80,27 @@
 private:
   RolloutLog(boost::asio::any_io_executor Executor, RecordStore Store,
              std::shared_ptr<DecisionLog> Decisions, Settings Limits);
-  boost::asio::awaitable<void> follow();
+  boost::asio::awaitable<void> followLoop();
   std::size_t nextReadBytes() const;
   bool isFarBehind(const LogRange &Range) const;
-  void take(const LogRange &Range);
-  void takeEntry(const LogEntry &Entry);
-  void answered();
-  void failed(const Failure &Why);
+  void applyRange(const LogRange &Range);
+  void applyEntry(const LogEntry &Entry);
+  void onReadSucceeded();
+  void onReadFailed(const Failure &Reason);
 
   const Settings Limits;
   const boost::asio::any_io_executor Executor;
   const RecordStore Store;
   const std::shared_ptr<DecisionLog> Decisions;
-  BatchState Fold;
+  BatchState State;
   StoreContact Contact;
   AsyncSignal Changed;
   std::function<void(const BatchStateChange &)> Listener;
   bool CaughtUp = false;
-  /// Whether the pause of `Settings::ReplayDelay` has been made.
+  /// True once the first read is done and `Settings::ReplayDelay`, if needed,
+  /// has passed.
   bool ReplayDelayDone = false;
-  TimePoint FreshAt;
+  TimePoint LastCaughtUpTime;
 };
 
 } // namespace wasabi
--- a/Wasabi/Batch/StepRead.cpp
+++ b/Wasabi/Batch/StepRead.cpp
@@ -4,13 +4,15 @@
 
 namespace wasabi {
 
-TimePoint computeAnswerDeadline(const StepRead &Of,
+TimePoint computeAnswerDeadline(const StepRead &Read,
                                 const StepReadSettings &Limits) {
-  Millis most = Of.HasResults ? std::min(Of.Wait, Limits.Pace) : Of.Wait;
-  TimePoint until = Of.Came + most;
-  if (Of.Due)
-    until = std::min(until, *Of.Due + Limits.Grace - Limits.Delivery);
-  return std::max(until, Of.Came);
+  Millis maxWait = Read.HasResults ? std::min(Read.MaxWait, Limits.ReadInterval)
+                                   : Read.MaxWait;
+  TimePoint deadline = Read.ArrivedAt + maxWait;
+  if (Read.Due)
+    deadline = std::min(deadline, *Read.Due + Limits.LateTolerance -
+                                      Limits.DeliveryDelay);
+  return std::max(deadline, Read.ArrivedAt);
 }
 
 } // namespace wasabi
