--- a/UnitTests/Batch/BatchServiceTest.cpp
+++ b/UnitTests/Batch/BatchServiceTest.cpp
@@ -8,8 +8,8 @@
 
 namespace asio = boost::asio;
 
-/// Two processes that share a store; the first can be disconnected from the
-/// rollout topic. Both reach the payload topic only while it is connected.
+/// Two processes that share a store. `Disconnected` cuts off the first process
+/// and the payload stores of both.
 struct BatchServiceFixture : BatchTestFixture {
   Millis ResultTimeout{0};
   std::shared_ptr<bool> Disconnected = std::make_shared<bool>(false);
--- a/UnitTests/Batch/StepReadTest.cpp
+++ b/UnitTests/Batch/StepReadTest.cpp
@@ -23,9 +23,9 @@
   TimePoint CompletedAt;
 };
 
-/// What a simulated reader observes of a step.
+/// Observations of a simulated reader.
 struct ReaderView {
-  /// When the reader ends the step.
+  /// Time at which the reader ends the step.
   TimePoint EndedAt;
   std::size_t Reads = 0;
 };
@@ -121,8 +121,7 @@
   INFO("mean delay with held reads: "
        << heldDelay
        << " ms, with reads answered at the first result: " << unheldDelay);
-  // A reader that arrives at random times waits half of the read interval on
-  // average.
+  // The mean delay must be below half of the read interval.
   CHECK(heldDelay < 250);
   CHECK(heldDelay < unheldDelay / 2);
 }
--- a/Wasabi/Batch/BatchJob.h
+++ b/Wasabi/Batch/BatchJob.h
@@ -12,7 +12,8 @@
 
 namespace wasabi {
 
-/// Names a record of the payload topic (`PayloadStore.h`). An immutable value.
+/// Refers to a record of the payload topic (`PayloadStore.h`). An immutable
+/// value.
 struct PayloadRecordRef {
   Offset At = 0;
   std::uint64_t Bytes = 0;
--- a/Wasabi/Batch/BatchService.h
+++ b/Wasabi/Batch/BatchService.h
@@ -37,12 +37,12 @@
   std::vector<ItemResult> Results;
 };
 
-/// Not thread-safe: all calls come from the thread of its executor.
+/// Serves batch jobs of one process. Not thread-safe: used only on the thread
+/// of its executor.
 class BatchService : public std::enable_shared_from_this<BatchService> {
 public:
   struct Settings {
-    /// Maximum time that a submission may stay unconfirmed before `Unknown` is
-    /// returned.
+    /// Time limit for confirming a submission. Currently unused.
     Millis SubmitTimeout{1500};
     /// Maximum age of the state for reporting a position as empty; if it is
     /// older, the topic is read first. Longer than the poll timeout, and
@@ -54,8 +54,8 @@
     Millis CoalesceDelay{250};
     /// Timing of reads of a trainer's step.
     StepReadSettings StepReads;
-    /// Maximum size of the texts of one result page, in bytes; a page always
-    /// holds at least one result.
+    /// Maximum total size of the texts of one result page, in bytes, unless the
+    /// first text alone is longer.
     std::size_t MaxPageBytes = 900000;
   };
 
@@ -79,9 +79,9 @@
   boost::asio::awaitable<JobRequestStatus> end(JobId Id);
 
   /// Returns the results from position `After` on. Waits up to `MaxWait` for a
-  /// first result or, for a trainer's step, until the step is complete.
+  /// first result or, in a trainer's step, for the step to be complete.
   /// Failures: `Expired` if the job does not exist, `Unavailable` if this
-  /// process may be behind.
+  /// process may be behind or cannot read the first text.
   boost::asio::awaitable<Outcome<ResultPage>> read(JobId Id, std::size_t After,
                                                    Millis MaxWait);
 
--- a/Wasabi/Batch/BatchState.h
+++ b/Wasabi/Batch/BatchState.h
@@ -45,16 +45,16 @@
 /// State of an accepted job as known to this process.
 struct JobState {
   BatchJob Job;
-  /// By item.
+  /// By item: its location.
   std::vector<ItemLocation> ItemLocations;
   /// Offset of the last record of its submission; jobs are ordered by it.
   Offset At = 0;
-  /// When this process read the submission.
+  /// Time at which this process read the last record of the submission.
   TimePoint Seen;
   bool Ended = false;
   /// Results by position.
   std::vector<ItemResult> Results;
-  /// Index in `Job.Items` by item id.
+  /// Index into `Job.Items`, by item id.
   std::unordered_map<std::string, std::size_t> Index;
   /// By item: true if `Results` contains its result.
   std::vector<bool> HasResult;
@@ -75,7 +75,7 @@
   FencingToken Term = 0;
   /// Offset of the newest record that claimed, renewed or released the lease.
   Offset LastRecordOffset = 0;
-  /// When this process read the newest record of the lease.
+  /// Time at which this process read the newest record of the lease.
   TimePoint Seen;
   bool Released = false;
 };
@@ -83,8 +83,9 @@
 /// The state folded from the topic. Owned by one thread.
 struct BatchState {
   struct Settings {
-    /// How long a job is kept after it was read. Results must be readable for
-    /// 120 s after the submission, and records expire from the topic at 300 s.
+    /// Time for which a job is kept after its submission was read. Results must
+    /// be readable for 120 s after the submission; records expire from the
+    /// topic at 300 s.
     Millis JobRetention{150000};
     bool operator==(const Settings &) const = default;
   };
--- a/Wasabi/Batch/PayloadStore.h
+++ b/Wasabi/Batch/PayloadStore.h
@@ -1,7 +1,7 @@
 /// \file
-/// Stores bulk data, that is submitted items and generated texts, in a topic of
-/// its own. Records of the rollout topic, which every process reads, refer to
-/// it by location.
+/// Stores bulk data (submitted items and generated texts) in a topic of its
+/// own. Records of the rollout topic, which every process reads, refer to the
+/// data by location.
 #ifndef WASABI_BATCH_PAYLOADSTORE_H
 #define WASABI_BATCH_PAYLOADSTORE_H
 
@@ -25,7 +25,8 @@
   None,
 };
 
-/// Not thread-safe: all calls come from the thread of the store's port.
+/// Appends and reads payloads, with a cache. Not thread-safe: used only on the
+/// thread of the store's port.
 class PayloadStore : public std::enable_shared_from_this<PayloadStore> {
 public:
   struct Settings {
--- a/Wasabi/Batch/RolloutLog.h
+++ b/Wasabi/Batch/RolloutLog.h
@@ -22,7 +22,8 @@
 /// store's bandwidth to those that may hold the dispatch lease. Pure.
 Millis replayDelay(double CpuShare);
 
-/// Not thread-safe: all calls come from the thread of its executor.
+/// Follows and extends the rollout topic. Not thread-safe: used only on the
+/// thread of its executor.
 class RolloutLog : public std::enable_shared_from_this<RolloutLog> {
 public:
   struct Settings {
@@ -58,8 +59,8 @@
   const StoreContact &contact() const { return Contact; }
   /// True once the topic has been read to its end.
   bool caughtUp() const { return CaughtUp; }
-  /// When a read last reached the end of the topic. A process that is catching
-  /// up can reach the store, but its state is stale.
+  /// Time at which a read last reached the end of the topic. While the process
+  /// is catching up, the store is reachable but the state is stale.
   TimePoint lastCaughtUpTime() const { return LastCaughtUpTime; }
   /// Notified after each change of the state.
   AsyncSignal &changes() { return Changed; }
--- a/Wasabi/Batch/StepRead.h
+++ b/Wasabi/Batch/StepRead.h
@@ -31,15 +31,15 @@
   Millis MaxWait{0};
   /// True if there are results that the reader has not received yet.
   bool HasResults = false;
-  /// When all results of the step are due, if known.
+  /// Time at which all results of the step are due, if known.
   std::optional<TimePoint> Due;
   bool operator==(const StepRead &) const = default;
 };
 
-/// Returns when to answer a read if the step does not become complete before.
-/// If there are new results, the wait is limited by the reader's next poll; if
-/// there are none, by `MaxWait`. In both cases results are delivered in time if
-/// they still can be. Never before `ArrivedAt`. Pure.
+/// Returns the time at which an incomplete step's read is answered. With new
+/// results the wait is at most `ReadInterval`, as the reader polls again then,
+/// and at most `MaxWait`. If `Due` is set, the read is answered early enough to
+/// be in time. Never earlier than `ArrivedAt`. Pure.
 TimePoint computeAnswerDeadline(const StepRead &Read,
                                 const StepReadSettings &Limits);
 
