--- a/Wasabi/Batch/BatchJob.h
+++ b/Wasabi/Batch/BatchJob.h
@@ -45,7 +45,7 @@
 /// A header that is forwarded to the server unchanged.
 struct ForwardedHeader {
   std::string Name;
-  std::string Id;
+  std::string Value;
   bool operator==(const ForwardedHeader &) const = default;
 };
 
