--- a/IntegrationTests/Cases/ChaosJudgeTest.cpp
+++ b/IntegrationTests/Cases/ChaosJudgeTest.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::uint64_t Begin = 1000000;
 
-CallerRecord ask(CallKind kind, Seen end, std::uint64_t begun) {
+CallerRecord ask(CallKind kind, CallOutcome end, std::uint64_t begun) {
   CallerRecord record;
   record.Mark = kind == CallKind::Read ? "/items/1" : "/bids/1";
   record.Kind = kind;
@@ -36,10 +36,11 @@
 } // namespace
 
 TEST_CASE("A chaos judge counts what callers saw", "[judge]") {
-  const Tally sum = judged({ask(CallKind::Read, Seen::Whole, Begin),
-                            ask(CallKind::Write, Seen::MayHaveRun, Begin),
-                            ask(CallKind::Read, Seen::NotRun, Begin)},
-                           {run(Begin + 10)});
+  const Tally sum =
+      judged({ask(CallKind::Read, CallOutcome::Whole, Begin),
+              ask(CallKind::Write, CallOutcome::MayHaveRun, Begin),
+              ask(CallKind::Read, CallOutcome::NotRun, Begin)},
+             {run(Begin + 10)});
   CHECK(sum.Requests == 3);
   CHECK(sum.Whole == 1);
   CHECK(sum.MayHaveRun == 1);
@@ -48,25 +49,26 @@
 }
 
 TEST_CASE("A false not-run is found, also one that runs later", "[judge]") {
-  const CallerRecord said = ask(CallKind::Write, Seen::NotRun, Begin);
+  const CallerRecord said = ask(CallKind::Write, CallOutcome::NotRun, Begin);
   CHECK(judged({said}, {run(Begin + 10)}).FalseNotRun == 1);
   CHECK(judged({said}, {run(Begin + 9000000)}).FalseNotRun == 1);
   CHECK_FALSE(hasNoViolations(judged({said}, {run(Begin + 10)})));
   // A second ask with the key may run it; the first must not have.
   const CallerRecord again =
-      ask(CallKind::KeyedWrite, Seen::Whole, Begin + 5000);
-  const CallerRecord first = ask(CallKind::KeyedWrite, Seen::NotRun, Begin);
+      ask(CallKind::KeyedWrite, CallOutcome::Whole, Begin + 5000);
+  const CallerRecord first =
+      ask(CallKind::KeyedWrite, CallOutcome::NotRun, Begin);
   CHECK(judged({first, again}, {run(Begin + 5100)}).FalseNotRun == 0);
   CHECK(judged({first, again}, {run(Begin + 500)}).FalseNotRun == 1);
 }
 
 TEST_CASE("A second run counts only where it may not be repeated", "[judge]") {
   const std::vector<UpstreamRun> twice = {run(Begin), run(Begin + 5)};
-  CHECK(judged({ask(CallKind::Write, Seen::MayHaveRun, Begin)}, twice)
+  CHECK(judged({ask(CallKind::Write, CallOutcome::MayHaveRun, Begin)}, twice)
             .DoubleRuns == 1);
-  CHECK(judged({ask(CallKind::KeyedWrite, Seen::Whole, Begin)}, twice)
+  CHECK(judged({ask(CallKind::KeyedWrite, CallOutcome::Whole, Begin)}, twice)
             .DoubleRuns == 1);
-  CHECK(judged({ask(CallKind::Read, Seen::Whole, Begin)},
+  CHECK(judged({ask(CallKind::Read, CallOutcome::Whole, Begin)},
                {{"/items/1", "a", Begin}, {"/items/1", "b", Begin}})
             .DoubleRuns == 0);
 }
@@ -74,7 +76,7 @@
 TEST_CASE("A planned stop answers for what it cuts and takes late", "[judge]") {
   PlannedStop stop{Begin, Begin + 9000000, true, true, {"lease-desk-1"}};
   const std::vector<CallerRecord> cut = {
-      ask(CallKind::Read, Seen::MayHaveRun, Begin + 100)};
+      ask(CallKind::Read, CallOutcome::MayHaveRun, Begin + 100)};
   Tally sum;
   checkPlannedStops(sum, {stop}, cut, {});
   CHECK(sum.InterruptedByPlannedStop == 1);
--- a/IntegrationTests/Chaos/CallerLoad.cpp
+++ b/IntegrationTests/Chaos/CallerLoad.cpp
@@ -119,12 +119,13 @@
   record.Status = answer.Status;
   if (answer.Status == Success) {
     const std::string fault = faultOf(ask, answer.Body);
-    record.End = fault.empty() ? Seen::Whole : Seen::Wrong;
+    record.End = fault.empty() ? CallOutcome::Whole : CallOutcome::Wrong;
     record.Note += fault;
     return;
   }
   const std::string_view verdict = answer.header("X-Wasabi-Verdict");
-  record.End = verdict == "not-run" ? Seen::NotRun : Seen::MayHaveRun;
+  record.End =
+      verdict == "not-run" ? CallOutcome::NotRun : CallOutcome::MayHaveRun;
   record.Note += answer.Body.substr(0, 300);
 }
 
@@ -162,7 +163,7 @@
   asio::awaitable<void> runCaller(std::uint32_t caller);
   asio::awaitable<void> sendAtOnce(const Ask &ask, std::mt19937_64 &random);
   asio::awaitable<void> sendPatiently(const Ask &ask, std::mt19937_64 &random);
-  asio::awaitable<Seen> send(const Ask &ask, std::mt19937_64 &random);
+  asio::awaitable<CallOutcome> send(const Ask &ask, std::mt19937_64 &random);
   asio::awaitable<bool> trySend(const Ask &ask, Address where,
                                 CallerRecord &record);
 
@@ -192,7 +193,7 @@
                                        std::mt19937_64 &random) {
   const int sends = ask.Kind == CallKind::KeyedWrite ? MaxKeyedSends : 1;
   for (int n = 0; n < sends && !Ending; ++n) {
-    if (co_await send(ask, random) == Seen::Whole)
+    if (co_await send(ask, random) == CallOutcome::Whole)
       break;
   }
 }
@@ -201,10 +202,10 @@
 asio::awaitable<void> Load::sendPatiently(const Ask &ask,
                                           std::mt19937_64 &random) {
   for (std::uint32_t n = 0; n <= Setup.MaxDelayedRetries; ++n) {
-    const Seen end = co_await send(ask, random);
+    const CallOutcome end = co_await send(ask, random);
     const bool mayRepeat =
-        end == Seen::NotRun ||
-        (end == Seen::MayHaveRun && ask.Kind == CallKind::KeyedWrite);
+        end == CallOutcome::NotRun ||
+        (end == CallOutcome::MayHaveRun && ask.Kind == CallKind::KeyedWrite);
     if (!mayRepeat)
       break;
     co_await pause(RepeatPause);
@@ -212,12 +213,13 @@
 }
 
 /// One ask through the balancer: where it can't connect, it tries another.
-asio::awaitable<Seen> Load::send(const Ask &ask, std::mt19937_64 &random) {
+asio::awaitable<CallOutcome> Load::send(const Ask &ask,
+                                        std::mt19937_64 &random) {
   CallerRecord record;
   record.Mark = ask.Mark;
   record.Kind = ask.Kind;
   record.Begun = wallMicros();
-  record.End = Seen::NotRun;
+  record.End = CallOutcome::NotRun;
   for (int n = 0; n < MaxConnects; ++n) {
     const std::shared_ptr<const std::vector<Address>> ready = Entries.get();
     if (ready->empty()) {
@@ -230,7 +232,7 @@
     co_await pause(ConnectPause);
   }
   record.Ended = wallMicros();
-  if (record.End == Seen::Whole)
+  if (record.End == CallOutcome::Whole)
     ++Whole;
   Records.push_back(record);
   co_return record.End;
@@ -249,7 +251,7 @@
   record.Note += describe(answer.failure());
   if (answer.failure().Run == Verdict::NotRun)
     co_return false;
-  record.End = Seen::MayHaveRun;
+  record.End = CallOutcome::MayHaveRun;
   co_return true;
 }
 
--- a/IntegrationTests/Chaos/CallerRecord.h
+++ b/IntegrationTests/Chaos/CallerRecord.h
@@ -38,7 +38,7 @@
   /// The path or prompt that is this request's alone.
   std::string Mark;
   CallKind Kind = CallKind::Read;
-  Seen End = Seen::MayHaveRun;
+  CallOutcome End = CallOutcome::MayHaveRun;
   unsigned Status = 0;
   /// Wall microseconds.
   std::uint64_t Begun = 0;
--- a/IntegrationTests/Chaos/Tally.cpp
+++ b/IntegrationTests/Chaos/Tally.cpp
@@ -26,17 +26,17 @@
 void count(Tally &sum, const CallerRecord &what) {
   ++sum.Requests;
   switch (what.End) {
-  case Seen::Whole:
+  case CallOutcome::Whole:
     ++sum.Whole;
     break;
-  case Seen::Wrong:
+  case CallOutcome::Wrong:
     ++sum.WrongAnswers;
     sum.Violations.push_back("wrong answer: " + describe(what));
     break;
-  case Seen::NotRun:
+  case CallOutcome::NotRun:
     ++sum.NotRun;
     break;
-  case Seen::MayHaveRun:
+  case CallOutcome::MayHaveRun:
     ++sum.MayHaveRun;
     break;
   }
@@ -48,7 +48,7 @@
                  const std::vector<const UpstreamRun *> &runs) {
   for (const CallerRecord *it : asks) {
     // An earlier ask of the same key may run at any time after.
-    if (it->End != Seen::NotRun)
+    if (it->End != CallOutcome::NotRun)
       break;
     const bool isLast = it == asks.back();
     for (const UpstreamRun *run : runs) {
@@ -92,7 +92,7 @@
                        const std::vector<UpstreamRun> &Runs) {
   for (const PlannedStop &stop : Stops) {
     for (const CallerRecord &it : Asked) {
-      const bool isCut = it.End == Seen::MayHaveRun &&
+      const bool isCut = it.End == CallOutcome::MayHaveRun &&
                          it.Ended >= stop.SignalMicros &&
                          it.Begun <= stop.Ended;
       if (!stop.WithoutOtherFaults || !isCut)
--- a/IntegrationTests/Demo/Demo.cpp
+++ b/IntegrationTests/Demo/Demo.cpp
@@ -100,7 +100,7 @@
 void sayRefusals(const std::vector<chaos::CallerRecord> &Records) {
   std::map<std::string, std::uint64_t> reasons;
   for (const chaos::CallerRecord &it : Records) {
-    if (it.End == chaos::Seen::NotRun)
+    if (it.End == chaos::CallOutcome::NotRun)
       ++reasons[reasonOf(it)];
   }
   for (const std::pair<const std::string, std::uint64_t> &it : reasons)
@@ -331,7 +331,7 @@
 void Demo::checkRequests() {
   for (const std::pair<const std::string, Sends> &it : byRequest(Records)) {
     ++Report.Requests;
-    if (it.second.back().End == chaos::Seen::Whole)
+    if (it.second.back().End == chaos::CallOutcome::Whole)
       ++Report.Whole;
     else
       sayLost(it.first, it.second);
--- a/UnitTests/Rollout/DeathTableTest.cpp
+++ b/UnitTests/Rollout/DeathTableTest.cpp
@@ -63,7 +63,7 @@
      [](const World &of) {
        return std::any_of(
            state(of).Attempts.begin(), state(of).Attempts.end(),
-           [](const auto &it) { return it.second.SoFar.Tokens > 0; });
+           [](const auto &it) { return it.second.GeneratedDraft.Tokens > 0; });
      }},
     {"a stream has ended, its score was not asked for", Kind::Both, NoFaults,
      [](const World &of) { return wants<ScoreSample>(of); }},
--- a/Wasabi/Customers/Access.cpp
+++ b/Wasabi/Customers/Access.cpp
@@ -4,11 +4,11 @@
 
 std::string_view toText(AccessVerdict Verdict) {
   switch (Verdict) {
-  case AccessDecisionVerdict::Granted:
+  case AccessVerdict::Granted:
     return "granted";
-  case AccessDecisionVerdict::UnknownKey:
+  case AccessVerdict::UnknownKey:
     return "unknown-key";
-  case AccessDecisionVerdict::Uncertain:
+  case AccessVerdict::Uncertain:
     return "unsure";
   }
   return "unsure";
@@ -19,22 +19,20 @@
                             const StoreContact &Contact,
                             const AccessSettings &Limits, TimePoint Now) {
   if (!Known)
-    return {AccessDecisionVerdict::Granted, std::nullopt};
+    return {AccessVerdict::Granted, std::nullopt};
   const Customer *holder = Ask.Key ? Known->holderOf(*Ask.Key) : nullptr;
   if (holder != nullptr) {
     bool withdrawn = Limits.StrictRevocation &&
                      unreachableFor(Contact, Limits.MaxRevocationDelay, Now);
     if (!withdrawn)
-      return {AccessDecisionVerdict::Granted, *holder};
-    return {Ask.Public ? AccessDecisionVerdict::Granted
-                       : AccessDecisionVerdict::Uncertain,
+      return {AccessVerdict::Granted, *holder};
+    return {Ask.Public ? AccessVerdict::Granted : AccessVerdict::Uncertain,
             std::nullopt};
   }
   if (Ask.Public)
-    return {AccessDecisionVerdict::Granted, std::nullopt};
+    return {AccessVerdict::Granted, std::nullopt};
   bool mayBeNew = Ask.Key.has_value() && Contact.Lost;
-  return {mayBeNew ? AccessDecisionVerdict::Uncertain
-                   : AccessDecisionVerdict::UnknownKey,
+  return {mayBeNew ? AccessVerdict::Uncertain : AccessVerdict::UnknownKey,
           std::nullopt};
 }
 
--- a/Wasabi/Customers/Access.h
+++ b/Wasabi/Customers/Access.h
@@ -28,7 +28,7 @@
 
 /// What was decided of a request. An immutable value.
 struct AccessDecision {
-  AccessVerdict Verdict = AccessDecisionVerdict::UnknownKey;
+  AccessVerdict Verdict = AccessVerdict::UnknownKey;
   /// Whose request it is; empty where nobody's key came with it.
   std::optional<Customer> By;
   bool operator==(const AccessDecision &) const = default;
--- a/Wasabi/Node/MembershipManager.cpp
+++ b/Wasabi/Node/MembershipManager.cpp
@@ -419,7 +419,7 @@
   std::shared_ptr<const View> seen = Shown.get();
   FanoutSettings limits;
   bool own = std::any_of(Urgent.begin(), Urgent.end(), [&](const auto &it) {
-    return it.About.Instance == Swim.Self;
+    return it.Subject.Instance == Swim.Self;
   });
   limits.OtherDomains = own || isLogReader(*seen, RelaysPerDomain);
   std::mt19937_64 sticky(Setup.Seed + static_cast<std::uint64_t>(
