--- a/UnitTests/Routing/IdempotencyKeysTest.cpp
+++ b/UnitTests/Routing/IdempotencyKeysTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What is remembered of requests with a key.
+/// Tests of the records of requests with an idempotency key.
 #include "Wasabi/Routing/IdempotencyKeys.h"
 
 #include <catch2/catch.hpp>
@@ -14,16 +14,16 @@
 const Runner Self{InstanceName("me"), 1};
 const Runner Other{InstanceName("other"), 1};
 
-IdempotencyKeys::Settings settings() {
-  IdempotencyKeys::Settings made;
-  made.Self = Self;
-  made.Capacity = 3;
-  made.MaxSingleAnswerBytes = 10;
-  made.Span = Millis(1000);
-  return made;
+IdempotencyKeys::Settings makeSettings() {
+  IdempotencyKeys::Settings result;
+  result.Self = Self;
+  result.Capacity = 3;
+  result.MaxSingleAnswerBytes = 10;
+  result.KeyRetention = Millis(1000);
+  return result;
 }
 
-View viewOf(const std::set<int> &Daemons) {
+View makeView(const std::set<int> &Daemons) {
   View view;
   for (int n : Daemons) {
     Member member;
@@ -36,8 +36,9 @@
 
 } // namespace
 
-TEST_CASE("A repeat waits, then gets the first one's answer", "[keys]") {
-  IdempotencyKeys keys(settings());
+TEST_CASE("A repeated request waits for the first one and gets its answer",
+          "[keys]") {
+  IdempotencyKeys keys(makeSettings());
   CHECK(keys.begin("k", 7, Start).Action == KeyAction::Run);
   CHECK(keys.begin("k", 7, Start).Action == KeyAction::Wait);
   http::Response answer{201, {}, "done"};
@@ -48,8 +49,8 @@
   CHECK(again.Answer.Body == answer.Body);
 }
 
-TEST_CASE("What is known of a key is told with its verdict", "[keys]") {
-  IdempotencyKeys keys(settings());
+TEST_CASE("The decision on a used key carries the right verdict", "[keys]") {
+  IdempotencyKeys keys(makeSettings());
   keys.begin("k", 7, Start);
   SECTION("another request with the same key did not run") {
     KeyDecision decision = keys.begin("k", 8, Start);
@@ -57,17 +58,17 @@
     CHECK(decision.Why.Run == Verdict::NotRun);
     CHECK(decision.Why.Code == FailureCode::Conflict);
   }
-  SECTION("a first one that broke may have run") {
+  SECTION("a first request that failed may have run") {
     Failure why{Verdict::MayHaveRun, FailureCode::ConnectionLost, "a", "b", {}};
     keys.recordFailure("k", why);
     CHECK(keys.begin("k", 7, Start).Why == why);
   }
-  SECTION("a first one that did not run frees its key") {
+  SECTION("a first request that did not run frees its key") {
     keys.recordFailure(
         "k", Failure{Verdict::NotRun, FailureCode::Unreachable, "", "", {}});
     CHECK(keys.begin("k", 7, Start).Action == KeyAction::Run);
   }
-  SECTION("an answer too large to keep is told as run") {
+  SECTION("a request whose answer is too large to store has run") {
     keys.recordAnswer("k", http::Response{200, {}, std::string(11, 'x')});
     KeyDecision decision = keys.begin("k", 7, Start);
     CHECK(decision.Action == KeyAction::Refuse);
@@ -75,8 +76,8 @@
   }
 }
 
-TEST_CASE("The table is bounded and forgets with time only", "[keys]") {
-  IdempotencyKeys keys(settings());
+TEST_CASE("The table is bounded and removes keys only by age", "[keys]") {
+  IdempotencyKeys keys(makeSettings());
   for (const char *it : {"a", "b", "c"}) {
     CHECK(keys.begin(it, 1, Start).Action == KeyAction::Run);
     keys.recordAnswer(it, http::Response{});
@@ -88,21 +89,21 @@
   CHECK(keys.size() == 1);
 }
 
-TEST_CASE("A running key outlives its span", "[keys]") {
-  IdempotencyKeys keys(settings());
+TEST_CASE("The key of a running request does not expire", "[keys]") {
+  IdempotencyKeys keys(makeSettings());
   keys.begin("a", 1, Start);
   CHECK(keys.begin("a", 1, Start + Millis(5000)).Action == KeyAction::Wait);
 }
 
-TEST_CASE("A witness lets the same runner ask again and no other", "[keys]") {
-  IdempotencyKeys keys(settings());
+TEST_CASE("A witness lets only the same runner reserve a key again", "[keys]") {
+  IdempotencyKeys keys(makeSettings());
   CHECK_FALSE(keys.reserve("k", 7, Other, Start));
   CHECK_FALSE(keys.reserve("k", 7, Other, Start));
   std::optional<Failure> third =
       keys.reserve("k", 7, Runner{InstanceName("third"), 1}, Start);
   REQUIRE(third);
   CHECK(third->Run == Verdict::MayHaveRun);
-  // The runner's own successor has forgotten what it ran.
+  // A restarted runner has lost its records.
   std::optional<Failure> restarted =
       keys.reserve("k", 7, Runner{Other.Instance, 2}, Start);
   REQUIRE(restarted);
@@ -110,49 +111,49 @@
   CHECK(keys.begin("k", 7, Start).Why.Run == Verdict::MayHaveRun);
 }
 
-TEST_CASE("A reservation given back frees the key, an older one does not",
+TEST_CASE("Only the release of the newest reservation frees the key",
           "[keys]") {
-  IdempotencyKeys keys(settings());
+  IdempotencyKeys keys(makeSettings());
   const Runner third{InstanceName("third"), 1};
   constexpr std::uint64_t First = 4;
   constexpr std::uint64_t Second = 9;
   CHECK_FALSE(keys.reserve("k", 7, Other, Start, First));
   CHECK_FALSE(keys.reserve("k", 7, Other, Start, Second));
-  // The first one's release arrives late, after the second reservation.
+  // The first release arrives after the second reservation.
   keys.release("k", Other, First);
   CHECK(keys.reserve("k", 7, third, Start, First));
-  // Nobody gives back what another one holds.
+  // A runner cannot release a reservation of another runner.
   keys.release("k", third, Second);
   CHECK(keys.reserve("k", 7, third, Start, First));
   keys.release("k", Other, Second);
   CHECK_FALSE(keys.reserve("k", 7, third, Start, First));
 }
 
-TEST_CASE("One change of the view leaves a witness of a key in place",
-          "[keys]") {
+TEST_CASE("A single change of the view keeps a witness of a key", "[keys]") {
   rc::check(
       [](const std::set<int> &Daemons, int Changed, const std::string &Key) {
         RC_PRE(Daemons.size() >= 2u);
         std::set<int> after = Daemons;
         if (after.erase(Changed) == 0)
           after.insert(Changed);
-        auto names = [&](const std::set<int> &Of) {
+        auto names = [&](const std::set<int> &DaemonIds) {
           std::set<std::string> found;
           for (const Member &it :
-               findWitnesses(Key, viewOf(Of), InstanceName("nobody")))
+               findWitnesses(Key, makeView(DaemonIds), InstanceName("nobody")))
             found.insert(it.Instance.Text);
           return found;
         };
         std::set<std::string> before = names(Daemons);
-        bool met = false;
+        bool keepsWitness = false;
         for (const std::string &it : names(after))
-          met = met || before.contains(it);
-        RC_ASSERT(met);
+          keepsWitness = keepsWitness || before.contains(it);
+        RC_ASSERT(keepsWitness);
       });
 }
 
-TEST_CASE("Who leaves stays a witness, and the next one is one too", "[keys]") {
-  View view = viewOf({1, 2, 3, 4, 5});
+TEST_CASE("A leaving daemon stays a witness, and the next one is added",
+          "[keys]") {
+  View view = makeView({1, 2, 3, 4, 5});
   InstanceName nobody("nobody");
   std::vector<Member> before = findWitnesses("k", view, nobody);
   REQUIRE(before.size() == 2);
@@ -161,7 +162,7 @@
   REQUIRE(now.size() == 3);
   CHECK(now[0].Instance == before[0].Instance);
   CHECK(now[1].Instance == before[1].Instance);
-  // Once it is gone the others are the witnesses, and have been told.
+  // After its end, the other two remain the witnesses.
   view.Members[before[0].Instance].State = Health::Dead;
   std::vector<Member> after = findWitnesses("k", view, nobody);
   REQUIRE(after.size() == 2);
@@ -169,26 +170,27 @@
   CHECK(after[1].Instance == now[2].Instance);
 }
 
-TEST_CASE("All that is remembered can be handed over", "[keys]") {
-  IdempotencyKeys keys(settings());
+TEST_CASE("All records can be handed over", "[keys]") {
+  IdempotencyKeys keys(makeSettings());
   keys.begin("mine", 7, Start);
   CHECK_FALSE(keys.reserve("theirs", 8, Other, Start));
-  std::vector<KeyRecord> all = keys.records();
-  CHECK(all.size() == 2);
-  IdempotencyKeys next(settings());
-  for (const KeyRecord &it : all)
+  std::vector<KeyRecord> records = keys.records();
+  CHECK(records.size() == 2);
+  IdempotencyKeys next(makeSettings());
+  for (const KeyRecord &it : records)
     CHECK_FALSE(next.reserve(it.Key, it.Fingerprint, it.Who, Start));
-  // A third runner is refused by the one that took over.
+  // The new holder of the records refuses a third runner.
   Runner third{InstanceName("third"), 1};
   REQUIRE(next.reserve("theirs", 8, third, Start));
   CHECK(next.reserve("theirs", 8, third, Start)->Run == Verdict::MayHaveRun);
 }
 
-TEST_CASE("Without a look-up nobody says that a key did not run", "[keys]") {
+TEST_CASE("A refusal without a lookup of the key is not a proof of not run",
+          "[keys]") {
   Failure why{Verdict::NotRun, FailureCode::Unreachable, "d", "gone", {}};
-  Failure told = downgradeUnprovenFailure(why);
-  CHECK(told.Run == Verdict::MayHaveRun);
-  CHECK(told.RetryAfter > Millis(0));
+  Failure downgraded = downgradeUnprovenFailure(why);
+  CHECK(downgraded.Run == Verdict::MayHaveRun);
+  CHECK(downgraded.RetryAfter > Millis(0));
   why.Code = FailureCode::BadInput;
   CHECK(downgradeUnprovenFailure(why) == why);
   why.Code = FailureCode::Conflict;
@@ -196,17 +198,17 @@
 }
 
 TEST_CASE("A key has one home, which moves only when it is lost", "[keys]") {
-  std::vector<Candidate> all;
+  std::vector<Candidate> records;
   for (int n = 0; n < 8; ++n) {
-    Candidate made;
-    made.Key = ServerKey{InstanceName("i" + std::to_string(n)),
-                         ServerName("s" + std::to_string(n))};
-    all.push_back(made);
+    Candidate result;
+    result.Key = ServerKey{InstanceName("i" + std::to_string(n)),
+                           ServerName("s" + std::to_string(n))};
+    records.push_back(result);
   }
-  std::optional<Candidate> home = findHomeCandidate("key", all);
+  std::optional<Candidate> home = findHomeCandidate("key", records);
   REQUIRE(home);
   std::vector<Candidate> fewer;
-  for (const Candidate &it : all) {
+  for (const Candidate &it : records) {
     if (it.Key != home->Key && fewer.size() < 5)
       fewer.push_back(it);
   }
--- a/UnitTests/Routing/LoadBalancingTest.cpp
+++ b/UnitTests/Routing/LoadBalancingTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The choice of an upstream server.
+/// Tests of load balancing, prefix hints and the retry budget.
 #include "Wasabi/Routing/LoadBalancing.h"
 #include "Wasabi/Routing/PrefixHints.h"
 #include "Wasabi/Routing/RetryBudget.h"
@@ -11,15 +11,15 @@
 
 const TimePoint Start{std::chrono::seconds(10000)};
 
-Candidate candidate(const std::string &Name,
-                    std::string Domain = "lulea-hall") {
-  Candidate made;
-  made.Key = ServerKey{InstanceName("i-" + Name), ServerName(Name)};
-  made.Life = 1;
-  made.Domain = DomainName(std::move(Domain));
-  made.Where = Address{"127.0.0.1", 1};
-  made.Slots = 8;
-  return made;
+Candidate makeCandidate(const std::string &Name,
+                        std::string Domain = "lulea-hall") {
+  Candidate result;
+  result.Key = ServerKey{InstanceName("i-" + Name), ServerName(Name)};
+  result.Life = 1;
+  result.Domain = DomainName(std::move(Domain));
+  result.Where = Address{"127.0.0.1", 1};
+  result.Slots = 8;
+  return result;
 }
 
 BalancerState makeState(const std::vector<Candidate> &Known) {
@@ -29,20 +29,20 @@
   return state;
 }
 
-Failure broken() {
+Failure makeFailure() {
   return Failure{
       Verdict::MayHaveRun, FailureCode::ConnectionLost, "there", "broke", {}};
 }
 
-/// How often each server is chosen out of 1,000, each answered at once.
-std::map<std::string, int> tally(const BalancerState &State,
-                                 const std::vector<Candidate> &Of,
-                                 TimePoint Now) {
+/// Counts how often each server is chosen in 1,000 choices on the same state.
+std::map<std::string, int>
+countChoices(const BalancerState &State,
+             const std::vector<Candidate> &Candidates, TimePoint Now) {
   std::mt19937_64 random(7);
   std::map<std::string, int> counts;
   for (int n = 0; n < 1000; ++n) {
     std::optional<Candidate> chosen =
-        chooseCandidate(State, Of, {}, std::nullopt, Now, random);
+        chooseCandidate(State, Candidates, {}, std::nullopt, Now, random);
     REQUIRE(chosen);
     ++counts[chosen->Key.Server.Text];
   }
@@ -51,81 +51,86 @@
 
 } // namespace
 
-TEST_CASE("A slow server gets little of the work", "[choice]") {
-  std::vector<Candidate> all = {candidate("a"), candidate("b"), candidate("c")};
+TEST_CASE("A slow server is not chosen while faster ones are idle",
+          "[choice]") {
+  std::vector<Candidate> all = {makeCandidate("a"), makeCandidate("b"),
+                                makeCandidate("c")};
   BalancerState state = makeState(all);
   for (const Candidate &it : all) {
     noteStart(state, it, Start);
     noteSuccess(state, it, Micros(it.Key.Server.Text == "a" ? 50000 : 5000),
                 Start);
   }
-  std::map<std::string, int> counts = tally(state, all, Start);
+  std::map<std::string, int> counts = countChoices(state, all, Start);
   CHECK(counts["a"] == 0);
   CHECK(counts["b"] > 300);
   CHECK(counts["c"] > 300);
 }
 
-TEST_CASE("A slow server is tried again later, and believed soon", "[choice]") {
-  std::vector<Candidate> all = {candidate("a"), candidate("b")};
+TEST_CASE("A slow server is tried again later, and its recovery noticed soon",
+          "[choice]") {
+  std::vector<Candidate> all = {makeCandidate("a"), makeCandidate("b")};
   BalancerState state = makeState(all);
   TimePoint now = Start;
-  auto answer = [&](const Candidate &Who, Micros Took) {
-    noteStart(state, Who, now);
-    noteSuccess(state, Who, Took, now);
+  auto answer = [&](const Candidate &Server, Micros Took) {
+    noteStart(state, Server, now);
+    noteSuccess(state, Server, Took, now);
   };
   answer(all[0], Micros(50000));
   answer(all[1], Micros(5000));
-  int waited = 0;
-  for (; tally(state, all, now)["a"] == 0 && waited < 120; ++waited) {
+  int waitedSeconds = 0;
+  for (; countChoices(state, all, now)["a"] == 0 && waitedSeconds < 120;
+       ++waitedSeconds) {
     now += Millis(1000);
     answer(all[1], Micros(5000));
   }
-  CHECK(waited >= 10);
-  CHECK(waited <= 40);
-  // It has recovered: two answers are enough.
+  CHECK(waitedSeconds >= 10);
+  CHECK(waitedSeconds <= 40);
+  // Two fast answers show its recovery.
   answer(all[0], Micros(5000));
   answer(all[0], Micros(5000));
   CHECK(expectedWait(state, all[0], now) <
         3 * expectedWait(state, all[1], now));
 }
 
-TEST_CASE("Own open attempts count at once, late loads without them twice",
+TEST_CASE("Own attempts in flight count immediately and only once",
           "[choice]") {
-  std::vector<Candidate> all = {candidate("a"), candidate("b")};
+  std::vector<Candidate> all = {makeCandidate("a"), makeCandidate("b")};
   BalancerState state = makeState(all);
   for (int n = 0; n < 4; ++n)
     noteStart(state, all[0], Start);
   CHECK(expectedWait(state, all[0], Start) >
         expectedWait(state, all[1], Start));
-  // A report that holds the own four changes nothing.
+  // A load report that includes the own attempts does not change the wait.
   double before = expectedWait(state, all[0], Start);
   ReportedLoad load{ServerName("a"), ServiceName("s"), 4, 0, 8, 0, true};
   noteLoad(state, all[0].Key, load);
   CHECK(expectedWait(state, all[0], Start) == Approx(before));
-  // Once they ended, the old report stands for others' work only.
+  // After their end, the old report counts only the attempts of others.
   for (int n = 0; n < 4; ++n)
     noteAbandoned(state, all[0]);
   CHECK(expectedWait(state, all[0], Start) ==
         Approx(expectedWait(state, all[1], Start)));
 }
 
-TEST_CASE("The own failure domain is preferred until it costs", "[choice]") {
-  std::vector<Candidate> all = {candidate("near"),
-                                candidate("far", "umea-hall")};
+TEST_CASE("The own failure domain is preferred until its wait is longer",
+          "[choice]") {
+  std::vector<Candidate> all = {makeCandidate("near"),
+                                makeCandidate("far", "umea-hall")};
   BalancerState state = makeState(all);
   for (const Candidate &it : all) {
     noteStart(state, it, Start);
     noteSuccess(state, it, Micros(8000), Start);
   }
-  CHECK(tally(state, all, Start)["near"] == 1000);
+  CHECK(countChoices(state, all, Start)["near"] == 1000);
   for (int n = 0; n < 8; ++n)
     noteStart(state, all[0], Start);
-  CHECK(tally(state, all, Start)["far"] == 1000);
+  CHECK(countChoices(state, all, Start)["far"] == 1000);
 }
 
-TEST_CASE("A retry goes to another failure domain first", "[choice]") {
-  std::vector<Candidate> all = {candidate("a"), candidate("b"),
-                                candidate("c", "umea-hall")};
+TEST_CASE("A retry prefers another failure domain", "[choice]") {
+  std::vector<Candidate> all = {makeCandidate("a"), makeCandidate("b"),
+                                makeCandidate("c", "umea-hall")};
   BalancerState state = makeState(all);
   std::mt19937_64 random(1);
   std::optional<Candidate> second =
@@ -139,27 +144,28 @@
   CHECK_FALSE(chooseCandidate(state, all, all, std::nullopt, Start, random));
 }
 
-TEST_CASE("Ejection of outliers is bounded and ends", "[choice]") {
-  std::vector<Candidate> all = {candidate("a"), candidate("b"), candidate("c"),
-                                candidate("d")};
+TEST_CASE("Ejection of outliers is bounded in number and time", "[choice]") {
+  std::vector<Candidate> all = {makeCandidate("a"), makeCandidate("b"),
+                                makeCandidate("c"), makeCandidate("d")};
   BalancerState state = makeState(all);
   for (const Candidate &it : all) {
     for (int n = 0; n < 5; ++n) {
       noteStart(state, it, Start);
-      noteFailure(state, it, broken(), all, Start);
+      noteFailure(state, it, makeFailure(), all, Start);
     }
   }
-  std::map<std::string, int> counts = tally(state, all, Start);
-  // Two of four may be out at once, though all four failed.
+  std::map<std::string, int> counts = countChoices(state, all, Start);
+  // At most two of the four are ejected, although all failed.
   CHECK(counts["a"] + counts["b"] == 0);
   CHECK(counts["c"] + counts["d"] == 1000);
   CHECK(timeUntilAvailable(state, all, Start) == Millis(1000));
-  std::map<std::string, int> later = tally(state, all, Start + Millis(1000));
+  std::map<std::string, int> later =
+      countChoices(state, all, Start + Millis(1000));
   CHECK(later["a"] > 0);
 }
 
-TEST_CASE("Refusals for overload do not count against a server", "[choice]") {
-  std::vector<Candidate> all = {candidate("a"), candidate("b")};
+TEST_CASE("Refusals for overload do not eject a server", "[choice]") {
+  std::vector<Candidate> all = {makeCandidate("a"), makeCandidate("b")};
   BalancerState state = makeState(all);
   Failure full{Verdict::NotRun, FailureCode::Overloaded, "a", "full",
                Millis(60000)};
@@ -167,12 +173,13 @@
     noteStart(state, all[0], Start);
     noteFailure(state, all[0], full, all, Start);
   }
-  CHECK(tally(state, all, Start)["a"] == 0);
-  CHECK(tally(state, all, Start + Millis(21))["a"] > 0);
+  CHECK(countChoices(state, all, Start)["a"] == 0);
+  CHECK(countChoices(state, all, Start + Millis(21))["a"] > 0);
 }
 
-TEST_CASE("A server full for one caller is asked for another", "[choice]") {
-  std::vector<Candidate> all = {candidate("a")};
+TEST_CASE("A server that refused one flow for overload serves others",
+          "[choice]") {
+  std::vector<Candidate> all = {makeCandidate("a")};
   BalancerState state = makeState(all);
   Failure full{Verdict::NotRun, FailureCode::Overloaded, "a", "full",
                Millis(60000)};
@@ -184,7 +191,8 @@
   CHECK(timeUntilAvailable(state, all, Start, "greedy") == Millis(20));
   CHECK(chooseCandidate(state, all, {}, std::nullopt, Start, random, "modest"));
   CHECK(timeUntilAvailable(state, all, Start, "modest") == Millis(0));
-  // Beyond a bound it is full for everyone, and forgotten later.
+  // With too many refused flows the server is avoided for all, for a short
+  // time.
   for (int n = 0; n < 100; ++n) {
     noteStart(state, all[0], Start);
     noteFailure(state, all[0], full, all, Start, std::to_string(n));
@@ -196,10 +204,10 @@
                         random, "greedy"));
 }
 
-TEST_CASE("A slow server in the own domain leaves a choice", "[choice]") {
-  std::vector<Candidate> all = {candidate("slow"), candidate("near"),
-                                candidate("far", "umea-hall"),
-                                candidate("full", "umea-hall")};
+TEST_CASE("A slow server in the own failure domain is not chosen", "[choice]") {
+  std::vector<Candidate> all = {makeCandidate("slow"), makeCandidate("near"),
+                                makeCandidate("far", "umea-hall"),
+                                makeCandidate("full", "umea-hall")};
   BalancerState state = makeState(all);
   for (const Candidate &it : all) {
     noteStart(state, it, Start);
@@ -208,23 +216,24 @@
   }
   for (int n = 0; n < 8; ++n)
     noteStart(state, all[3], Start);
-  std::map<std::string, int> counts = tally(state, all, Start);
+  std::map<std::string, int> counts = countChoices(state, all, Start);
   CHECK(counts["slow"] == 0);
   CHECK(counts["full"] == 0);
 }
 
-TEST_CASE("A leaving daemon gets nothing new, its successor does", "[choice]") {
-  std::vector<Candidate> all = {candidate("a"), candidate("b")};
+TEST_CASE("A leaving daemon gets no requests, its next incarnation does",
+          "[choice]") {
+  std::vector<Candidate> all = {makeCandidate("a"), makeCandidate("b")};
   BalancerState state = makeState(all);
   noteLeaving(state, InstanceName("i-a"));
-  CHECK(tally(state, all, Start)["a"] == 0);
+  CHECK(countChoices(state, all, Start)["a"] == 0);
   all[0].Life = 2;
   retainServers(state, {{ServiceName("s"), all}}, Start);
-  CHECK(tally(state, all, Start + Millis(60000))["a"] > 0);
+  CHECK(countChoices(state, all, Start + Millis(60000))["a"] > 0);
 }
 
-TEST_CASE("A fresh server starts slowly", "[choice]") {
-  std::vector<Candidate> all = {candidate("old"), candidate("new")};
+TEST_CASE("A new server starts slowly", "[choice]") {
+  std::vector<Candidate> all = {makeCandidate("old"), makeCandidate("new")};
   BalancerState state = makeState({all[0]});
   retainServers(state, {{ServiceName("s"), all}}, Start);
   double fresh = expectedWait(state, all[1], Start);
@@ -233,8 +242,10 @@
   CHECK(warm == Approx(expectedWait(state, all[0], Start)));
 }
 
-TEST_CASE("A cached prefix draws work until its server is busy", "[choice]") {
-  std::vector<Candidate> all = {candidate("a"), candidate("b"), candidate("c")};
+TEST_CASE("The server with a cached prefix is preferred until it is busy",
+          "[choice]") {
+  std::vector<Candidate> all = {makeCandidate("a"), makeCandidate("b"),
+                                makeCandidate("c")};
   BalancerState state = makeState(all);
   std::mt19937_64 random(3);
   for (int n = 0; n < 100; ++n)
@@ -247,7 +258,7 @@
           all[1].Key);
 }
 
-TEST_CASE("Candidates are the serving servers of members that take work",
+TEST_CASE("Candidates are the serving servers of daemons that take work",
           "[choice]") {
   View view;
   Member member;
@@ -264,7 +275,8 @@
   }
 }
 
-TEST_CASE("A fresh entry knows whether each service has a server", "[choice]") {
+TEST_CASE("Each declared service with placements needs a candidate",
+          "[choice]") {
   Configuration declared;
   ServiceDeclaration service;
   service.Name = ServiceName("s");
@@ -283,7 +295,7 @@
   view.Members[member.Instance] = member;
   CHECK(hasAllCandidates(declared, view));
 
-  // A service that is to have no servers is not waited for.
+  // A service without placements needs no candidate.
   service.Name = ServiceName("later");
   service.Placements.clear();
   declared.Services[service.Name] = service;
@@ -293,12 +305,12 @@
   CHECK_FALSE(hasAllCandidates(declared, view));
 }
 
-TEST_CASE("Prefix hints are bounded and decay", "[choice]") {
+TEST_CASE("Prefix hints are bounded and expire", "[choice]") {
   PrefixHints::Settings limits;
   limits.Capacity = 2;
-  limits.Span = Millis(100);
+  limits.HintLifetime = Millis(100);
   PrefixHints hints(limits);
-  ServerKey a = candidate("a").Key;
+  ServerKey a = makeCandidate("a").Key;
   hints.place(1, a, Start);
   hints.place(2, a, Start);
   hints.place(1, a, Start + Millis(1));
@@ -311,7 +323,7 @@
         hashPromptPrefix(std::string(64, 'x') + "b"));
 }
 
-TEST_CASE("Retries are a share of the successes", "[choice]") {
+TEST_CASE("Retries are limited to a share of the successes", "[choice]") {
   RetryBudget budget = makeRetryBudget(RetryBudget::Settings{0.1, 2.0});
   int retries = 0;
   for (int n = 0; n < 100; ++n) {
--- a/UnitTests/Routing/ProblemTest.cpp
+++ b/UnitTests/Routing/ProblemTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a caller is told of a failure.
+/// Tests of the error responses to callers.
 #include "Wasabi/Routing/Problem.h"
 
 #include <boost/json/parse.hpp>
@@ -9,15 +9,15 @@
 
 namespace wasabi {
 
-TEST_CASE("A refusal tells its verdict, and when to come back", "[verdict]") {
+TEST_CASE("A refusal carries its verdict and a retry delay", "[verdict]") {
   Failure why{Verdict::NotRun, FailureCode::Overloaded, "server a", "full",
               Millis(1200)};
-  http::Response told = problemResponse(why);
-  CHECK(told.Status == 503);
-  CHECK(told.header(VerdictHeader) == "not-run");
-  CHECK(told.header("Retry-After") == "2");
-  CHECK(told.header("Content-Type") == "application/problem+json");
-  boost::json::value body = boost::json::parse(told.Body);
+  http::Response response = problemResponse(why);
+  CHECK(response.Status == 503);
+  CHECK(response.header(VerdictHeader) == "not-run");
+  CHECK(response.header("Retry-After") == "2");
+  CHECK(response.header("Content-Type") == "application/problem+json");
+  boost::json::value body = boost::json::parse(response.Body);
   CHECK(body.at("type").as_string() == "urn:wasabisail:problem:overloaded");
   CHECK(body.at("status").as_int64() == 503);
   CHECK(body.at("verdict").as_string() == "not-run");
@@ -26,12 +26,12 @@
   CHECK(body.at("title").is_string());
 }
 
-TEST_CASE("Each failure has its status", "[verdict]") {
+TEST_CASE("Each failure maps to its HTTP status", "[verdict]") {
   struct Row {
     Verdict Run;
     FailureCode Code;
     unsigned Status;
-    bool ComeBack;
+    bool HasRetryAfter;
   };
   const std::vector<Row> rows = {
       {Verdict::NotRun, FailureCode::BadInput, 400, false},
@@ -49,21 +49,22 @@
   };
   for (const Row &it : rows) {
     INFO(toText(it.Run) << " " << toText(it.Code));
-    http::Response told =
+    http::Response response =
         problemResponse(Failure{it.Run, it.Code, "place", "reason", {}});
-    CHECK(told.Status == it.Status);
-    CHECK(told.header(VerdictHeader) == toText(it.Run));
-    CHECK(told.header("Retry-After").empty() != it.ComeBack);
+    CHECK(response.Status == it.Status);
+    CHECK(response.header(VerdictHeader) == toText(it.Run));
+    CHECK(response.header("Retry-After").empty() != it.HasRetryAfter);
   }
 }
 
-TEST_CASE("What may be asked again with its key is told so", "[verdict]") {
-  http::Response told =
+TEST_CASE("A failure with a retry delay maps to 503 with Retry-After",
+          "[verdict]") {
+  http::Response response =
       problemResponse(Failure{Verdict::MayHaveRun, FailureCode::Unreachable,
                               "daemon", "gone", Millis(1000)});
-  CHECK(told.Status == 503);
-  CHECK(told.header(VerdictHeader) == "may-have-run");
-  CHECK(told.header("Retry-After") == "1");
+  CHECK(response.Status == 503);
+  CHECK(response.header(VerdictHeader) == "may-have-run");
+  CHECK(response.header("Retry-After") == "1");
 }
 
 } // namespace wasabi
--- a/UnitTests/Routing/RouteMatchTest.cpp
+++ b/UnitTests/Routing/RouteMatchTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which service a request is for, and whether it may be repeated.
+/// Tests of matching requests to services, and of whether they may be repeated.
 #include "Wasabi/Routing/RouteMatch.h"
 
 #include <catch2/catch.hpp>
@@ -7,7 +7,7 @@
 namespace wasabi {
 namespace {
 
-Configuration declared() {
+Configuration makeConfiguration() {
   Configuration config;
   ServiceDeclaration llm;
   llm.Name = ServiceName("drafting-llm");
@@ -22,9 +22,9 @@
   return config;
 }
 
-http::Request ask(std::string Method, std::string Target,
-                  std::vector<http::Header> Headers = {},
-                  std::string Body = "") {
+http::Request makeRequest(std::string Method, std::string Target,
+                          std::vector<http::Header> Headers = {},
+                          std::string Body = "") {
   return http::Request{std::move(Method), std::move(Target), std::move(Headers),
                        std::move(Body)};
 }
@@ -32,10 +32,10 @@
 } // namespace
 
 TEST_CASE("A service is found by header, path or model", "[route]") {
-  Configuration config = declared();
+  Configuration config = makeConfiguration();
   Outcome<RouteMatch> byHeader = matchRoute(
-      config, ask("GET", "/sites?x=1",
-                  {{"x-service", "lease-desk"}, {"X-Caller", "crew"}}));
+      config, makeRequest("GET", "/sites?x=1",
+                          {{"x-service", "lease-desk"}, {"X-Caller", "crew"}}));
   REQUIRE(byHeader);
   CHECK(byHeader->Service == ServiceName("lease-desk"));
   CHECK(byHeader->Target == "/sites?x=1");
@@ -44,17 +44,17 @@
   CHECK(byHeader->Deadline == Millis(700));
 
   Outcome<RouteMatch> byPath =
-      matchRoute(config, ask("GET", "/services/lease-desk/sites?x=1"));
+      matchRoute(config, makeRequest("GET", "/services/lease-desk/sites?x=1"));
   REQUIRE(byPath);
   CHECK(byPath->Target == "/sites?x=1");
   Outcome<RouteMatch> bare =
-      matchRoute(config, ask("GET", "/services/lease-desk?x=1"));
+      matchRoute(config, makeRequest("GET", "/services/lease-desk?x=1"));
   REQUIRE(bare);
   CHECK(bare->Target == "/?x=1");
 
   Outcome<RouteMatch> byModel = matchRoute(
-      config, ask("POST", "/v1/completions", {},
-                  R"({"model":"drafts","prompt":"p","stream":true})"));
+      config, makeRequest("POST", "/v1/completions", {},
+                          R"({"model":"drafts","prompt":"p","stream":true})"));
   REQUIRE(byModel);
   CHECK(byModel->Service == ServiceName("drafting-llm"));
   CHECK(byModel->Completion);
@@ -63,44 +63,52 @@
   CHECK(byModel->Idempotent);
 }
 
-TEST_CASE("What may be repeated follows routes and the caller", "[route]") {
-  Configuration config = declared();
+TEST_CASE("Routes and the caller decide whether a request may be repeated",
+          "[route]") {
+  Configuration config = makeConfiguration();
   std::vector<http::Header> named = {{"X-Service", "lease-desk"}};
-  CHECK_FALSE(matchRoute(config, ask("POST", "/quotes", named))->Idempotent);
-  CHECK(matchRoute(config, ask("POST", "/search/all", named))->Idempotent);
+  CHECK_FALSE(
+      matchRoute(config, makeRequest("POST", "/quotes", named))->Idempotent);
+  CHECK(matchRoute(config, makeRequest("POST", "/search/all", named))
+            ->Idempotent);
   named.push_back({"X-Idempotent", "false"});
-  CHECK_FALSE(matchRoute(config, ask("GET", "/sites", named))->Idempotent);
-  // A caller cannot make a call repeatable that its route says is not.
+  CHECK_FALSE(
+      matchRoute(config, makeRequest("GET", "/sites", named))->Idempotent);
+  // A caller cannot override a route that forbids repeats.
   std::vector<http::Header> claims = {{"X-Service", "lease-desk"},
                                       {"X-Idempotent", "true"}};
-  CHECK_FALSE(matchRoute(config, ask("POST", "/quotes", claims))->Idempotent);
+  CHECK_FALSE(
+      matchRoute(config, makeRequest("POST", "/quotes", claims))->Idempotent);
 }
 
-TEST_CASE("A request that cannot be understood did not run", "[route]") {
-  Configuration config = declared();
+TEST_CASE("An invalid request is refused as not run", "[route]") {
+  Configuration config = makeConfiguration();
   struct Row {
-    http::Request Ask;
+    http::Request Request;
     FailureCode Code;
     std::string Place;
   };
   const std::vector<Row> rows = {
-      {ask("GET", "/"), FailureCode::BadInput, "request"},
-      {ask("GET", "/services/unknown/x"), FailureCode::NoUpstream,
+      {makeRequest("GET", "/"), FailureCode::BadInput, "request"},
+      {makeRequest("GET", "/services/unknown/x"), FailureCode::NoUpstream,
        "service unknown"},
-      {ask("POST", "/v1/completions", {}, "{"), FailureCode::BadInput, "body"},
-      {ask("POST", "/v1/completions", {}, R"({"model":"other"})"),
+      {makeRequest("POST", "/v1/completions", {}, "{"), FailureCode::BadInput,
+       "body"},
+      {makeRequest("POST", "/v1/completions", {}, R"({"model":"other"})"),
        FailureCode::NoUpstream, "service of model 'other'"},
-      {ask("GET", "/", {{"X-Service", "lease-desk"}, {"X-Deadline-Ms", "0"}}),
+      {makeRequest("GET", "/",
+                   {{"X-Service", "lease-desk"}, {"X-Deadline-Ms", "0"}}),
        FailureCode::BadInput, "header X-Deadline-Ms"},
-      {ask("GET", "/", {{"X-Service", "lease-desk"}, {"X-Deadline-Ms", "5s"}}),
+      {makeRequest("GET", "/",
+                   {{"X-Service", "lease-desk"}, {"X-Deadline-Ms", "5s"}}),
        FailureCode::BadInput, "header X-Deadline-Ms"},
-      {ask("POST", "/",
-           {{"X-Service", "lease-desk"},
-            {"Idempotency-Key", std::string(256, 'k')}}),
+      {makeRequest("POST", "/",
+                   {{"X-Service", "lease-desk"},
+                    {"Idempotency-Key", std::string(256, 'k')}}),
        FailureCode::BadInput, "header Idempotency-Key"},
   };
   for (const Row &it : rows) {
-    Outcome<RouteMatch> match = matchRoute(config, it.Ask);
+    Outcome<RouteMatch> match = matchRoute(config, it.Request);
     INFO(it.Place);
     REQUIRE_FALSE(match);
     CHECK(match.failure().Run == Verdict::NotRun);
--- a/Wasabi/Routing/Admission.cpp
+++ b/Wasabi/Routing/Admission.cpp
@@ -9,16 +9,16 @@
     : Server(std::move(Server)), Setup(Setup),
       Limit(makeConcurrencyLimit(Setup.Concurrency, Now)) {}
 
-double Admission::serviceMicros() const {
+double Admission::averageServiceMicros() const {
   return AverageMicros > 0
              ? AverageMicros
              : static_cast<double>(Setup.DefaultServiceTime.count());
 }
 
-Failure Admission::overloaded(std::string Reason, Micros Wait) const {
-  Millis back = std::max(Millis(1), std::chrono::ceil<Millis>(Wait));
+Failure Admission::makeOverloaded(std::string Reason, Micros Wait) const {
+  Millis retryAfter = std::max(Millis(1), std::chrono::ceil<Millis>(Wait));
   return Failure{Verdict::NotRun, FailureCode::Overloaded, "server " + Server,
-                 std::move(Reason), back};
+                 std::move(Reason), retryAfter};
 }
 
 Micros Admission::expectedWait(std::int32_t Priority) const {
@@ -26,75 +26,80 @@
       Waiting.begin(), Waiting.end(),
       [&](const AdmissionRequest &it) { return it.Priority >= Priority; });
   double limit = std::max(1.0, Limit.Limit);
-  double wait = (static_cast<double>(ahead) + 1.0) / limit * serviceMicros();
+  double wait =
+      (static_cast<double>(ahead) + 1.0) / limit * averageServiceMicros();
   return Micros(static_cast<std::int64_t>(wait));
 }
 
-bool Admission::canStart(const AdmissionRequest &Ask) const {
-  if (Running.size() >= Limit.whole())
+bool Admission::canStart(const AdmissionRequest &Request) const {
+  if (Running.size() >= Limit.effectiveLimit())
     return false;
-  if (!Ask.Rollout)
+  if (!Request.Rollout)
     return true;
   constexpr double Hundred = 100.0;
-  double most = std::floor(Limit.Limit * RolloutPercent / Hundred);
-  // A share that is not nothing lets at least one run.
+  double maxRollouts = std::floor(Limit.Limit * RolloutPercent / Hundred);
+  // A share above 0 admits at least one rollout.
   if (RolloutPercent > 0)
-    most = std::max(1.0, most);
-  return !Held && RunningRollouts < most;
+    maxRollouts = std::max(1.0, maxRollouts);
+  return !RolloutsHeld && RunningRollouts < maxRollouts;
 }
 
-AdmissionChange Admission::offer(AdmissionRequest Ask, TimePoint Now) {
+AdmissionChange Admission::offer(AdmissionRequest Request, TimePoint Now) {
   AdmissionChange change;
-  bool first = std::none_of(
+  bool canGoFirst = std::none_of(
       Waiting.begin(), Waiting.end(), [&](const AdmissionRequest &it) {
-        return it.Priority >= Ask.Priority && canStart(it);
+        return it.Priority >= Request.Priority && canStart(it);
       });
-  if (first && canStart(Ask)) {
-    join(Ask);
-    change.Started.push_back(Ask.Id);
-    start(Ask, Now);
+  if (canGoFirst && canStart(Request)) {
+    addToFlow(Request);
+    change.Started.push_back(Request.Id);
+    start(Request, Now);
     return change;
   }
-  // Refused early rather than late: it could not be answered in time.
-  Micros wait = expectedWait(Ask.Priority);
-  if (Now + wait > Ask.Deadline) {
+  // Refuse now instead of when the deadline passes in the queue.
+  Micros wait = expectedWait(Request.Priority);
+  if (Now + wait > Request.Deadline) {
     change.Refused.push_back(
-        {Ask.Id, overloaded("its wait would outlast its deadline", wait)});
+        {Request.Id,
+         makeOverloaded("the expected wait exceeds the deadline", wait)});
     return change;
   }
-  if (!makeRoom(Ask, change)) {
-    change.Refused.push_back({Ask.Id, overloaded("its queue is full", wait)});
+  if (!evictIfFull(Request, change)) {
+    change.Refused.push_back(
+        {Request.Id, makeOverloaded("the queue is full", wait)});
     return change;
   }
-  join(Ask);
-  Waiting.push_back(std::move(Ask));
+  addToFlow(Request);
+  Waiting.push_back(std::move(Request));
   return change;
 }
 
-/// True when the queue has a place, which one of lower priority, or of a flow
-/// that holds more than its part, may have lost.
-bool Admission::makeRoom(const AdmissionRequest &For, AdmissionChange &Change) {
-  double most = std::max(static_cast<double>(Setup.MinQueueCapacity),
-                         Setup.QueueFactor * Limit.Limit);
-  if (static_cast<double>(Waiting.size()) < most)
+/// Returns true if the queue has room for `Incoming`. If the queue is full, a
+/// request of lower priority, or of the same priority and a flow with a larger
+/// share of the queue, is refused to make room.
+bool Admission::evictIfFull(const AdmissionRequest &Incoming,
+                            AdmissionChange &Changes) {
+  double capacity = std::max(static_cast<double>(Setup.MinQueueCapacity),
+                             Setup.QueueFactor * Limit.Limit);
+  if (static_cast<double>(Waiting.size()) < capacity)
     return true;
-  Queue::iterator loser = findLastOfLowestPriority();
-  std::string reason = "it gave way to a higher priority";
-  if (loser != Waiting.end() && loser->Priority == For.Priority) {
-    loser = findLastOfLargestFlow(For);
-    reason = "its queue is full, and others have less of it";
+  Queue::iterator victim = findLastOfLowestPriority();
+  std::string reason = "displaced by a request of higher priority";
+  if (victim != Waiting.end() && victim->Priority == Incoming.Priority) {
+    victim = findLastOfLargestFlow(Incoming);
+    reason = "the queue is full, and this flow holds the largest share";
   }
-  if (loser == Waiting.end() || loser->Priority > For.Priority)
+  if (victim == Waiting.end() || victim->Priority > Incoming.Priority)
     return false;
-  Change.Refused.push_back(
-      {loser->Id,
-       overloaded(std::move(reason), expectedWait(loser->Priority))});
-  part(*loser);
-  Waiting.erase(loser);
+  Changes.Refused.push_back(
+      {victim->Id,
+       makeOverloaded(std::move(reason), expectedWait(victim->Priority))});
+  removeFromFlow(*victim);
+  Waiting.erase(victim);
   return true;
 }
 
-/// The last to come of the lowest priority.
+/// Returns the newest queued request of the lowest priority.
 Admission::Queue::iterator Admission::findLastOfLowestPriority() {
   Queue::iterator lowest = Waiting.end();
   for (Queue::iterator it = Waiting.begin(); it != Waiting.end(); ++it) {
@@ -104,68 +109,71 @@
   return lowest;
 }
 
-/// The last to come of the flow that holds most of the queue over its weight,
-/// in the priority of `For`; none if `For`'s own would then hold as much.
+/// Returns the newest request of the flow with the largest weighted share of
+/// the queue at the priority of `Incoming`. Returns `Waiting.end()` if no flow
+/// would hold more than the flow of `Incoming` with it included.
 Admission::Queue::iterator
-Admission::findLastOfLargestFlow(const AdmissionRequest &For) {
-  struct Part {
-    double Held = 0;
-    Queue::iterator Last;
+Admission::findLastOfLargestFlow(const AdmissionRequest &Incoming) {
+  struct FlowShare {
+    double Queued = 0;
+    Queue::iterator Newest;
   };
-  std::map<std::string_view, Part> parts;
+  std::map<std::string_view, FlowShare> shares;
   for (Queue::iterator it = Waiting.begin(); it != Waiting.end(); ++it) {
-    if (it->Priority != For.Priority)
+    if (it->Priority != Incoming.Priority)
       continue;
-    Part &part = parts[it->Flow];
-    part.Held += 1.0 / std::max(1u, it->FlowWeight);
-    part.Last = it;
+    FlowShare &share = shares[it->Flow];
+    share.Queued += 1.0 / std::max(1u, it->FlowWeight);
+    share.Newest = it;
   }
-  double own = 1.0 / std::max(1u, For.FlowWeight);
-  std::map<std::string_view, Part>::const_iterator mine = parts.find(For.Flow);
-  if (mine != parts.end())
-    own += mine->second.Held;
-  Queue::iterator greediest = Waiting.end();
-  for (const std::pair<const std::string_view, Part> &it : parts) {
-    if (it.second.Held <= own)
+  double own = 1.0 / std::max(1u, Incoming.FlowWeight);
+  std::map<std::string_view, FlowShare>::const_iterator mine =
+      shares.find(Incoming.Flow);
+  if (mine != shares.end())
+    own += mine->second.Queued;
+  Queue::iterator victim = Waiting.end();
+  for (const std::pair<const std::string_view, FlowShare> &it : shares) {
+    if (it.second.Queued <= own)
       continue;
-    own = it.second.Held;
-    greediest = it.second.Last;
+    own = it.second.Queued;
+    victim = it.second.Newest;
   }
-  return greediest;
+  return victim;
 }
 
-void Admission::join(const AdmissionRequest &Ask) {
-  Flow &flow = Flows[Ask.Flow];
-  // Service not asked for earlier is not owed later.
-  if (flow.Members == 0)
-    flow.Served = std::max(flow.Served, VirtualTime);
-  ++flow.Members;
+void Admission::addToFlow(const AdmissionRequest &Request) {
+  Flow &flow = Flows[Request.Flow];
+  // A flow that was idle gets no credit for that time.
+  if (flow.Requests == 0)
+    flow.ServiceUsed = std::max(flow.ServiceUsed, VirtualTime);
+  ++flow.Requests;
 }
 
-void Admission::part(const AdmissionRequest &Ask) {
-  std::map<std::string, Flow>::iterator it = Flows.find(Ask.Flow);
+void Admission::removeFromFlow(const AdmissionRequest &Request) {
+  std::map<std::string, Flow>::iterator it = Flows.find(Request.Flow);
   if (it == Flows.end())
     return;
-  --it->second.Members;
-  if (it->second.Members == 0 && it->second.Served <= VirtualTime)
+  --it->second.Requests;
+  if (it->second.Requests == 0 && it->second.ServiceUsed <= VirtualTime)
     Flows.erase(it);
 }
 
-void Admission::start(const AdmissionRequest &Ask, TimePoint Now) {
-  Flow &flow = Flows[Ask.Flow];
-  VirtualTime = std::max(VirtualTime, flow.Served);
-  double charged = serviceMicros() / std::max(1u, Ask.FlowWeight);
-  flow.Served += charged;
-  if (Ask.Rollout)
+void Admission::start(const AdmissionRequest &Request, TimePoint Now) {
+  Flow &flow = Flows[Request.Flow];
+  VirtualTime = std::max(VirtualTime, flow.ServiceUsed);
+  double charged = averageServiceMicros() / std::max(1u, Request.FlowWeight);
+  flow.ServiceUsed += charged;
+  if (Request.Rollout)
     ++RunningRollouts;
-  std::uint64_t id = Ask.Id;
-  Running.emplace(id, RunningRequest{Ask, Now, charged});
+  std::uint64_t id = Request.Id;
+  Running.emplace(id, RunningRequest{Request, Now, charged});
   Limit = withRunning(Limit, running(), Now);
 }
 
-/// The next to start: of the highest priority that may, the flow that had the
-/// least, and in it the first to come.
-Admission::Queue::iterator Admission::next() {
+/// Returns the queued request to start next: the highest priority that can
+/// start, then the flow with the least service used, then the oldest request.
+/// Returns `Waiting.end()` if none can start.
+Admission::Queue::iterator Admission::findNext() {
   Queue::iterator best = Waiting.end();
   for (Queue::iterator it = Waiting.begin(); it != Waiting.end(); ++it) {
     if (!canStart(*it))
@@ -175,38 +183,40 @@
       continue;
     }
     if (it->Priority == best->Priority &&
-        Flows[it->Flow].Served < Flows[best->Flow].Served)
+        Flows[it->Flow].ServiceUsed < Flows[best->Flow].ServiceUsed)
       best = it;
   }
   return best;
 }
 
-void Admission::startWaiting(AdmissionChange &Change, TimePoint Now) {
+void Admission::startWaiting(AdmissionChange &Changes, TimePoint Now) {
   for (;;) {
-    Queue::iterator it = next();
+    Queue::iterator it = findNext();
     if (it == Waiting.end())
       return;
-    AdmissionRequest ask = std::move(*it);
+    AdmissionRequest request = std::move(*it);
     Waiting.erase(it);
-    if (ask.Deadline <= Now) {
-      part(ask);
-      Change.Refused.push_back(
-          {ask.Id, overloaded("it waited until its deadline", Micros(0))});
+    if (request.Deadline <= Now) {
+      removeFromFlow(request);
+      Changes.Refused.push_back(
+          {request.Id,
+           makeOverloaded("the deadline passed in the queue", Micros(0))});
       continue;
     }
-    Change.Started.push_back(ask.Id);
-    start(ask, Now);
+    Changes.Started.push_back(request.Id);
+    start(request, Now);
   }
 }
 
-void Admission::end(const RunningRequest &Ended, TimePoint Now) {
-  if (Ended.Ask.Rollout)
+void Admission::recordEnd(const RunningRequest &Completed, TimePoint Now) {
+  if (Completed.Request.Rollout)
     --RunningRollouts;
-  // What it really took replaces what was assumed.
-  double took = static_cast<double>((Now - Ended.Began).count());
-  Flows[Ended.Ask.Flow].Served +=
-      took / std::max(1u, Ended.Ask.FlowWeight) - Ended.Charged;
-  part(Ended.Ask);
+  // Replace the service time assumed at the start by the actual one.
+  double tookMicros = static_cast<double>((Now - Completed.StartedAt).count());
+  Flows[Completed.Request.Flow].ServiceUsed +=
+      tookMicros / std::max(1u, Completed.Request.FlowWeight) -
+      Completed.ChargedMicros;
+  removeFromFlow(Completed.Request);
 }
 
 AdmissionChange Admission::finish(std::uint64_t Id, TimePoint Now) {
@@ -215,13 +225,13 @@
       Running.find(Id);
   if (it == Running.end())
     return change;
-  Micros took = Now - it->second.Began;
+  Micros took = Now - it->second.StartedAt;
   double sample = static_cast<double>(took.count());
   AverageMicros = AverageMicros <= 0
                       ? sample
                       : (1 - Setup.SampleWeight) * AverageMicros +
                             Setup.SampleWeight * sample;
-  end(it->second, Now);
+  recordEnd(it->second, Now);
   Running.erase(it);
   Limit = afterAnswer(withRunning(Limit, running(), Now), Now);
   startWaiting(change, Now);
@@ -236,7 +246,7 @@
   std::unordered_map<std::uint64_t, RunningRequest>::iterator it =
       Running.find(Id);
   if (it != Running.end()) {
-    end(it->second, Now);
+    recordEnd(it->second, Now);
     Running.erase(it);
     Limit = withRunning(Limit, running(), Now);
   } else {
@@ -244,7 +254,7 @@
          ++waiting) {
       if (waiting->Id != Id)
         continue;
-      part(*waiting);
+      removeFromFlow(*waiting);
       Waiting.erase(waiting);
       break;
     }
@@ -261,8 +271,9 @@
       continue;
     }
     change.Refused.push_back(
-        {it->Id, overloaded("it waited until its deadline", Micros(0))});
-    part(*it);
+        {it->Id,
+         makeOverloaded("the deadline passed in the queue", Micros(0))});
+    removeFromFlow(*it);
     it = Waiting.erase(it);
   }
   startWaiting(change, Now);
@@ -286,7 +297,7 @@
 
 AdmissionChange Admission::holdRollouts(bool Hold, TimePoint Now) {
   AdmissionChange change;
-  Held = Hold;
+  RolloutsHeld = Hold;
   startWaiting(change, Now);
   return change;
 }
--- a/Wasabi/Routing/Admission.h
+++ b/Wasabi/Routing/Admission.h
@@ -1,8 +1,7 @@
 /// \file
-/// Admission to one server: how many run, who waits, who is refused early. The
-/// queue is bounded by what its members' deadlines allow; higher priorities go
-/// first, and flows of one priority share by weight
-/// (docs/design/admission.md).
+/// Admission control for one server: decides which requests run, wait in the
+/// queue or are refused. Higher priorities go first, and flows of the same
+/// priority share the server by weight (docs/design/admission.md).
 #ifndef WASABI_ROUTING_ADMISSION_H
 #define WASABI_ROUTING_ADMISSION_H
 
@@ -20,72 +19,75 @@
 
 namespace wasabi {
 
-/// One request that asks to run. An immutable value.
+/// A request for admission. An immutable value.
 struct AdmissionRequest {
-  /// Names it within this admission.
+  /// Unique among the running and queued requests of one `Admission`.
   std::uint64_t Id = 0;
-  /// Higher goes first.
+  /// Higher values go first.
   std::int32_t Priority = 0;
-  /// A sample, whose share of the server a preset bounds.
+  /// True for a sample of a rollout; the preset limits their share of the
+  /// server.
   bool Rollout = false;
-  /// Who shares with whom: a trainer or a caller.
+  /// Fair-queueing key: the trainer or caller that the request belongs to.
   std::string Flow;
-  /// Weight of the flow against others, from 1.
+  /// Weight of the flow relative to other flows, at least 1.
   std::uint32_t FlowWeight = 1;
-  /// Its deadline.
   TimePoint Deadline;
   bool operator==(const AdmissionRequest &) const = default;
 };
 
-/// One that waited and is refused after all.
+/// A refused request and the reason.
 struct AdmissionRefusal {
   std::uint64_t Id = 0;
   Failure Why;
   bool operator==(const AdmissionRefusal &) const = default;
 };
 
-/// What an event changed: who runs from now on, and who is refused.
+/// The requests that an event started or refused.
 struct AdmissionChange {
   std::vector<std::uint64_t> Started;
   std::vector<AdmissionRefusal> Refused;
   bool operator==(const AdmissionChange &) const = default;
 };
 
-/// Deterministic; time is passed in. Not thread-safe.
+/// Queue and concurrency limit of one server. Deterministic: the caller passes
+/// the time. Not thread-safe.
 class Admission {
 public:
   struct Settings {
     ConcurrencyLimit::Settings Concurrency;
-    /// The queue holds this many times the limit,
+    /// Queue capacity as a multiple of the concurrency limit.
     double QueueFactor = 2.0;
-    /// and at least this many.
+    /// Lower bound of the queue capacity, in requests.
     std::uint32_t MinQueueCapacity = 16;
-    /// Weight of a new sample in the average service time.
+    /// Weight of a new sample in the moving average of the service time, from 0
+    /// to 1.
     double SampleWeight = 0.1;
-    /// Assumed service time before there is a sample.
+    /// Service time assumed until the first request has finished.
     Micros DefaultServiceTime{5000};
   };
 
-  /// Names the server in refusals.
+  /// `Server` is the name given in refusals.
   Admission(std::string Server, Settings Setup, TimePoint Now);
 
-  /// A request asks to run: it starts, waits, or is refused; another one with a
-  /// lower priority, or of a flow that holds more of the queue, may be refused
-  /// for it.
-  AdmissionChange offer(AdmissionRequest Ask, TimePoint Now);
-  /// A running request ended with a whole answer.
+  /// Starts, queues or refuses a new request. If the queue is full, a queued
+  /// request of lower priority, or of a flow that holds a larger share of the
+  /// queue, may be refused in its place.
+  AdmissionChange offer(AdmissionRequest Request, TimePoint Now);
+  /// Records that a running request ended with a complete answer.
   AdmissionChange finish(std::uint64_t Id, TimePoint Now);
-  /// A running or waiting request ended otherwise. `Overloaded` says that the
-  /// server refused for overload or did not answer in time.
+  /// Records that a running or queued request ended without a complete answer.
+  /// `Overloaded` is true if the server refused it for overload or timed out;
+  /// this lowers the concurrency limit.
   AdmissionChange abandon(std::uint64_t Id, bool Overloaded, TimePoint Now);
-  /// Time passed: refuses those whose deadline cannot be held any more.
+  /// Refuses the queued requests whose deadline has passed.
   AdmissionChange tick(TimePoint Now);
-  /// Most of the limit that rollouts may hold, in percent.
+  /// Sets the maximum share of the limit that rollouts may use, in percent.
   AdmissionChange setRolloutPercent(std::uint32_t Percent, TimePoint Now);
-  /// The server said how many it runs at once.
+  /// Sets the number of requests that the server reports to run concurrently.
   AdmissionChange setSlots(std::uint32_t Slots, TimePoint Now);
-  /// While held, nothing that `Rollout` marks starts: the server's weights are
-  /// to be swapped after the running samples.
+  /// While `Held` is true, no request with `Rollout` set starts, so that the
+  /// running samples drain before the server's weights are swapped.
   AdmissionChange holdRollouts(bool Held, TimePoint Now);
 
   std::uint32_t running() const {
@@ -95,39 +97,39 @@
   std::uint32_t queued() const {
     return static_cast<std::uint32_t>(Waiting.size());
   }
-  std::uint32_t limit() const { return Limit.whole(); }
-  /// The limit apart from a measurement at hand, which lowers it for a moment.
+  std::uint32_t limit() const { return Limit.effectiveLimit(); }
+  /// Returns the limit without its temporary reduction during a probe.
   std::uint32_t limitIgnoringProbe() const {
     return static_cast<std::uint32_t>(Limit.Limit);
   }
-  /// The wait to be expected by one that comes now.
+  /// Returns the expected wait of a request that arrives now with `Priority`.
   Micros expectedWait(std::int32_t Priority) const;
 
 private:
   struct RunningRequest {
-    AdmissionRequest Ask;
-    TimePoint Began;
-    double Charged = 0;
+    AdmissionRequest Request;
+    TimePoint StartedAt;
+    double ChargedMicros = 0;
   };
   struct Flow {
-    /// Service taken so far over the weight, in microseconds.
-    double Served = 0;
-    std::uint32_t Members = 0;
+    /// Service time used so far, divided by the weight, in microseconds.
+    double ServiceUsed = 0;
+    std::uint32_t Requests = 0;
   };
   using Queue = std::list<AdmissionRequest>;
 
-  double serviceMicros() const;
-  bool canStart(const AdmissionRequest &Ask) const;
-  Queue::iterator next();
-  void start(const AdmissionRequest &Ask, TimePoint Now);
-  void join(const AdmissionRequest &Ask);
-  void part(const AdmissionRequest &Ask);
-  void end(const RunningRequest &Ended, TimePoint Now);
-  void startWaiting(AdmissionChange &Change, TimePoint Now);
+  double averageServiceMicros() const;
+  bool canStart(const AdmissionRequest &Request) const;
+  Queue::iterator findNext();
+  void start(const AdmissionRequest &Request, TimePoint Now);
+  void addToFlow(const AdmissionRequest &Request);
+  void removeFromFlow(const AdmissionRequest &Request);
+  void recordEnd(const RunningRequest &Completed, TimePoint Now);
+  void startWaiting(AdmissionChange &Changes, TimePoint Now);
   Queue::iterator findLastOfLowestPriority();
-  Queue::iterator findLastOfLargestFlow(const AdmissionRequest &For);
-  bool makeRoom(const AdmissionRequest &For, AdmissionChange &Change);
-  Failure overloaded(std::string Reason, Micros Wait) const;
+  Queue::iterator findLastOfLargestFlow(const AdmissionRequest &Incoming);
+  bool evictIfFull(const AdmissionRequest &Incoming, AdmissionChange &Changes);
+  Failure makeOverloaded(std::string Reason, Micros Wait) const;
 
   const std::string Server;
   const Settings Setup;
@@ -135,11 +137,11 @@
   std::unordered_map<std::uint64_t, RunningRequest> Running;
   std::uint32_t RunningRollouts = 0;
   std::uint32_t RolloutPercent = 100;
-  bool Held = false;
-  /// In the order of arrival.
+  bool RolloutsHeld = false;
+  /// Queued requests in the order of arrival.
   Queue Waiting;
   std::map<std::string, Flow> Flows;
-  /// The least service of those that ran last: where a new flow begins.
+  /// `ServiceUsed` at which a flow that was idle starts, in microseconds.
   double VirtualTime = 0;
   double AverageMicros = 0;
 };
--- a/Wasabi/Routing/AdmissionGate.cpp
+++ b/Wasabi/Routing/AdmissionGate.cpp
@@ -14,8 +14,8 @@
 } // namespace
 
 struct AdmissionGate::Waiter {
-  explicit Waiter(const asio::any_io_executor &Executor) : Changed(Executor) {}
-  BootTimer Changed;
+  explicit Waiter(const asio::any_io_executor &Executor) : Wakeup(Executor) {}
+  BootTimer Wakeup;
   bool Started = false;
   std::optional<Failure> Refused;
 };
@@ -23,16 +23,17 @@
 AdmissionGate::AdmissionGate(asio::any_io_executor Executor, std::string Name,
                              Admission::Settings Setup)
     : Executor(std::move(Executor)),
-      Rules(std::move(Name), Setup, monotonicNow()) {}
+      Queue(std::move(Name), Setup, monotonicNow()) {}
 
 AdmissionGate::~AdmissionGate() = default;
 
 asio::awaitable<Outcome<Done>>
-AdmissionGate::enter(AdmissionRequest Ask, std::function<bool()> Gone) {
-  const std::uint64_t id = Ask.Id;
-  const TimePoint until = Ask.Deadline;
-  AdmissionChange change = Rules.offer(std::move(Ask), monotonicNow());
-  // Most requests start at once and need no waiter.
+AdmissionGate::enter(AdmissionRequest Request,
+                     std::function<bool()> IsCallerGone) {
+  const std::uint64_t id = Request.Id;
+  const TimePoint deadline = Request.Deadline;
+  AdmissionChange change = Queue.offer(std::move(Request), monotonicNow());
+  // A request that starts immediately needs no waiter.
   bool started = change.Started.size() == 1 && change.Started.front() == id;
   if (started && change.Refused.empty())
     co_return Done{};
@@ -40,10 +41,10 @@
   std::shared_ptr<Waiter> waiter = std::make_shared<Waiter>(Executor);
   Waiters.emplace(id, waiter);
   apply(change);
-  while (!waiter->Started && !waiter->Refused && !Gone()) {
-    waiter->Changed.expires_at(until);
-    co_await waiter->Changed.async_wait(Awaited);
-    if (monotonicNow() >= until)
+  while (!waiter->Started && !waiter->Refused && !IsCallerGone()) {
+    waiter->Wakeup.expires_at(deadline);
+    co_await waiter->Wakeup.async_wait(Awaited);
+    if (monotonicNow() >= deadline)
       tick();
   }
   Waiters.erase(id);
@@ -55,26 +56,26 @@
   co_return Failure{Verdict::NotRun,
                     FailureCode::Cancelled,
                     "admission",
-                    "the asker left while it waited",
+                    "the caller left while the request waited",
                     {}};
 }
 
-void AdmissionGate::apply(const AdmissionChange &Change) {
-  for (std::uint64_t it : Change.Started) {
+void AdmissionGate::apply(const AdmissionChange &Changes) {
+  for (std::uint64_t it : Changes.Started) {
     std::unordered_map<std::uint64_t, std::shared_ptr<Waiter>>::iterator found =
         Waiters.find(it);
     if (found == Waiters.end())
       continue;
     found->second->Started = true;
-    found->second->Changed.cancel();
+    found->second->Wakeup.cancel();
   }
-  for (const AdmissionRefusal &it : Change.Refused) {
+  for (const AdmissionRefusal &it : Changes.Refused) {
     std::unordered_map<std::uint64_t, std::shared_ptr<Waiter>>::iterator found =
         Waiters.find(it.Id);
     if (found == Waiters.end())
       continue;
     found->second->Refused = it.Why;
-    found->second->Changed.cancel();
+    found->second->Wakeup.cancel();
   }
 }
 
@@ -82,40 +83,40 @@
   std::unordered_map<std::uint64_t, std::shared_ptr<Waiter>>::iterator it =
       Waiters.find(Id);
   if (it != Waiters.end())
-    it->second->Changed.cancel();
+    it->second->Wakeup.cancel();
 }
 
 void AdmissionGate::finish(std::uint64_t Id) {
-  apply(Rules.finish(Id, monotonicNow()));
+  apply(Queue.finish(Id, monotonicNow()));
 }
 
 void AdmissionGate::abandon(std::uint64_t Id, bool Overloaded) {
   Waiters.erase(Id);
-  apply(Rules.abandon(Id, Overloaded, monotonicNow()));
+  apply(Queue.abandon(Id, Overloaded, monotonicNow()));
 }
 
 void AdmissionPermit::finish() {
   Ended = true;
-  In->finish(Id);
+  Gate->finish(Id);
 }
 
 void AdmissionPermit::leave(bool Overloaded) {
   if (!Ended)
-    In->abandon(Id, Overloaded);
+    Gate->abandon(Id, Overloaded);
 }
 
-void AdmissionGate::tick() { apply(Rules.tick(monotonicNow())); }
+void AdmissionGate::tick() { apply(Queue.tick(monotonicNow())); }
 
 void AdmissionGate::setRolloutPercent(std::uint32_t Percent) {
-  apply(Rules.setRolloutPercent(Percent, monotonicNow()));
+  apply(Queue.setRolloutPercent(Percent, monotonicNow()));
 }
 
 void AdmissionGate::setSlots(std::uint32_t Slots) {
-  apply(Rules.setSlots(Slots, monotonicNow()));
+  apply(Queue.setSlots(Slots, monotonicNow()));
 }
 
 void AdmissionGate::holdRollouts(bool Held) {
-  apply(Rules.holdRollouts(Held, monotonicNow()));
+  apply(Queue.holdRollouts(Held, monotonicNow()));
 }
 
 } // namespace wasabi
--- a/Wasabi/Routing/AdmissionGate.h
+++ b/Wasabi/Routing/AdmissionGate.h
@@ -1,6 +1,5 @@
 /// \file
-/// Admission to a server or a service for coroutines: they wait until they may
-/// run.
+/// Coroutine interface to `Admission`: suspends a request until it may run.
 #ifndef WASABI_ROUTING_ADMISSIONGATE_H
 #define WASABI_ROUTING_ADMISSIONGATE_H
 
@@ -16,7 +15,8 @@
 
 namespace wasabi {
 
-/// Not thread-safe: use on the executor's thread.
+/// Admits requests to one server or service. Not thread-safe: use it on the
+/// executor's thread.
 class AdmissionGate {
 public:
   AdmissionGate(boost::asio::any_io_executor Executor, std::string Name,
@@ -25,53 +25,56 @@
   AdmissionGate(const AdmissionGate &) = delete;
   AdmissionGate &operator=(const AdmissionGate &) = delete;
 
-  /// Waits until `Ask` may run. Failures: `Overloaded`, `NotRun`; `Cancelled`,
-  /// `NotRun`, when the asker left meanwhile (`wake` it then). After a success
-  /// call `leave` once.
-  boost::asio::awaitable<Outcome<Done>> enter(AdmissionRequest Ask,
-                                              std::function<bool()> Gone);
-  /// Lets one that waits ask again whether its asker is gone.
+  /// Waits until `Request` may run. Failures: `Overloaded`, `NotRun`;
+  /// `Cancelled`, `NotRun`, if `IsCallerGone` returns true while it waits; call
+  /// `wake` to have it evaluated. After a success, call `finish` or `abandon`
+  /// once.
+  boost::asio::awaitable<Outcome<Done>>
+  enter(AdmissionRequest Request, std::function<bool()> IsCallerGone);
+  /// Makes a waiting request check again whether its caller has left.
   void wake(std::uint64_t Id);
-  /// It ended: with a whole answer, or since the server is overloaded, or
-  /// otherwise, also while it waited.
+  /// Records that the request ended with a complete answer.
   void finish(std::uint64_t Id);
+  /// Records that the request ended without a complete answer, running or
+  /// waiting. `Overloaded` is true if the server is overloaded.
   void abandon(std::uint64_t Id, bool Overloaded);
 
   void tick();
   void setRolloutPercent(std::uint32_t Percent);
   void setSlots(std::uint32_t Slots);
   void holdRollouts(bool Held);
-  const Admission &admission() const { return Rules; }
+  const Admission &admission() const { return Queue; }
 
 private:
   struct Waiter;
-  void apply(const AdmissionChange &Change);
+  void apply(const AdmissionChange &Changes);
 
   boost::asio::any_io_executor Executor;
-  Admission Rules;
+  Admission Queue;
   std::unordered_map<std::uint64_t, std::shared_ptr<Waiter>> Waiters;
 };
 
-/// A request's place in a gate, which it leaves with this at the latest: also
-/// when the coroutine that waits for it is ended. Used on the gate's thread.
+/// RAII handle of a request's place in a gate. The destructor abandons the
+/// place unless `finish` was called, also if the waiting coroutine is
+/// destroyed. Use it on the gate's thread.
 class AdmissionPermit {
 public:
-  /// `Id` asks for a place from now on.
-  AdmissionPermit(std::shared_ptr<AdmissionGate> In, std::uint64_t Id)
-      : In(std::move(In)), Id(Id) {}
+  /// `Id` is the request that is about to call `AdmissionGate::enter`.
+  AdmissionPermit(std::shared_ptr<AdmissionGate> Gate, std::uint64_t Id)
+      : Gate(std::move(Gate)), Id(Id) {}
   AdmissionPermit(const AdmissionPermit &) = delete;
   AdmissionPermit &operator=(const AdmissionPermit &) = delete;
   ~AdmissionPermit() { leave(false); }
 
-  /// It has its whole answer.
+  /// Records that the request ended with a complete answer.
   void finish();
-  /// It gives its place back, to ask again or not.
+  /// Gives the place back; the request may enter again afterwards.
   void leave(bool Overloaded);
-  AdmissionGate &gate() const { return *In; }
+  AdmissionGate &gate() const { return *Gate; }
   std::uint64_t id() const { return Id; }
 
 private:
-  const std::shared_ptr<AdmissionGate> In;
+  const std::shared_ptr<AdmissionGate> Gate;
   const std::uint64_t Id;
   bool Ended = false;
 };
--- a/Wasabi/Routing/CallerLimits.cpp
+++ b/Wasabi/Routing/CallerLimits.cpp
@@ -6,12 +6,12 @@
 namespace wasabi {
 namespace {
 
-/// A bucket that was not used for this long is forgotten.
-constexpr Millis IdleSpan{60000};
+/// Buckets that are unused for longer are removed.
+constexpr Millis BucketIdleTimeout{60000};
 constexpr char AnyCaller[] = "*";
 
-const CallerLimit *limitOf(const std::map<std::string, CallerLimit> &Declared,
-                           const std::string &Caller) {
+const CallerLimit *findLimit(const std::map<std::string, CallerLimit> &Declared,
+                             const std::string &Caller) {
   std::map<std::string, CallerLimit>::const_iterator it = Declared.find(Caller);
   if (it == Declared.end())
     it = Declared.find(AnyCaller);
@@ -33,7 +33,7 @@
 CallerLimits::take(const std::map<std::string, CallerLimit> &Declared,
                    const std::string &Caller, std::size_t Entries,
                    TimePoint Now) {
-  const CallerLimit *limit = limitOf(Declared, Caller);
+  const CallerLimit *limit = findLimit(Declared, Caller);
   if (!limit)
     return std::nullopt;
   evictIdleBuckets(Now);
@@ -45,9 +45,10 @@
   std::map<std::string, Bucket>::iterator it =
       Buckets.try_emplace(Caller, Bucket{1.0, Now}).first;
   Bucket &bucket = it->second;
-  double passed = std::chrono::duration<double>(Now - bucket.At).count();
-  bucket.Tokens = std::min(burst, bucket.Tokens + passed * rate);
-  bucket.At = Now;
+  double elapsedSeconds =
+      std::chrono::duration<double>(Now - bucket.RefilledAt).count();
+  bucket.Tokens = std::min(burst, bucket.Tokens + elapsedSeconds * rate);
+  bucket.RefilledAt = Now;
   if (bucket.Tokens >= 1.0) {
     bucket.Tokens -= 1.0;
     return std::nullopt;
@@ -58,11 +59,11 @@
 }
 
 void CallerLimits::evictIdleBuckets(TimePoint Now) {
-  if (Now - LastEviction < IdleSpan)
+  if (Now - LastEviction < BucketIdleTimeout)
     return;
   LastEviction = Now;
   std::erase_if(Buckets, [&](const std::pair<const std::string, Bucket> &it) {
-    return Now - it.second.At > IdleSpan;
+    return Now - it.second.RefilledAt > BucketIdleTimeout;
   });
 }
 
--- a/Wasabi/Routing/CallerLimits.h
+++ b/Wasabi/Routing/CallerLimits.h
@@ -1,6 +1,6 @@
 /// \file
-/// Limits of callers at one entry. Each entry grants its part of what is
-/// declared, so that all entries together hold it while they come and go.
+/// Rate limits of callers at one entry. Each entry grants an equal part of the
+/// declared limit, so that all live entries together keep it.
 #ifndef WASABI_ROUTING_CALLERLIMITS_H
 #define WASABI_ROUTING_CALLERLIMITS_H
 
@@ -15,15 +15,17 @@
 
 namespace wasabi {
 
-/// The entries that take callers, self included; at least 1. Pure.
+/// Returns the number of entries that take work, this one included; at least 1.
+/// Pure.
 std::size_t countLiveEntries(const View &Members);
 
-/// One token bucket a caller. Not thread-safe.
+/// A token bucket per caller. Not thread-safe.
 class CallerLimits {
 public:
-  /// Takes one request of a caller; empty when granted, else when to come back.
-  /// A caller's first token is there at once and the rest fills at its rate:
-  /// an entry that has just started must not add a burst of its own.
+  /// Takes a token for one request of `Caller`. Returns an empty value if the
+  /// request is granted, otherwise the delay before a retry. A new bucket holds
+  /// one token instead of the full burst, so that a newly started entry adds no
+  /// burst of its own. `Entries` is the number of live entries, at least 1.
   std::optional<Millis> take(const std::map<std::string, CallerLimit> &Declared,
                              const std::string &Caller, std::size_t Entries,
                              TimePoint Now);
@@ -32,7 +34,7 @@
 private:
   struct Bucket {
     double Tokens = 1.0;
-    TimePoint At;
+    TimePoint RefilledAt;
   };
   void evictIdleBuckets(TimePoint Now);
 
--- a/Wasabi/Routing/CompletionStream.h
+++ b/Wasabi/Routing/CompletionStream.h
@@ -1,6 +1,6 @@
 /// \file
-/// Follows an engine's event stream, so that one that breaks can be resumed
-/// elsewhere from its last whole position, and one that is short is noticed.
+/// Tracks the progress of an engine's event stream, so that a broken stream can
+/// be resumed on another engine and a truncated stream is detected.
 #ifndef WASABI_ROUTING_COMPLETIONSTREAM_H
 #define WASABI_ROUTING_COMPLETIONSTREAM_H
 
@@ -13,42 +13,44 @@
 
 namespace wasabi {
 
-/// Cuts bytes into whole server-sent events. Not thread-safe.
+/// Splits a byte stream into complete server-sent events. Not thread-safe.
 class EventSplitter {
 public:
-  /// The events that `Bytes` completes, each with its closing blank line.
+  /// Appends `Bytes` and returns the events that they complete, each with its
+  /// terminating blank line.
   std::vector<std::string> feed(std::string_view Bytes);
-  /// Whether bytes of an unfinished event are held.
-  bool hasPartialEvent() const { return !Held.empty(); }
+  /// True if bytes of an incomplete event are buffered.
+  bool hasPartialEvent() const { return !Buffer.empty(); }
 
 private:
-  std::string Held;
+  std::string Buffer;
 };
 
-/// How far a completion has come. A value.
+/// Progress of a completion. A value.
 struct CompletionProgress {
-  /// Tokens known so far, those of the request's own `resume` included.
+  /// Tokens received so far, including those of the request's own `resume`.
   std::uint64_t Position = 0;
-  /// Their text.
+  /// Text of these tokens.
   std::string Text;
-  /// The engine said how many tokens there are, and that many came.
-  bool Counted = false;
-  /// The closing `[DONE]` was seen.
+  /// True if the engine's final token count matches `Position`.
+  bool CountConfirmed = false;
+  /// True if the terminating `[DONE]` was received.
   bool Done = false;
   bool operator==(const CompletionProgress &) const = default;
 };
 
-/// The progress at the start, after the request's own `resume` if it has one.
+/// Returns the progress at the start of a stream: that of the request's own
+/// `resume`, if it has one.
 /// Failures: `BadInput`, `NotRun`. Pure.
 Outcome<CompletionProgress> parseInitialProgress(std::string_view RequestBody);
 
-/// Takes one whole event. Failures: `ConnectionLost`, `Ran`, for one out of its
-/// order or a count that does not match, after which nothing of the event may
-/// be passed on. Pure.
+/// Applies one complete event. Failures: `ConnectionLost`, `Ran`, for an event
+/// out of order or a token count that does not match; the event must not be
+/// passed on to the caller then. Pure.
 Outcome<CompletionProgress> applyStreamEvent(CompletionProgress Progress,
                                              std::string_view Event);
 
-/// The request's body that goes on from `Progress`.
+/// Returns the request body that continues the completion from `Progress`.
 /// Precondition: `parseInitialProgress(RequestBody)` succeeded. Pure.
 std::string makeResumeBody(std::string_view RequestBody,
                            const CompletionProgress &Progress);
--- a/Wasabi/Routing/ConcurrencyLimit.cpp
+++ b/Wasabi/Routing/ConcurrencyLimit.cpp
@@ -5,32 +5,33 @@
 namespace wasabi {
 namespace {
 
-/// Weight of a window that was faster than an unloaded one is believed to be.
+/// Weight of a window whose latency is below the known unloaded latency.
 constexpr double FasterWeight = 0.3;
-/// A slow window lowers the limit only while at least this share is in use.
-constexpr double BusyShare = 0.5;
-/// The limit grows only while at least this share of it is in use.
-constexpr double UsedShare = 0.8;
-/// Share of the limit at which the unloaded time is measured. A limit that
-/// stands at `Tolerance` times what the server runs at once is well below it.
+/// A slow window lowers the limit only if more than this share of it was in
+/// use.
+constexpr double MinDecreaseUse = 0.5;
+/// The limit grows only if at least this share of it was in use.
+constexpr double MinIncreaseUse = 0.8;
+/// Share of the limit that a probe admits. It is below the server's capacity
+/// even if the limit is `Tolerance` times that capacity.
 constexpr double ProbeShare = 0.25;
 
-ConcurrencyLimit freshWindow(ConcurrencyLimit Limit, TimePoint Now) {
-  Limit.WindowBegan = Now;
+ConcurrencyLimit startWindow(ConcurrencyLimit Limit, TimePoint Now) {
+  Limit.WindowStartedAt = Now;
   Limit.WindowRequestMicros = 0;
   Limit.WindowSamples = 0;
   Limit.WindowPeak = Limit.Running;
   return Limit;
 }
 
-void clamp(ConcurrencyLimit &Limit) {
+void clampLimit(ConcurrencyLimit &Limit) {
   Limit.Limit =
       std::clamp(Limit.Limit, Limit.Limits.MinLimit, Limit.Limits.MaxLimit);
 }
 
-/// What is faster than the unloaded time corrects it; that it has become slower
-/// only a measurement may tell, or overload would pass for normal.
-void learnFaster(ConcurrencyLimit &Limit, double Average) {
+/// Moves the unloaded latency towards a lower measured one. Only a probe raises
+/// it, as overload would otherwise count as normal latency.
+void lowerUnloadedTime(ConcurrencyLimit &Limit, double Average) {
   if (Limit.UnloadedMicros <= 0)
     Limit.UnloadedMicros = Average;
   else if (Average < Limit.UnloadedMicros)
@@ -39,12 +40,12 @@
 
 ConcurrencyLimit endProbe(ConcurrencyLimit Limit, TimePoint Now) {
   Limit.Probe = ProbeStage::None;
-  Limit.NextProbe = Now + Limit.Limits.ProbePeriod;
-  return freshWindow(Limit, Now);
+  Limit.NextProbeAt = Now + Limit.Limits.LimitProbeInterval;
+  return startWindow(Limit, Now);
 }
 
-bool windowIsWhole(const ConcurrencyLimit &Limit, TimePoint Now) {
-  return Now - Limit.WindowBegan >= Limit.Limits.Window &&
+bool isWindowComplete(const ConcurrencyLimit &Limit, TimePoint Now) {
+  return Now - Limit.WindowStartedAt >= Limit.Limits.Window &&
          Limit.WindowSamples >= Limit.Limits.MinWindowSamples;
 }
 
@@ -52,42 +53,43 @@
   return Limit.WindowRequestMicros / std::max(1u, Limit.WindowSamples);
 }
 
-/// One answer while the unloaded time is measured.
-ConcurrencyLimit probe(ConcurrencyLimit Limit, TimePoint Now) {
-  bool late = Now - Limit.ProbeBegan > Limit.Limits.LimitProbeTimeout;
+/// Handles an answer that arrives during a probe.
+ConcurrencyLimit updateProbe(ConcurrencyLimit Limit, TimePoint Now) {
+  bool hasTimedOut =
+      Now - Limit.ProbeStartedAt > Limit.Limits.LimitProbeTimeout;
   if (Limit.Probe == ProbeStage::Draining) {
-    if (late)
+    if (hasTimedOut)
       return endProbe(Limit, Now);
-    if (Limit.Running > Limit.whole())
+    if (Limit.Running > Limit.effectiveLimit())
       return Limit;
     Limit.Probe = ProbeStage::Measuring;
-    return freshWindow(Limit, Now);
+    return startWindow(Limit, Now);
   }
   ++Limit.WindowSamples;
-  // A server that answers seldom is believed by fewer answers.
-  if (!late && !windowIsWhole(Limit, Now))
+  // After the timeout, fewer samples are sufficient.
+  if (!hasTimedOut && !isWindowComplete(Limit, Now))
     return Limit;
   Limit.UnloadedMicros = meanMicros(Limit);
   return endProbe(Limit, Now);
 }
 
-void judge(ConcurrencyLimit &Limit) {
+void adjustLimit(ConcurrencyLimit &Limit) {
   double average = meanMicros(Limit);
-  learnFaster(Limit, average);
+  lowerUnloadedTime(Limit, average);
   bool slow = Limit.Limits.AdaptToLatency &&
               average > Limit.Limits.Tolerance * Limit.UnloadedMicros;
-  if (slow && Limit.WindowPeak > BusyShare * Limit.Limit)
+  if (slow && Limit.WindowPeak > MinDecreaseUse * Limit.Limit)
     Limit.Limit *= Limit.Limits.Decrease;
-  else if (!slow && Limit.WindowPeak >= UsedShare * Limit.Limit)
+  else if (!slow && Limit.WindowPeak >= MinIncreaseUse * Limit.Limit)
     Limit.Limit += 1;
-  clamp(Limit);
+  clampLimit(Limit);
 }
 
 } // namespace
 
-std::uint32_t ConcurrencyLimit::whole() const {
-  double now = Probe == ProbeStage::None ? Limit : Limit * ProbeShare;
-  return static_cast<std::uint32_t>(std::max(Limits.MinLimit, now));
+std::uint32_t ConcurrencyLimit::effectiveLimit() const {
+  double limit = Probe == ProbeStage::None ? Limit : Limit * ProbeShare;
+  return static_cast<std::uint32_t>(std::max(Limits.MinLimit, limit));
 }
 
 ConcurrencyLimit makeConcurrencyLimit(ConcurrencyLimit::Settings Limits,
@@ -95,17 +97,18 @@
   ConcurrencyLimit limit;
   limit.Limits = Limits;
   limit.Limit = Limits.InitialLimit;
-  limit.WindowBegan = Now;
+  limit.WindowStartedAt = Now;
   limit.RunningSince = Now;
-  limit.NextProbe = Now + Limits.FirstProbeDelay;
-  clamp(limit);
+  limit.NextProbeAt = Now + Limits.FirstProbeDelay;
+  clampLimit(limit);
   return limit;
 }
 
 ConcurrencyLimit withRunning(ConcurrencyLimit Limit, std::uint32_t Running,
                              TimePoint Now) {
-  double passed = static_cast<double>((Now - Limit.RunningSince).count());
-  Limit.WindowRequestMicros += passed * Limit.Running;
+  double elapsedMicros =
+      static_cast<double>((Now - Limit.RunningSince).count());
+  Limit.WindowRequestMicros += elapsedMicros * Limit.Running;
   Limit.Running = Running;
   Limit.RunningSince = Now;
   Limit.WindowPeak = std::max(Limit.WindowPeak, Running);
@@ -114,42 +117,42 @@
 
 ConcurrencyLimit afterAnswer(ConcurrencyLimit Limit, TimePoint Now) {
   if (Limit.Probe != ProbeStage::None)
-    return probe(Limit, Now);
-  if (Limit.Limits.AdaptToLatency && Now >= Limit.NextProbe) {
+    return updateProbe(Limit, Now);
+  if (Limit.Limits.AdaptToLatency && Now >= Limit.NextProbeAt) {
     Limit.Probe = ProbeStage::Draining;
-    Limit.ProbeBegan = Now;
+    Limit.ProbeStartedAt = Now;
     return Limit;
   }
   ++Limit.WindowSamples;
-  if (!windowIsWhole(Limit, Now))
+  if (!isWindowComplete(Limit, Now))
     return Limit;
-  judge(Limit);
-  return freshWindow(Limit, Now);
+  adjustLimit(Limit);
+  return startWindow(Limit, Now);
 }
 
 ConcurrencyLimit afterOverload(ConcurrencyLimit Limit, TimePoint Now) {
-  bool again =
-      Now - Limit.WindowBegan < Limit.Limits.Window && Limit.WindowSamples == 0;
-  if (again)
+  bool isSameWindow = Now - Limit.WindowStartedAt < Limit.Limits.Window &&
+                      Limit.WindowSamples == 0;
+  if (isSameWindow)
     return Limit;
   if (Limit.Limits.DecreaseFromRunning)
     Limit.Limit = std::min(Limit.Limit, static_cast<double>(Limit.Running));
   Limit.Limit *= Limit.Limits.Decrease;
-  clamp(Limit);
-  return freshWindow(Limit, Now);
+  clampLimit(Limit);
+  return startWindow(Limit, Now);
 }
 
 ConcurrencyLimit withSlots(ConcurrencyLimit Limit, std::uint32_t Slots) {
-  double most = std::max(1.0, static_cast<double>(Slots));
-  // A limit that stood at its bound follows it.
-  bool follows =
+  double slots = std::max(1.0, static_cast<double>(Slots));
+  // A limit at its maximum follows the new maximum.
+  bool followsSlots =
       Limit.Limits.AdaptToLatency || Limit.Limit >= Limit.Limits.MaxLimit;
   Limit.Limits.AdaptToLatency = false;
   Limit.Probe = ProbeStage::None;
-  Limit.Limits.MaxLimit = most;
-  if (follows)
-    Limit.Limit = most;
-  clamp(Limit);
+  Limit.Limits.MaxLimit = slots;
+  if (followsSlots)
+    Limit.Limit = slots;
+  clampLimit(Limit);
   return Limit;
 }
 
--- a/Wasabi/Routing/ConcurrencyLimit.h
+++ b/Wasabi/Routing/ConcurrencyLimit.h
@@ -1,7 +1,7 @@
 /// \file
-/// How many requests a server is given at once: additive increase while it
-/// keeps up, multiplicative decrease when its answers slow down or it refuses
-/// (docs/design/admission.md).
+/// Adaptive limit of the concurrent requests at a server: additive increase
+/// while the server keeps up, multiplicative decrease when its latency grows or
+/// it refuses requests (docs/design/admission.md).
 #ifndef WASABI_ROUTING_CONCURRENCYLIMIT_H
 #define WASABI_ROUTING_CONCURRENCYLIMIT_H
 
@@ -11,89 +11,93 @@
 
 namespace wasabi {
 
-/// How far a measurement of the unloaded time is.
+/// Stage of a probe, which measures the latency of the unloaded server.
 enum class ProbeStage : std::uint8_t {
-  /// None is under way.
+  /// No probe is in progress.
   None,
-  /// Waiting until no more than the lowered limit are at the server.
+  /// Waiting until the requests in flight are within the lowered limit.
   Draining,
-  /// Taking samples.
+  /// Collecting samples at the lowered limit.
   Measuring,
 };
 
-/// A value; changed by the functions below.
+/// State of one limit. A value; the functions below return the updated state.
 struct ConcurrencyLimit {
   struct Settings {
     double InitialLimit = 16;
     double MinLimit = 1;
     double MaxLimit = 1024;
-    /// Whether slower answers lower the limit. Off for engines, whose answers
-    /// differ in length: they say how many they run at once.
+    /// True if higher latency lowers the limit. False for engines: the length
+    /// of their answers varies, and they report their number of slots.
     bool AdaptToLatency = true;
-    /// Answers slower than this many times the unloaded ones are too slow.
+    /// Latency above this multiple of the unloaded latency lowers the limit.
     double Tolerance = 2.0;
-    /// Factor of a decrease.
+    /// Factor that a decrease multiplies the limit by, below 1.
     double Decrease = 0.9;
-    /// Whether a refusal for overload lowers the limit from what runs, if that
-    /// is less: for a limit that is far above what runs as long as all is well.
+    /// True if a refusal for overload lowers the limit from the number of
+    /// running requests where that is lower. For a limit that is usually far
+    /// above the number of running requests.
     bool DecreaseFromRunning = false;
-    /// Samples are judged together over at least this long.
+    /// Minimum duration of a measurement window.
     Millis Window{100};
-    /// and at least this many of them.
+    /// Minimum number of samples in a measurement window.
     std::uint32_t MinWindowSamples = 10;
-    /// How often the unloaded time is measured anew, at a quarter of the limit.
-    Millis ProbePeriod{10000};
-    /// The first time, since the limit at the start is a guess.
+    /// Time from the end of a probe to the next one. A probe measures the
+    /// unloaded latency at a reduced limit.
+    Millis LimitProbeInterval{10000};
+    /// Time until the first probe; short, as the initial limit is an estimate.
     Millis FirstProbeDelay{1000};
-    /// A measurement that takes longer ends with what it has.
+    /// A probe that takes longer ends: without a result while it drains,
+    /// otherwise with the samples that it has.
     Millis LimitProbeTimeout{2000};
     bool operator==(const Settings &) const = default;
   };
 
   Settings Limits;
   double Limit = Settings().InitialLimit;
-  /// Average time of an answer from an unloaded server, in microseconds; 0 for
-  /// unknown.
+  /// Mean latency of the unloaded server, in microseconds; 0 if unknown.
   double UnloadedMicros = 0;
-  TimePoint WindowBegan;
-  /// Time spent at the server by all requests together, in microseconds. Over
-  /// the answers it is an answer's mean time by Little's law, which counts also
-  /// those that an unfair server lets wait and never answers.
+  TimePoint WindowStartedAt;
+  /// Total time that all requests have spent at the server in this window, in
+  /// microseconds. Divided by the number of answers it is the mean latency by
+  /// Little's law, including requests that are not answered yet.
   double WindowRequestMicros = 0;
   std::uint32_t WindowSamples = 0;
-  /// Requests at the server, and since when.
+  /// Requests at the server since `RunningSince`.
   std::uint32_t Running = 0;
   TimePoint RunningSince;
-  /// Most requests at once within the window.
+  /// Maximum number of concurrent requests within the window.
   std::uint32_t WindowPeak = 0;
   ProbeStage Probe = ProbeStage::None;
-  TimePoint NextProbe;
-  TimePoint ProbeBegan;
+  TimePoint NextProbeAt;
+  TimePoint ProbeStartedAt;
   bool operator==(const ConcurrencyLimit &) const = default;
 
-  /// How many may run now, in whole requests.
-  std::uint32_t whole() const;
+  /// Returns the number of requests that may run now; lower during a probe.
+  std::uint32_t effectiveLimit() const;
 };
 
-/// A limit as at the start. Pure.
+/// Returns the initial state. Pure.
 ConcurrencyLimit makeConcurrencyLimit(ConcurrencyLimit::Settings Limits,
                                       TimePoint Now);
 
-/// The limit from now on with `Running` requests at the server. Call it after
-/// each start and end. Pure.
+/// Returns the state with `Running` requests at the server from `Now` on. Call
+/// it after each start and end of a request. Pure.
 ConcurrencyLimit withRunning(ConcurrencyLimit Limit, std::uint32_t Running,
                              TimePoint Now);
 
-/// The limit after a whole answer. Precondition: `withRunning` has told of its
-/// end. Pure.
+/// Returns the state after a complete answer. Precondition: `withRunning` was
+/// called for the end of that request. Pure.
 ConcurrencyLimit afterAnswer(ConcurrencyLimit Limit, TimePoint Now);
 
-/// The limit after the server refused for overload or timed out; it falls at
-/// most once a window. Pure.
+/// Returns the state after the server refused a request for overload or timed
+/// out. Repeated calls lower the limit at most once per window until an answer
+/// arrives. Pure.
 ConcurrencyLimit afterOverload(ConcurrencyLimit Limit, TimePoint Now);
 
-/// The limit once the server said how many it runs at once: latency no longer
-/// counts, and the limit begins at what it said. Pure.
+/// Returns the state after the server reported its number of concurrent
+/// requests: latency no longer changes the limit, and `Slots` is its maximum
+/// (at least 1). Pure.
 ConcurrencyLimit withSlots(ConcurrencyLimit Limit, std::uint32_t Slots);
 
 } // namespace wasabi
--- a/Wasabi/Routing/IdempotencyKeys.cpp
+++ b/Wasabi/Routing/IdempotencyKeys.cpp
@@ -8,31 +8,32 @@
 namespace wasabi {
 namespace {
 
-constexpr std::size_t Witnesses = 2;
-constexpr Millis AskAgain{1000};
+constexpr std::size_t WitnessCount = 2;
+constexpr Millis RetryDelay{1000};
 
-/// The rendezvous weight of a name for a key.
-std::uint64_t weightOf(std::string_view Key, std::string_view Name) {
+/// Returns the rendezvous weight of `Name` for `Key`.
+std::uint64_t rendezvousWeight(std::string_view Key, std::string_view Name) {
   std::uint64_t seed = XXH64(Key.data(), Key.size(), 0);
   return XXH64(Name.data(), Name.size(), seed);
 }
 
-Failure refuse(Verdict Run, FailureCode Code, std::string Reason) {
+Failure makeRefusal(Verdict Run, FailureCode Code, std::string Reason) {
   return Failure{Run, Code, "Idempotency-Key", std::move(Reason), {}};
 }
 
 } // namespace
 
-std::optional<Candidate> findHomeCandidate(std::string_view Key,
-                                           const std::vector<Candidate> &Of) {
+std::optional<Candidate>
+findHomeCandidate(std::string_view Key,
+                  const std::vector<Candidate> &Candidates) {
   const Candidate *best = nullptr;
-  std::uint64_t most = 0;
-  for (const Candidate &it : Of) {
+  std::uint64_t highest = 0;
+  for (const Candidate &it : Candidates) {
     std::uint64_t weight =
-        weightOf(Key, it.Key.Instance.Text + "/" + it.Key.Server.Text);
-    if (!best || weight > most) {
+        rendezvousWeight(Key, it.Key.Instance.Text + "/" + it.Key.Server.Text);
+    if (!best || weight > highest) {
       best = &it;
-      most = weight;
+      highest = weight;
     }
   }
   if (!best)
@@ -44,41 +45,42 @@
                                   const InstanceName &Runner) {
   struct Ranked {
     std::uint64_t Weight = 0;
-    const Member *Who = nullptr;
+    const Member *Daemon = nullptr;
   };
   std::vector<Ranked> ranked;
   for (const std::pair<const InstanceName, Member> &it : Members.Members) {
     const Member &member = it.second;
-    bool holds = member.State != Health::Dead && !member.Requests.empty();
-    if (member.Kind == Role::Daemon && holds)
-      ranked.push_back({weightOf(Key, member.Instance.Text), &member});
+    bool mayHoldRecords =
+        member.State != Health::Dead && !member.Requests.empty();
+    if (member.Kind == Role::Daemon && mayHoldRecords)
+      ranked.push_back({rendezvousWeight(Key, member.Instance.Text), &member});
   }
   std::sort(ranked.begin(), ranked.end(),
             [](const Ranked &One, const Ranked &Other) {
-              return std::tie(One.Weight, One.Who->Instance) >
-                     std::tie(Other.Weight, Other.Who->Instance);
+              return std::tie(One.Weight, One.Daemon->Instance) >
+                     std::tie(Other.Weight, Other.Daemon->Instance);
             });
   std::vector<Member> found;
   std::size_t staying = 0;
   for (const Ranked &it : ranked) {
-    if (staying == Witnesses)
+    if (staying == WitnessCount)
       break;
-    // One that leaves still remembers, but the next is told already.
-    if (takesWork(*it.Who))
+    // A leaving daemon still holds records, but does not count as a witness.
+    if (takesWork(*it.Daemon))
       ++staying;
-    if (it.Who->Instance != Runner)
-      found.push_back(*it.Who);
+    if (it.Daemon->Instance != Runner)
+      found.push_back(*it.Daemon);
   }
   return found;
 }
 
 Failure downgradeUnprovenFailure(Failure Why) {
-  bool never =
+  bool canNeverRun =
       Why.Code == FailureCode::BadInput || Why.Code == FailureCode::Conflict;
-  if (Why.Run != Verdict::NotRun || never)
+  if (Why.Run != Verdict::NotRun || canNeverRun)
     return Why;
   Why.Run = Verdict::MayHaveRun;
-  Why.RetryAfter = std::max(Why.RetryAfter, AskAgain);
+  Why.RetryAfter = std::max(Why.RetryAfter, RetryDelay);
   return Why;
 }
 
@@ -89,15 +91,15 @@
   if (it != Records.end())
     return decide(it->second, Fingerprint);
   Entry entry;
-  entry.Who = Setup.Self;
+  entry.Owner = Setup.Self;
   entry.Fingerprint = Fingerprint;
   entry.Since = Now;
   KeyDecision decision;
   if (!insert(Key, std::move(entry), Now)) {
     decision.Action = KeyAction::Refuse;
-    decision.Why = refuse(Verdict::NotRun, FailureCode::Overloaded,
-                          "too many keys are remembered");
-    decision.Why.RetryAfter = AskAgain;
+    decision.Why = makeRefusal(Verdict::NotRun, FailureCode::Overloaded,
+                               "the table of keys is full");
+    decision.Why.RetryAfter = RetryDelay;
   }
   return decision;
 }
@@ -107,14 +109,14 @@
   KeyDecision decision;
   decision.Action = KeyAction::Refuse;
   if (Known.Fingerprint != Fingerprint) {
-    decision.Why = refuse(Verdict::NotRun, FailureCode::Conflict,
-                          "the key was used for another request");
+    decision.Why = makeRefusal(Verdict::NotRun, FailureCode::Conflict,
+                               "the key was used for another request");
     return decision;
   }
-  if (Known.Who != Setup.Self) {
-    decision.Why = refuse(Verdict::MayHaveRun, FailureCode::Conflict,
-                          "the first request went through instance " +
-                              Known.Who.Instance.Text);
+  if (Known.Owner != Setup.Self) {
+    decision.Why = makeRefusal(Verdict::MayHaveRun, FailureCode::Conflict,
+                               "the first request went through instance " +
+                                   Known.Owner.Instance.Text);
     return decision;
   }
   switch (Known.State) {
@@ -128,8 +130,9 @@
     break;
   }
   if (!Known.Answer) {
-    decision.Why = refuse(Verdict::Ran, FailureCode::Conflict,
-                          "it ran; its answer was too large to be kept");
+    decision.Why =
+        makeRefusal(Verdict::Ran, FailureCode::Conflict,
+                    "the request ran, but its answer was not stored");
     return decision;
   }
   decision.Action = KeyAction::Answer;
@@ -137,7 +140,7 @@
   return decision;
 }
 
-void IdempotencyKeys::recordNotRun(const std::string &Key) { drop(Key); }
+void IdempotencyKeys::recordNotRun(const std::string &Key) { eraseKey(Key); }
 
 void IdempotencyKeys::recordAnswer(const std::string &Key,
                                    const http::Response &Answer) {
@@ -146,9 +149,9 @@
     return;
   it->second.State = Stage::Answered;
   std::size_t size = Answer.Body.size();
-  bool kept = size <= Setup.MaxSingleAnswerBytes &&
+  bool fits = size <= Setup.MaxSingleAnswerBytes &&
               AnswerBytes + size <= Setup.MaxAnswerBytes;
-  if (!kept)
+  if (!fits)
     return;
   it->second.Answer = Answer;
   AnswerBytes += size;
@@ -157,7 +160,7 @@
 void IdempotencyKeys::recordFailure(const std::string &Key,
                                     const Failure &Why) {
   if (Why.Run == Verdict::NotRun) {
-    drop(Key);
+    eraseKey(Key);
     return;
   }
   std::unordered_map<std::string, Entry>::iterator it = Records.find(Key);
@@ -169,80 +172,86 @@
 
 std::optional<Failure>
 IdempotencyKeys::reserve(const std::string &Key, std::uint64_t Fingerprint,
-                         const Runner &Who, TimePoint Now, std::uint64_t Turn) {
+                         const Runner &Owner, TimePoint Now,
+                         std::uint64_t ReservationNumber) {
   expire(Now);
   std::unordered_map<std::string, Entry>::iterator it = Records.find(Key);
   if (it != Records.end()) {
     if (it->second.Fingerprint != Fingerprint)
-      return refuse(Verdict::NotRun, FailureCode::Conflict,
-                    "the key was used for another request");
-    if (it->second.Who == Who) {
-      it->second.Turn = std::max(it->second.Turn, Turn);
+      return makeRefusal(Verdict::NotRun, FailureCode::Conflict,
+                         "the key was used for another request");
+    if (it->second.Owner == Owner) {
+      it->second.ReservationNumber =
+          std::max(it->second.ReservationNumber, ReservationNumber);
       return std::nullopt;
     }
-    return refuse(Verdict::MayHaveRun, FailureCode::Conflict,
-                  "the first request went through instance " +
-                      it->second.Who.Instance.Text);
+    return makeRefusal(Verdict::MayHaveRun, FailureCode::Conflict,
+                       "the first request went through instance " +
+                           it->second.Owner.Instance.Text);
   }
   Entry entry;
-  entry.Who = Who;
+  entry.Owner = Owner;
   entry.Fingerprint = Fingerprint;
   entry.Since = Now;
-  entry.Turn = Turn;
+  entry.ReservationNumber = ReservationNumber;
   if (insert(Key, std::move(entry), Now))
     return std::nullopt;
-  Failure full = refuse(Verdict::NotRun, FailureCode::Overloaded,
-                        "too many keys are remembered");
-  full.RetryAfter = AskAgain;
+  Failure full = makeRefusal(Verdict::NotRun, FailureCode::Overloaded,
+                             "the table of keys is full");
+  full.RetryAfter = RetryDelay;
   return full;
 }
 
 std::vector<KeyRecord> IdempotencyKeys::records() const {
-  std::vector<KeyRecord> all;
-  all.reserve(Records.size());
+  std::vector<KeyRecord> records;
+  records.reserve(Records.size());
   for (const std::pair<const std::string, Entry> &it : Records)
-    all.push_back(KeyRecord{it.first, it.second.Fingerprint, it.second.Who,
-                            it.second.Turn});
-  return all;
+    records.push_back(KeyRecord{it.first, it.second.Fingerprint,
+                                it.second.Owner, it.second.ReservationNumber});
+  return records;
 }
 
-void IdempotencyKeys::release(const std::string &Key, const Runner &Who,
-                              std::uint64_t Turn) {
+void IdempotencyKeys::release(const std::string &Key, const Runner &Owner,
+                              std::uint64_t ReservationNumber) {
   std::unordered_map<std::string, Entry>::const_iterator it = Records.find(Key);
-  bool held = it != Records.end() && it->second.Who == Who &&
-              Who != Setup.Self && it->second.Turn == Turn;
-  if (held)
-    drop(Key);
+  bool isHeld = it != Records.end() && it->second.Owner == Owner &&
+                Owner != Setup.Self &&
+                it->second.ReservationNumber == ReservationNumber;
+  if (isHeld)
+    eraseKey(Key);
 }
 
-bool IdempotencyKeys::insert(const std::string &Key, Entry New, TimePoint Now) {
+bool IdempotencyKeys::insert(const std::string &Key, Entry NewEntry,
+                             TimePoint Now) {
   if (Records.size() >= Setup.Capacity)
     return false;
-  Records.emplace(Key, std::move(New));
-  ExpiryQueue.push_back(Age{Key, Now});
+  Records.emplace(Key, std::move(NewEntry));
+  ExpiryQueue.push_back(ExpiryEntry{Key, Now});
   return true;
 }
 
 void IdempotencyKeys::expire(TimePoint Now) {
-  while (!ExpiryQueue.empty() && Now - ExpiryQueue.front().Since > Setup.Span) {
+  while (!ExpiryQueue.empty() &&
+         Now - ExpiryQueue.front().Since > Setup.KeyRetention) {
     std::unordered_map<std::string, Entry>::const_iterator it =
         Records.find(ExpiryQueue.front().Key);
-    bool same =
+    bool isCurrent =
         it != Records.end() && it->second.Since == ExpiryQueue.front().Since;
-    // One that still runs is kept, however old.
-    if (same && it->second.State == Stage::Running &&
-        it->second.Who == Setup.Self) {
-      ExpiryQueue.push_back(Age{ExpiryQueue.front().Key, it->second.Since});
+    // Keep the key of a running request regardless of its age.
+    if (isCurrent && it->second.State == Stage::Running &&
+        it->second.Owner == Setup.Self) {
+      ExpiryQueue.push_back(
+          ExpiryEntry{ExpiryQueue.front().Key, it->second.Since});
       ExpiryQueue.pop_front();
       break;
     }
-    if (same)
-      drop(ExpiryQueue.front().Key);
+    if (isCurrent)
+      eraseKey(ExpiryQueue.front().Key);
     ExpiryQueue.pop_front();
   }
 }
 
-void IdempotencyKeys::drop(const std::string &Key) {
+void IdempotencyKeys::eraseKey(const std::string &Key) {
   std::unordered_map<std::string, Entry>::iterator it = Records.find(Key);
   if (it == Records.end())
     return;
--- a/Wasabi/Routing/IdempotencyKeys.h
+++ b/Wasabi/Routing/IdempotencyKeys.h
@@ -1,6 +1,7 @@
 /// \file
-/// What a daemon remembers of requests that carry an `Idempotency-Key`, so that
-/// a caller's repeat runs at most once (docs/design/idempotency-keys.md).
+/// Records of requests that carry an `Idempotency-Key`, kept by each daemon so
+/// that a request repeated by its caller runs at most once
+/// (docs/design/idempotency-keys.md).
 #ifndef WASABI_ROUTING_IDEMPOTENCYKEYS_H
 #define WASABI_ROUTING_IDEMPOTENCYKEYS_H
 
@@ -21,49 +22,52 @@
 
 namespace wasabi {
 
-/// The daemon and server that a key's requests all go to, by rendezvous
-/// hashing: the same through every entry that holds the same view. Pure.
-std::optional<Candidate> findHomeCandidate(std::string_view Key,
-                                           const std::vector<Candidate> &Of);
-
-/// The daemons besides `Runner` that must know of a key before it runs: the
-/// first two of all that stay by rendezvous hashing, and those before them that
-/// are leaving, which still remember. Any one change of the view leaves at
-/// least one of them in place. Pure.
+/// Returns the candidate that handles all requests with `Key`, chosen by
+/// rendezvous hashing: the same at each entry that has the same view. Empty if
+/// there are no candidates. Pure.
+std::optional<Candidate>
+findHomeCandidate(std::string_view Key,
+                  const std::vector<Candidate> &Candidates);
+
+/// Returns the daemons, without `Runner`, that must record a key before its
+/// request runs: by rendezvous hashing the first two that take work, and the
+/// leaving daemons ranked before the second, which still hold records. A single
+/// change of the view keeps at least one witness. Pure.
 std::vector<Member> findWitnesses(std::string_view Key, const View &Members,
                                   const InstanceName &Runner);
 
-/// A refusal of a request with a key that nobody looked up: an earlier request
-/// with the key may have run, so `NotRun` becomes `MayHaveRun`, with a time to
-/// come back. What can never run under its key is left as it is. Pure.
+/// Adapts the refusal of a request whose key was not looked up: an earlier
+/// request with the key may have run, so `NotRun` becomes `MayHaveRun` with a
+/// retry delay. `BadInput` and `Conflict` are returned unchanged, as the
+/// request cannot run under its key. Pure.
 Failure downgradeUnprovenFailure(Failure Why);
 
-/// One process that runs requests.
+/// Identifies a process that runs requests.
 struct Runner {
   InstanceName Instance;
   Incarnation Life = 0;
   auto operator<=>(const Runner &) const = default;
 };
 
-/// That a key was reserved or run: what a witness must know.
+/// Record of a key that was reserved or used, as witnesses hold it.
 struct KeyRecord {
   std::string Key;
   std::uint64_t Fingerprint = 0;
   Runner Who;
-  /// The runner's count of its reservations.
+  /// Number of the reservation, counted by the runner.
   std::uint64_t Turn = 0;
   bool operator==(const KeyRecord &) const = default;
 };
 
-/// What to do with a request that carries a key.
+/// How to handle a request that carries a key.
 enum class KeyAction : std::uint8_t {
-  /// Nothing is known: it may run here.
+  /// The key is new: the request may run here.
   Run,
-  /// The first one runs here now: wait for its end and ask again.
+  /// The first request is running here: wait until it ends and try again.
   Wait,
-  /// The first one's answer is known.
+  /// The answer of the first request is stored.
   Answer,
-  /// It must not run: `Why` says what is known.
+  /// The request must not run; `Why` is the reason and verdict.
   Refuse,
 };
 
@@ -73,46 +77,53 @@
   Failure Why;
 };
 
-/// The bounded table of one daemon. Not thread-safe; time is passed in.
+/// Bounded table of one daemon's keys. The caller passes the time. Not
+/// thread-safe.
 class IdempotencyKeys {
 public:
   struct Settings {
     Runner Self;
-    /// Keys kept. Further ones are refused `NotRun`: dropping an old one would
-    /// let it run twice.
+    /// Maximum number of keys. Further keys are refused with `NotRun`, as
+    /// dropping an old key would let its request run twice.
     std::size_t Capacity = 100000;
-    /// Bytes of answers kept; beyond it only the verdict is.
+    /// Maximum total size of stored answers; beyond it only verdicts are
+    /// stored.
     std::size_t MaxAnswerBytes = 64u << 20;
-    /// Largest single answer kept.
+    /// Maximum size of one stored answer.
     std::size_t MaxSingleAnswerBytes = 256u << 10;
-    /// How long a key is remembered.
-    Millis Span{15 * 60 * 1000};
+    /// Time that a key is kept after its first request.
+    Millis KeyRetention{15 * 60 * 1000};
   };
 
   explicit IdempotencyKeys(Settings Setup) : Setup(std::move(Setup)) {}
 
-  /// A request with a key arrives; `Fingerprint` is of its method, target and
-  /// body. On `Run` the key is marked as running here.
+  /// Decides how to handle a request that arrives with a key. `Fingerprint` is
+  /// a hash of its method, target and body. On `Run` the key is recorded as
+  /// running here.
   KeyDecision begin(const std::string &Key, std::uint64_t Fingerprint,
                     TimePoint Now);
-  /// It did not run after all: the key is free again.
+  /// Records that the request did not run; frees the key.
   void recordNotRun(const std::string &Key);
-  /// It ran, and this is the whole answer.
+  /// Records the complete answer of a request that ran.
   void recordAnswer(const std::string &Key, const http::Response &Answer);
-  /// It broke: `Why.Run` says what is known.
+  /// Records that the request failed. Frees the key if `Why.Run` is `NotRun`.
   void recordFailure(const std::string &Key, const Failure &Why);
 
-  /// Another daemon is about to run the key: empty when it may, else why not.
-  /// A runner may ask again; another one is refused `MayHaveRun`. `Turn` counts
-  /// the runner's reservations: the key is then held for its newest one.
+  /// Reserves the key for another daemon that is about to run its request.
+  /// Returns an empty value on success, otherwise the reason. The holder of the
+  /// key may reserve it again; others are refused with `MayHaveRun`.
+  /// `ReservationNumber` counts the reservations of the runner; the highest one
+  /// holds the key.
   std::optional<Failure> reserve(const std::string &Key,
-                                 std::uint64_t Fingerprint, const Runner &Who,
-                                 TimePoint Now, std::uint64_t Turn = 0);
-  /// That daemon proves that nothing ran under its reservation `Turn`: the key
-  /// is free again, unless a newer reservation holds it.
-  void release(const std::string &Key, const Runner &Who, std::uint64_t Turn);
-
-  /// All that is remembered, for handing it over when this process leaves.
+                                 std::uint64_t Fingerprint, const Runner &Owner,
+                                 TimePoint Now,
+                                 std::uint64_t ReservationNumber = 0);
+  /// Frees the key if reservation `ReservationNumber` of `Owner` holds it.
+  /// Precondition: nothing ran under that reservation.
+  void release(const std::string &Key, const Runner &Owner,
+               std::uint64_t ReservationNumber);
+
+  /// Returns all records, to hand them over when this process leaves.
   std::vector<KeyRecord> records() const;
 
   std::size_t size() const { return Records.size(); }
@@ -120,31 +131,32 @@
 private:
   enum class Stage : std::uint8_t { Running, Answered, Broken };
   struct Entry {
-    Runner Who;
+    Runner Owner;
     std::uint64_t Fingerprint = 0;
     Stage State = Stage::Running;
-    /// Set when answered and small enough.
+    /// Set if the request was answered and the answer is within the size
+    /// limits.
     std::optional<http::Response> Answer;
     Failure Why;
     TimePoint Since;
-    /// At a witness: the runner's newest reservation.
-    std::uint64_t Turn = 0;
+    /// At a witness: number of the runner's newest reservation.
+    std::uint64_t ReservationNumber = 0;
   };
 
   KeyDecision decide(const Entry &Known, std::uint64_t Fingerprint) const;
-  /// False when the table is full.
-  bool insert(const std::string &Key, Entry New, TimePoint Now);
+  /// Returns false if the table is full.
+  bool insert(const std::string &Key, Entry NewEntry, TimePoint Now);
   void expire(TimePoint Now);
-  void drop(const std::string &Key);
+  void eraseKey(const std::string &Key);
 
   const Settings Setup;
   std::unordered_map<std::string, Entry> Records;
-  /// Keys by age; a key that was dropped and came again is in it twice.
-  struct Age {
+  /// Keys by age. A key that was erased and inserted again appears twice.
+  struct ExpiryEntry {
     std::string Key;
     TimePoint Since;
   };
-  std::deque<Age> ExpiryQueue;
+  std::deque<ExpiryEntry> ExpiryQueue;
   std::size_t AnswerBytes = 0;
 };
 
--- a/Wasabi/Routing/LoadBalancing.cpp
+++ b/Wasabi/Routing/LoadBalancing.cpp
@@ -7,144 +7,153 @@
 namespace wasabi {
 namespace {
 
-/// A fresh server counts for at least this share of its limit.
-constexpr double LeastSlowStartShare = 0.1;
-/// Candidates drawn of the own failure domain, and of all.
-constexpr std::size_t DrawnOfEach = 2;
-/// Callers for whom a server is full; with more of them it is for everyone.
-constexpr std::size_t MostFullFor = 64;
-
-const ServerStats &memoryOf(const BalancerState &State, const Candidate &Who) {
+/// Minimum share of its limit that a new server is used with.
+constexpr double MinSlowStartShare = 0.1;
+/// Number of candidates drawn from the own failure domain, and from the rest.
+constexpr std::size_t DrawsPerPool = 2;
+/// Maximum number of flows that a server is avoided for individually; beyond it
+/// the server is avoided for all flows.
+constexpr std::size_t MaxOverloadedFlows = 64;
+
+const ServerStats &statsOf(const BalancerState &State,
+                           const Candidate &Server) {
   static const ServerStats Unknown;
   std::map<ServerKey, ServerStats>::const_iterator it =
-      State.Servers.find(Who.Key);
+      State.Servers.find(Server.Key);
   return it == State.Servers.end() ? Unknown : it->second;
 }
 
-/// What is open at the server: the own attempts as known now, and those of
-/// others as the daemon last said. The report lags, so the own part of it is
-/// taken out and replaced.
-double openAt(const ServerStats &Memory) {
+/// Returns the number of attempts at the server: the own ones in flight, and
+/// those of others by the last load report. As the report lags, the own
+/// attempts at its receipt are subtracted from it.
+double openAttempts(const ServerStats &Stats) {
   double reported = 0;
-  if (Memory.HasLoad)
-    reported = static_cast<double>(Memory.Load.Running) + Memory.Load.Queued;
-  double others = std::max(0.0, reported - Memory.InFlightAtLoad);
-  return others + Memory.InFlight;
+  if (Stats.HasLoad)
+    reported = static_cast<double>(Stats.Load.Running) + Stats.Load.Queued;
+  double others = std::max(0.0, reported - Stats.InFlightAtLoad);
+  return others + Stats.InFlight;
 }
 
-/// How many the server runs at once, as last said.
-double limitOf(const ServerStats &Memory, const Candidate &Who) {
-  double limit = Memory.HasLoad ? Memory.Load.Limit : Who.Slots;
+/// Returns the last reported number of concurrent requests of the server.
+double concurrencyOf(const ServerStats &Stats, const Candidate &Server) {
+  double limit = Stats.HasLoad ? Stats.Load.Limit : Server.Slots;
   return std::max(1.0, limit);
 }
 
-/// How much of its concurrency a fresh server is given.
+/// Returns the share of its concurrency that a server is used with during its
+/// slow start; 1 afterwards.
 double slowStartShare(const BalancerSettings &Settings,
-                      const ServerStats &Memory, TimePoint Now) {
-  double age = std::chrono::duration<double>(Now - Memory.FirstSeen).count();
-  double span = std::chrono::duration<double>(Settings.SlowStartWindow).count();
-  if (span <= 0 || age >= span)
+                      const ServerStats &Stats, TimePoint Now) {
+  double age = std::chrono::duration<double>(Now - Stats.FirstSeen).count();
+  double window =
+      std::chrono::duration<double>(Settings.SlowStartWindow).count();
+  if (window <= 0 || age >= window)
     return 1.0;
-  return std::max(LeastSlowStartShare, age / span);
+  return std::max(MinSlowStartShare, age / window);
 }
 
-/// The part of old knowledge that still counts.
-double remembered(const BalancerSettings &Settings, const ServerStats &Memory,
-                  TimePoint Now) {
-  double age = std::chrono::duration<double>(Now - Memory.LastSample).count();
-  double life = std::chrono::duration<double>(Settings.HalfLife).count();
-  return age <= 0 || life <= 0 ? 1.0 : std::exp2(-age / life);
+/// Returns the weight that the last sample still has, by the half-life.
+double retainedShare(const BalancerSettings &Settings, const ServerStats &Stats,
+                     TimePoint Now) {
+  double age = std::chrono::duration<double>(Now - Stats.LastSample).count();
+  double halfLife = std::chrono::duration<double>(Settings.HalfLife).count();
+  return age <= 0 || halfLife <= 0 ? 1.0 : std::exp2(-age / halfLife);
 }
 
-/// The time of an attempt as far as it is known now, in microseconds.
-double serviceMicros(const BalancerState &State, const ServerStats &Memory,
+/// Returns the estimated duration of an attempt, in microseconds.
+double serviceMicros(const BalancerState &State, const ServerStats &Stats,
                      TimePoint Now) {
-  if (Memory.ServiceMicros <= 0)
+  if (Stats.ServiceMicros <= 0)
     return static_cast<double>(State.Settings.DefaultServiceTime.count());
-  return Memory.ServiceMicros * remembered(State.Settings, Memory, Now);
+  return Stats.ServiceMicros * retainedShare(State.Settings, Stats, Now);
 }
 
-/// When it may be asked again for that caller.
-TimePoint avoidedUntil(const ServerStats &Memory, const std::string &Flow) {
-  std::map<std::string, TimePoint>::const_iterator full =
-      Memory.OverloadedUntil.find(Flow);
-  return full == Memory.OverloadedUntil.end()
-             ? Memory.AvoidUntil
-             : std::max(Memory.AvoidUntil, full->second);
+/// Returns the time before which the server is avoided for `Flow`.
+TimePoint findAvoidUntil(const ServerStats &Stats, const std::string &Flow) {
+  std::map<std::string, TimePoint>::const_iterator overloaded =
+      Stats.OverloadedUntil.find(Flow);
+  return overloaded == Stats.OverloadedUntil.end()
+             ? Stats.AvoidUntil
+             : std::max(Stats.AvoidUntil, overloaded->second);
 }
 
-bool mayBeAsked(const ServerStats &Memory, TimePoint Now,
-                const std::string &Flow) {
-  if (Memory.Leaving || avoidedUntil(Memory, Flow) > Now)
+bool isAvailable(const ServerStats &Stats, TimePoint Now,
+                 const std::string &Flow) {
+  if (Stats.Leaving || findAvoidUntil(Stats, Flow) > Now)
     return false;
-  return !Memory.HasLoad || Memory.Load.Serving;
+  return !Stats.HasLoad || Stats.Load.Serving;
 }
 
-bool wasTried(const std::vector<Candidate> &Tried, const Candidate &Who) {
+bool wasTried(const std::vector<Candidate> &Tried, const Candidate &Server) {
   return std::any_of(Tried.begin(), Tried.end(),
-                     [&](const Candidate &it) { return it.Key == Who.Key; });
+                     [&](const Candidate &it) { return it.Key == Server.Key; });
 }
 
-bool domainTried(const std::vector<Candidate> &Tried, const Candidate &Who) {
+bool wasDomainTried(const std::vector<Candidate> &Tried,
+                    const Candidate &Server) {
   return std::any_of(Tried.begin(), Tried.end(), [&](const Candidate &it) {
-    return it.Domain == Who.Domain;
+    return it.Domain == Server.Domain;
   });
 }
 
 using Pool = std::vector<const Candidate *>;
 
-/// Draws that many different ones out of `From` into `Into`.
-void draw(Pool &From, std::size_t Count, Pool &Into, std::mt19937_64 &Random) {
-  for (std::size_t n = 0; n < Count && !From.empty(); ++n) {
-    std::uniform_int_distribution<std::size_t> any(0, From.size() - 1);
-    std::swap(From[any(Random)], From.back());
-    Into.push_back(From.back());
-    From.pop_back();
+/// Moves up to `Count` random elements from `Remaining` to `Drawn`.
+void draw(Pool &Remaining, std::size_t Count, Pool &Drawn,
+          std::mt19937_64 &Random) {
+  for (std::size_t n = 0; n < Count && !Remaining.empty(); ++n) {
+    std::uniform_int_distribution<std::size_t> any(0, Remaining.size() - 1);
+    std::swap(Remaining[any(Random)], Remaining.back());
+    Drawn.push_back(Remaining.back());
+    Remaining.pop_back();
   }
 }
 
-/// The candidates that may be asked, on an untried failure domain first.
-Pool poolOf(const BalancerState &State, const std::vector<Candidate> &Of,
-            const std::vector<Candidate> &Tried, TimePoint Now,
-            const std::string &Flow) {
-  Pool fresh;
-  Pool rest;
-  for (const Candidate &it : Of) {
-    if (wasTried(Tried, it) || !mayBeAsked(memoryOf(State, it), Now, Flow))
+/// Returns the available untried candidates: only those in untried failure
+/// domains, if there are any.
+Pool makePool(const BalancerState &State,
+              const std::vector<Candidate> &Candidates,
+              const std::vector<Candidate> &Tried, TimePoint Now,
+              const std::string &Flow) {
+  Pool untriedDomains;
+  Pool triedDomains;
+  for (const Candidate &it : Candidates) {
+    if (wasTried(Tried, it) || !isAvailable(statsOf(State, it), Now, Flow))
       continue;
-    (domainTried(Tried, it) ? rest : fresh).push_back(&it);
+    (wasDomainTried(Tried, it) ? triedDomains : untriedDomains).push_back(&it);
   }
-  return fresh.empty() ? rest : fresh;
+  return untriedDomains.empty() ? triedDomains : untriedDomains;
 }
 
-/// The wait as `chooseCandidate` weighs it: with the hop, and with what a
-/// cached prefix saves.
-double costOf(const BalancerState &State, const Candidate &Who,
-              const std::optional<ServerKey> &Cached, TimePoint Now) {
-  double cost = expectedWait(State, Who, Now);
-  if (Who.Domain != State.Own)
-    cost += static_cast<double>(State.Settings.CrossDomain.count());
-  if (!Cached || *Cached != Who.Key)
+/// Returns the cost that `chooseCandidate` minimizes, in microseconds: the
+/// expected wait plus the cost of crossing failure domains, minus the saving by
+/// a cached prefix.
+double computeCost(const BalancerState &State, const Candidate &Server,
+                   const std::optional<ServerKey> &Cached, TimePoint Now) {
+  double cost = expectedWait(State, Server, Now);
+  if (Server.Domain != State.Own)
+    cost += static_cast<double>(State.Settings.CrossDomainCost.count());
+  if (!Cached || *Cached != Server.Key)
     return cost;
-  const ServerStats &memory = memoryOf(State, Who);
-  // With a place free nothing is waited for, and the saving is for nothing.
-  if (openAt(memory) + 1.0 <= limitOf(memory, Who))
+  const ServerStats &stats = statsOf(State, Server);
+  // The holder of the prefix costs nothing else while it has a free slot.
+  if (openAttempts(stats) + 1.0 <= concurrencyOf(stats, Server))
     cost = 0;
   return cost -
-         State.Settings.PrefixSavingShare * serviceMicros(State, memory, Now);
+         State.Settings.PrefixSavingShare * serviceMicros(State, stats, Now);
 }
 
-std::size_t ejectedAmong(const BalancerState &State,
+std::size_t countEjected(const BalancerState &State,
                          const std::vector<Candidate> &Peers, TimePoint Now) {
   return static_cast<std::size_t>(
       std::count_if(Peers.begin(), Peers.end(), [&](const Candidate &it) {
-        const ServerStats &memory = memoryOf(State, it);
-        return memory.Ejected && memory.AvoidUntil > Now;
+        const ServerStats &stats = statsOf(State, it);
+        return stats.Ejected && stats.AvoidUntil > Now;
       }));
 }
 
-/// Whether a failure says something bad of the server itself.
-bool countsAgainst(const Failure &Why) {
+/// Returns true if a failure counts towards the ejection of the server.
+bool isServerFault(const Failure &Why) {
   switch (Why.Code) {
   case FailureCode::Overloaded:
   case FailureCode::Cancelled:
@@ -158,36 +167,39 @@
   }
 }
 
-/// It is full for that caller: another one may have its share left. A place is
-/// free long before the whole queue is gone.
-void avoidFull(const BalancerState &State, ServerStats &Memory,
-               const Failure &Why, TimePoint Now, const std::string &Flow) {
+/// Avoids the server for `Flow` after a refusal for overload; other flows may
+/// still have room. The time is bounded, as a place in the queue becomes free
+/// long before the queue is empty.
+void avoidOverloaded(const BalancerState &State, ServerStats &Stats,
+                     const Failure &Why, TimePoint Now,
+                     const std::string &Flow) {
   TimePoint until =
       Now + std::min(Why.RetryAfter, State.Settings.MaxOverloadAvoidTime);
-  std::erase_if(Memory.OverloadedUntil,
+  std::erase_if(Stats.OverloadedUntil,
                 [&](const std::pair<const std::string, TimePoint> &it) {
                   return it.second <= Now;
                 });
-  if (Memory.OverloadedUntil.size() < MostFullFor)
-    Memory.OverloadedUntil[Flow] = until;
+  if (Stats.OverloadedUntil.size() < MaxOverloadedFlows)
+    Stats.OverloadedUntil[Flow] = until;
   else
-    Memory.AvoidUntil = std::max(Memory.AvoidUntil, until);
+    Stats.AvoidUntil = std::max(Stats.AvoidUntil, until);
 }
 
-void eject(BalancerState &State, ServerStats &Memory,
+void eject(BalancerState &State, ServerStats &Stats,
            const std::vector<Candidate> &Peers, TimePoint Now) {
-  // A bad detector must not empty a service.
-  std::size_t most = Peers.size() * State.Settings.MaxEjectionPercent / 100;
-  if (ejectedAmong(State, Peers, Now) >= most)
+  // Bound the ejections so that false positives cannot empty a service.
+  std::size_t maxEjected =
+      Peers.size() * State.Settings.MaxEjectionPercent / 100;
+  if (countEjected(State, Peers, Now) >= maxEjected)
     return;
-  constexpr std::uint32_t MostDoublings = 10;
-  Millis span = State.Settings.BaseEjectionTime *
-                (1 << std::min(Memory.Ejections, MostDoublings));
-  span = std::min(span, State.Settings.MaxEjectionTime);
-  Memory.AvoidUntil = std::max(Memory.AvoidUntil, Now + span);
-  Memory.Ejected = true;
-  Memory.ConsecutiveFailures = 0;
-  ++Memory.Ejections;
+  constexpr std::uint32_t MaxDoublings = 10;
+  Millis ejectionTime = State.Settings.BaseEjectionTime *
+                        (1 << std::min(Stats.Ejections, MaxDoublings));
+  ejectionTime = std::min(ejectionTime, State.Settings.MaxEjectionTime);
+  Stats.AvoidUntil = std::max(Stats.AvoidUntil, Now + ejectionTime);
+  Stats.Ejected = true;
+  Stats.ConsecutiveFailures = 0;
+  ++Stats.Ejections;
 }
 
 } // namespace
@@ -220,27 +232,26 @@
   return true;
 }
 
-double expectedWait(const BalancerState &State, const Candidate &Who,
+double expectedWait(const BalancerState &State, const Candidate &Server,
                     TimePoint Now) {
-  const ServerStats &memory = memoryOf(State, Who);
-  double service = serviceMicros(State, memory, Now);
+  const ServerStats &stats = statsOf(State, Server);
+  double service = serviceMicros(State, stats, Now);
   double limit =
-      limitOf(memory, Who) * slowStartShare(State.Settings, memory, Now);
-  return (openAt(memory) + 1.0) / limit * service;
+      concurrencyOf(stats, Server) * slowStartShare(State.Settings, stats, Now);
+  return (openAttempts(stats) + 1.0) / limit * service;
 }
 
-std::optional<Candidate> chooseCandidate(const BalancerState &State,
-                                         const std::vector<Candidate> &Of,
-                                         const std::vector<Candidate> &Tried,
-                                         const std::optional<ServerKey> &Cached,
-                                         TimePoint Now, std::mt19937_64 &Random,
-                                         const std::string &Flow) {
-  Pool pool = poolOf(State, Of, Tried, Now, Flow);
+std::optional<Candidate> chooseCandidate(
+    const BalancerState &State, const std::vector<Candidate> &Candidates,
+    const std::vector<Candidate> &Tried, const std::optional<ServerKey> &Cached,
+    TimePoint Now, std::mt19937_64 &Random, const std::string &Flow) {
+  Pool pool = makePool(State, Candidates, Tried, Now, Flow);
   if (pool.empty())
     return std::nullopt;
 
-  // Two of the own failure domain, two of all, and the one with the prefix: a
-  // slow one among two would leave no choice at all.
+  // Compare two candidates of the own failure domain, two of the rest, and the
+  // holder of the prefix. With only two in all, a slow one would leave no
+  // choice.
   Pool own;
   const Candidate *holder = nullptr;
   for (const Candidate *it : pool) {
@@ -250,118 +261,118 @@
       holder = it;
   }
   Pool drawn;
-  draw(own, DrawnOfEach, drawn, Random);
+  draw(own, DrawsPerPool, drawn, Random);
   std::erase_if(pool, [&](const Candidate *it) {
     return std::find(drawn.begin(), drawn.end(), it) != drawn.end();
   });
-  draw(pool, DrawnOfEach, drawn, Random);
+  draw(pool, DrawsPerPool, drawn, Random);
   if (holder)
     drawn.push_back(holder);
 
   const Candidate *best = drawn.front();
-  double least = costOf(State, *best, Cached, Now);
+  double lowest = computeCost(State, *best, Cached, Now);
   for (const Candidate *it : drawn) {
-    double cost = costOf(State, *it, Cached, Now);
-    if (cost < least) {
+    double cost = computeCost(State, *it, Cached, Now);
+    if (cost < lowest) {
       best = it;
-      least = cost;
+      lowest = cost;
     }
   }
   return *best;
 }
 
 Millis timeUntilAvailable(const BalancerState &State,
-                          const std::vector<Candidate> &Of, TimePoint Now,
-                          const std::string &Flow) {
-  Millis least{0};
-  for (const Candidate &it : Of) {
-    const ServerStats &memory = memoryOf(State, it);
-    TimePoint until = avoidedUntil(memory, Flow);
-    if (memory.Leaving || until <= Now)
+                          const std::vector<Candidate> &Candidates,
+                          TimePoint Now, const std::string &Flow) {
+  Millis lowest{0};
+  for (const Candidate &it : Candidates) {
+    const ServerStats &stats = statsOf(State, it);
+    TimePoint until = findAvoidUntil(stats, Flow);
+    if (stats.Leaving || until <= Now)
       continue;
     Millis left = std::chrono::ceil<Millis>(until - Now);
-    if (least == Millis(0) || left < least)
-      least = left;
+    if (lowest == Millis(0) || left < lowest)
+      lowest = left;
   }
-  return least;
+  return lowest;
 }
 
-void noteStart(BalancerState &State, const Candidate &Who, TimePoint Now) {
-  ServerStats &memory = State.Servers[Who.Key];
-  if (memory.Life != Who.Life) {
-    std::uint32_t open = memory.InFlight;
-    memory = ServerStats();
-    memory.InFlight = open;
-    memory.Life = Who.Life;
-    memory.FirstSeen = Now;
+void noteStart(BalancerState &State, const Candidate &Server, TimePoint Now) {
+  ServerStats &stats = State.Servers[Server.Key];
+  if (stats.Life != Server.Life) {
+    std::uint32_t inFlight = stats.InFlight;
+    stats = ServerStats();
+    stats.InFlight = inFlight;
+    stats.Life = Server.Life;
+    stats.FirstSeen = Now;
   }
-  ++memory.InFlight;
+  ++stats.InFlight;
 }
 
 namespace {
 
-/// Ends one attempt's count.
-ServerStats &endOne(BalancerState &State, const Candidate &Who) {
-  ServerStats &memory = State.Servers[Who.Key];
-  if (memory.InFlight > 0)
-    --memory.InFlight;
-  return memory;
+/// Removes one attempt from those in flight.
+ServerStats &endAttempt(BalancerState &State, const Candidate &Server) {
+  ServerStats &stats = State.Servers[Server.Key];
+  if (stats.InFlight > 0)
+    --stats.InFlight;
+  return stats;
 }
 
 } // namespace
 
-void noteSuccess(BalancerState &State, const Candidate &Who, Micros Took,
+void noteSuccess(BalancerState &State, const Candidate &Server, Micros Took,
                  TimePoint Now) {
-  ServerStats &memory = endOne(State, Who);
+  ServerStats &stats = endAttempt(State, Server);
   double sample = static_cast<double>(Took.count());
-  // Old knowledge gives way to new.
+  // The older the last sample is, the more weight the new one gets.
   double weight = std::max(State.Settings.SampleWeight,
-                           1.0 - remembered(State.Settings, memory, Now));
-  memory.LastSample = Now;
-  memory.ServiceMicros =
-      memory.ServiceMicros <= 0
+                           1.0 - retainedShare(State.Settings, stats, Now));
+  stats.LastSample = Now;
+  stats.ServiceMicros =
+      stats.ServiceMicros <= 0
           ? sample
-          : (1 - weight) * memory.ServiceMicros + weight * sample;
-  memory.ConsecutiveFailures = 0;
-  memory.Ejections = 0;
-  memory.Ejected = false;
+          : (1 - weight) * stats.ServiceMicros + weight * sample;
+  stats.ConsecutiveFailures = 0;
+  stats.Ejections = 0;
+  stats.Ejected = false;
 }
 
-void noteFailure(BalancerState &State, const Candidate &Who, const Failure &Why,
-                 const std::vector<Candidate> &Peers, TimePoint Now,
-                 const std::string &Flow) {
-  ServerStats &memory = endOne(State, Who);
+void noteFailure(BalancerState &State, const Candidate &Server,
+                 const Failure &Why, const std::vector<Candidate> &Peers,
+                 TimePoint Now, const std::string &Flow) {
+  ServerStats &stats = endAttempt(State, Server);
   if (Why.Code == FailureCode::Leaving)
-    memory.Leaving = true;
-  // A server that says when to come back is not asked before.
+    stats.Leaving = true;
+  // Respect the retry delay that the server asked for.
   if (Why.Run == Verdict::NotRun && Why.RetryAfter > Millis(0)) {
     if (Why.Code == FailureCode::Overloaded)
-      avoidFull(State, memory, Why, Now, Flow);
+      avoidOverloaded(State, stats, Why, Now, Flow);
     else
-      memory.AvoidUntil = std::max(memory.AvoidUntil, Now + Why.RetryAfter);
+      stats.AvoidUntil = std::max(stats.AvoidUntil, Now + Why.RetryAfter);
   }
-  if (!countsAgainst(Why))
+  if (!isServerFault(Why))
     return;
-  ++memory.ConsecutiveFailures;
-  if (memory.ConsecutiveFailures >= State.Settings.EjectionThreshold)
-    eject(State, memory, Peers, Now);
+  ++stats.ConsecutiveFailures;
+  if (stats.ConsecutiveFailures >= State.Settings.EjectionThreshold)
+    eject(State, stats, Peers, Now);
 }
 
-void noteAbandoned(BalancerState &State, const Candidate &Who) {
-  endOne(State, Who);
+void noteAbandoned(BalancerState &State, const Candidate &Server) {
+  endAttempt(State, Server);
 }
 
-void noteLoad(BalancerState &State, const ServerKey &Who,
+void noteLoad(BalancerState &State, const ServerKey &Server,
               const ReportedLoad &Load) {
-  ServerStats &memory = State.Servers[Who];
-  memory.Load = Load;
-  memory.HasLoad = true;
-  memory.InFlightAtLoad = memory.InFlight;
+  ServerStats &stats = State.Servers[Server];
+  stats.Load = Load;
+  stats.HasLoad = true;
+  stats.InFlightAtLoad = stats.InFlight;
 }
 
-void noteLeaving(BalancerState &State, const InstanceName &Who) {
+void noteLeaving(BalancerState &State, const InstanceName &Instance) {
   for (std::pair<const ServerKey, ServerStats> &it : State.Servers) {
-    if (it.first.Instance == Who)
+    if (it.first.Instance == Instance)
       it.second.Leaving = true;
   }
 }
@@ -374,15 +385,15 @@
        Known) {
     for (const Candidate &it : service.second) {
       kept.insert(it.Key);
-      ServerStats &memory = State.Servers[it.Key];
-      if (memory.Life == it.Life)
+      ServerStats &stats = State.Servers[it.Key];
+      if (stats.Life == it.Life)
         continue;
-      // Another incarnation: what was known of the last one is void.
-      std::uint32_t open = memory.InFlight;
-      memory = ServerStats();
-      memory.InFlight = open;
-      memory.Life = it.Life;
-      memory.FirstSeen = Now;
+      // The statistics of the previous incarnation do not apply.
+      std::uint32_t inFlight = stats.InFlight;
+      stats = ServerStats();
+      stats.InFlight = inFlight;
+      stats.Life = it.Life;
+      stats.FirstSeen = Now;
     }
   }
   std::erase_if(State.Servers,
--- a/Wasabi/Routing/LoadBalancing.h
+++ b/Wasabi/Routing/LoadBalancing.h
@@ -1,8 +1,8 @@
 /// \file
-/// Which server gets the next attempt: a few random candidates weighed by the
-/// wait to be expected, with affinity to cached prompt prefixes, preference for
-/// the own failure domain until it costs, bounded ejection of outliers and a
-/// slow start for fresh servers (docs/design/choice-of-upstream.md).
+/// Load balancing: chooses the server of the next attempt among a few random
+/// candidates by expected wait, prefix-cache affinity and failure domain.
+/// Includes bounded outlier ejection and slow start of new servers
+/// (docs/design/choice-of-upstream.md).
 #ifndef WASABI_ROUTING_LOADBALANCING_H
 #define WASABI_ROUTING_LOADBALANCING_H
 
@@ -22,14 +22,15 @@
 
 namespace wasabi {
 
-/// One server behind one daemon.
+/// Identifies a server and the daemon in front of it.
 struct ServerKey {
   InstanceName Instance;
   ServerName Server;
   auto operator<=>(const ServerKey &) const = default;
 };
 
-/// A server that may be asked, from the view. An immutable value.
+/// A server that can take requests according to the membership view. An
+/// immutable value.
 struct Candidate {
   ServerKey Key;
   Incarnation Life = 0;
@@ -39,115 +40,120 @@
   bool operator==(const Candidate &) const = default;
 };
 
-/// What one asker has seen of one server.
+/// Statistics of one server, as seen by this process.
 struct ServerStats {
-  /// Own attempts open now.
+  /// Attempts of this process in flight.
   std::uint32_t InFlight = 0;
-  /// The daemon's last report, and the own attempts open when it came.
+  /// The daemon's last load report, and `InFlight` at its receipt.
   ReportedLoad Load;
   std::uint32_t InFlightAtLoad = 0;
   bool HasLoad = false;
-  /// Moving average of an attempt's time, in microseconds; 0 for none yet.
+  /// Moving average of the duration of an attempt, in microseconds; 0 if
+  /// unknown.
   double ServiceMicros = 0;
-  /// When the last whole answer came.
+  /// When the last complete answer arrived.
   TimePoint LastSample;
   std::uint32_t ConsecutiveFailures = 0;
-  /// How often in a row it was ejected, which makes the next one longer.
+  /// Ejections since the last success; each one doubles the next ejection time.
   std::uint32_t Ejections = 0;
-  /// Not asked before this: ejected, backing off, or it said when to come back.
+  /// The server gets no attempts before this time, because it is ejected or
+  /// asked for a retry delay.
   TimePoint AvoidUntil;
-  /// Not asked for a caller before this: it refused that caller for overload.
-  /// Another one may have its share of the queue left.
+  /// Per flow, the time before which the server gets no attempts because it
+  /// refused the flow for overload. Other flows may still have room in its
+  /// queue.
   std::map<std::string, TimePoint> OverloadedUntil;
-  /// Set while `AvoidUntil` is due to ejection, which is bounded.
+  /// True if the server was ejected and has not succeeded since. Counts towards
+  /// `MaxEjectionPercent` until `AvoidUntil`.
   bool Ejected = false;
-  /// It said that it is leaving: for good in this incarnation.
+  /// True if the server announced that it is leaving; final for its
+  /// incarnation.
   bool Leaving = false;
   Incarnation Life = 0;
-  /// When this asker first saw this incarnation.
+  /// When this process first saw the server's incarnation.
   TimePoint FirstSeen;
 };
 
 struct BalancerSettings {
-  /// What a hop to another failure domain costs, there and back.
-  Micros CrossDomain{1000};
-  /// How long a fresh server gets less than its share.
+  /// Round-trip cost of a request to another failure domain.
+  Micros CrossDomainCost{1000};
+  /// Time in which a new server's share of the work grows to its full value.
   Millis SlowStartWindow{10000};
-  /// Failures in a row after which a server is ejected.
+  /// Number of consecutive failures after which a server is ejected.
   std::uint32_t EjectionThreshold = 5;
   Millis BaseEjectionTime{1000};
   Millis MaxEjectionTime{30000};
-  /// Most of a service's servers that are ejected at once, in percent.
+  /// Maximum share of a service's servers ejected at the same time, in percent.
   std::uint32_t MaxEjectionPercent = 50;
-  /// Longest that a server is left alone after it refused for overload.
+  /// Maximum time that a server is avoided after it refused for overload.
   Millis MaxOverloadAvoidTime{20};
-  /// Weight of a new sample in the moving average of service times.
+  /// Minimum weight of a new sample in the moving average of service times,
+  /// from 0 to 1.
   double SampleWeight = 0.1;
-  /// Time in which half of what is known of a server's pace is forgotten: one
-  /// that was slow is tried again, and believed soon.
+  /// Half-life of a measured service time, so that a slow server is tried again
+  /// and its recovery is noticed soon.
   Millis HalfLife{10000};
-  /// Assumed time of an attempt before there is a sample.
+  /// Service time assumed for a server without samples.
   Micros DefaultServiceTime{5000};
-  /// What a cached prefix saves, as a share of the service time.
+  /// Saving by a cached prefix, as a share of the service time.
   double PrefixSavingShare = 0.5;
 };
 
-/// What an asker knows of all servers. Not thread-safe.
+/// Statistics of all servers, as seen by this process. Not thread-safe.
 struct BalancerState {
   BalancerSettings Settings;
   DomainName Own;
   std::map<ServerKey, ServerStats> Servers;
 };
 
-/// The candidates of each service in a view: servers that serve, behind daemons
-/// that take work. Pure.
+/// Returns the candidates of each service: the serving servers of daemons that
+/// take work. Pure.
 std::map<ServiceName, std::vector<Candidate>>
 findCandidates(const View &Members);
 
-/// Whether there is a candidate for each declared service that has placements:
-/// an entry that has just started refuses callers before. Pure.
+/// Returns true if each declared service with placements has a candidate. A new
+/// entry refuses callers until then. Pure.
 bool hasAllCandidates(const Configuration &Declared, const View &Members);
 
-/// The wait to be expected of one more attempt, in microseconds. Pure.
-double expectedWait(const BalancerState &State, const Candidate &Who,
+/// Returns the expected wait of one more attempt, in microseconds. Pure.
+double expectedWait(const BalancerState &State, const Candidate &Server,
                     TimePoint Now);
 
-/// Chooses among `Of`. `Tried` are left out, and other failure domains than
-/// theirs come first. `Cached` is a server believed to hold the prefix.
-/// `Flow` is the caller. Empty when nobody may be asked; `BalancerState` is not
-/// changed. Pure but for the random engine.
-std::optional<Candidate> chooseCandidate(const BalancerState &State,
-                                         const std::vector<Candidate> &Of,
-                                         const std::vector<Candidate> &Tried,
-                                         const std::optional<ServerKey> &Cached,
-                                         TimePoint Now, std::mt19937_64 &Random,
-                                         const std::string &Flow = {});
-
-/// When the first of `Of` that is avoided may be asked again; zero when none
-/// is. For a refusal's `Retry-After`. Pure.
+/// Chooses one of `Candidates`, without those in `Tried`; other failure domains
+/// than theirs are preferred. `Cached` is the server that probably holds the
+/// prefix in its cache. `Flow` is the caller. Empty if no candidate is
+/// available. Pure except for `Random`.
+std::optional<Candidate> chooseCandidate(
+    const BalancerState &State, const std::vector<Candidate> &Candidates,
+    const std::vector<Candidate> &Tried, const std::optional<ServerKey> &Cached,
+    TimePoint Now, std::mt19937_64 &Random, const std::string &Flow = {});
+
+/// Returns the time until the first avoided candidate is available again, for
+/// the `Retry-After` of a refusal; zero if none is avoided. Pure.
 Millis timeUntilAvailable(const BalancerState &State,
-                          const std::vector<Candidate> &Of, TimePoint Now,
-                          const std::string &Flow = {});
+                          const std::vector<Candidate> &Candidates,
+                          TimePoint Now, const std::string &Flow = {});
 
-/// An attempt begins.
-void noteStart(BalancerState &State, const Candidate &Who, TimePoint Now);
-/// An attempt ended with a whole answer after `Took`.
-void noteSuccess(BalancerState &State, const Candidate &Who, Micros Took,
+/// Records the start of an attempt.
+void noteStart(BalancerState &State, const Candidate &Server, TimePoint Now);
+/// Records that an attempt ended with a complete answer after `Took`.
+void noteSuccess(BalancerState &State, const Candidate &Server, Micros Took,
                  TimePoint Now);
-/// An attempt failed. `Peers` are the service's candidates, which bound how
-/// many are ejected.
-void noteFailure(BalancerState &State, const Candidate &Who, const Failure &Why,
-                 const std::vector<Candidate> &Peers, TimePoint Now,
-                 const std::string &Flow = {});
-/// An attempt ended without telling anything of the server: cancelled, say.
-void noteAbandoned(BalancerState &State, const Candidate &Who);
-/// A load report of one server.
-void noteLoad(BalancerState &State, const ServerKey &Who,
+/// Records that an attempt failed. `Peers` are all candidates of the service;
+/// their number bounds the ejections.
+void noteFailure(BalancerState &State, const Candidate &Server,
+                 const Failure &Why, const std::vector<Candidate> &Peers,
+                 TimePoint Now, const std::string &Flow = {});
+/// Records that an attempt ended without information about the server, for
+/// example by cancellation.
+void noteAbandoned(BalancerState &State, const Candidate &Server);
+/// Records a load report of one server.
+void noteLoad(BalancerState &State, const ServerKey &Server,
               const ReportedLoad &Load);
-/// The daemon says that it is leaving.
-void noteLeaving(BalancerState &State, const InstanceName &Who);
-/// Forgets servers that are in no candidate list and have nothing in flight,
-/// and takes note of new incarnations.
+/// Records that a daemon is leaving, for all its servers.
+void noteLeaving(BalancerState &State, const InstanceName &Instance);
+/// Removes servers that are in no candidate list and have no attempts in
+/// flight, and resets the statistics of servers with a new incarnation.
 void retainServers(BalancerState &State,
                    const std::map<ServiceName, std::vector<Candidate>> &Known,
                    TimePoint Now);
--- a/Wasabi/Routing/PrefixHints.h
+++ b/Wasabi/Routing/PrefixHints.h
@@ -1,6 +1,6 @@
 /// \file
-/// Where prompt prefixes were placed last: hints that decay, since the engines'
-/// caches are small and what they say of them comes late and with gaps.
+/// Hints on which server holds a prompt prefix in its cache. They expire, as
+/// engines evict prefixes without a complete and timely report.
 #ifndef WASABI_ROUTING_PREFIXHINTS_H
 #define WASABI_ROUTING_PREFIXHINTS_H
 
@@ -15,39 +15,39 @@
 
 namespace wasabi {
 
-/// Prompt bytes that a prefix is named by, as the engines do.
-inline constexpr std::size_t PrefixBytes = 64;
+/// Maximum number of prompt bytes that identify a prefix, as in the engines.
+inline constexpr std::size_t MaxPrefixBytes = 64;
 
-/// The name of a prompt's prefix. Pure.
+/// Returns the hash that identifies a prompt's prefix. Pure.
 std::uint64_t hashPromptPrefix(std::string_view Prompt);
 
-/// A bounded table of placements, the least recently used dropped first.
-/// Not thread-safe.
+/// Bounded table of prefix placements with least-recently-placed eviction. Not
+/// thread-safe.
 class PrefixHints {
 public:
   struct Settings {
     std::size_t Capacity = 16384;
-    /// A placement is believed this long.
-    Millis Span{120000};
+    /// Time after which a hint expires.
+    Millis HintLifetime{120000};
   };
 
   explicit PrefixHints(Settings Limits) : Limits(Limits) {}
 
-  /// The prefix went to this server.
-  void place(std::uint64_t Prefix, const ServerKey &Where, TimePoint Now);
-  /// The server that is believed to hold the prefix.
+  /// Records that a request with the prefix was sent to `Server`.
+  void place(std::uint64_t Prefix, const ServerKey &Server, TimePoint Now);
+  /// Returns the server that probably holds the prefix; empty if unknown.
   std::optional<ServerKey> find(std::uint64_t Prefix, TimePoint Now) const;
   std::size_t size() const { return Index.size(); }
 
 private:
   struct Hint {
     std::uint64_t Prefix = 0;
-    ServerKey Where;
-    TimePoint At;
+    ServerKey Server;
+    TimePoint PlacedAt;
   };
 
   const Settings Limits;
-  std::list<Hint> Order;
+  std::list<Hint> RecentlyPlaced;
   std::unordered_map<std::uint64_t, std::list<Hint>::iterator> Index;
 };
 
--- a/Wasabi/Routing/Problem.cpp
+++ b/Wasabi/Routing/Problem.cpp
@@ -8,7 +8,7 @@
 namespace wasabi {
 namespace {
 
-/// Told when nothing better is known about a refusal that may pass.
+/// Retry delay of a retryable refusal that gives none.
 constexpr Millis DefaultRetryAfter{1000};
 
 unsigned notRunStatus(FailureCode Code) {
@@ -28,8 +28,8 @@
   }
 }
 
-/// Whether the same request may succeed a little later.
-bool mayPass(const Failure &Why) {
+/// Returns true if the same request may succeed later.
+bool isRetryable(const Failure &Why) {
   if (Why.Run != Verdict::NotRun)
     return false;
   return Why.Code != FailureCode::BadInput && Why.Code != FailureCode::Internal;
@@ -49,41 +49,43 @@
 
 } // namespace
 
-unsigned statusOf(const Failure &Why) {
+unsigned httpStatusOf(const Failure &Why) {
   if (Why.Run == Verdict::NotRun)
     return notRunStatus(Why.Code);
   if (Why.Code == FailureCode::Conflict)
     return 409;
-  // It may be asked again with the same key, after the time that is told.
+  // The request may be repeated with the same key after the retry delay.
   if (Why.RetryAfter > Millis(0))
     return 503;
-  bool late =
+  bool hasTimedOut =
       Why.Code == FailureCode::TimedOut || Why.Code == FailureCode::Expired;
-  return late ? 504 : 502;
+  return hasTimedOut ? 504 : 502;
 }
 
 http::Response problemResponse(const Failure &Why) {
   Millis retry = Why.RetryAfter;
-  if (retry == Millis(0) && mayPass(Why))
+  if (retry == Millis(0) && isRetryable(Why))
     retry = DefaultRetryAfter;
 
   boost::json::object body;
   body["type"] = "urn:wasabisail:problem:" + std::string(toText(Why.Code));
   body["title"] = titleOf(Why);
-  body["status"] = statusOf(Why);
+  body["status"] = httpStatusOf(Why);
   body["detail"] = Why.Place + ": " + Why.Reason;
   body["verdict"] = toText(Why.Run);
   body["retry_after_ms"] = retry.count();
 
   http::Response response;
-  response.Status = statusOf(Why);
+  response.Status = httpStatusOf(Why);
   response.Headers = {
       {"Content-Type", "application/problem+json"},
       {VerdictHeader, std::string(toText(Why.Run))},
   };
   if (retry > Millis(0)) {
-    std::chrono::seconds whole = std::chrono::ceil<std::chrono::seconds>(retry);
-    response.Headers.push_back({"Retry-After", std::to_string(whole.count())});
+    std::chrono::seconds seconds =
+        std::chrono::ceil<std::chrono::seconds>(retry);
+    response.Headers.push_back(
+        {"Retry-After", std::to_string(seconds.count())});
   }
   response.Body = boost::json::serialize(body);
   return response;
--- a/Wasabi/Routing/Problem.h
+++ b/Wasabi/Routing/Problem.h
@@ -1,6 +1,6 @@
 /// \file
-/// What a caller is told when its request got no whole answer: a status, the
-/// verdict, and when to come back (docs/design/verdicts.md).
+/// HTTP error responses for requests without a complete answer: status, verdict
+/// and retry delay (docs/design/verdicts.md).
 #ifndef WASABI_ROUTING_PROBLEM_H
 #define WASABI_ROUTING_PROBLEM_H
 
@@ -9,14 +9,15 @@
 
 namespace wasabi {
 
-/// The header that carries the verdict of every answer given to a caller.
+/// Header that carries the verdict of each answer to a caller.
 inline constexpr char VerdictHeader[] = "X-Wasabi-Verdict";
 
-/// The status that tells a failure. Pure.
-unsigned statusOf(const Failure &Why);
+/// Returns the HTTP status for a failure. Pure.
+unsigned httpStatusOf(const Failure &Why);
 
-/// The whole refusal: status, verdict header, `Retry-After` in whole seconds
-/// where coming back can help, and an `application/problem+json` body. Pure.
+/// Returns the error response: status, verdict header, `Retry-After` in seconds
+/// (rounded up) if a retry may succeed, and an `application/problem+json` body.
+/// Pure.
 http::Response problemResponse(const Failure &Why);
 
 } // namespace wasabi
--- a/Wasabi/Routing/RetryBudget.h
+++ b/Wasabi/Routing/RetryBudget.h
@@ -1,6 +1,6 @@
 /// \file
-/// How many further attempts may be made: a share of recent successes, so that
-/// retries cannot feed an overload or an outage.
+/// Retry budget: limits retries to a share of the recent successes, so that
+/// they cannot amplify an overload or an outage.
 #ifndef WASABI_ROUTING_RETRYBUDGET_H
 #define WASABI_ROUTING_RETRYBUDGET_H
 
@@ -8,37 +8,37 @@
 
 namespace wasabi {
 
-/// A token bucket that successes fill and retries empty. A value.
+/// Token bucket that successes fill and retries drain. A value.
 struct RetryBudget {
   struct Settings {
-    /// Tokens that one success earns.
+    /// Tokens added per success.
     double TokensPerSuccess = 0.1;
-    /// Most tokens kept, and those at the start.
-    double Most = 10.0;
+    /// Capacity of the bucket and its initial content, in tokens.
+    double MaxTokens = 10.0;
     bool operator==(const Settings &) const = default;
   };
 
   Settings Limits;
-  double Tokens = Settings().Most;
+  double Tokens = Settings().MaxTokens;
   bool operator==(const RetryBudget &) const = default;
 };
 
-/// A budget as at the start. Pure.
+/// Returns a full budget. Pure.
 inline RetryBudget makeRetryBudget(RetryBudget::Settings Limits) {
-  return RetryBudget{Limits, Limits.Most};
+  return RetryBudget{Limits, Limits.MaxTokens};
 }
 
-/// The budget after a success. Pure.
+/// Returns the budget after a success. Pure.
 inline RetryBudget addSuccess(RetryBudget Budget) {
-  Budget.Tokens = std::min(Budget.Limits.Most,
+  Budget.Tokens = std::min(Budget.Limits.MaxTokens,
                            Budget.Tokens + Budget.Limits.TokensPerSuccess);
   return Budget;
 }
 
-/// Whether a retry may be made now. Pure.
+/// Returns true if a retry is allowed now. Pure.
 inline bool canSpend(const RetryBudget &Budget) { return Budget.Tokens >= 1.0; }
 
-/// The budget after a retry. Precondition: `canSpend`. Pure.
+/// Returns the budget after a retry. Precondition: `canSpend(Budget)`. Pure.
 inline RetryBudget spend(RetryBudget Budget) {
   Budget.Tokens -= 1.0;
   return Budget;
--- a/Wasabi/Routing/RouteMatch.cpp
+++ b/Wasabi/Routing/RouteMatch.cpp
@@ -14,10 +14,10 @@
 
 constexpr std::string_view ServicesPrefix = "/services/";
 constexpr std::string_view CompletionsPath = "/v1/completions";
-constexpr std::size_t MaxKey = 255;
+constexpr std::size_t MaxKeyBytes = 255;
 constexpr Millis MaxDeadline{24 * 3600 * 1000};
 
-Failure refuse(std::string Place, std::string Reason) {
+Failure makeBadInput(std::string Place, std::string Reason) {
   return Failure{Verdict::NotRun,
                  FailureCode::BadInput,
                  std::move(Place),
@@ -25,23 +25,23 @@
                  {}};
 }
 
-/// What an engine's completion says of itself.
+/// The fields of a completion's body that routing uses.
 struct CompletionBody {
   ModelName Model;
   std::string Prompt;
   bool Streamed = false;
 };
 
-/// The text of a member; empty when absent or of another type.
-std::string textMember(const json::object &Body, std::string_view Name) {
+/// Returns the string member `Name`; empty if it is absent or of another type.
+std::string findText(const json::object &Body, std::string_view Name) {
   const json::value *found = Body.if_contains(Name);
   if (!found || !found->is_string())
     return {};
   return std::string(found->get_string());
 }
 
-/// Empty for what is no JSON object.
-std::optional<CompletionBody> readCompletion(const std::string &Text) {
+/// Returns an empty value if `Text` is not a JSON object.
+std::optional<CompletionBody> parseCompletion(const std::string &Text) {
   boost::system::error_code ec;
   json::value parsed = json::parse(Text, ec);
   if (ec || !parsed.is_object())
@@ -49,20 +49,20 @@
   const json::object &body = parsed.get_object();
   const json::value *stream = body.if_contains("stream");
   bool streamed = stream && stream->is_bool() && stream->get_bool();
-  return CompletionBody{ModelName(textMember(body, "model")),
-                        textMember(body, "prompt"), streamed};
+  return CompletionBody{ModelName(findText(body, "model")),
+                        findText(body, "prompt"), streamed};
 }
 
-/// The path's service and the target without its prefix.
+/// The service named by the path, and the target without that prefix.
 struct PathMatch {
   std::string Service;
   std::string Target;
 };
 
-PathMatch matchPath(const http::Request &Ask) {
-  std::string_view target = Ask.Target;
+PathMatch matchPath(const http::Request &Request) {
+  std::string_view target = Request.Target;
   if (!target.starts_with(ServicesPrefix))
-    return {"", Ask.Target};
+    return {"", Request.Target};
   std::string_view rest = target.substr(ServicesPrefix.size());
   std::size_t end = std::min(rest.find_first_of("/?"), rest.size());
   std::string_view tail = rest.substr(end);
@@ -71,9 +71,9 @@
   return {std::string(rest.substr(0, end)), stripped};
 }
 
-/// The engines' service that declares a model; null when there is none.
-const ServiceDeclaration *serviceOfModel(const Configuration &Declared,
-                                         const ModelName &Model) {
+/// Returns the engine service that declares `Model`, or null.
+const ServiceDeclaration *findServiceOfModel(const Configuration &Declared,
+                                             const ModelName &Model) {
   for (const std::pair<const ServiceName, ServiceDeclaration> &it :
        Declared.Services) {
     if (it.second.Kind == ServiceKind::Engines && it.second.Model == Model)
@@ -82,8 +82,9 @@
   return nullptr;
 }
 
-/// Empty for what is no count of milliseconds within bounds.
-std::optional<Millis> readDeadline(std::string_view Text, Millis Default) {
+/// Returns `Default` for an empty text, and an empty value if the text is not a
+/// number of milliseconds from 1 to `MaxDeadline`.
+std::optional<Millis> parseDeadline(std::string_view Text, Millis Default) {
   if (Text.empty())
     return Default;
   std::int64_t count = 0;
@@ -95,42 +96,43 @@
   return Millis(count);
 }
 
-Failure badDeadline(std::string_view Text) {
-  return refuse(std::string("header ") + DeadlineHeader,
-                "'" + std::string(Text) +
-                    "' is not a count of milliseconds from 1 to " +
-                    std::to_string(MaxDeadline.count()));
+Failure makeBadDeadline(std::string_view Text) {
+  return makeBadInput(std::string("header ") + DeadlineHeader,
+                      "'" + std::string(Text) +
+                          "' is not a number of milliseconds from 1 to " +
+                          std::to_string(MaxDeadline.count()));
 }
 
 std::string_view pathOf(std::string_view Target) {
   return Target.substr(0, Target.find('?'));
 }
 
-/// A completion runs no effect but its text, so it may be repeated unless a
-/// declared rule says otherwise.
-bool mayRepeat(const ServiceDeclaration &Service, const http::Request &Ask,
-               std::string_view Path, bool Completion) {
-  if (Ask.header(IdempotentHeader) == "false")
+/// Returns true if the request may be sent more than once. A completion has no
+/// side effects, so it may be repeated unless a declared route forbids it.
+bool isRepeatable(const ServiceDeclaration &Service,
+                  const http::Request &Request, std::string_view Path,
+                  bool Completion) {
+  if (Request.header(IdempotentHeader) == "false")
     return false;
-  bool ruled = std::any_of(
+  bool hasRule = std::any_of(
       Service.Routes.begin(), Service.Routes.end(), [&](const RouteRule &Rule) {
-        return (Rule.Method == "*" || Rule.Method == Ask.Method) &&
+        return (Rule.Method == "*" || Rule.Method == Request.Method) &&
                Path.starts_with(Rule.PathPrefix);
       });
-  if (Completion && !ruled)
+  if (Completion && !hasRule)
     return true;
-  return isIdempotent(Service, Ask.Method, Path);
+  return isIdempotent(Service, Request.Method, Path);
 }
 
 } // namespace
 
 Outcome<RouteMatch> matchRoute(const Configuration &Declared,
-                               const http::Request &Ask) {
-  PathMatch path = matchPath(Ask);
-  std::string_view named = Ask.header(ServiceHeader);
+                               const http::Request &Request) {
+  PathMatch path = matchPath(Request);
+  std::string_view named = Request.header(ServiceHeader);
   std::string name = named.empty() ? path.Service : std::string(named);
   bool completions =
-      Ask.Method == "POST" && pathOf(path.Target) == CompletionsPath;
+      Request.Method == "POST" && pathOf(path.Target) == CompletionsPath;
 
   const ServiceDeclaration *service = nullptr;
   if (!name.empty()) {
@@ -140,38 +142,39 @@
       service = &it->second;
   }
 
-  // The body is read only where it decides something.
+  // Parse the body only if the match depends on it.
   CompletionBody body;
   bool engines = service && service->Kind == ServiceKind::Engines;
   if (completions && (engines || name.empty())) {
-    std::optional<CompletionBody> read = readCompletion(Ask.Body);
+    std::optional<CompletionBody> read = parseCompletion(Request.Body);
     if (!read)
-      return refuse("body", "it is not a JSON object");
+      return makeBadInput("body", "the request body is not a JSON object");
     body = *std::move(read);
     if (name.empty()) {
-      service = serviceOfModel(Declared, body.Model);
+      service = findServiceOfModel(Declared, body.Model);
       name = "of model '" + body.Model.Text + "'";
     }
   }
   if (name.empty())
-    return refuse("request", "it names no service: neither the header "
-                             "X-Service nor the path /services/NAME/ is there");
+    return makeBadInput("request", "no service is named: expected the header "
+                                   "X-Service or the path /services/NAME/");
   if (!service)
     return Failure{Verdict::NotRun,
                    FailureCode::NoUpstream,
                    "service " + name,
-                   "it is not declared",
+                   "the service is not declared",
                    {}};
 
-  std::string_view asked = Ask.header(DeadlineHeader);
+  std::string_view deadlineText = Request.header(DeadlineHeader);
   std::optional<Millis> deadline =
-      readDeadline(asked, service->DefaultDeadline);
+      parseDeadline(deadlineText, service->DefaultDeadline);
   if (!deadline)
-    return badDeadline(asked);
-  std::string key(Ask.header(KeyHeader));
-  if (key.size() > MaxKey)
-    return refuse(std::string("header ") + KeyHeader,
-                  "it is longer than " + std::to_string(MaxKey) + " bytes");
+    return makeBadDeadline(deadlineText);
+  std::string key(Request.header(IdempotencyKeyHeader));
+  if (key.size() > MaxKeyBytes)
+    return makeBadInput(std::string("header ") + IdempotencyKeyHeader,
+                        "the key is longer than " +
+                            std::to_string(MaxKeyBytes) + " bytes");
 
   RouteMatch match;
   match.Service = service->Name;
@@ -179,9 +182,9 @@
   match.Target = path.Target;
   match.Completion = completions && service->Kind == ServiceKind::Engines;
   match.Idempotent =
-      mayRepeat(*service, Ask, pathOf(path.Target), match.Completion);
+      isRepeatable(*service, Request, pathOf(path.Target), match.Completion);
   match.Key = std::move(key);
-  match.Caller = std::string(Ask.header(CallerHeader));
+  match.Caller = std::string(Request.header(CallerHeader));
   match.Deadline = *deadline;
   match.Streamed = match.Completion && body.Streamed;
   match.Prompt = match.Completion ? std::move(body.Prompt) : std::string();
--- a/Wasabi/Routing/RouteMatch.h
+++ b/Wasabi/Routing/RouteMatch.h
@@ -1,5 +1,6 @@
 /// \file
-/// Which declared service a caller's request is for, and what it asks of us.
+/// Matches a caller's request to a declared service, and parses its headers and
+/// completion body.
 #ifndef WASABI_ROUTING_ROUTEMATCH_H
 #define WASABI_ROUTING_ROUTEMATCH_H
 
@@ -12,43 +13,43 @@
 
 namespace wasabi {
 
-/// The header that names a service.
+/// Header that names the service.
 inline constexpr char ServiceHeader[] = "X-Service";
-/// The header that names a caller, for its limits.
+/// Header that names the caller, for its rate limit.
 inline constexpr char CallerHeader[] = "X-Caller";
-/// The header that gives a deadline, in milliseconds from the arrival.
+/// Header with the deadline, in milliseconds from the arrival.
 inline constexpr char DeadlineHeader[] = "X-Deadline-Ms";
-/// `X-Idempotent: false` marks a request that must run at most once, whatever
-/// its route says.
+/// `X-Idempotent: false` marks a request that must run at most once, regardless
+/// of its route.
 inline constexpr char IdempotentHeader[] = "X-Idempotent";
-/// Names a request over a caller's own repeats.
-inline constexpr char KeyHeader[] = "Idempotency-Key";
+/// Header that identifies a request across repeats by its caller.
+inline constexpr char IdempotencyKeyHeader[] = "Idempotency-Key";
 
-/// A caller's request as understood. An immutable value.
+/// A caller's request, matched and parsed. An immutable value.
 struct RouteMatch {
   ServiceName Service;
   ServiceKind Kind = ServiceKind::Plain;
-  /// The target for the upstream; `/services/NAME` is taken off.
+  /// Target for the upstream, without the prefix `/services/NAME`.
   std::string Target;
   bool Idempotent = false;
   std::string Key;
   std::string Caller;
   Millis Deadline{60000};
-  /// An engine's completion, whose stream can be resumed.
+  /// True for a completion by an engine, whose stream can be resumed.
   bool Completion = false;
-  /// Whether a completion is streamed.
+  /// True for a completion with a streamed answer.
   bool Streamed = false;
-  /// What a completion's cached prefix is found by; empty otherwise.
+  /// Prompt of a completion, for prefix-cache affinity; empty otherwise.
   std::string Prompt;
   bool operator==(const RouteMatch &) const = default;
 };
 
-/// Finds the service by `X-Service`, else the path `/services/NAME/…`, else for
-/// `/v1/completions` the body's `model`. Failures: `BadInput`, `NotRun`, for a
-/// request that cannot be understood; `NoUpstream` for an undeclared service.
+/// Finds the service by `X-Service`, else by the path `/services/NAME/…`, else
+/// for `/v1/completions` by the body's `model`. Failures: `BadInput`, `NotRun`,
+/// for an invalid request; `NoUpstream`, `NotRun`, for an undeclared service.
 /// Pure.
 Outcome<RouteMatch> matchRoute(const Configuration &Declared,
-                               const http::Request &Ask);
+                               const http::Request &Request);
 
 } // namespace wasabi
 
--- a/Wasabi/Weights/FencingGuard.h
+++ b/Wasabi/Weights/FencingGuard.h
@@ -1,6 +1,6 @@
 /// \file
-/// Fences off orders of former owners, for the engines that check no tokens
-/// themselves: their daemon is their only road.
+/// Rejects orders of former owners by their fencing tokens, for engines that do
+/// not check tokens themselves. All orders to an engine pass its daemon.
 #ifndef WASABI_WEIGHTS_FENCINGGUARD_H
 #define WASABI_WEIGHTS_FENCINGGUARD_H
 
@@ -13,16 +13,16 @@
 
 namespace wasabi {
 
-/// The greatest fencing token seen per server and resource. Not thread-safe.
-/// It starts empty: a daemon that starts anew learns the tokens from the
-/// orders that come, and from what its engines report.
+/// Stores the greatest fencing token seen per server and resource. Starts
+/// empty; a restarted daemon learns the tokens from the orders that it receives
+/// and from the reports of its engines. Not thread-safe.
 class FencingGuard {
 public:
-  /// Takes note of an order's token; a failure (`StaleFence`, `NotRun`) when a
-  /// greater one was seen.
+  /// Records an order's token. Returns a failure (`StaleFence`, `NotRun`) if a
+  /// greater token was seen.
   std::optional<Failure> admit(const ServerName &Server,
                                const std::string &Resource, FencingToken Token);
-  /// The greatest token seen; 0 for none.
+  /// Returns the greatest token seen; 0 if none.
   FencingToken seen(const ServerName &Server,
                     const std::string &Resource) const;
 
@@ -32,7 +32,7 @@
     std::string Resource;
     auto operator<=>(const GuardedResource &) const = default;
   };
-  std::map<GuardedResource, FencingToken> Greatest;
+  std::map<GuardedResource, FencingToken> NewestTokens;
 };
 
 } // namespace wasabi
--- a/Wasabi/Weights/SwapPlan.h
+++ b/Wasabi/Weights/SwapPlan.h
@@ -1,6 +1,6 @@
 /// \file
-/// Which server swaps to a new weight version next: pure decisions of the owner
-/// of a model's weight rollout.
+/// Plans the order in which servers swap to a new weight version, for the owner
+/// of a model's weight rollout. Does no I/O.
 #ifndef WASABI_WEIGHTS_SWAPPLAN_H
 #define WASABI_WEIGHTS_SWAPPLAN_H
 
@@ -14,34 +14,35 @@
 
 namespace wasabi {
 
-/// A server that holds the model, as reported. An immutable value.
+/// A server with the model, according to its reports. An immutable value.
 struct SwapTarget {
   ServerName Server;
   ServiceName Service;
   InstanceName Daemon;
-  /// The version that its engine reported last.
+  /// Version that the engine reported last.
   WeightVersion Version = 0;
-  /// Requests running or queued there.
+  /// Requests running or queued at the server.
   std::uint32_t Unfinished = 0;
-  /// How many more versions may be published before the server's version is
-  /// too old for one of its service's trainers; negative when it is already.
+  /// Number of versions that may still be published before the server's version
+  /// exceeds the staleness bound of a trainer of its service; negative if it
+  /// exceeds the bound already.
   std::int64_t Headroom = 0;
   bool operator==(const SwapTarget &) const = default;
 };
 
-/// What the owner remembers of one server.
+/// State of the swaps of one server.
 struct SwapState {
   bool Ordered = false;
   TimePoint OrderedAt;
   std::uint32_t Failures = 0;
   TimePoint NotBefore;
-  /// The version that its answer proved last. Reports of its load are older
-  /// until `NotBefore`.
-  WeightVersion Reached = 0;
+  /// Version that the server's last answer confirmed; 0 if none. Until
+  /// `NotBefore`, load reports may still show an older version.
+  WeightVersion ConfirmedVersion = 0;
   bool operator==(const SwapState &) const = default;
 };
 
-/// An order to be sent now.
+/// An order to send now.
 struct SwapOrder {
   ServerName Server;
   InstanceName Daemon;
@@ -49,60 +50,66 @@
   bool operator==(const SwapOrder &) const = default;
 };
 
-/// A model's weight rollout. A value.
+/// State of a model's weight rollout. A value.
 struct SwapPlanState {
   struct Settings {
-    /// Fetches at once to begin with, and at most: more only slow each other
-    /// down once the store's bandwidth is used up.
+    /// Initial and maximum number of concurrent fetches, bounded by the
+    /// bandwidth of the store.
     std::uint32_t InitialFetches = 16;
     std::uint32_t MaxFetches = 64;
-    Millis FirstBackOff{200};
+    Millis InitialBackOff{200};
     Millis MaxBackOff{5000};
-    /// A lower limit learnt from a failure is forgotten after this.
+    /// Time after the last failure until the number of concurrent fetches is
+    /// raised to `InitialFetches` again.
     Millis WindowRecoveryDelay{60000};
-    /// An order out for this many times the usual swap is late: its engine
-    /// hangs, and the others need not wait for it.
+    /// A swap is late if it takes longer than this multiple of `SwapTime`, for
+    /// example because its engine hangs. Late swaps do not delay others.
     std::uint32_t LateFactor = 4;
+    /// Lower bound of the time after which a swap is late.
     Millis MinLateThreshold{1000};
-    /// As long as no swap has ended.
+    /// Time after which a swap is late, until the first swap has ended.
     Millis InitialLateThreshold{10000};
-    /// How old a load report may be when an answer comes.
+    /// Maximum age of a load report when an answer arrives.
     Millis MaxReportDelay{1000};
   };
 
   Settings Setup;
   WeightVersion Newest = 0;
   std::map<ServerName, SwapState> Servers;
-  /// Fetches at once that are allowed now.
-  std::uint32_t Window = Settings().InitialFetches;
-  TimePoint WindowCutAt;
-  /// How long a swap takes, a moving average; zero until one has ended.
+  /// Number of concurrent fetches allowed now.
+  std::uint32_t FetchWindow = Settings().InitialFetches;
+  TimePoint WindowReducedAt;
+  /// Moving average of the duration of a swap; zero until one has ended.
   Micros SwapTime{0};
 };
 
-/// Whether a server's order is out for so long that it no longer holds back
-/// the others. Pure.
-bool isSwapLate(const SwapPlanState &State, const SwapState &Of, TimePoint Now);
+/// Returns true if the server's swap has taken so long that it no longer delays
+/// others. Pure.
+bool isSwapLate(const SwapPlanState &State, const SwapState &Server,
+                TimePoint Now);
 
-/// Plans the next orders at `Now`, and notes them as sent. At most the preset's
-/// percentage of each service swaps at once, late ones not counted, never all
-/// of a service of more than one server, and never more in all than the store
-/// serves well. First
-/// come servers whose version is nearest to too old, then those with the least
-/// unfinished work. Under `Finish` a server with unfinished work waits, unless
-/// its version is too old already. Pure but for `State`.
+/// Plans the orders to send at `Now` and records them as sent in `State`.
+///
+/// Within a service, at most the preset's percentage swaps at the same time,
+/// not counting late swaps, and at least one server of several keeps serving.
+/// The total is bounded by `FetchWindow`. Servers with the least headroom go
+/// first, then those with the least unfinished work. Under
+/// `VersionChange::Finish` a server with unfinished work waits unless its
+/// headroom is negative. Pure except for `State`.
 std::vector<SwapOrder> planSwaps(SwapPlanState &State,
                                  const std::vector<SwapTarget> &Targets,
                                  const PresetDeclaration &Preset,
                                  TimePoint Now);
 
-/// An order's answer: a swap counts only if the engine reports the version.
-/// Returns whether it does. Pure but for `State`.
+/// Applies the answer to an order. Returns true if the engine reports the
+/// newest version; otherwise the order counts as failed. Pure except for
+/// `State`.
 bool noteAnswer(SwapPlanState &State, const ServerName &Server,
                 WeightVersion Reported, TimePoint Now);
 
-/// An order failed, or its answer was lost: the server is ordered again after a
-/// delay, unless a report shows the version before. Pure but for `State`.
+/// Records that an order failed or its answer was lost. The order is repeated
+/// after a delay unless a report shows the version first. Pure except for
+/// `State`.
 void noteFailure(SwapPlanState &State, const ServerName &Server, TimePoint Now);
 
 } // namespace wasabi
--- a/Wasabi/Weights/WeightsOwner.cpp
+++ b/Wasabi/Weights/WeightsOwner.cpp
@@ -12,16 +12,17 @@
 
 namespace {
 
-/// Headroom of a service that no trainer uses.
-constexpr std::int64_t NoTrainer = std::numeric_limits<std::int32_t>::max();
-
-/// The tightest bound of the trainers attached to a service.
-std::int64_t tightestBound(const Configuration &Of,
-                           const ServiceName &Service) {
-  std::int64_t bound = NoTrainer;
-  for (const auto &it : Of.Attachments) {
-    auto trainer = Of.Trainers.find(it.second.Trainer);
-    if (it.second.Service == Service && trainer != Of.Trainers.end())
+/// Staleness bound of a service without a trainer.
+constexpr std::int64_t NoTrainerBound =
+    std::numeric_limits<std::int32_t>::max();
+
+/// Returns the lowest staleness bound of the trainers attached to a service.
+std::int64_t findStalenessBound(const Configuration &Config,
+                                const ServiceName &Service) {
+  std::int64_t bound = NoTrainerBound;
+  for (const auto &it : Config.Attachments) {
+    auto trainer = Config.Trainers.find(it.second.Trainer);
+    if (it.second.Service == Service && trainer != Config.Trainers.end())
       bound = std::min<std::int64_t>(bound, trainer->second.StalenessBound);
   }
   return bound;
@@ -44,9 +45,10 @@
 
 void WeightsOwner::start() {
   std::shared_ptr<WeightsOwner> self = shared_from_this();
-  boost::asio::co_spawn(Context.Executor, pollStore(self),
+  boost::asio::co_spawn(Context.Executor, pollLoop(self),
+                        boost::asio::detached);
+  boost::asio::co_spawn(Context.Executor, tickLoop(self),
                         boost::asio::detached);
-  boost::asio::co_spawn(Context.Executor, tick(self), boost::asio::detached);
 }
 
 bool WeightsOwner::ownsClaim() const {
@@ -57,7 +59,7 @@
 }
 
 boost::asio::awaitable<void>
-WeightsOwner::pollStore(std::shared_ptr<WeightsOwner> Self) {
+WeightsOwner::pollLoop(std::shared_ptr<WeightsOwner> Self) {
   while (!Self->Stopped) {
     Outcome<WeightVersion> newest = co_await Context.Weights.Newest(
         Setup.Model, State.Newest, Setup.PollTimeout);
@@ -71,84 +73,86 @@
     Context.Events.record(
         "weights.published",
         {{"model", Setup.Model.Text}, {"version", std::to_string(*newest)}});
-    planNow();
+    sendPlanned();
   }
 }
 
 boost::asio::awaitable<void>
-WeightsOwner::tick(std::shared_ptr<WeightsOwner> Self) {
+WeightsOwner::tickLoop(std::shared_ptr<WeightsOwner> Self) {
   while (!Self->Stopped) {
-    planNow();
+    sendPlanned();
     co_await pause(Setup.TickInterval);
   }
 }
 
-std::vector<SwapTarget> WeightsOwner::targets() const {
-  std::vector<SwapTarget> all;
+std::vector<SwapTarget> WeightsOwner::collectTargets() const {
+  std::vector<SwapTarget> found;
   std::shared_ptr<const Configuration> config = Context.Control.state()->Config;
   auto newest = static_cast<std::int64_t>(State.Newest);
   for (const auto &it : config->Services) {
     if (it.second.Kind != ServiceKind::Engines ||
         it.second.Model != Setup.Model)
       continue;
-    std::int64_t bound = tightestBound(*config, it.first);
+    std::int64_t bound = findStalenessBound(*config, it.first);
     for (const ReportedEngine &engine : findServiceEngines(Context, it.first)) {
       std::int64_t headroom =
           static_cast<std::int64_t>(engine.Version) + bound - newest;
-      all.push_back(SwapTarget{engine.Name, it.first, engine.Daemon,
-                               engine.Version, engine.Running + engine.Queued,
-                               headroom});
+      found.push_back(SwapTarget{engine.Name, it.first, engine.Daemon,
+                                 engine.Version, engine.Running + engine.Queued,
+                                 headroom});
     }
   }
-  return all;
+  return found;
 }
 
-void WeightsOwner::planNow() {
+void WeightsOwner::sendPlanned() {
   if (State.Newest == 0 || Stopped || !ownsClaim())
     return;
   std::shared_ptr<const Configuration> config = Context.Control.state()->Config;
   for (const SwapOrder &it :
-       planSwaps(State, targets(), config->preset(), monotonicNow()))
-    send(it);
+       planSwaps(State, collectTargets(), config->preset(), monotonicNow()))
+    sendOrder(it);
 }
 
-void WeightsOwner::send(const SwapOrder &What) {
-  note("weights.order", What, "");
-  Order order{What.Server, weightsResource(Setup.Model), Setup.Fence,
-              Setup.Model, What.Version};
+void WeightsOwner::sendOrder(const SwapOrder &Swap) {
+  recordEvent("weights.order", Swap, "");
+  Order order{Swap.Server, weightsResource(Setup.Model), Setup.Fence,
+              Setup.Model, Swap.Version};
   std::shared_ptr<WeightsOwner> self = shared_from_this();
-  // The answer comes on the control thread, maybe after this duty has ended.
+  // The answer arrives on the control thread, possibly after the duty has
+  // ended; the gate posts it to the duty's thread.
   Context.Control.order(
-      What.Daemon, std::move(order), Setup.OrderTimeout,
-      [self, What, gate = Context.Gate](const Outcome<OrderAnswer> &answer) {
-        gate->post([self, What, answer] { self->onAnswer(What, answer); });
+      Swap.Daemon, std::move(order), Setup.OrderTimeout,
+      [self, Swap, gate = Context.Gate](const Outcome<OrderAnswer> &answer) {
+        gate->post([self, Swap, answer] { self->onAnswer(Swap, answer); });
       });
 }
 
-void WeightsOwner::onAnswer(const SwapOrder &Of,
+void WeightsOwner::onAnswer(const SwapOrder &Swap,
                             const Outcome<OrderAnswer> &Answer) {
   TimePoint now = monotonicNow();
   if (!Answer) {
-    noteFailure(State, Of.Server, now);
-    note("weights.failed", Of, describe(Answer.failure()));
+    noteFailure(State, Swap.Server, now);
+    recordEvent("weights.failed", Swap, describe(Answer.failure()));
     return;
   }
-  // The report counts, not that there was an answer.
-  bool isThere = Answer->Version == Of.Version;
-  noteAnswer(State, Of.Server, Answer->Version, now);
-  if (isThere)
-    note("weights.done", Of, "");
+  // An answer alone does not confirm the swap; the reported version does.
+  bool isConfirmed = Answer->Version == Swap.Version;
+  noteAnswer(State, Swap.Server, Answer->Version, now);
+  if (isConfirmed)
+    recordEvent("weights.done", Swap, "");
   else
-    note("weights.failed", Of,
-         "the engine reports version " + std::to_string(Answer->Version));
-  planNow();
+    recordEvent("weights.failed", Swap,
+                "the engine reports version " +
+                    std::to_string(Answer->Version));
+  sendPlanned();
 }
 
-void WeightsOwner::note(const std::string &Kind, const SwapOrder &Of,
-                        const std::string &Reason) {
+void WeightsOwner::recordEvent(const std::string &Kind, const SwapOrder &Swap,
+                               const std::string &Reason) {
   std::vector<EventField> fields{{"model", Setup.Model.Text},
-                                 {"version", std::to_string(Of.Version)},
-                                 {"server", Of.Server.Text},
+                                 {"version", std::to_string(Swap.Version)},
+                                 {"server", Swap.Server.Text},
                                  {"fence", std::to_string(Setup.Fence)}};
   if (!Reason.empty())
     fields.push_back({"reason", Reason});
--- a/Wasabi/Weights/WeightsOwner.h
+++ b/Wasabi/Weights/WeightsOwner.h
@@ -1,5 +1,5 @@
 /// \file
-/// The owner of one model's weight rollout under one claim.
+/// Drives the weight rollout of one model while it owns the model's claim.
 #ifndef WASABI_WEIGHTS_WEIGHTSOWNER_H
 #define WASABI_WEIGHTS_WEIGHTSOWNER_H
 
@@ -13,11 +13,11 @@
 
 namespace wasabi {
 
-/// The resource that a model's orders are claimed by. Pure.
+/// Returns the name of the claimed resource for a model's weights. Pure.
 std::string weightsResource(const ModelName &Model);
 
-/// Watches the store for new versions, and sends orders in waves until each
-/// engine reports the newest. Not thread-safe: use on the duty's thread.
+/// Polls the store for new versions and sends orders in waves until each engine
+/// reports the newest version. Not thread-safe: use it on the duty's thread.
 class WeightsOwner : public std::enable_shared_from_this<WeightsOwner> {
 public:
   struct Settings {
@@ -26,7 +26,7 @@
     Millis TickInterval{100};
     Millis PollTimeout{5000};
     Millis PollRetryDelay{500};
-    /// How long a swap may take, its fetch included.
+    /// Time limit of a swap, including its fetch.
     Millis OrderTimeout{60000};
   };
 
@@ -35,24 +35,24 @@
   void start();
   void stop() { Stopped = true; }
   FencingToken fence() const { return Setup.Fence; }
-  /// Whether the claim is still this owner's, as far as the log is known.
-  /// Orders go on past its term: while the log is out nobody can take the
-  /// claim, and daemons and engines refuse a smaller token once they saw a
-  /// greater one.
+  /// Returns true if this owner holds the claim according to the records read
+  /// so far. Orders continue past the claim's term: during an outage of the log
+  /// no other process can take the claim, and daemons and engines reject
+  /// tokens smaller than one they have seen.
   bool ownsClaim() const;
-  /// A JSON object.
+  /// Returns the status as a JSON object.
   std::string statusJson() const;
 
 private:
   WeightsOwner(RolloutContext &Context, Settings Setup);
-  std::vector<SwapTarget> targets() const;
-  void planNow();
-  void send(const SwapOrder &What);
-  void onAnswer(const SwapOrder &Of, const Outcome<OrderAnswer> &Answer);
-  void note(const std::string &Kind, const SwapOrder &Of,
-            const std::string &Reason);
-  boost::asio::awaitable<void> pollStore(std::shared_ptr<WeightsOwner> Self);
-  boost::asio::awaitable<void> tick(std::shared_ptr<WeightsOwner> Self);
+  std::vector<SwapTarget> collectTargets() const;
+  void sendPlanned();
+  void sendOrder(const SwapOrder &Swap);
+  void onAnswer(const SwapOrder &Swap, const Outcome<OrderAnswer> &Answer);
+  void recordEvent(const std::string &Kind, const SwapOrder &Swap,
+                   const std::string &Reason);
+  boost::asio::awaitable<void> pollLoop(std::shared_ptr<WeightsOwner> Self);
+  boost::asio::awaitable<void> tickLoop(std::shared_ptr<WeightsOwner> Self);
 
   RolloutContext &Context;
   const Settings Setup;
