--- a/UnitTests/Weights/SwapPlanTest.cpp
+++ b/UnitTests/Weights/SwapPlanTest.cpp
@@ -24,16 +24,17 @@
 
 } // namespace
 
-TEST_CASE("a wave swaps only the preset's share of a service", "[weights]") {
+TEST_CASE("a wave is bounded by the preset and keeps one of several serving",
+          "[weights]") {
   SwapPlanState state;
   state.Newest = 2;
   PresetDeclaration preset;
   CHECK(planSwaps(state, makeTargets(9, 1), preset, Start).size() == 3);
   CHECK(planSwaps(state, makeTargets(9, 1), preset, Start).empty());
-  SwapPlanState targets;
-  targets.Newest = 2;
+  SwapPlanState unbounded;
+  unbounded.Newest = 2;
   preset.SwapPercent = 100;
-  CHECK(planSwaps(targets, makeTargets(3, 1), preset, Start).size() == 2);
+  CHECK(planSwaps(unbounded, makeTargets(3, 1), preset, Start).size() == 2);
   SwapPlanState single;
   single.Newest = 2;
   CHECK(planSwaps(single, makeTargets(1, 1), preset, Start).size() == 1);
--- a/Wasabi/Routing/Admission.cpp
+++ b/Wasabi/Routing/Admission.cpp
@@ -295,9 +295,9 @@
   return change;
 }
 
-AdmissionChange Admission::holdRollouts(bool Hold, TimePoint Now) {
+AdmissionChange Admission::holdRollouts(bool Held, TimePoint Now) {
   AdmissionChange change;
-  RolloutsHeld = Hold;
+  RolloutsHeld = Held;
   startWaiting(change, Now);
   return change;
 }
--- a/Wasabi/Routing/Admission.h
+++ b/Wasabi/Routing/Admission.h
@@ -80,7 +80,8 @@
   /// `Overloaded` is true if the server refused it for overload or timed out;
   /// this lowers the concurrency limit.
   AdmissionChange abandon(std::uint64_t Id, bool Overloaded, TimePoint Now);
-  /// Refuses the queued requests whose deadline has passed.
+  /// Refuses the queued requests whose deadline has passed, and starts those
+  /// that can start.
   AdmissionChange tick(TimePoint Now);
   /// Sets the maximum share of the limit that rollouts may use, in percent.
   AdmissionChange setRolloutPercent(std::uint32_t Percent, TimePoint Now);
--- a/Wasabi/Routing/IdempotencyKeys.cpp
+++ b/Wasabi/Routing/IdempotencyKeys.cpp
@@ -65,7 +65,8 @@
   for (const Ranked &it : ranked) {
     if (staying == WitnessCount)
       break;
-    // A leaving daemon still holds records, but does not count as a witness.
+    // A leaving daemon still holds records, but does not count towards the
+    // two.
     if (takesWork(*it.Daemon))
       ++staying;
     if (it.Daemon->Instance != Runner)
--- a/Wasabi/Routing/LoadBalancing.cpp
+++ b/Wasabi/Routing/LoadBalancing.cpp
@@ -9,7 +9,8 @@
 
 /// Minimum share of its limit that a new server is used with.
 constexpr double MinSlowStartShare = 0.1;
-/// Number of candidates drawn from the own failure domain, and from the rest.
+/// Number of candidates drawn from the own failure domain, and from all
+/// others.
 constexpr std::size_t DrawsPerPool = 2;
 /// Maximum number of flows that a server is avoided for individually; beyond it
 /// the server is avoided for all flows.
@@ -136,7 +137,7 @@
   if (!Cached || *Cached != Server.Key)
     return cost;
   const ServerStats &stats = statsOf(State, Server);
-  // The holder of the prefix costs nothing else while it has a free slot.
+  // Only the saving counts while the holder of the prefix has a free slot.
   if (openAttempts(stats) + 1.0 <= concurrencyOf(stats, Server))
     cost = 0;
   return cost -
@@ -249,9 +250,9 @@
   if (pool.empty())
     return std::nullopt;
 
-  // Compare two candidates of the own failure domain, two of the rest, and the
-  // holder of the prefix. With only two in all, a slow one would leave no
-  // choice.
+  // Compare two candidates of the own failure domain, two of all others, and
+  // the holder of the prefix. If only two were compared, a slow one would leave
+  // no choice.
   Pool own;
   const Candidate *holder = nullptr;
   for (const Candidate *it : pool) {
--- a/Wasabi/Routing/LoadBalancing.h
+++ b/Wasabi/Routing/LoadBalancing.h
@@ -153,7 +153,8 @@
 /// Records that a daemon is leaving, for all its servers.
 void noteLeaving(BalancerState &State, const InstanceName &Instance);
 /// Removes servers that are in no candidate list and have no attempts in
-/// flight, and resets the statistics of servers with a new incarnation.
+/// flight, and resets the statistics, except `InFlight`, of servers with a new
+/// incarnation.
 void retainServers(BalancerState &State,
                    const std::map<ServiceName, std::vector<Candidate>> &Known,
                    TimePoint Now);
--- a/Wasabi/Routing/RouteMatch.cpp
+++ b/Wasabi/Routing/RouteMatch.cpp
@@ -108,7 +108,8 @@
 }
 
 /// Returns true if the request may be sent more than once. A completion has no
-/// side effects, so it may be repeated unless a declared route forbids it.
+/// side effects, so it may be repeated unless a declared route or the caller
+/// forbids it.
 bool isRepeatable(const ServiceDeclaration &Service,
                   const http::Request &Request, std::string_view Path,
                   bool Completion) {
--- a/Wasabi/Weights/WeightsOwner.cpp
+++ b/Wasabi/Weights/WeightsOwner.cpp
@@ -163,11 +163,12 @@
   std::size_t swapping = 0;
   for (const auto &it : State.Servers)
     swapping += it.second.Ordered ? 1 : 0;
-  return boost::json::serialize(boost::json::object{{"model", Setup.Model.Text},
-                                                    {"fence", Setup.Fence},
-                                                    {"newest", State.Newest},
-                                                    {"swapping", swapping},
-                                                    {"window", State.Window}});
+  return boost::json::serialize(
+      boost::json::object{{"model", Setup.Model.Text},
+                          {"fence", Setup.Fence},
+                          {"newest", State.Newest},
+                          {"swapping", swapping},
+                          {"window", State.FetchWindow}});
 }
 
 } // namespace wasabi
