--- a/UnitTests/Routing/IdempotencyKeysTest.cpp
+++ b/UnitTests/Routing/IdempotencyKeysTest.cpp
@@ -162,7 +162,7 @@
   REQUIRE(now.size() == 3);
   CHECK(now[0].Instance == before[0].Instance);
   CHECK(now[1].Instance == before[1].Instance);
-  // After its end, the other two remain the witnesses.
+  // When the leaving daemon is dead, the other two remain the witnesses.
   view.Members[before[0].Instance].State = Health::Dead;
   std::vector<Member> after = findWitnesses("k", view, nobody);
   REQUIRE(after.size() == 2);
@@ -197,18 +197,18 @@
   CHECK(downgradeUnprovenFailure(why) == why);
 }
 
-TEST_CASE("A key has one home, which moves only when it is lost", "[keys]") {
-  std::vector<Candidate> records;
+TEST_CASE("The home of a key changes only when it is removed", "[keys]") {
+  std::vector<Candidate> candidates;
   for (int n = 0; n < 8; ++n) {
     Candidate result;
     result.Key = ServerKey{InstanceName("i" + std::to_string(n)),
                            ServerName("s" + std::to_string(n))};
-    records.push_back(result);
+    candidates.push_back(result);
   }
-  std::optional<Candidate> home = findHomeCandidate("key", records);
+  std::optional<Candidate> home = findHomeCandidate("key", candidates);
   REQUIRE(home);
   std::vector<Candidate> fewer;
-  for (const Candidate &it : records) {
+  for (const Candidate &it : candidates) {
     if (it.Key != home->Key && fewer.size() < 5)
       fewer.push_back(it);
   }
