--- a/UnitTests/Adapters/Frames/FrameSocketTest.cpp
+++ b/UnitTests/Adapters/Frames/FrameSocketTest.cpp
@@ -25,13 +25,13 @@
                     builder.GetBufferPointer() + builder.GetSize());
 }
 
-/// A frame socket that listens to a plain socket of the test's.
-struct Pair {
+/// A frame socket connected to a plain socket of the test.
+struct SocketPair {
   asio::io_context Context;
   tcp::socket Raw{Context};
   std::shared_ptr<FrameSocket> Framed;
 
-  explicit Pair(FrameSocket::Settings Limits = {}) {
+  explicit SocketPair(FrameSocket::Settings Limits = {}) {
     tcp::acceptor acceptor(Context,
                            tcp::endpoint(asio::ip::address_v4::loopback(), 0));
     Raw.connect(acceptor.local_endpoint());
@@ -39,16 +39,16 @@
   }
 
   Outcome<FrameBytes> receive() {
-    std::optional<Outcome<FrameBytes>> got;
+    std::optional<Outcome<FrameBytes>> received;
     asio::co_spawn(
         Context,
         [&]() -> asio::awaitable<void> {
-          got.emplace(co_await Framed->receive());
+          received.emplace(co_await Framed->receive());
         },
         asio::detached);
     Context.restart();
     Context.run();
-    return *got;
+    return *received;
   }
 
   void write(const std::vector<std::uint8_t> &Bytes) {
@@ -67,64 +67,66 @@
 
 } // namespace
 
-TEST_CASE("frames arrive whole and in order, however the bytes are cut",
+TEST_CASE("frames sent in one write are received whole and in order",
           "[frames]") {
-  Pair pair;
+  SocketPair pair;
   std::vector<std::uint8_t> bytes = prefixed(cancelFrame(1));
   std::vector<std::uint8_t> second = prefixed(cancelFrame(2));
   bytes.insert(bytes.end(), second.begin(), second.end());
   pair.write(bytes);
   for (std::uint64_t id : {1u, 2u}) {
-    Outcome<FrameBytes> got = pair.receive();
-    REQUIRE(got);
-    CHECK(wire::GetFrame(got->data())->body_as_Cancel()->id() == id);
+    Outcome<FrameBytes> received = pair.receive();
+    REQUIRE(received);
+    CHECK(wire::GetFrame(received->data())->body_as_Cancel()->id() == id);
   }
 }
 
-TEST_CASE("a frame cut short is a lost connection that says so", "[frames]") {
-  Pair pair;
+TEST_CASE("a truncated frame is reported as a lost connection", "[frames]") {
+  SocketPair pair;
   std::vector<std::uint8_t> bytes = prefixed(cancelFrame(1));
   bytes.pop_back();
   pair.write(bytes);
   pair.Raw.close();
-  Outcome<FrameBytes> got = pair.receive();
-  REQUIRE_FALSE(got);
-  CHECK(got.failure().Code == FailureCode::ConnectionLost);
-  CHECK(got.failure().Reason.find("middle of a frame") != std::string::npos);
+  Outcome<FrameBytes> received = pair.receive();
+  REQUIRE_FALSE(received);
+  CHECK(received.failure().Code == FailureCode::ConnectionLost);
+  CHECK(received.failure().Reason.find("middle of a frame") !=
+        std::string::npos);
 }
 
-TEST_CASE("an oversized frame is refused before its bytes are taken",
-          "[frames]") {
-  Pair pair(FrameSocket::Settings{64, 1024, Millis(1000)});
+TEST_CASE("an oversized frame is refused before its body is read", "[frames]") {
+  SocketPair pair(FrameSocket::Settings{64, 1024, Millis(1000)});
   pair.write({0xff, 0xff, 0, 0});
-  Outcome<FrameBytes> got = pair.receive();
-  REQUIRE_FALSE(got);
-  CHECK(got.failure().Code == FailureCode::BadInput);
-  CHECK(got.failure().Reason == "65535 bytes are more than 64");
+  Outcome<FrameBytes> received = pair.receive();
+  REQUIRE_FALSE(received);
+  CHECK(received.failure().Code == FailureCode::BadInput);
+  CHECK(received.failure().Reason == "65535 bytes are more than 64");
   CHECK_FALSE(pair.Framed->isOpen());
 }
 
-TEST_CASE("a malformed frame ends its connection with a reason", "[frames]") {
-  Pair pair;
+TEST_CASE("a malformed frame fails with a reason", "[frames]") {
+  SocketPair pair;
   FrameBytes frame = cancelFrame(1);
   frame[0] = 0xf0;
   pair.write(prefixed(frame));
-  Outcome<FrameBytes> got = pair.receive();
-  REQUIRE_FALSE(got);
-  CHECK(got.failure().Code == FailureCode::BadInput);
-  CHECK(got.failure().Reason.find("not a valid frame") != std::string::npos);
+  Outcome<FrameBytes> received = pair.receive();
+  REQUIRE_FALSE(received);
+  CHECK(received.failure().Code == FailureCode::BadInput);
+  CHECK(received.failure().Reason.find("not a valid frame") !=
+        std::string::npos);
 }
 
-TEST_CASE("a peer that does not read costs bounded memory", "[frames]") {
-  Pair pair(FrameSocket::Settings{1u << 20, 256u << 10, Millis(1000)});
+TEST_CASE("the send queue of a peer that does not read is bounded",
+          "[frames]") {
+  SocketPair pair(FrameSocket::Settings{1u << 20, 256u << 10, Millis(1000)});
   int sent = 0;
   FrameBytes frame(64u << 10, 0);
-  // Nothing runs the context, so nothing leaves the queue.
+  // The context does not run, so the queue only grows.
   while (pair.Framed->send(frame))
     ++sent;
   CHECK(sent == 4);
   CHECK_FALSE(pair.Framed->isOpen());
-  CHECK(pair.Framed->queued() <= (256u << 10));
+  CHECK(pair.Framed->queuedBytes() <= (256u << 10));
 }
 
 } // namespace wasabi
--- a/UnitTests/Adapters/Frames/RequestFramesTest.cpp
+++ b/UnitTests/Adapters/Frames/RequestFramesTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The asking and the answering side of the request frames, joined over real
-/// sockets; broken peers are played by hand with `FrameSocket`.
+/// Tests of the client and the server of the request frames over real sockets.
+/// Faulty peers are simulated with `FrameSocket`.
 #include "Wasabi/Adapters/Frames/RequestFrames.h"
 #include "Wasabi/Adapters/Frames/FrameSocket.h"
 #include "Wasabi/Adapters/Frames/RequestClient.h"
@@ -23,10 +23,10 @@
 
 namespace asio = boost::asio;
 
-constexpr std::chrono::seconds Patience{20};
+constexpr std::chrono::seconds TestTimeout{20};
 constexpr asio::as_tuple_t<asio::use_awaitable_t<>> Awaited;
 
-/// Runs the context until the body of the test has ended.
+/// Runs the context until `Body` has ended.
 void runUntilDone(asio::io_context &Context,
                   std::function<asio::awaitable<void>()> Body) {
   bool done = false;
@@ -36,15 +36,15 @@
     done = true;
   });
   std::chrono::steady_clock::time_point end =
-      std::chrono::steady_clock::now() + Patience;
+      std::chrono::steady_clock::now() + TestTimeout;
   while (!done && std::chrono::steady_clock::now() < end)
-    Context.run_one_for(Patience);
+    Context.run_one_for(TestTimeout);
   if (thrown)
     std::rethrow_exception(thrown);
   REQUIRE(done);
 }
 
-/// Lets pending handlers run until a condition holds.
+/// Runs pending handlers until `Holds` returns true or the wait times out.
 asio::awaitable<bool> eventually(asio::io_context &Context,
                                  std::function<bool()> Holds) {
   BootTimer timer(Context);
@@ -90,7 +90,7 @@
   return setup;
 }
 
-/// Answers with the request's own body.
+/// Responds with the body of the request.
 asio::awaitable<void> echo(RequestAttempt Attempt,
                            std::shared_ptr<ResponseSink> Sink) {
   Sink->begin(http::Response{201, {{"X-Kind", "echo"}}, ""},
@@ -100,16 +100,15 @@
     Sink->end();
 }
 
-/// A peer that a test plays by hand: takes one connection, reads the frames
-/// up to the first request, and hands the socket over.
+/// Accepts one connection, reads its frames up to the first request, and
+/// returns its socket.
 asio::awaitable<std::shared_ptr<FrameSocket>>
 acceptUntilRequest(asio::ip::tcp::acceptor &Acceptor) {
-  std::tuple<boost::system::error_code, asio::ip::tcp::socket> got =
+  std::tuple<boost::system::error_code, asio::ip::tcp::socket> accepted =
       co_await Acceptor.async_accept(Awaited);
-  REQUIRE_FALSE(std::get<0>(got));
-  std::shared_ptr<FrameSocket> socket =
-      FrameSocket::adopt(std::move(std::get<1>(got)), FrameSocket::Settings());
-  // The hello, then the request.
+  REQUIRE_FALSE(std::get<0>(accepted));
+  std::shared_ptr<FrameSocket> socket = FrameSocket::adopt(
+      std::move(std::get<1>(accepted)), FrameSocket::Settings());
   for (int n = 0; n < 2; ++n) {
     Outcome<FrameBytes> frame = co_await socket->receive();
     REQUIRE(frame);
@@ -127,22 +126,23 @@
   asio::ip::tcp::acceptor Acceptor;
 };
 
-/// Plays a daemon that answers the first request with these frames, and gives
-/// what a client reads of it.
-Outcome<http::Response> askPeer(std::vector<FrameBytes> Frames, bool Cut) {
+/// Simulates a daemon that responds to the first request with `Frames`. Returns
+/// the response that a client reads.
+Outcome<http::Response> readFromPeer(std::vector<FrameBytes> Frames,
+                                     bool CloseAfterFrames) {
   asio::io_context context;
   Peer peer(context);
   std::optional<Outcome<http::Response>> read;
   runUntilDone(context, [&]() -> asio::awaitable<void> {
-    std::shared_ptr<FrameSocket> held;
+    std::shared_ptr<FrameSocket> socket;
     asio::co_spawn(
         context,
         [&]() -> asio::awaitable<void> {
-          held = co_await acceptUntilRequest(peer.Acceptor);
+          socket = co_await acceptUntilRequest(peer.Acceptor);
           for (const FrameBytes &it : Frames)
-            held->send(it);
-          if (Cut)
-            held->closeAfterSending();
+            socket->send(it);
+          if (CloseAfterFrames)
+            socket->closeAfterSending();
         },
         asio::detached);
     std::shared_ptr<RequestClient> client =
@@ -154,7 +154,7 @@
       read.emplace(opened.failure());
       co_return;
     }
-    read.emplace(co_await readWhole(**opened, Millis(10000), 1u << 20));
+    read.emplace(co_await readWholeResponse(**opened, Millis(10000), 1u << 20));
   });
   return *read;
 }
@@ -163,7 +163,7 @@
 
 } // namespace
 
-TEST_CASE("A request and its answer cross the frames whole", "[frames]") {
+TEST_CASE("Requests and responses are transferred completely", "[frames]") {
   asio::io_context context;
   std::optional<RequestAttempt> seen;
   std::shared_ptr<RequestServer> server = makeServer(
@@ -177,7 +177,7 @@
     std::shared_ptr<RequestClient> client =
         RequestClient::create(context.get_executor(), clientSetup());
     RequestAttempt sent = makeAttempt("r-1");
-    // Larger than the credit and the largest chunk.
+    // Larger than the credit and the maximum chunk size.
     sent.Http.Body = std::string(3u << 20, 'x');
     Outcome<std::unique_ptr<DaemonResponseStream>> opened =
         co_await client->open(server->address(), sent);
@@ -185,10 +185,10 @@
     CHECK((*opened)->head().Status == 201);
     CHECK((*opened)->head().header("x-kind") == "echo");
     CHECK((*opened)->server() == ServerName("server-1"));
-    Outcome<http::Response> whole =
-        co_await readWhole(**opened, Millis(10000), 4u << 20);
-    REQUIRE(whole);
-    CHECK(whole->Body == sent.Http.Body);
+    Outcome<http::Response> response =
+        co_await readWholeResponse(**opened, Millis(10000), 4u << 20);
+    REQUIRE(response);
+    CHECK(response->Body == sent.Http.Body);
     CHECK(client->inFlight() == 0);
 
     REQUIRE(seen);
@@ -205,60 +205,59 @@
   });
 }
 
-TEST_CASE("An answer that is not whole is a failure, never an end",
-          "[frames]") {
+TEST_CASE("An incomplete response is a failure", "[frames]") {
   SECTION("a gap between two chunks") {
     Outcome<http::Response> read =
-        askPeer({frames::head(1, PlainHead, ServerName("s")),
-                 frames::chunk(1, 0, "abc"), frames::chunk(1, 4, "e"),
-                 frames::end(1, 5)},
-                false);
+        readFromPeer({frames::head(1, PlainHead, ServerName("s")),
+                      frames::chunk(1, 0, "abc"), frames::chunk(1, 4, "e"),
+                      frames::end(1, 5)},
+                     false);
     REQUIRE_FALSE(read);
     CHECK(read.failure().Run == Verdict::MayHaveRun);
   }
   SECTION("a repeated chunk") {
     Outcome<http::Response> read =
-        askPeer({frames::head(1, PlainHead, ServerName("s")),
-                 frames::chunk(1, 0, "abc"), frames::chunk(1, 0, "abc"),
-                 frames::end(1, 6)},
-                false);
+        readFromPeer({frames::head(1, PlainHead, ServerName("s")),
+                      frames::chunk(1, 0, "abc"), frames::chunk(1, 0, "abc"),
+                      frames::end(1, 6)},
+                     false);
     REQUIRE_FALSE(read);
   }
-  SECTION("an end that counts more than came") {
+  SECTION("an end frame that counts more bytes than were received") {
     Outcome<http::Response> read =
-        askPeer({frames::head(1, PlainHead, ServerName("s")),
-                 frames::chunk(1, 0, "abc"), frames::end(1, 4)},
-                false);
+        readFromPeer({frames::head(1, PlainHead, ServerName("s")),
+                      frames::chunk(1, 0, "abc"), frames::end(1, 4)},
+                     false);
     REQUIRE_FALSE(read);
   }
   SECTION("a connection lost before the end") {
     Outcome<http::Response> read =
-        askPeer({frames::head(1, PlainHead, ServerName("s")),
-                 frames::chunk(1, 0, "abc")},
-                true);
+        readFromPeer({frames::head(1, PlainHead, ServerName("s")),
+                      frames::chunk(1, 0, "abc")},
+                     true);
     REQUIRE_FALSE(read);
     CHECK(read.failure().Code == FailureCode::ConnectionLost);
     CHECK(read.failure().Run == Verdict::MayHaveRun);
   }
   SECTION("a connection lost before the head") {
-    Outcome<http::Response> read = askPeer({}, true);
+    Outcome<http::Response> read = readFromPeer({}, true);
     REQUIRE_FALSE(read);
     CHECK(read.failure().Run == Verdict::MayHaveRun);
   }
-  SECTION("a refusal in the middle") {
-    Failure why{Verdict::Ran, FailureCode::Unavailable, "engine", "crashed",
-                Millis(7)};
+  SECTION("a refusal after the first chunk") {
+    Failure failure{Verdict::Ran, FailureCode::Unavailable, "engine", "crashed",
+                    Millis(7)};
     Outcome<http::Response> read =
-        askPeer({frames::head(1, PlainHead, ServerName("s")),
-                 frames::chunk(1, 0, "abc"), frames::refusal(1, why)},
-                false);
+        readFromPeer({frames::head(1, PlainHead, ServerName("s")),
+                      frames::chunk(1, 0, "abc"), frames::refusal(1, failure)},
+                     false);
     REQUIRE_FALSE(read);
-    CHECK(read.failure() == why);
+    CHECK(read.failure() == failure);
   }
 }
 
-TEST_CASE("Frames of answers nobody waits for are dropped", "[frames]") {
-  Outcome<http::Response> read = askPeer(
+TEST_CASE("Frames of unknown or ended responses are dropped", "[frames]") {
+  Outcome<http::Response> read = readFromPeer(
       {frames::head(9, PlainHead, ServerName("late")),
        frames::chunk(9, 0, "late"), frames::end(9, 4),
        frames::head(1, PlainHead, ServerName("s")), frames::chunk(1, 0, "abc"),
@@ -268,43 +267,44 @@
   CHECK(read->Body == "abc");
 }
 
-TEST_CASE("What could not be sent did not run", "[frames]") {
+TEST_CASE("A request that could not be sent is reported as not run",
+          "[frames]") {
   asio::io_context context;
-  Address nobody;
+  Address unused;
   {
     Peer peer(context);
-    nobody = peer.address();
+    unused = peer.address();
   }
   runUntilDone(context, [&]() -> asio::awaitable<void> {
     std::shared_ptr<RequestClient> client =
         RequestClient::create(context.get_executor(), clientSetup());
     RequestAttempt attempt = makeAttempt("r");
     Outcome<std::unique_ptr<DaemonResponseStream>> opened =
-        co_await client->open(nobody, attempt);
+        co_await client->open(unused, attempt);
     REQUIRE_FALSE(opened);
     CHECK(opened.failure().Run == Verdict::NotRun);
     CHECK(opened.failure().Code == FailureCode::Unreachable);
-    // While it backs off, a further attempt fails at once.
+    // During the back-off, a further attempt fails immediately.
     Outcome<std::unique_ptr<DaemonResponseStream>> again =
-        co_await client->open(nobody, attempt);
+        co_await client->open(unused, attempt);
     REQUIRE_FALSE(again);
     CHECK(again.failure().Run == Verdict::NotRun);
   });
 }
 
-TEST_CASE("A daemon that falls silent loses its connection", "[frames]") {
+TEST_CASE("The connection to an unresponsive daemon is closed", "[frames]") {
   asio::io_context context;
   Peer peer(context);
   runUntilDone(context, [&]() -> asio::awaitable<void> {
-    std::shared_ptr<FrameSocket> held;
+    std::shared_ptr<FrameSocket> socket;
     asio::co_spawn(
         context,
         [&]() -> asio::awaitable<void> {
-          held = co_await acceptUntilRequest(peer.Acceptor);
+          socket = co_await acceptUntilRequest(peer.Acceptor);
         },
         asio::detached);
     RequestClient::Settings setup = clientSetup();
-    setup.SilenceLimit = Millis(50);
+    setup.HeartbeatTimeout = Millis(50);
     setup.HeartbeatInterval = Millis(10);
     std::shared_ptr<RequestClient> client =
         RequestClient::create(context.get_executor(), setup);
@@ -317,7 +317,8 @@
   });
 }
 
-TEST_CASE("A repeated request frame runs nothing twice", "[frames]") {
+TEST_CASE("A repeated request frame does not run the request again",
+          "[frames]") {
   asio::io_context context;
   int runs = 0;
   std::shared_ptr<RequestServer> server = makeServer(
@@ -333,10 +334,10 @@
         co_await FrameSocket::connect(context.get_executor(), server->address(),
                                       limits);
     REQUIRE(socket);
-    FrameBytes ask = frames::request(5, makeAttempt("r"), 1000);
-    (*socket)->send(ask);
-    (*socket)->send(ask);
-    // The server closes the connection on the repeat.
+    FrameBytes request = frames::request(5, makeAttempt("r"), 1000);
+    (*socket)->send(request);
+    (*socket)->send(request);
+    // The server closes the connection on the repeated id.
     bool open = true;
     while (open) {
       Outcome<FrameBytes> frame = co_await (*socket)->receive();
@@ -346,15 +347,15 @@
   });
 }
 
-TEST_CASE("An asker that leaves cancels the work", "[frames]") {
+TEST_CASE("Destroying the response stream cancels the request", "[frames]") {
   asio::io_context context;
   bool gone = false;
-  std::shared_ptr<ResponseSink> kept;
+  std::shared_ptr<ResponseSink> sink;
   std::shared_ptr<RequestServer> server = makeServer(
       context, {},
       [&](RequestAttempt,
           std::shared_ptr<ResponseSink> Sink) -> asio::awaitable<void> {
-        kept = Sink;
+        sink = Sink;
         Sink->onGone([&gone] { gone = true; });
         Sink->begin(PlainHead, ServerName("s"));
         bool left = co_await eventually(context, [&] { return gone; });
@@ -377,8 +378,7 @@
   });
 }
 
-TEST_CASE("An open that waits can be cancelled by its request's name",
-          "[frames]") {
+TEST_CASE("A pending open can be cancelled by its request id", "[frames]") {
   asio::io_context context;
   bool gone = false;
   std::shared_ptr<RequestServer> server = makeServer(
@@ -409,7 +409,7 @@
   });
 }
 
-TEST_CASE("A slow reader holds back its own answer only", "[frames]") {
+TEST_CASE("A slow reader delays only its own response", "[frames]") {
   asio::io_context context;
   std::size_t written = 0;
   std::shared_ptr<RequestServer> server = makeServer(
@@ -431,7 +431,7 @@
       });
   runUntilDone(context, [&]() -> asio::awaitable<void> {
     RequestClient::Settings setup = clientSetup();
-    setup.Credit = 4096;
+    setup.InitialCreditBytes = 4096;
     std::shared_ptr<RequestClient> client =
         RequestClient::create(context.get_executor(), setup);
     RequestAttempt attempt = makeAttempt("slow");
@@ -444,20 +444,20 @@
     Outcome<std::unique_ptr<DaemonResponseStream>> quick =
         co_await client->open(server->address(), other);
     REQUIRE(quick);
-    Outcome<http::Response> whole =
-        co_await readWhole(**quick, Millis(10000), 1u << 20);
-    REQUIRE(whole);
+    Outcome<http::Response> response =
+        co_await readWholeResponse(**quick, Millis(10000), 1u << 20);
+    REQUIRE(response);
     CHECK(written == 4096);
 
-    // Once it reads on, it gets all.
+    // After the reader continues, it receives the rest.
     Outcome<http::Response> rest =
-        co_await readWhole(**slow, Millis(10000), 1u << 20);
+        co_await readWholeResponse(**slow, Millis(10000), 1u << 20);
     REQUIRE(rest);
     CHECK(rest->Body.size() == std::size_t{64} * 1024);
   });
 }
 
-TEST_CASE("A draining server refuses new work as not run", "[frames]") {
+TEST_CASE("A draining server refuses new requests as not run", "[frames]") {
   asio::io_context context;
   std::shared_ptr<RequestServer> server = makeServer(context, {}, echo);
   runUntilDone(context, [&]() -> asio::awaitable<void> {
@@ -479,7 +479,7 @@
   });
 }
 
-TEST_CASE("Loads reach each asker", "[frames]") {
+TEST_CASE("Load reports reach a connected client", "[frames]") {
   asio::io_context context;
   RequestServer::Settings setup;
   setup.LoadReportInterval = Millis(5);
@@ -498,10 +498,10 @@
   });
 }
 
-TEST_CASE("Whoever is answered learns the loads with the answer", "[frames]") {
+TEST_CASE("A response is accompanied by a load report", "[frames]") {
   asio::io_context context;
   RequestServer::Settings setup;
-  // Only an answer can bring one in the time of the test.
+  // Long enough that no periodic report is sent during the test.
   setup.LoadReportInterval = Millis(3600000);
   setup.MinLoadReportInterval = Millis(0);
   std::shared_ptr<RequestServer> server = makeServer(context, setup, echo);
@@ -521,7 +521,8 @@
   });
 }
 
-TEST_CASE("A handler that gives no answer is a truthful failure", "[frames]") {
+TEST_CASE("An exception in a handler is reported to the client as a failure",
+          "[frames]") {
   asio::io_context context;
   std::shared_ptr<RequestServer> server =
       makeServer(context, {},
--- a/UnitTests/Adapters/Http/HttpClientTests.cpp
+++ b/UnitTests/Adapters/Http/HttpClientTests.cpp
@@ -4,13 +4,14 @@
 
 namespace {
 
-constexpr Millis Patience{10000};
+constexpr Millis CallTimeout{10000};
 
 Request post(std::string Body) {
   return Request{"POST", "/", {}, std::move(Body)};
 }
 
-/// A peer that answers one connection with fixed text and closes it.
+/// A peer that responds to each accepted connection with fixed text and closes
+/// it.
 struct RawPeer {
   boost::asio::ip::tcp::acceptor Acceptor;
   explicit RawPeer(boost::asio::io_context &Context)
@@ -19,8 +20,8 @@
   Address address() const {
     return Address{"127.0.0.1", Acceptor.local_endpoint().port()};
   }
-  /// Takes one request without a body, and answers.
-  boost::asio::awaitable<void> answer(std::string Text) {
+  /// Accepts one connection, reads a request without a body, and sends `Text`.
+  boost::asio::awaitable<void> respond(std::string Text) {
     RawSocket raw = co_await Acceptor.async_accept(boost::asio::use_awaitable);
     std::string head;
     while (head.find("\r\n\r\n") == std::string::npos) {
@@ -41,133 +42,137 @@
 
 } // namespace
 
-TEST_CASE("Nothing of a request is written when it is too late for it",
-          "[http]") {
+TEST_CASE("A request is not sent after its send deadline", "[http]") {
   HttpFixture fixture;
-  int asked = 0;
-  fixture.serve([&asked](Request Ask, std::shared_ptr<Responder> Out) {
-    ++asked;
-    return echo(std::move(Ask), std::move(Out));
+  int handled = 0;
+  fixture.serve([&handled](Request Req, std::shared_ptr<Responder> Reply) {
+    ++handled;
+    return echo(std::move(Req), std::move(Reply));
   });
   fixture.run([&]() -> boost::asio::awaitable<void> {
     Address where = fixture.Serving->address();
-    // The second one has an open connection to go out on.
-    for (Millis left : {Millis(-1), Millis(5000), Millis(0)}) {
-      Request ask = post("x");
-      ask.SendDeadline = monotonicNow() + left;
-      Outcome<Response> answer =
-          co_await fixture.TestClient->call(where, std::move(ask), Patience);
-      CHECK(bool(answer) == (left > Millis(0)));
-      if (!answer) {
-        CHECK(answer.failure().Run == Verdict::NotRun);
-        CHECK(answer.failure().Code == FailureCode::StaleFence);
+    // The third request could use the idle connection of the second one.
+    for (Millis remaining : {Millis(-1), Millis(5000), Millis(0)}) {
+      Request request = post("x");
+      request.SendDeadline = monotonicNow() + remaining;
+      Outcome<Response> response = co_await fixture.TestClient->call(
+          where, std::move(request), CallTimeout);
+      CHECK(bool(response) == (remaining > Millis(0)));
+      if (!response) {
+        CHECK(response.failure().Run == Verdict::NotRun);
+        CHECK(response.failure().Code == FailureCode::StaleFence);
       }
     }
   });
-  CHECK(asked == 1);
+  CHECK(handled == 1);
 }
 
-TEST_CASE("A connection is reused, and a closed one replaced", "[http]") {
+TEST_CASE("Idle connections are reused, and closed ones are replaced",
+          "[http]") {
   HttpFixture fixture;
   fixture.serve(echo);
   fixture.run([&]() -> boost::asio::awaitable<void> {
     Address where = fixture.Serving->address();
     for (std::string body : {"one", "two", "three"}) {
-      Outcome<Response> answer =
-          co_await fixture.TestClient->call(where, post(body), Patience);
-      REQUIRE(answer);
-      CHECK(answer->Body == body);
+      Outcome<Response> response =
+          co_await fixture.TestClient->call(where, post(body), CallTimeout);
+      REQUIRE(response);
+      CHECK(response->Body == body);
       CHECK(fixture.Serving->connections() == 1);
     }
-    // The server goes and another takes its address: the idle connection is
-    // dead, and the request goes out on a fresh one.
+    // Another server takes over the address: the idle connection is dead, and
+    // the request is sent on a new one.
     fixture.Serving->stop();
     co_await fixture.waitUntilAllClosed();
     Server::Settings same;
     same.Listen = where;
     fixture.serve(echo, same);
-    Outcome<Response> answer =
-        co_await fixture.TestClient->call(where, post("four"), Patience);
-    REQUIRE(answer);
-    CHECK(answer->Body == "four");
+    Outcome<Response> response =
+        co_await fixture.TestClient->call(where, post("four"), CallTimeout);
+    REQUIRE(response);
+    CHECK(response->Body == "four");
   });
 }
 
-TEST_CASE("A stream's pieces come as they are sent", "[http]") {
+TEST_CASE("The pieces of a streamed response arrive as they are sent",
+          "[http]") {
   HttpFixture fixture;
-  Event seen(fixture.Context);
+  OneShotEvent seen(fixture.Context);
   fixture.serve(
       [&](Request,
-          std::shared_ptr<Responder> Answer) -> boost::asio::awaitable<void> {
+          std::shared_ptr<Responder> Reply) -> boost::asio::awaitable<void> {
         Response head;
-        co_await Answer->begin(std::move(head));
-        co_await Answer->write("first");
-        // The second piece waits for the reader to have had the first.
+        co_await Reply->begin(std::move(head));
+        co_await Reply->write("first");
+        // Sent only after the client has read the first piece.
         co_await seen.wait();
-        co_await Answer->write("second");
-        co_await Answer->end();
+        co_await Reply->write("second");
+        co_await Reply->end();
       });
   fixture.run([&]() -> boost::asio::awaitable<void> {
     Outcome<std::unique_ptr<ResponseStream>> stream =
         co_await fixture.TestClient->open(fixture.Serving->address(), post(""),
-                                          Patience);
+                                          CallTimeout);
     REQUIRE(stream);
     CHECK((*stream)->head().Status == 200);
     Outcome<std::optional<std::string>> piece =
-        co_await (*stream)->next(Patience);
+        co_await (*stream)->next(CallTimeout);
     REQUIRE(piece);
     CHECK(*piece == "first");
     seen.set();
-    piece = co_await (*stream)->next(Patience);
+    piece = co_await (*stream)->next(CallTimeout);
     REQUIRE(piece);
     CHECK(*piece == "second");
-    piece = co_await (*stream)->next(Patience);
+    piece = co_await (*stream)->next(CallTimeout);
     REQUIRE(piece);
     CHECK_FALSE(piece->has_value());
   });
 }
 
-TEST_CASE("A body cut short is a failure, never an end", "[http]") {
+TEST_CASE("A truncated body is a failure", "[http]") {
   std::string text = GENERATE(
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n",
       "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart");
   HttpFixture fixture;
   RawPeer peer(fixture.Context);
   fixture.run([&]() -> boost::asio::awaitable<void> {
-    spawn(fixture.Context, [&] { return peer.answer(text); });
+    spawn(fixture.Context, [&] { return peer.respond(text); });
     Outcome<std::unique_ptr<ResponseStream>> stream =
-        co_await fixture.TestClient->open(peer.address(), post(""), Patience);
+        co_await fixture.TestClient->open(peer.address(), post(""),
+                                          CallTimeout);
     REQUIRE(stream);
     Outcome<std::optional<std::string>> piece =
-        co_await (*stream)->next(Patience);
+        co_await (*stream)->next(CallTimeout);
     REQUIRE(piece);
     CHECK(*piece == "part");
-    piece = co_await (*stream)->next(Patience);
+    piece = co_await (*stream)->next(CallTimeout);
     REQUIRE_FALSE(piece);
     CHECK(piece.failure().Code == FailureCode::ConnectionLost);
     CHECK(piece.failure().Run == Verdict::MayHaveRun);
 
-    spawn(fixture.Context, [&] { return peer.answer(text); });
-    Outcome<Response> whole =
-        co_await fixture.TestClient->call(peer.address(), post(""), Patience);
-    REQUIRE_FALSE(whole);
-    CHECK(whole.failure().Code == FailureCode::ConnectionLost);
-    CHECK(whole.failure().Run == Verdict::MayHaveRun);
+    spawn(fixture.Context, [&] { return peer.respond(text); });
+    Outcome<Response> response = co_await fixture.TestClient->call(
+        peer.address(), post(""), CallTimeout);
+    REQUIRE_FALSE(response);
+    CHECK(response.failure().Code == FailureCode::ConnectionLost);
+    CHECK(response.failure().Run == Verdict::MayHaveRun);
   });
 }
 
-TEST_CASE("A request without an answer may have run", "[http]") {
+TEST_CASE("A request without a response may have run, one without a connection "
+          "has not",
+          "[http]") {
   HttpFixture fixture;
   RawPeer peer(fixture.Context);
   fixture.run([&]() -> boost::asio::awaitable<void> {
-    spawn(fixture.Context, [&] { return peer.answer(""); });
-    Outcome<Response> lost =
-        co_await fixture.TestClient->call(peer.address(), post(""), Patience);
+    spawn(fixture.Context, [&] { return peer.respond(""); });
+    Outcome<Response> lost = co_await fixture.TestClient->call(
+        peer.address(), post(""), CallTimeout);
     REQUIRE_FALSE(lost);
     CHECK(lost.failure().Code == FailureCode::ConnectionLost);
     CHECK(lost.failure().Run == Verdict::MayHaveRun);
 
-    // Connected by the kernel, but nobody answers.
+    // The kernel completes the connect, but no process accepts it.
     Outcome<Response> late =
         co_await fixture.TestClient->call(peer.address(), post(""), Millis(20));
     REQUIRE_FALSE(late);
@@ -177,34 +182,34 @@
     Address where = peer.address();
     peer.Acceptor.close();
     Outcome<Response> none =
-        co_await fixture.TestClient->call(where, post(""), Patience);
+        co_await fixture.TestClient->call(where, post(""), CallTimeout);
     REQUIRE_FALSE(none);
     CHECK(none.failure().Code == FailureCode::Unreachable);
     CHECK(none.failure().Run == Verdict::NotRun);
   });
 }
 
-TEST_CASE("A cancelled stream ends its reader and its writer", "[http]") {
+TEST_CASE("Cancelling a stream ends its reader and its writer", "[http]") {
   HttpFixture fixture;
   bool noticed = false;
   fixture.serve(
       [&](Request,
-          std::shared_ptr<Responder> Answer) -> boost::asio::awaitable<void> {
+          std::shared_ptr<Responder> Reply) -> boost::asio::awaitable<void> {
         Response head;
-        co_await Answer->begin(std::move(head));
-        Event left(fixture.Context);
-        Answer->onGone([&left] { left.set(); });
-        co_await left.wait();
-        noticed = Answer->gone();
+        co_await Reply->begin(std::move(head));
+        OneShotEvent disconnected(fixture.Context);
+        Reply->onGone([&disconnected] { disconnected.set(); });
+        co_await disconnected.wait();
+        noticed = Reply->gone();
       });
   fixture.run([&]() -> boost::asio::awaitable<void> {
     Outcome<std::unique_ptr<ResponseStream>> stream =
         co_await fixture.TestClient->open(fixture.Serving->address(), post(""),
-                                          Patience);
+                                          CallTimeout);
     REQUIRE(stream);
     boost::asio::post(fixture.Context, [&] { (*stream)->cancel(); });
     Outcome<std::optional<std::string>> piece =
-        co_await (*stream)->next(Patience);
+        co_await (*stream)->next(CallTimeout);
     REQUIRE_FALSE(piece);
     CHECK(piece.failure().Code == FailureCode::Cancelled);
     co_await fixture.waitUntilAllClosed();
--- a/UnitTests/Adapters/Http/HttpFixture.h
+++ b/UnitTests/Adapters/Http/HttpFixture.h
@@ -1,5 +1,6 @@
 /// \file
-/// A server and a client on one context, and raw connections to misuse them.
+/// A server and a client on one context, and raw connections for protocol
+/// violations.
 #ifndef WASABI_UNITTESTS_ADAPTERS_HTTP_HTTPFIXTURE_H
 #define WASABI_UNITTESTS_ADAPTERS_HTTP_HTTPFIXTURE_H
 
@@ -25,10 +26,10 @@
 
 using RawSocket = boost::asio::ip::tcp::socket;
 
-/// Something that happens once; waiting after it ends at once.
-class Event {
+/// An event that is set once; waiting after it is set returns immediately.
+class OneShotEvent {
 public:
-  explicit Event(boost::asio::io_context &Context) : Timer(Context) {
+  explicit OneShotEvent(boost::asio::io_context &Context) : Timer(Context) {
     Timer.expires_at(BootTimer::time_point::max());
   }
   void set() { Timer.expires_at(BootTimer::time_point::min()); }
@@ -41,7 +42,7 @@
   BootTimer Timer;
 };
 
-/// Runs one coroutine on its own context, with a server beside it.
+/// Runs one coroutine and a server on the same context.
 struct HttpFixture {
   boost::asio::io_context Context;
   std::shared_ptr<Server> Serving;
@@ -49,19 +50,19 @@
       Client::create(Context.get_executor(), Client::Settings{});
 
   void serve(Handler Handle, Server::Settings Limits = {}) {
-    Result<std::shared_ptr<Server>> made =
+    Result<std::shared_ptr<Server>> server =
         Server::create(Context, std::move(Limits), std::move(Handle));
-    REQUIRE(made);
-    Serving = *made;
+    REQUIRE(server);
+    Serving = *server;
   }
 
-  /// Runs `Body` to its end; a test that hangs fails.
+  /// Runs `Body` to its end. Fails the test if it does not end in time.
   void run(std::function<boost::asio::awaitable<void>()> Body) {
     std::exception_ptr failed;
     bool ended = false;
     boost::asio::co_spawn(Context, std::move(Body),
-                          [&](std::exception_ptr Why) {
-                            failed = std::move(Why);
+                          [&](std::exception_ptr Error) {
+                            failed = std::move(Error);
                             ended = true;
                             Context.stop();
                           });
@@ -80,12 +81,12 @@
     co_return std::move(raw);
   }
 
-  /// Waits until the server has let go of all connections.
+  /// Waits until the server has no open connection.
   boost::asio::awaitable<void> waitUntilAllClosed() {
-    BootTimer turn(Context);
+    BootTimer timer(Context);
     while (Serving->connections() > 0) {
-      turn.expires_after(Millis(1));
-      co_await turn.async_wait(
+      timer.expires_after(Millis(1));
+      co_await timer.async_wait(
           boost::asio::as_tuple(boost::asio::use_awaitable));
     }
   }
@@ -96,7 +97,8 @@
                                       boost::asio::use_awaitable);
   }
 
-  /// What arrives until the connection ends, and how it ended.
+  /// Returns the text received until the connection ends, and sets `Ended` to
+  /// the error that ended it.
   static boost::asio::awaitable<std::string>
   readAll(RawSocket &Raw, boost::system::error_code &Ended) {
     std::string text;
@@ -109,11 +111,11 @@
   }
 };
 
-/// A handler that answers each request with its body.
-inline boost::asio::awaitable<void> echo(Request Ask,
-                                         std::shared_ptr<Responder> Answer) {
-  Response response = jsonResponse(200, std::move(Ask.Body));
-  co_await Answer->send(std::move(response));
+/// A handler that responds with the body of the request.
+inline boost::asio::awaitable<void> echo(Request Req,
+                                         std::shared_ptr<Responder> Reply) {
+  Response response = jsonResponse(200, std::move(Req.Body));
+  co_await Reply->send(std::move(response));
 }
 
 } // namespace wasabi::http
--- a/UnitTests/Adapters/Http/HttpServerTests.cpp
+++ b/UnitTests/Adapters/Http/HttpServerTests.cpp
@@ -24,16 +24,16 @@
 
 } // namespace
 
-TEST_CASE("A malformed request is refused by name", "[http]") {
+TEST_CASE("Malformed and oversized requests get an error response", "[http]") {
   HttpFixture fixture;
   Server::Settings limits;
   limits.MaxBody = 8;
   fixture.serve(echo, limits);
   fixture.run([&]() -> boost::asio::awaitable<void> {
-    std::string bad =
+    std::string malformed =
         co_await exchange(fixture, "GET / HTTP/1.1\r\nno colon\r\n\r\n");
-    CHECK_THAT(bad, StartsWith("HTTP/1.1 400 "));
-    CHECK_THAT(bad, Contains("{\"error\":\"malformed HTTP: bad"));
+    CHECK_THAT(malformed, StartsWith("HTTP/1.1 400 "));
+    CHECK_THAT(malformed, Contains("{\"error\":\"malformed HTTP: bad"));
     std::string large = co_await exchange(
         fixture, "POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\n123456789");
     CHECK_THAT(large, StartsWith("HTTP/1.1 413 "));
@@ -62,7 +62,7 @@
   });
 }
 
-TEST_CASE("Pipelined requests are answered in their order", "[http]") {
+TEST_CASE("Pipelined requests are answered in order", "[http]") {
   HttpFixture fixture;
   fixture.serve(echo);
   fixture.run([&]() -> boost::asio::awaitable<void> {
@@ -75,24 +75,24 @@
   });
 }
 
-TEST_CASE("A handler learns that its peer has left", "[http]") {
+TEST_CASE("A handler is notified when its peer disconnects", "[http]") {
   std::string more = GENERATE("", "GET /next HTTP/1.1\r\n\r\n");
   HttpFixture fixture;
-  Event left(fixture.Context);
-  Event began(fixture.Context);
-  unsigned told = 0;
+  OneShotEvent disconnected(fixture.Context);
+  OneShotEvent began(fixture.Context);
+  unsigned notifications = 0;
   fixture.serve(
       [&](Request,
-          std::shared_ptr<Responder> Answer) -> boost::asio::awaitable<void> {
-        CHECK_FALSE(Answer->gone());
-        Answer->onGone([&] {
-          ++told;
-          left.set();
+          std::shared_ptr<Responder> Reply) -> boost::asio::awaitable<void> {
+        CHECK_FALSE(Reply->gone());
+        Reply->onGone([&] {
+          ++notifications;
+          disconnected.set();
         });
         began.set();
-        co_await left.wait();
-        CHECK(Answer->gone());
-        Outcome<Done> sent = co_await Answer->send(jsonResponse(200, "{}"));
+        co_await disconnected.wait();
+        CHECK(Reply->gone());
+        Outcome<Done> sent = co_await Reply->send(jsonResponse(200, "{}"));
         CHECK_FALSE(sent);
         CHECK(sent.failure().Code == FailureCode::Cancelled);
       });
@@ -101,21 +101,21 @@
     co_await HttpFixture::sendText(raw, "GET / HTTP/1.1\r\n\r\n" + more);
     co_await began.wait();
     raw.close();
-    // The server has let go of the connection once the handler has ended.
+    // The connection is removed only after the handler has ended.
     co_await fixture.waitUntilAllClosed();
   });
-  CHECK(told == 1);
+  CHECK(notifications == 1);
 }
 
-TEST_CASE("An aborted answer resets the connection", "[http]") {
+TEST_CASE("Aborting a response resets the connection", "[http]") {
   HttpFixture fixture;
   fixture.serve(
       [&](Request,
-          std::shared_ptr<Responder> Answer) -> boost::asio::awaitable<void> {
+          std::shared_ptr<Responder> Reply) -> boost::asio::awaitable<void> {
         Response head = jsonResponse(200, "");
-        co_await Answer->begin(std::move(head));
-        co_await Answer->write("part");
-        Answer->abort();
+        co_await Reply->begin(std::move(head));
+        co_await Reply->write("part");
+        Reply->abort();
       });
   fixture.run([&]() -> boost::asio::awaitable<void> {
     RawSocket raw = co_await fixture.connect();
@@ -126,7 +126,8 @@
   });
 }
 
-TEST_CASE("A handler that fails or does not answer gets 500", "[http]") {
+TEST_CASE("A handler that fails or does not respond results in status 500",
+          "[http]") {
   bool fails = GENERATE(false, true);
   HttpFixture fixture;
   fixture.serve(
@@ -142,22 +143,22 @@
   });
 }
 
-TEST_CASE("Draining cuts off nobody who is connected", "[http]") {
+TEST_CASE("Draining serves running and queued requests", "[http]") {
   HttpFixture fixture;
-  Event release(fixture.Context);
-  Event began(fixture.Context);
+  OneShotEvent release(fixture.Context);
+  OneShotEvent began(fixture.Context);
   Server::Settings limits;
   limits.DrainGracePeriod = Millis(50);
-  // One place only: the second client stays in the kernel's queue.
+  // The second connection waits in the queue of the kernel.
   limits.MaxConnections = 1;
   fixture.serve(
-      [&](Request Ask,
-          std::shared_ptr<Responder> Answer) -> boost::asio::awaitable<void> {
-        if (Ask.Target == "/wait") {
+      [&](Request Req,
+          std::shared_ptr<Responder> Reply) -> boost::asio::awaitable<void> {
+        if (Req.Target == "/wait") {
           began.set();
           co_await release.wait();
         }
-        co_await Answer->send(jsonResponse(200, "{}"));
+        co_await Reply->send(jsonResponse(200, "{}"));
       },
       limits);
   fixture.run([&]() -> boost::asio::awaitable<void> {
@@ -190,7 +191,7 @@
 }
 
 TEST_CASE(
-    "A request that is read as its connection is due to close is answered",
+    "A request that arrives as its connection is due to close is answered",
     "[http]") {
   HttpFixture fixture;
   Server::Settings limits;
@@ -208,8 +209,8 @@
       first.append(buf.data(), n);
     }
 
-    // The process is paused: it wakes with the request arrived and the grace
-    // of a draining server over, both in one turn of its loop.
+    // Simulates a paused process: the request arrives and the grace period of
+    // the draining server ends before the event loop runs again.
     fixture.Serving->drain();
     boost::asio::write(raw, boost::asio::buffer(std::string(
                                 "POST /2 HTTP/1.1\r\nContent-Length: 3\r\n"
@@ -224,20 +225,22 @@
   });
 }
 
-TEST_CASE("Stopping ends a handler's answer, not the handler", "[http]") {
+TEST_CASE(
+    "Stopping the server truncates a response but lets its handler finish",
+    "[http]") {
   HttpFixture fixture;
-  Event began(fixture.Context);
-  Event release(fixture.Context);
-  Event ended(fixture.Context);
+  OneShotEvent began(fixture.Context);
+  OneShotEvent release(fixture.Context);
+  OneShotEvent ended(fixture.Context);
   fixture.serve(
       [&](Request,
-          std::shared_ptr<Responder> Answer) -> boost::asio::awaitable<void> {
+          std::shared_ptr<Responder> Reply) -> boost::asio::awaitable<void> {
         Response head = jsonResponse(200, "");
-        co_await Answer->begin(std::move(head));
+        co_await Reply->begin(std::move(head));
         began.set();
         co_await release.wait();
-        CHECK(Answer->gone());
-        Outcome<Done> written = co_await Answer->write("late");
+        CHECK(Reply->gone());
+        Outcome<Done> written = co_await Reply->write("late");
         CHECK_FALSE(written);
         ended.set();
       });
@@ -255,27 +258,27 @@
   });
 }
 
-TEST_CASE("A server that cannot listen says where", "[http]") {
+TEST_CASE("A failure to listen names the address", "[http]") {
   HttpFixture fixture;
   fixture.serve(echo);
   Server::Settings same;
   same.Listen = fixture.Serving->address();
-  Outcome<Done> made = toOutcome<Done>([&]() -> Result<Done> {
+  Outcome<Done> created = toOutcome<Done>([&]() -> Result<Done> {
     BOOST_LEAF_CHECK(Server::create(fixture.Context, same, echo));
     return Done{};
   });
-  REQUIRE_FALSE(made);
-  CHECK(made.failure().Code == FailureCode::Unavailable);
-  CHECK_THAT(made.failure().Place, Contains(toText(same.Listen)));
+  REQUIRE_FALSE(created);
+  CHECK(created.failure().Code == FailureCode::Unavailable);
+  CHECK_THAT(created.failure().Place, Contains(toText(same.Listen)));
 }
 
-TEST_CASE("Requests give their headers and query values", "[http]") {
-  Request ask{"GET", "/p?a=1%2F2&b=x+y&c", {{"X-Id", "7"}}, ""};
-  CHECK(ask.path() == "/p");
-  CHECK(ask.query("a") == "1/2");
-  CHECK(ask.query("b") == "x y");
-  CHECK(ask.query("c").empty());
-  CHECK(ask.header("x-ID") == "7");
+TEST_CASE("Request headers and query values can be looked up", "[http]") {
+  Request request{"GET", "/p?a=1%2F2&b=x+y&c", {{"X-Id", "7"}}, ""};
+  CHECK(request.path() == "/p");
+  CHECK(request.query("a") == "1/2");
+  CHECK(request.query("b") == "x y");
+  CHECK(request.query("c").empty());
+  CHECK(request.header("x-ID") == "7");
 }
 
 } // namespace wasabi::http
--- a/UnitTests/Adapters/Telemetry/DecisionLogTest.cpp
+++ b/UnitTests/Adapters/Telemetry/DecisionLogTest.cpp
@@ -44,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE("A decision is one line of JSON", "[telemetry]") {
+TEST_CASE("A decision is written as one line of JSON", "[telemetry]") {
   PipedLog piped({});
   piped.Log->line("job.submitted", {{"job", "a\"b"}});
   piped.Context.run_for(std::chrono::milliseconds(200));
@@ -54,7 +54,7 @@
   CHECK(text.ends_with("}\n"));
 }
 
-TEST_CASE("Lines that come too fast are dropped and counted", "[telemetry]") {
+TEST_CASE("Lines above the rate limit are dropped and counted", "[telemetry]") {
   DecisionLog::Settings limits;
   limits.LinesPerSecond = 1000;
   limits.Burst = 10;
@@ -68,7 +68,7 @@
   CHECK(piped.read().find("log.dropped") != std::string::npos);
 }
 
-TEST_CASE("A reader that stands still holds nobody up", "[telemetry]") {
+TEST_CASE("A stopped reader does not block the log", "[telemetry]") {
   DecisionLog::Settings limits;
   limits.LinesPerSecond = 1e9;
   limits.Burst = 1e9;
--- a/UnitTests/Adapters/Telemetry/LogTests.cpp
+++ b/UnitTests/Adapters/Telemetry/LogTests.cpp
@@ -15,20 +15,20 @@
                 "\"offset\":\"7\"}");
 }
 
-TEST_CASE("A log line never holds a secret") {
+TEST_CASE("Values of secret fields are redacted") {
   for (const char *key : {"Authorization", "client_secret", "db-password",
                           "X-Api-Key", "Cookie"}) {
     std::string line =
         wasabi::formatLogLine(0, LogLevel::Info, "i", "m", {{key, "hunter2"}});
     CHECK(line.find("hunter2") == std::string::npos);
   }
-  // A fencing token is no secret.
+  // A fencing token is not redacted.
   std::string line =
       wasabi::formatLogLine(0, LogLevel::Info, "i", "m", {{"fence", "12"}});
   CHECK_THAT(line, Catch::Contains("\"fence\":\"12\""));
 }
 
-TEST_CASE("Each level's word reads back, any other word is refused") {
+TEST_CASE("Level names are parsed, other words are refused") {
   for (LogLevel it :
        {LogLevel::Debug, LogLevel::Info, LogLevel::Warning, LogLevel::Error}) {
     CHECK(wasabi::parseLogLevel(wasabi::toText(it), "--log_level").value() ==
--- a/UnitTests/Adapters/Telemetry/TimelineJsonTests.cpp
+++ b/UnitTests/Adapters/Telemetry/TimelineJsonTests.cpp
@@ -18,21 +18,21 @@
 
 } // namespace
 
-TEST_CASE("A page of the time line comes back as it was") {
-  wasabi::Timeline line("d1", {2});
-  line.record("request.admit", {{"request", "r\"1"}, {"reason", "a\nb"}});
-  line.record("claim.taken", {});
-  line.record("request.done", {{"request", "r2"}});
-  TimelinePage page = wasabi::makeTimelinePage(line, 0);
+TEST_CASE("A page of the time line is decoded to the encoded value") {
+  wasabi::Timeline timeline("d1", {2});
+  timeline.record("request.admit", {{"request", "r\"1"}, {"reason", "a\nb"}});
+  timeline.record("claim.taken", {});
+  timeline.record("request.done", {{"request", "r2"}});
+  TimelinePage page = wasabi::makeTimelinePage(timeline, 0);
   CHECK(page.Dropped == 1);
   CHECK(page.Events.size() == 2);
-  Outcome<TimelinePage> back = decode(wasabi::encodeTimelinePage(page));
-  REQUIRE(back);
-  CHECK(*back == page);
-  CHECK(wasabi::makeTimelinePage(line, 2).Events.size() == 1);
+  Outcome<TimelinePage> decoded = decode(wasabi::encodeTimelinePage(page));
+  REQUIRE(decoded);
+  CHECK(*decoded == page);
+  CHECK(wasabi::makeTimelinePage(timeline, 2).Events.size() == 1);
 }
 
-TEST_CASE("A line of the time line is what replay reads") {
+TEST_CASE("Replay reads an encoded event") {
   TimelineEvent event{
       {7, 8}, 9, "d1", "sample.commit", {{"slot", "1/2/3"}, {"why", "é"}}};
   Outcome<wasabi::replay::Trace> trace = toOutcome<wasabi::replay::Trace>([&] {
@@ -42,7 +42,7 @@
   CHECK(trace->Events == std::vector<TimelineEvent>{event});
 }
 
-TEST_CASE("A page that is not one is refused with its place") {
+TEST_CASE("A malformed page is refused with its place") {
   CHECK(decode("[]").failure().Place == "d1: /");
   CHECK(decode(R"({"instance":"d1","dropped":0,"events":[{}]})")
             .failure()
@@ -52,7 +52,7 @@
                      R"("fields":{"a":1}}]})"));
 }
 
-TEST_CASE("A Chrome trace names each instance once") {
+TEST_CASE("A Chrome trace has one process per instance") {
   std::string text = wasabi::encodeChromeTrace(
       {{{1, 0}, 0, "d1", "a.b", {{"k", "v"}}}, {{2, 0}, 0, "d2", "a.c", {}}});
   CHECK_THAT(text, Catch::Contains(R"("args":{"name":"d2"})"));
--- a/Wasabi/Adapters/Admin/AdminServer.cpp
+++ b/Wasabi/Adapters/Admin/AdminServer.cpp
@@ -29,46 +29,46 @@
   explicit HttpAdminServer(Timeline &Events) : Events(Events) {}
 
   ~HttpAdminServer() override {
-    if (!Runner.joinable())
+    if (!Worker.joinable())
       return;
-    asio::post(Context, [this] { Front->stop(); });
-    Work.reset();
-    Runner.join();
+    asio::post(Context, [this] { Listener->stop(); });
+    WorkGuard.reset();
+    Worker.join();
   }
 
   Result<Done> start(Address Listen) {
     http::Server::Settings limits;
     limits.Listen = std::move(Listen);
     BOOST_LEAF_ASSIGN(
-        Front,
+        Listener,
         http::Server::create(
             Context, limits,
-            [this](http::Request Ask, std::shared_ptr<http::Responder> Out)
+            [this](http::Request Req, std::shared_ptr<http::Responder> Reply)
                 -> asio::awaitable<void> {
-              return handle(std::move(Ask), std::move(Out));
+              return handle(std::move(Req), std::move(Reply));
             }));
-    Bound = Front->address();
-    Runner = std::thread([this] { Context.run(); });
+    BoundAddress = Listener->address();
+    Worker = std::thread([this] { Context.run(); });
     return Done{};
   }
 
-  Address address() const override { return Bound; }
+  Address address() const override { return BoundAddress; }
   void setSources(AdminSources NewSources) override {
     Sources.set(std::move(NewSources));
   }
 
 private:
-  asio::awaitable<void> handle(http::Request Ask,
-                               std::shared_ptr<http::Responder> Out) {
-    http::Response answer = answerTo(Ask);
-    co_await Out->send(std::move(answer));
+  asio::awaitable<void> handle(http::Request Req,
+                               std::shared_ptr<http::Responder> Reply) {
+    http::Response response = makeResponse(Req);
+    co_await Reply->send(std::move(response));
   }
 
-  http::Response answerTo(const http::Request &Ask) {
+  http::Response makeResponse(const http::Request &Req) {
     std::shared_ptr<const AdminSources> sources = Sources.get();
-    std::string_view path = Ask.path();
-    if (Ask.Method != "GET" && Ask.Method != "HEAD")
-      return textResponse(405, "only GET\n");
+    std::string_view path = Req.path();
+    if (Req.Method != "GET" && Req.Method != "HEAD")
+      return textResponse(405, "only GET and HEAD are supported\n");
     if (path == "/healthz")
       return textResponse(200, "alive\n");
     if (path == "/readyz") {
@@ -76,7 +76,7 @@
       return ready ? textResponse(200, "ready\n")
                    : textResponse(503, "not ready\n");
     }
-    if (path == "/status" && Ask.query("brief") == "1")
+    if (path == "/status" && Req.query("brief") == "1")
       return http::jsonResponse(
           200, sources->BriefStatus ? sources->BriefStatus() : "{}");
     if (path == "/status")
@@ -84,9 +84,9 @@
     if (path == "/metrics")
       return textResponse(200, sources->Metrics ? sources->Metrics() : "");
     if (path == "/timeline")
-      return timeline(Ask);
-    return textResponse(
-        404, "there are /healthz, /readyz, /status, /metrics, /timeline\n");
+      return timeline(Req);
+    return textResponse(404, "not found; endpoints: /healthz, /readyz, "
+                             "/status, /metrics, /timeline\n");
   }
 
   static std::string status(const AdminSources &Sources) {
@@ -104,26 +104,27 @@
     return boost::json::serialize(merged);
   }
 
-  http::Response timeline(const http::Request &Ask) {
-    std::string text = Ask.query("from");
+  http::Response timeline(const http::Request &Req) {
+    std::string text = Req.query("from");
     std::uint64_t from = 0;
-    std::from_chars_result read =
+    std::from_chars_result parsed =
         std::from_chars(text.data(), text.data() + text.size(), from);
     if (!text.empty() &&
-        (read.ec != std::errc() || read.ptr != text.data() + text.size()))
-      return textResponse(400, "from: '" + text + "' is not a count\n");
+        (parsed.ec != std::errc() || parsed.ptr != text.data() + text.size()))
+      return textResponse(400,
+                          "from: '" + text + "' is not an unsigned integer\n");
     return http::jsonResponse(
         200, encodeTimelinePage(makeTimelinePage(Events, from)));
   }
 
   Timeline &Events;
   asio::io_context Context{1};
-  asio::executor_work_guard<asio::io_context::executor_type> Work{
+  asio::executor_work_guard<asio::io_context::executor_type> WorkGuard{
       Context.get_executor()};
-  std::shared_ptr<http::Server> Front;
-  Address Bound;
+  std::shared_ptr<http::Server> Listener;
+  Address BoundAddress;
   Published<AdminSources> Sources;
-  std::thread Runner;
+  std::thread Worker;
 };
 
 } // namespace
--- a/Wasabi/Adapters/Admin/AdminServer.h
+++ b/Wasabi/Adapters/Admin/AdminServer.h
@@ -1,6 +1,6 @@
 /// \file
-/// The HTTP that operators and their tools read of a process: health,
-/// readiness, status, metrics and time line. On a thread of its own.
+/// The HTTP server for operators and their tools: health, readiness, status,
+/// metrics and time line of one process, served on its own thread.
 #ifndef WASABI_ADAPTERS_ADMIN_ADMINSERVER_H
 #define WASABI_ADAPTERS_ADMIN_ADMINSERVER_H
 
@@ -16,29 +16,32 @@
 
 class Timeline;
 
-/// What the admin server shows. Each function is called on its thread.
+/// Callbacks that supply the responses of the admin server. Each one is called
+/// on the thread of the server.
 struct AdminSources {
-  /// Whether new work may come: `/readyz` answers 200 or 503.
+  /// True if the process accepts new work: `/readyz` responds with 200 or 503.
   std::function<bool()> Ready;
-  /// JSON objects whose members `/status` merges, the later one winning.
+  /// JSON objects whose members `/status` merges; a later member replaces an
+  /// earlier one of the same name.
   std::function<std::vector<std::string>()> Status;
-  /// What `/status?brief=1` shows: a JSON object without the members, which
-  /// grow with the system. Operators' clients ask every process for it.
+  /// The JSON object for `/status?brief=1`, without the members that grow with
+  /// the size of the system.
   std::function<std::string()> BriefStatus;
-  /// Prometheus text for `/metrics`.
+  /// Text for `/metrics` in the Prometheus format.
   std::function<std::string()> Metrics;
 };
 
 class AdminServer {
 public:
-  /// Binds and starts the thread; until `setSources` it is not ready and has
-  /// nothing to tell. Errors: `Unavailable` naming the address.
+  /// Binds the address and starts the thread. Until `setSources` is called, the
+  /// server reports that it is not ready and has no status or metrics. Errors:
+  /// `Unavailable` naming the address.
   static Result<std::unique_ptr<AdminServer>> create(Address Listen,
                                                      Timeline &Events);
   /// Stops the thread.
   virtual ~AdminServer() = default;
   virtual Address address() const = 0;
-  /// Begins to show. Thread-safe.
+  /// Replaces the sources of the responses. Thread-safe.
   virtual void setSources(AdminSources Sources) = 0;
 };
 
--- a/Wasabi/Adapters/Frames/FrameSocket.cpp
+++ b/Wasabi/Adapters/Frames/FrameSocket.cpp
@@ -20,17 +20,17 @@
 using asio::ip::tcp;
 
 constexpr std::size_t PrefixBytes = 4;
-constexpr std::size_t ReadBytes = 64u << 10;
-/// A buffer larger than this is given back once it is empty.
-constexpr std::size_t KeptBytes = 1u << 20;
-/// Frames sent in one system call at most.
-constexpr std::size_t MostCoalesced = 64;
+constexpr std::size_t ReadChunkBytes = 64u << 10;
+/// A receive buffer larger than this is shrunk when little data remains.
+constexpr std::size_t MaxRetainedBytes = 1u << 20;
+/// Maximum number of frames written in one system call.
+constexpr std::size_t MaxFramesPerWrite = 64;
 constexpr asio::as_tuple_t<asio::use_awaitable_t<>> Awaited;
 
-std::uint32_t readPrefix(const std::uint8_t *From) {
+std::uint32_t readPrefix(const std::uint8_t *Prefix) {
   std::uint32_t size = 0;
   for (std::size_t n = 0; n < PrefixBytes; ++n)
-    size |= static_cast<std::uint32_t>(From[n]) << (8 * n);
+    size |= static_cast<std::uint32_t>(Prefix[n]) << (8 * n);
   return size;
 }
 
@@ -46,12 +46,12 @@
   return wire::VerifyFrameBuffer(verifier);
 }
 
-std::string peerText(const tcp::socket &Socket) {
+std::string formatPeer(const tcp::socket &Socket) {
   boost::system::error_code ec;
-  tcp::endpoint end = Socket.remote_endpoint(ec);
+  tcp::endpoint remote = Socket.remote_endpoint(ec);
   if (ec)
     return "unknown peer";
-  return toText(Address{end.address().to_string(), end.port()});
+  return toText(Address{remote.address().to_string(), remote.port()});
 }
 
 } // namespace
@@ -60,7 +60,7 @@
     : Socket(std::move(Socket)), Limits(Limits) {
   boost::system::error_code ec;
   this->Socket.set_option(tcp::no_delay(true), ec);
-  Peer = peerText(this->Socket);
+  Peer = formatPeer(this->Socket);
 }
 
 FrameSocket::~FrameSocket() = default;
@@ -72,32 +72,32 @@
 }
 
 asio::awaitable<Outcome<std::shared_ptr<FrameSocket>>>
-FrameSocket::connect(asio::any_io_executor Executor, Address Where,
+FrameSocket::connect(asio::any_io_executor Executor, Address Remote,
                      Settings Limits) {
   tcp::socket socket(Executor);
   boost::system::error_code ec;
-  asio::ip::address host = asio::ip::make_address(Where.Host, ec);
+  asio::ip::address host = asio::ip::make_address(Remote.Host, ec);
   if (ec)
     co_return Failure{Verdict::NotRun,
                       FailureCode::BadInput,
-                      toText(Where),
-                      "not an IP number",
+                      toText(Remote),
+                      "not a valid IP address",
                       {}};
 
-  // The timer closes the socket, which ends the connect.
+  // Closing the socket on timeout ends the pending connect.
   BootTimer timer(Executor, Limits.ConnectTimeout);
-  timer.async_wait([&socket](boost::system::error_code Late) {
+  timer.async_wait([&socket](boost::system::error_code TimerError) {
     boost::system::error_code ignored;
-    if (!Late)
+    if (!TimerError)
       socket.close(ignored);
   });
   std::tie(ec) =
-      co_await socket.async_connect(tcp::endpoint(host, Where.Port), Awaited);
+      co_await socket.async_connect(tcp::endpoint(host, Remote.Port), Awaited);
   timer.cancel();
   if (ec || !socket.is_open())
     co_return Failure{Verdict::NotRun,
                       FailureCode::Unreachable,
-                      toText(Where),
+                      toText(Remote),
                       ec.message(),
                       {}};
   co_return adopt(std::move(socket), Limits);
@@ -106,9 +106,9 @@
 asio::awaitable<Outcome<FrameBytes>> FrameSocket::receive() {
   std::shared_ptr<FrameSocket> self = shared_from_this();
   while (Open) {
-    std::size_t held = Held - ParsedBytes;
-    std::size_t wanted = PrefixBytes;
-    if (held >= PrefixBytes) {
+    std::size_t available = ReceivedBytes - ParsedBytes;
+    std::size_t needed = PrefixBytes;
+    if (available >= PrefixBytes) {
       std::uint32_t size = readPrefix(ReceiveBuffer.data() + ParsedBytes);
       if (size > Limits.MaxFrameBytes) {
         close();
@@ -119,12 +119,12 @@
                               std::to_string(Limits.MaxFrameBytes),
                           {}};
       }
-      wanted = PrefixBytes + size;
-      if (held >= wanted) {
+      needed = PrefixBytes + size;
+      if (available >= needed) {
         const std::uint8_t *begin =
             ReceiveBuffer.data() + ParsedBytes + PrefixBytes;
         FrameBytes frame(begin, begin + size);
-        ParsedBytes += wanted;
+        ParsedBytes += needed;
         if (!isValid(frame.data(), frame.size())) {
           close();
           co_return Failure{Verdict::MayHaveRun,
@@ -138,30 +138,30 @@
       }
     }
 
-    // Room for what is missing, but memory only as bytes really arrive. The
-    // buffer keeps its size: filling it with zeros each time would cost more
-    // than a small frame.
-    if (held > 0 && ParsedBytes > 0)
+    // Memory grows as bytes arrive, not with the announced frame size. The
+    // buffer is reused because zero-filling a new one for each frame is
+    // expensive.
+    if (available > 0 && ParsedBytes > 0)
       std::memmove(ReceiveBuffer.data(), ReceiveBuffer.data() + ParsedBytes,
-                   held);
-    Held = held;
+                   available);
+    ReceivedBytes = available;
     ParsedBytes = 0;
-    std::size_t old = Held;
-    // One large frame must not hold its memory for ever.
-    if (ReceiveBuffer.size() > KeptBytes && old < ReadBytes) {
+    std::size_t old = ReceivedBytes;
+    // Releases the memory of a large frame after it has been consumed.
+    if (ReceiveBuffer.size() > MaxRetainedBytes && old < ReadChunkBytes) {
       ReceiveBuffer.resize(old);
       ReceiveBuffer.shrink_to_fit();
     }
-    if (ReceiveBuffer.size() < old + ReadBytes / 2)
-      ReceiveBuffer.resize(old + ReadBytes);
-    std::tuple<boost::system::error_code, std::size_t> got =
+    if (ReceiveBuffer.size() < old + ReadChunkBytes / 2)
+      ReceiveBuffer.resize(old + ReadChunkBytes);
+    std::tuple<boost::system::error_code, std::size_t> result =
         co_await Socket.async_read_some(
             asio::buffer(ReceiveBuffer.data() + old,
                          ReceiveBuffer.size() - old),
             Awaited);
-    Held += std::get<1>(got);
-    if (std::get<0>(got)) {
-      std::string reason = std::get<0>(got).message();
+    ReceivedBytes += std::get<1>(result);
+    if (std::get<0>(result)) {
+      std::string reason = std::get<0>(result).message();
       if (old > 0)
         reason += ", in the middle of a frame";
       close();
@@ -184,8 +184,8 @@
     return false;
   if (Frame.size() > Limits.MaxFrameBytes)
     return false;
-  if (QueuedBytes + Frame.size() > Limits.MaxQueued) {
-    // A peer that does not read must not hold our memory.
+  if (QueuedBytes + Frame.size() > Limits.MaxQueuedBytes) {
+    // Bounds the memory used for a peer that does not read.
     close();
     return false;
   }
@@ -209,10 +209,11 @@
 asio::awaitable<void> FrameSocket::writeQueued() {
   std::shared_ptr<FrameSocket> self = shared_from_this();
   while (Open && !Queue.empty()) {
-    // All that is queued goes out in one call; what is queued meanwhile next.
+    // Combines queued frames into one write; frames queued in the meantime go
+    // into the next write.
     std::vector<FrameBytes> batch;
     std::size_t bytes = 0;
-    while (!Queue.empty() && batch.size() < MostCoalesced) {
+    while (!Queue.empty() && batch.size() < MaxFramesPerWrite) {
       bytes += Queue.front().size();
       batch.push_back(std::move(Queue.front()));
       Queue.pop_front();
--- a/Wasabi/Adapters/Frames/FrameSocket.h
+++ b/Wasabi/Adapters/Frames/FrameSocket.h
@@ -19,50 +19,54 @@
 
 namespace wasabi {
 
-/// One frame's bytes without the length prefix; verified when received.
+/// The bytes of one frame without the length prefix. Received frames are
+/// verified.
 using FrameBytes = std::vector<std::uint8_t>;
 
-/// One connection that carries whole frames. Reads are pulled one by one;
-/// writes are queued and sent in order, several in one system call.
-/// Not thread-safe: use on its executor's thread.
+/// A connection that carries whole frames. Reads return one frame at a time;
+/// writes are queued and sent in order, several frames per system call. Not
+/// thread-safe: use on the thread of its executor.
 class FrameSocket : public std::enable_shared_from_this<FrameSocket> {
 public:
   struct Settings {
-    /// Largest frame taken or sent, in bytes.
+    /// Maximum size of a frame that is received or sent, in bytes.
     std::uint32_t MaxFrameBytes = 16u << 20;
-    /// Most bytes queued for sending; beyond it the connection is closed.
-    std::size_t MaxQueued = 64u << 20;
+    /// Maximum number of bytes queued for sending. A send that would exceed it
+    /// closes the connection.
+    std::size_t MaxQueuedBytes = 64u << 20;
     Millis ConnectTimeout{2000};
   };
 
-  /// Takes over a connected socket.
+  /// Wraps a connected socket.
   static std::shared_ptr<FrameSocket> adopt(boost::asio::ip::tcp::socket Socket,
                                             Settings Limits);
 
-  /// Connects. Failures: `Unreachable`, `NotRun`.
+  /// Connects to `Remote`. Failures: `BadInput` if the host is not an IP
+  /// address, `Unreachable`; both with `NotRun`.
   static boost::asio::awaitable<Outcome<std::shared_ptr<FrameSocket>>>
-  connect(boost::asio::any_io_executor Executor, Address Where,
+  connect(boost::asio::any_io_executor Executor, Address Remote,
           Settings Limits);
 
   ~FrameSocket();
 
-  /// The next frame, verified against the schema. Failures: `ConnectionLost`
-  /// when the peer is gone; `BadInput` naming the peer for a frame too large or
-  /// not valid, after which the socket is closed.
+  /// Returns the next frame, verified against the schema. Failures:
+  /// `ConnectionLost` if the peer has disconnected; `BadInput` naming the peer
+  /// if the frame is too large or invalid, after which the socket is closed.
   boost::asio::awaitable<Outcome<FrameBytes>> receive();
 
-  /// Queues a frame; false when the connection is closed or its queue is full
-  /// (it is then closed). Nothing was sent of a frame refused.
+  /// Queues a frame for sending. Returns false, with no byte of the frame sent,
+  /// if the frame is too large, the connection is closed or closing, or the
+  /// queue is full (which closes the connection).
   bool send(FrameBytes Frame);
 
-  /// Bytes queued and not yet taken by the kernel.
-  std::size_t queued() const { return QueuedBytes; }
+  /// Number of bytes that are queued and not yet written to the socket.
+  std::size_t queuedBytes() const { return QueuedBytes; }
   bool isOpen() const { return Open; }
-  /// Closes now; a pending `receive` fails.
+  /// Closes the connection immediately; a pending `receive` fails.
   void close();
-  /// Closes once all that is queued was sent.
+  /// Closes the connection after all queued frames are sent.
   void closeAfterSending();
-  /// "IP:PORT" of the peer.
+  /// The address of the peer as "IP:PORT".
   const std::string &peer() const { return Peer; }
 
 private:
@@ -75,9 +79,10 @@
   std::string Peer;
   std::deque<FrameBytes> Queue;
   std::size_t QueuedBytes = 0;
-  /// Bytes received: `Held` of them are there, `Parsed` of these are done with.
+  /// Receive buffer: the first `ReceivedBytes` bytes are valid, of which the
+  /// first `ParsedBytes` have been consumed.
   std::vector<std::uint8_t> ReceiveBuffer;
-  std::size_t Held = 0;
+  std::size_t ReceivedBytes = 0;
   std::size_t ParsedBytes = 0;
   bool Writing = false;
   bool Closing = false;
--- a/Wasabi/Adapters/Frames/RequestClient.cpp
+++ b/Wasabi/Adapters/Frames/RequestClient.cpp
@@ -25,14 +25,14 @@
 namespace asio = boost::asio;
 
 constexpr asio::as_tuple_t<asio::use_awaitable_t<>> Awaited;
-/// The first back-off after a failed connect.
-constexpr Millis FirstBackOff{20};
+/// Upper bound of the back-off after the first failed connect.
+constexpr Millis InitialBackOff{20};
 
-std::string textOf(const flatbuffers::String *Text) {
+std::string toStdString(const flatbuffers::String *Text) {
   return Text ? Text->str() : std::string();
 }
 
-Failure lost(const std::string &Place, std::string Reason) {
+Failure makeLostFailure(const std::string &Place, std::string Reason) {
   return Failure{Verdict::MayHaveRun,
                  FailureCode::ConnectionLost,
                  Place,
@@ -40,109 +40,115 @@
                  {}};
 }
 
-/// What has arrived of one answer. Shared by its reader and its connection.
-struct Answer {
-  explicit Answer(const asio::any_io_executor &Executor) : Changed(Executor) {}
+/// The received part of a response, shared by its reader and its connection.
+struct PendingResponse {
+  explicit PendingResponse(const asio::any_io_executor &Executor)
+      : Changed(Executor) {}
 
   std::string Request;
   std::optional<http::Response> Head;
   ServerName Server;
-  std::deque<std::string> Pieces;
+  std::deque<std::string> Chunks;
   std::uint64_t Received = 0;
   bool Ended = false;
-  std::optional<Failure> Broken;
-  /// Ended by cancelling: whoever waits looks again.
+  std::optional<Failure> Error;
+  /// Cancelled to wake the waiting reader; expires at the deadline of the
+  /// reader.
   BootTimer Changed;
 
-  void breakOff(Failure Why) {
-    if (!Ended && !Broken)
-      Broken = std::move(Why);
+  void fail(Failure Cause) {
+    if (!Ended && !Error)
+      Error = std::move(Cause);
     Changed.cancel();
   }
 };
 
-/// The one connection to one daemon.
-class Link : public std::enable_shared_from_this<Link> {
+/// The connection to one daemon.
+class DaemonConnection : public std::enable_shared_from_this<DaemonConnection> {
 public:
   using LoadCallback = std::function<void(
       const Address &, const std::vector<ReportedLoad> &, bool Leaving)>;
 
-  Link(asio::any_io_executor Executor, Address Where,
-       std::shared_ptr<const RequestClient::Settings> Shared,
-       std::shared_ptr<const LoadCallback> Loads)
-      : Executor(std::move(Executor)), Where(std::move(Where)),
+  DaemonConnection(asio::any_io_executor Executor, Address Daemon,
+                   std::shared_ptr<const RequestClient::Settings> Shared,
+                   std::shared_ptr<const LoadCallback> OnLoad)
+      : Executor(std::move(Executor)), Daemon(std::move(Daemon)),
         Shared(std::move(Shared)), Setup(*this->Shared),
-        Loads(std::move(Loads)),
-        Random(Setup.Seed ^ std::hash<std::string>()(toText(this->Where))) {}
+        OnLoad(std::move(OnLoad)),
+        Random(Setup.Seed ^ std::hash<std::string>()(toText(this->Daemon))) {}
 
-  bool isUp() const { return Socket && Socket->isOpen(); }
-  std::size_t inFlight() const { return Answers.size(); }
-  TimePoint lastUse() const { return LastUse; }
+  bool isConnected() const { return Socket && Socket->isOpen(); }
+  std::size_t inFlight() const { return Responses.size(); }
+  TimePoint lastUsedAt() const { return LastUsedAt; }
 
-  /// Starts to connect unless connected, connecting or backing off.
+  /// Starts connecting unless connected, connecting or backing off.
   void start() {
-    if (Running || Stopped || monotonicNow() < NextTry)
+    if (Running || Stopped || monotonicNow() < NextConnectAt)
       return;
     Running = true;
-    std::shared_ptr<Link> self = shared_from_this();
+    std::shared_ptr<DaemonConnection> self = shared_from_this();
     asio::co_spawn(
-        Executor, [self]() -> asio::awaitable<void> { return self->run(); },
+        Executor,
+        [self]() -> asio::awaitable<void> { return self->connectAndReceive(); },
         asio::detached);
   }
 
-  /// Waits for the connection. Failures: `Unreachable`, `NotRun`.
-  asio::awaitable<Outcome<Done>> ready(TimePoint Until) {
-    std::shared_ptr<Link> self = shared_from_this();
-    LastUse = monotonicNow();
+  /// Waits until the connection is established. Failures, all with `NotRun`:
+  /// `Unreachable`, `TimedOut`.
+  asio::awaitable<Outcome<Done>> awaitConnection(TimePoint Until) {
+    std::shared_ptr<DaemonConnection> self = shared_from_this();
+    LastUsedAt = monotonicNow();
     start();
-    while (!isUp()) {
+    while (!isConnected()) {
       TimePoint now = monotonicNow();
       if (!Running || Stopped)
-        co_return unreachable(now);
+        co_return makeUnreachableFailure(now);
       if (now >= Until)
         co_return Failure{Verdict::NotRun,
                           FailureCode::TimedOut,
-                          toText(Where),
+                          toText(Daemon),
                           "no connection within the deadline",
                           {}};
       BootTimer timer(Executor, Until);
-      Waiting.push_back(&timer);
+      Waiters.push_back(&timer);
       co_await timer.async_wait(Awaited);
-      std::erase(Waiting, &timer);
+      std::erase(Waiters, &timer);
     }
     co_return Done{};
   }
 
-  /// Sends the attempt; null when nothing of it was sent.
-  std::shared_ptr<Answer> send(const RequestAttempt &What, std::uint64_t &Id) {
+  /// Sends the attempt. Returns null if nothing of it was sent.
+  std::shared_ptr<PendingResponse> send(const RequestAttempt &Attempt,
+                                        std::uint64_t &Id) {
     Id = NextId++;
-    if (!Socket->send(frames::request(Id, What, Setup.Credit)))
+    if (!Socket->send(frames::request(Id, Attempt, Setup.InitialCreditBytes)))
       return nullptr;
-    std::shared_ptr<Answer> answer = std::make_shared<Answer>(Executor);
-    answer->Request = What.Request;
-    Answers.emplace(Id, answer);
-    return answer;
+    std::shared_ptr<PendingResponse> pending =
+        std::make_shared<PendingResponse>(Executor);
+    pending->Request = Attempt.Request;
+    Responses.emplace(Id, pending);
+    return pending;
   }
 
-  void giveUp(std::uint64_t Id) {
-    if (Answers.erase(Id) > 0 && isUp())
+  void abandon(std::uint64_t Id) {
+    if (Responses.erase(Id) > 0 && isConnected())
       Socket->send(frames::cancel(Id));
   }
 
-  void giveCredit(std::uint64_t Id, std::size_t Bytes) {
-    if (isUp() && Answers.contains(Id))
+  void grantCredit(std::uint64_t Id, std::size_t Bytes) {
+    if (isConnected() && Responses.contains(Id))
       Socket->send(frames::credit(Id, static_cast<std::uint32_t>(Bytes)));
   }
 
   void cancel(const std::string &Request) {
-    for (const std::pair<const std::uint64_t, std::shared_ptr<Answer>> &it :
-         Answers) {
+    for (const std::pair<const std::uint64_t, std::shared_ptr<PendingResponse>>
+             &it : Responses) {
       if (it.second->Request == Request && !it.second->Head)
-        it.second->breakOff(Failure{Verdict::MayHaveRun,
-                                    FailureCode::Cancelled,
-                                    toText(Where),
-                                    "cancelled by the asker",
-                                    {}});
+        it.second->fail(Failure{Verdict::MayHaveRun,
+                                FailureCode::Cancelled,
+                                toText(Daemon),
+                                "cancelled by the client",
+                                {}});
     }
   }
 
@@ -150,28 +156,28 @@
     Stopped = true;
     if (Socket)
       Socket->close();
-    wakeAll();
+    wakeWaiters();
   }
 
 private:
-  Failure unreachable(TimePoint Now) const {
-    Millis left{0};
-    if (NextTry > Now)
-      left = std::chrono::ceil<Millis>(NextTry - Now);
-    return Failure{Verdict::NotRun, FailureCode::Unreachable, toText(Where),
-                   LastError, left};
+  Failure makeUnreachableFailure(TimePoint Now) const {
+    Millis remaining{0};
+    if (NextConnectAt > Now)
+      remaining = std::chrono::ceil<Millis>(NextConnectAt - Now);
+    return Failure{Verdict::NotRun, FailureCode::Unreachable, toText(Daemon),
+                   LastError, remaining};
   }
 
-  void wakeAll() {
-    for (BootTimer *it : Waiting)
+  void wakeWaiters() {
+    for (BootTimer *it : Waiters)
       it->cancel();
   }
 
-  asio::awaitable<void> run() {
+  asio::awaitable<void> connectAndReceive() {
     FrameSocket::Settings limits;
     limits.ConnectTimeout = Setup.ConnectTimeout;
     Outcome<std::shared_ptr<FrameSocket>> socket =
-        co_await FrameSocket::connect(Executor, Where, limits);
+        co_await FrameSocket::connect(Executor, Daemon, limits);
     if (!socket) {
       backOff(socket.failure().Reason);
       co_return;
@@ -180,23 +186,23 @@
     if (Stopped)
       Socket->close();
     Failures = 0;
-    LastHeard = monotonicNow();
+    LastReadAt = monotonicNow();
     Socket->send(frames::hello(Setup.Instance, Setup.Domain, Setup.Life));
-    wakeAll();
-    std::shared_ptr<Link> self = shared_from_this();
-    std::shared_ptr<FrameSocket> watched = Socket;
+    wakeWaiters();
+    std::shared_ptr<DaemonConnection> self = shared_from_this();
+    std::shared_ptr<FrameSocket> monitored = Socket;
     asio::co_spawn(
         Executor,
-        [self, watched]() -> asio::awaitable<void> {
-          return self->watch(watched);
+        [self, monitored]() -> asio::awaitable<void> {
+          return self->heartbeatLoop(monitored);
         },
         asio::detached);
-    co_await receiveAll();
+    co_await receiveLoop();
   }
 
-  asio::awaitable<void> receiveAll() {
+  asio::awaitable<void> receiveLoop() {
     std::string reason = "closed";
-    while (isUp()) {
+    while (isConnected()) {
       Outcome<FrameBytes> frame = co_await Socket->receive();
       if (!frame) {
         reason = frame.failure().Reason;
@@ -204,179 +210,186 @@
           spdlog::warn("{}", describe(frame.failure()));
         break;
       }
-      LastHeard = monotonicNow();
-      take(*wire::GetFrame(frame->data()));
+      LastReadAt = monotonicNow();
+      handleFrame(*wire::GetFrame(frame->data()));
     }
     Socket->close();
     backOff(reason);
   }
 
-  /// The connection is gone: all that was asked on it may have run.
+  /// Fails all requests that were sent on the lost connection and schedules the
+  /// next attempt to connect.
   void backOff(std::string Reason) {
     LastError = std::move(Reason);
-    std::unordered_map<std::uint64_t, std::shared_ptr<Answer>> broken;
-    broken.swap(Answers);
-    for (const std::pair<const std::uint64_t, std::shared_ptr<Answer>> &it :
-         broken)
-      it.second->breakOff(lost("connection to " + toText(Where), LastError));
+    std::unordered_map<std::uint64_t, std::shared_ptr<PendingResponse>> failed;
+    failed.swap(Responses);
+    for (const std::pair<const std::uint64_t, std::shared_ptr<PendingResponse>>
+             &it : failed)
+      it.second->fail(
+          makeLostFailure("connection to " + toText(Daemon), LastError));
     Socket.reset();
 
-    // Jitter keeps the askers of a returning daemon from coming all at once.
-    Millis most = FirstBackOff * (1 << std::min<std::uint32_t>(Failures, 10));
-    most = std::min(most, Setup.MaxBackOff);
-    std::uniform_int_distribution<std::int64_t> spread(most.count() / 2,
-                                                       most.count());
-    NextTry = monotonicNow() + Millis(spread(Random));
+    // Jitter spreads the reconnects of many clients to a restarted daemon.
+    Millis maxDelay =
+        InitialBackOff * (1 << std::min<std::uint32_t>(Failures, 10));
+    maxDelay = std::min(maxDelay, Setup.MaxBackOff);
+    std::uniform_int_distribution<std::int64_t> jitter(maxDelay.count() / 2,
+                                                       maxDelay.count());
+    NextConnectAt = monotonicNow() + Millis(jitter(Random));
     ++Failures;
     Running = false;
-    wakeAll();
+    wakeWaiters();
   }
 
-  /// Sends signs of life, and closes a connection that gives none.
-  asio::awaitable<void> watch(std::shared_ptr<FrameSocket> Watched) {
+  /// Sends heartbeats, and closes the connection if the daemon is unresponsive.
+  asio::awaitable<void> heartbeatLoop(std::shared_ptr<FrameSocket> Monitored) {
     BootTimer timer(Executor);
-    while (Watched->isOpen()) {
+    while (Monitored->isOpen()) {
       timer.expires_after(Setup.HeartbeatInterval);
       co_await timer.async_wait(Awaited);
-      if (!Watched->isOpen())
+      if (!Monitored->isOpen())
         break;
-      if (monotonicNow() - LastHeard > Setup.SilenceLimit) {
-        spdlog::warn("{} was silent for {} ms: closing the connection",
-                     toText(Where), Setup.SilenceLimit.count());
-        Watched->close();
+      if (monotonicNow() - LastReadAt > Setup.HeartbeatTimeout) {
+        spdlog::warn("no frame from {} for {} ms: closing the connection",
+                     toText(Daemon), Setup.HeartbeatTimeout.count());
+        Monitored->close();
         break;
       }
-      Watched->send(frames::hello(Setup.Instance, Setup.Domain, Setup.Life));
+      Monitored->send(frames::hello(Setup.Instance, Setup.Domain, Setup.Life));
     }
   }
 
-  void take(const wire::Frame &Frame) {
+  void handleFrame(const wire::Frame &Frame) {
     switch (Frame.body_type()) {
     case wire::Body::ResponseHead:
-      return takeHead(*Frame.body_as_ResponseHead());
+      return handleHead(*Frame.body_as_ResponseHead());
     case wire::Body::ResponseChunk:
-      return takeChunk(*Frame.body_as_ResponseChunk());
+      return handleChunk(*Frame.body_as_ResponseChunk());
     case wire::Body::ResponseEnd:
-      return takeEnd(*Frame.body_as_ResponseEnd());
+      return handleEnd(*Frame.body_as_ResponseEnd());
     case wire::Body::Refusal:
-      return takeRefusal(*Frame.body_as_Refusal());
+      return handleRefusal(*Frame.body_as_Refusal());
     case wire::Body::LoadReport:
-      return takeLoads(*Frame.body_as_LoadReport());
+      return handleLoadReport(*Frame.body_as_LoadReport());
     default:
       return;
     }
   }
 
-  /// Null for an answer that nobody waits for any more: it is dropped.
-  std::shared_ptr<Answer> find(std::uint64_t Id) {
-    std::unordered_map<std::uint64_t, std::shared_ptr<Answer>>::iterator it =
-        Answers.find(Id);
-    return it == Answers.end() ? nullptr : it->second;
+  /// Returns null for a response that has no reader any more.
+  std::shared_ptr<PendingResponse> find(std::uint64_t Id) {
+    std::unordered_map<std::uint64_t,
+                       std::shared_ptr<PendingResponse>>::iterator it =
+        Responses.find(Id);
+    return it == Responses.end() ? nullptr : it->second;
   }
 
-  /// A frame out of its order: the answer can never be proved whole.
-  void refuse(std::uint64_t Id, Answer &Broken, std::string Reason) {
-    Broken.breakOff(Failure{Verdict::MayHaveRun,
-                            FailureCode::ConnectionLost,
-                            "answer from " + toText(Where),
-                            std::move(Reason),
-                            {}});
-    giveUp(Id);
+  /// Fails a response after a frame that is out of order.
+  void rejectFrame(std::uint64_t Id, PendingResponse &Response,
+                   std::string Reason) {
+    Response.fail(Failure{Verdict::MayHaveRun,
+                          FailureCode::ConnectionLost,
+                          "response from " + toText(Daemon),
+                          std::move(Reason),
+                          {}});
+    abandon(Id);
   }
 
-  void takeHead(const wire::ResponseHead &Head) {
-    std::shared_ptr<Answer> answer = find(Head.id());
-    if (!answer)
+  void handleHead(const wire::ResponseHead &Head) {
+    std::shared_ptr<PendingResponse> pending = find(Head.id());
+    if (!pending)
       return;
-    if (answer->Head)
-      return refuse(Head.id(), *answer, "a second head");
+    if (pending->Head)
+      return rejectFrame(Head.id(), *pending, "duplicate response head");
     http::Response response;
     response.Status = Head.status();
     if (Head.headers()) {
       response.Headers.reserve(Head.headers()->size());
       for (const wire::Header *it : *Head.headers())
         response.Headers.push_back(
-            http::Header{textOf(it->name()), textOf(it->value())});
+            http::Header{toStdString(it->name()), toStdString(it->value())});
     }
-    answer->Head = std::move(response);
-    answer->Server = ServerName(textOf(Head.server()));
-    answer->Changed.cancel();
+    pending->Head = std::move(response);
+    pending->Server = ServerName(toStdString(Head.server()));
+    pending->Changed.cancel();
   }
 
-  void takeChunk(const wire::ResponseChunk &Chunk) {
-    std::shared_ptr<Answer> answer = find(Chunk.id());
-    if (!answer)
+  void handleChunk(const wire::ResponseChunk &Chunk) {
+    std::shared_ptr<PendingResponse> pending = find(Chunk.id());
+    if (!pending)
       return;
-    if (!answer->Head)
-      return refuse(Chunk.id(), *answer, "a chunk before the head");
-    if (Chunk.position() != answer->Received)
-      return refuse(Chunk.id(), *answer,
-                    "a chunk at " + std::to_string(Chunk.position()) +
-                        " where " + std::to_string(answer->Received) +
-                        " was due");
+    if (!pending->Head)
+      return rejectFrame(Chunk.id(), *pending,
+                         "response chunk before the head");
+    if (Chunk.position() != pending->Received)
+      return rejectFrame(Chunk.id(), *pending,
+                         "chunk position " + std::to_string(Chunk.position()) +
+                             " does not match " +
+                             std::to_string(pending->Received) +
+                             " bytes received");
     if (!Chunk.bytes())
       return;
     const flatbuffers::Vector<std::uint8_t> &bytes = *Chunk.bytes();
-    answer->Received += bytes.size();
-    answer->Pieces.emplace_back(reinterpret_cast<const char *>(bytes.data()),
-                                bytes.size());
-    answer->Changed.cancel();
+    pending->Received += bytes.size();
+    pending->Chunks.emplace_back(reinterpret_cast<const char *>(bytes.data()),
+                                 bytes.size());
+    pending->Changed.cancel();
   }
 
-  void takeEnd(const wire::ResponseEnd &End) {
-    std::shared_ptr<Answer> answer = find(End.id());
-    if (!answer)
+  void handleEnd(const wire::ResponseEnd &End) {
+    std::shared_ptr<PendingResponse> pending = find(End.id());
+    if (!pending)
       return;
-    if (!answer->Head || End.total() != answer->Received)
-      return refuse(End.id(), *answer,
-                    "it ended after " + std::to_string(answer->Received) +
-                        " of " + std::to_string(End.total()) + " bytes");
-    answer->Ended = true;
-    Answers.erase(End.id());
-    answer->Changed.cancel();
+    if (!pending->Head || End.total() != pending->Received)
+      return rejectFrame(End.id(), *pending,
+                         "ended after " + std::to_string(pending->Received) +
+                             " of " + std::to_string(End.total()) + " bytes");
+    pending->Ended = true;
+    Responses.erase(End.id());
+    pending->Changed.cancel();
   }
 
-  void takeRefusal(const wire::Refusal &Refusal) {
-    std::shared_ptr<Answer> answer = find(Refusal.id());
-    if (!answer)
+  void handleRefusal(const wire::Refusal &Refusal) {
+    std::shared_ptr<PendingResponse> pending = find(Refusal.id());
+    if (!pending)
       return;
-    Answers.erase(Refusal.id());
-    answer->breakOff(
+    Responses.erase(Refusal.id());
+    pending->fail(
         Failure{static_cast<Verdict>(std::min<int>(
                     Refusal.run(), static_cast<int>(Verdict::Ran))),
                 static_cast<FailureCode>(std::min<int>(
                     Refusal.code(), static_cast<int>(FailureCode::Internal))),
-                textOf(Refusal.place()), textOf(Refusal.reason()),
+                toStdString(Refusal.place()), toStdString(Refusal.reason()),
                 Millis(Refusal.retry_after_ms())});
   }
 
-  void takeLoads(const wire::LoadReport &Report) {
-    if (!*Loads || !Report.servers())
+  void handleLoadReport(const wire::LoadReport &Report) {
+    if (!*OnLoad || !Report.servers())
       return;
-    std::vector<ReportedLoad> seen;
-    seen.reserve(Report.servers()->size());
+    std::vector<ReportedLoad> loads;
+    loads.reserve(Report.servers()->size());
     for (const wire::ServerLoad *it : *Report.servers())
-      seen.push_back(ReportedLoad{ServerName(textOf(it->server())),
-                                  ServiceName(textOf(it->service())),
-                                  it->running(), it->queued(), it->limit(),
-                                  it->version(), it->serving()});
-    (*Loads)(Where, seen, Report.leaving());
+      loads.push_back(ReportedLoad{ServerName(toStdString(it->server())),
+                                   ServiceName(toStdString(it->service())),
+                                   it->running(), it->queued(), it->limit(),
+                                   it->version(), it->serving()});
+    (*OnLoad)(Daemon, loads, Report.leaving());
   }
 
   asio::any_io_executor Executor;
-  const Address Where;
+  const Address Daemon;
   const std::shared_ptr<const RequestClient::Settings> Shared;
   const RequestClient::Settings &Setup;
-  const std::shared_ptr<const LoadCallback> Loads;
+  const std::shared_ptr<const LoadCallback> OnLoad;
   std::mt19937_64 Random;
   std::shared_ptr<FrameSocket> Socket;
-  std::unordered_map<std::uint64_t, std::shared_ptr<Answer>> Answers;
-  std::vector<BootTimer *> Waiting;
+  std::unordered_map<std::uint64_t, std::shared_ptr<PendingResponse>> Responses;
+  std::vector<BootTimer *> Waiters;
   std::uint64_t NextId = 1;
   std::uint32_t Failures = 0;
-  TimePoint NextTry;
-  TimePoint LastHeard;
-  TimePoint LastUse;
+  TimePoint NextConnectAt;
+  TimePoint LastReadAt;
+  TimePoint LastUsedAt;
   std::string LastError = "not connected";
   bool Running = false;
   bool Stopped = false;
@@ -384,56 +397,56 @@
 
 class FrameResponseStream final : public DaemonResponseStream {
 public:
-  FrameResponseStream(std::shared_ptr<Link> Through, std::uint64_t Id,
-                      std::shared_ptr<Answer> Held)
-      : Through(std::move(Through)), Id(Id), Held(std::move(Held)) {}
-  ~FrameResponseStream() override { Through->giveUp(Id); }
+  FrameResponseStream(std::shared_ptr<DaemonConnection> Connection,
+                      std::uint64_t Id, std::shared_ptr<PendingResponse> State)
+      : Connection(std::move(Connection)), Id(Id), State(std::move(State)) {}
+  ~FrameResponseStream() override { Connection->abandon(Id); }
 
-  const http::Response &head() const override { return *Held->Head; }
-  const ServerName &server() const override { return Held->Server; }
+  const http::Response &head() const override { return *State->Head; }
+  const ServerName &server() const override { return State->Server; }
 
   asio::awaitable<Outcome<std::optional<std::string>>>
   next(Millis Timeout) override {
-    // The state outlives this stream when it is destroyed meanwhile.
-    std::shared_ptr<Answer> held = Held;
+    // Keeps the state alive if the stream is destroyed during the wait.
+    std::shared_ptr<PendingResponse> state = State;
     TimePoint until = monotonicNow() + Timeout;
-    while (held->Pieces.empty() && !held->Ended && !held->Broken) {
-      held->Changed.expires_at(until);
-      co_await held->Changed.async_wait(Awaited);
-      bool changed = !held->Pieces.empty() || held->Ended || held->Broken;
+    while (state->Chunks.empty() && !state->Ended && !state->Error) {
+      state->Changed.expires_at(until);
+      co_await state->Changed.async_wait(Awaited);
+      bool changed = !state->Chunks.empty() || state->Ended || state->Error;
       if (!changed && monotonicNow() >= until)
         co_return Failure{Verdict::MayHaveRun,
                           FailureCode::TimedOut,
-                          "answer of " + held->Request,
-                          "no more of it in time",
+                          "response to " + state->Request,
+                          "no data within the timeout",
                           {}};
     }
-    if (held->Broken && held->Broken->Code == FailureCode::Cancelled)
-      co_return *held->Broken;
-    if (!held->Pieces.empty()) {
-      std::string piece = std::move(held->Pieces.front());
-      held->Pieces.pop_front();
-      Through->giveCredit(Id, piece.size());
+    if (state->Error && state->Error->Code == FailureCode::Cancelled)
+      co_return *state->Error;
+    if (!state->Chunks.empty()) {
+      std::string piece = std::move(state->Chunks.front());
+      state->Chunks.pop_front();
+      Connection->grantCredit(Id, piece.size());
       co_return std::optional<std::string>(std::move(piece));
     }
-    if (held->Broken)
-      co_return *held->Broken;
+    if (state->Error)
+      co_return *state->Error;
     co_return std::optional<std::string>();
   }
 
   void cancel() override {
-    Held->breakOff(Failure{Verdict::MayHaveRun,
-                           FailureCode::Cancelled,
-                           "answer of " + Held->Request,
-                           "cancelled by its reader",
-                           {}});
-    Through->giveUp(Id);
+    State->fail(Failure{Verdict::MayHaveRun,
+                        FailureCode::Cancelled,
+                        "response to " + State->Request,
+                        "cancelled by the reader",
+                        {}});
+    Connection->abandon(Id);
   }
 
 private:
-  std::shared_ptr<Link> Through;
+  std::shared_ptr<DaemonConnection> Connection;
   const std::uint64_t Id;
-  std::shared_ptr<Answer> Held;
+  std::shared_ptr<PendingResponse> State;
 };
 
 class FrameRequestClient final : public RequestClient {
@@ -444,78 +457,82 @@
   ~FrameRequestClient() override { FrameRequestClient::stop(); }
 
   asio::awaitable<Outcome<std::unique_ptr<DaemonResponseStream>>>
-  open(Address Where, RequestAttempt Attempt) override {
+  open(Address Daemon, RequestAttempt Attempt) override {
     TimePoint until = monotonicNow() + Attempt.Deadline;
-    std::shared_ptr<Link> link = linkTo(Where);
-    if (!link->isUp()) {
-      Outcome<Done> ready = co_await link->ready(until);
-      if (!ready)
-        co_return ready.failure();
+    std::shared_ptr<DaemonConnection> connection = connectionTo(Daemon);
+    if (!connection->isConnected()) {
+      Outcome<Done> connected = co_await connection->awaitConnection(until);
+      if (!connected)
+        co_return connected.failure();
       Attempt.Deadline = std::chrono::floor<Millis>(until - monotonicNow());
     }
     std::uint64_t id = 0;
-    std::shared_ptr<Answer> answer = link->send(Attempt, id);
-    if (!answer)
+    std::shared_ptr<PendingResponse> pending = connection->send(Attempt, id);
+    if (!pending)
       co_return Failure{Verdict::NotRun,
                         FailureCode::ConnectionLost,
-                        toText(Where),
-                        "the connection is closed or full",
+                        toText(Daemon),
+                        "the connection is closed or its send queue is full",
                         {}};
 
     std::unique_ptr<DaemonResponseStream> stream =
-        std::make_unique<FrameResponseStream>(link, id, answer);
-    while (!answer->Head && !answer->Broken) {
+        std::make_unique<FrameResponseStream>(connection, id, pending);
+    while (!pending->Head && !pending->Error) {
       if (monotonicNow() >= until)
         co_return Failure{Verdict::MayHaveRun,
                           FailureCode::TimedOut,
-                          toText(Where),
-                          "no answer within the deadline",
+                          toText(Daemon),
+                          "no response within the deadline",
                           {}};
-      answer->Changed.expires_at(until);
-      co_await answer->Changed.async_wait(Awaited);
+      pending->Changed.expires_at(until);
+      co_await pending->Changed.async_wait(Awaited);
     }
-    // A head followed by a break is still an answer that began.
-    if (!answer->Head)
-      co_return *answer->Broken;
+    // Once the head has arrived, later errors are reported by `next`.
+    if (!pending->Head)
+      co_return *pending->Error;
     co_return std::move(stream);
   }
 
   void cancel(const std::string &Request) override {
-    for (const std::pair<const Address, std::shared_ptr<Link>> &it : Links)
+    for (const std::pair<const Address, std::shared_ptr<DaemonConnection>> &it :
+         Connections)
       it.second->cancel(Request);
   }
 
-  void connectAhead(Address Where) override { linkTo(Where)->start(); }
+  void connectAhead(Address Daemon) override { connectionTo(Daemon)->start(); }
 
-  void onLoad(Link::LoadCallback Callback) override {
-    *Loads = std::move(Callback);
+  void onLoad(DaemonConnection::LoadCallback Callback) override {
+    *OnLoad = std::move(Callback);
   }
 
   std::size_t inFlight() const override {
     std::size_t sum = 0;
-    for (const std::pair<const Address, std::shared_ptr<Link>> &it : Links)
+    for (const std::pair<const Address, std::shared_ptr<DaemonConnection>> &it :
+         Connections)
       sum += it.second->inFlight();
     return sum;
   }
 
   void stop() override {
-    for (const std::pair<const Address, std::shared_ptr<Link>> &it : Links)
+    for (const std::pair<const Address, std::shared_ptr<DaemonConnection>> &it :
+         Connections)
       it.second->stop();
   }
 
 private:
-  std::shared_ptr<Link> linkTo(const Address &Where) {
-    std::shared_ptr<Link> &link = Links[Where];
-    if (!link)
-      link = std::make_shared<Link>(Executor, Where, Setup, Loads);
-    return link;
+  std::shared_ptr<DaemonConnection> connectionTo(const Address &Daemon) {
+    std::shared_ptr<DaemonConnection> &connection = Connections[Daemon];
+    if (!connection)
+      connection =
+          std::make_shared<DaemonConnection>(Executor, Daemon, Setup, OnLoad);
+    return connection;
   }
 
   asio::any_io_executor Executor;
   const std::shared_ptr<const Settings> Setup;
-  const std::shared_ptr<Link::LoadCallback> Loads =
-      std::make_shared<Link::LoadCallback>();
-  std::map<Address, std::shared_ptr<Link>> Links;
+  const std::shared_ptr<DaemonConnection::LoadCallback> OnLoad =
+      std::make_shared<DaemonConnection::LoadCallback>();
+  std::map<Address, std::shared_ptr<DaemonConnection>> Connections;
 };
 
 } // namespace
@@ -527,23 +544,24 @@
 }
 
 asio::awaitable<Outcome<http::Response>>
-readWhole(DaemonResponseStream &Stream, Millis Timeout, std::uint64_t MaxBody) {
-  http::Response whole = Stream.head();
+readWholeResponse(DaemonResponseStream &Stream, Millis Timeout,
+                  std::uint64_t MaxBody) {
+  http::Response response = Stream.head();
   TimePoint until = monotonicNow() + Timeout;
   for (;;) {
-    Millis left = std::chrono::ceil<Millis>(until - monotonicNow());
+    Millis remaining = std::chrono::ceil<Millis>(until - monotonicNow());
     Outcome<std::optional<std::string>> piece =
-        co_await Stream.next(std::max(left, Millis(0)));
+        co_await Stream.next(std::max(remaining, Millis(0)));
     if (!piece)
       co_return piece.failure();
     if (!piece->has_value())
-      co_return whole;
-    whole.Body += **piece;
-    if (whole.Body.size() > MaxBody) {
+      co_return response;
+    response.Body += **piece;
+    if (response.Body.size() > MaxBody) {
       Stream.cancel();
       co_return Failure{Verdict::Ran,
                         FailureCode::Internal,
-                        "answer's body",
+                        "response body",
                         "more than " + std::to_string(MaxBody) + " bytes",
                         {}};
     }
--- a/Wasabi/Adapters/Frames/RequestClient.h
+++ b/Wasabi/Adapters/Frames/RequestClient.h
@@ -1,6 +1,6 @@
 /// \file
-/// The asking side of the request frames: used by entries for callers and by a
-/// trainer's owner for samples.
+/// The client side of the request frames. Entries use it to forward requests of
+/// callers, and rollout owners to run samples.
 #ifndef WASABI_ADAPTERS_FRAMES_REQUESTCLIENT_H
 #define WASABI_ADAPTERS_FRAMES_REQUESTCLIENT_H
 
@@ -24,75 +24,78 @@
 
 /// One attempt of a request, as sent to one daemon. An immutable value.
 struct RequestAttempt {
-  /// Names the request over all its attempts: entry's instance, life, count.
+  /// Identifies the request across all its attempts; made of instance,
+  /// incarnation and counter of the entry.
   std::string Request;
-  /// From 1.
+  /// Number of the attempt, starting at 1.
   std::uint32_t Attempt = 1;
   ServiceName Service;
-  /// Which of the daemon's servers; empty lets the daemon choose.
+  /// The server of the daemon to use; if empty, the daemon chooses one.
   ServerName Server;
   http::Request Http;
   bool Idempotent = true;
-  /// The caller's Idempotency-Key; empty for none.
+  /// The `Idempotency-Key` header of the caller; empty if there is none.
   std::string Key;
-  /// Time left when sent; the daemon counts down from its arrival.
+  /// Remaining time when the attempt is sent. The daemon counts from its
+  /// arrival.
   Millis Deadline{60000};
   std::int32_t Priority = 0;
   std::string Caller;
-  /// Set for samples.
+  /// The trainer of a sample; empty for other requests.
   TrainerName Trainer;
   std::string Slot;
 };
 
-/// A server's load as its daemon pushed it last.
+/// The load of a server as last reported by its daemon.
 struct ReportedLoad {
   ServerName Server;
   ServiceName Service;
   std::uint32_t Running = 0;
   std::uint32_t Queued = 0;
-  /// The daemon's present concurrency limit.
+  /// The current concurrency limit of the server.
   std::uint32_t Limit = 1;
   WeightVersion Version = 0;
   bool Serving = true;
   bool operator==(const ReportedLoad &) const = default;
 };
 
-/// An answer that arrives in pieces through a daemon. Destroying it before its
-/// end cancels the work at the daemon. Used on the client's thread.
+/// A response that arrives in pieces through a daemon. Destroying it before its
+/// end cancels the work at the daemon. Use on the thread of the client.
 class DaemonResponseStream {
 public:
   virtual ~DaemonResponseStream() = default;
   /// Status and headers; the body is empty.
   virtual const http::Response &head() const = 0;
-  /// The server that answers.
+  /// The server that produces the response.
   virtual const ServerName &server() const = 0;
-  /// The next bytes in order, or an empty optional after a proved whole end.
-  /// Gaps, repeats and lost connections are failures, never an end. Taking a
-  /// piece gives the daemon credit for as much again.
+  /// Returns the next bytes in order, or an empty optional once the end frame
+  /// confirms that all bytes have arrived. Gaps, repeated chunks and lost
+  /// connections are failures. Each returned piece grants the daemon credit for
+  /// as many further bytes.
   virtual boost::asio::awaitable<Outcome<std::optional<std::string>>>
   next(Millis Timeout) = 0;
-  /// Cancels now; a pending `next` fails with `Cancelled`.
+  /// Cancels immediately; a pending `next` fails with `Cancelled`.
   virtual void cancel() = 0;
 };
 
-/// Keeps one multiplexed connection to each daemon it asks, reconnects with
-/// jitter, and keeps the loads that the daemons push.
-/// Not thread-safe: use on the executor's thread.
+/// Maintains one multiplexed connection per daemon, reconnects with jittered
+/// back-off, and forwards the load reports of the daemons. Not thread-safe: use
+/// on the thread of the executor.
 class RequestClient {
 public:
   struct Settings {
     InstanceName Instance;
     DomainName Domain;
     Incarnation Life = 0;
-    /// Body bytes a daemon may send ahead of the reader, per answer.
-    std::uint32_t Credit = 256u << 10;
+    /// Body bytes that a daemon may send ahead of the reader, per response.
+    std::uint32_t InitialCreditBytes = 256u << 10;
     Millis ConnectTimeout{2000};
-    /// Longest the bounded back-off after failed connects gets.
+    /// Upper bound of the back-off after failed connects.
     Millis MaxBackOff{2000};
-    /// A daemon that sends nothing for this long, not even the load reports
-    /// that it owes, is taken for gone and its connection is closed.
-    Millis SilenceLimit{3000};
-    /// Time between two signs of life sent to each daemon.
+    /// A connection is closed if the daemon sends no frame for this long, not
+    /// even its periodic load reports.
+    Millis HeartbeatTimeout{3000};
+    /// Time between two heartbeats sent to each daemon.
     Millis HeartbeatInterval{1000};
     std::uint64_t Seed = 1;
   };
@@ -101,33 +104,37 @@
   create(boost::asio::any_io_executor Executor, Settings Setup);
   virtual ~RequestClient() = default;
 
-  /// Sends one attempt to the daemon at `Where`, and waits for the answer's
-  /// head within `Attempt.Deadline`. Failures carry the daemon's own verdict if
-  /// it refused, `NotRun` when nothing could be sent, else `MayHaveRun`. Those
-  /// of this client itself name the daemon's address as their place.
+  /// Sends one attempt to `Daemon` and waits for the head of the response
+  /// within `Attempt.Deadline`. Failures carry the verdict of the daemon if it
+  /// refused the attempt, `NotRun` if nothing was sent, otherwise `MayHaveRun`.
+  /// Failures of the client itself name the address of the daemon as their
+  /// place.
   virtual boost::asio::awaitable<Outcome<std::unique_ptr<DaemonResponseStream>>>
-  open(Address Where, RequestAttempt Attempt) = 0;
+  open(Address Daemon, RequestAttempt Attempt) = 0;
 
-  /// Ends each `open` of this request that still waits for its head: it fails
-  /// with `Cancelled`, and the daemon is told to stop the work.
+  /// Fails each `open` of this request that still waits for its head with
+  /// `Cancelled`, and tells the daemon to stop the work.
   virtual void cancel(const std::string &Request) = 0;
 
-  /// Connects ahead of the first request, so that loads begin to flow.
-  virtual void connectAhead(Address Where) = 0;
-  /// Called on each load report. Set before use.
+  /// Connects before the first request, so that load reports arrive.
+  virtual void connectAhead(Address Daemon) = 0;
+  /// Sets the callback for load reports. Call before any other method.
   virtual void
   onLoad(std::function<void(const Address &, const std::vector<ReportedLoad> &,
                             bool Leaving)>
              Callback) = 0;
-  /// Attempts open now.
+  /// Number of attempts in flight.
   virtual std::size_t inFlight() const = 0;
   /// Closes all connections; pending attempts fail.
   virtual void stop() = 0;
 };
 
-/// Reads a whole answer. Failures as for `next`.
+/// Reads the remaining body and returns the whole response. `Timeout` bounds
+/// the whole read. Fails as `next` does, or with `Internal` if the body exceeds
+/// `MaxBody` bytes.
 boost::asio::awaitable<Outcome<http::Response>>
-readWhole(DaemonResponseStream &Stream, Millis Timeout, std::uint64_t MaxBody);
+readWholeResponse(DaemonResponseStream &Stream, Millis Timeout,
+                  std::uint64_t MaxBody);
 
 } // namespace wasabi
 
--- a/Wasabi/Adapters/Frames/RequestFrames.cpp
+++ b/Wasabi/Adapters/Frames/RequestFrames.cpp
@@ -12,14 +12,14 @@
 
 constexpr std::size_t BuilderBytes = 16u << 10;
 
-/// The thread's builder, emptied.
-FlatBufferBuilder &freshBuilder() {
+/// Returns the cleared builder of the calling thread.
+FlatBufferBuilder &clearedBuilder() {
   thread_local FlatBufferBuilder builder(BuilderBytes);
   builder.Clear();
   return builder;
 }
 
-/// Closes the frame round its body and copies it out of the builder.
+/// Finishes the frame around `Body` and returns a copy of its bytes.
 template <typename Table>
 FrameBytes finish(FlatBufferBuilder &Builder, flatbuffers::Offset<Table> Body) {
   Builder.Finish(wire::CreateFrame(Builder, wire::BodyTraits<Table>::enum_value,
@@ -44,45 +44,46 @@
       reinterpret_cast<const std::uint8_t *>(Bytes.data()), Bytes.size());
 }
 
-std::uint32_t clampMillis(Millis Span) {
-  constexpr std::int64_t Most = 0xFFFFFFFF;
+std::uint32_t clampMillis(Millis Duration) {
+  constexpr std::int64_t MaxMillis = 0xFFFFFFFF;
   return static_cast<std::uint32_t>(
-      std::clamp<std::int64_t>(Span.count(), 0, Most));
+      std::clamp<std::int64_t>(Duration.count(), 0, MaxMillis));
 }
 
 } // namespace
 
 FrameBytes hello(const InstanceName &Instance, const DomainName &Domain,
                  Incarnation Life) {
-  FlatBufferBuilder &builder = freshBuilder();
+  FlatBufferBuilder &builder = clearedBuilder();
   return finish(builder,
                 wire::CreateHello(builder, builder.CreateString(Instance.Text),
                                   builder.CreateString(Domain.Text), Life,
                                   ProtocolVersion));
 }
 
-FrameBytes request(std::uint64_t Id, const RequestAttempt &What,
+FrameBytes request(std::uint64_t Id, const RequestAttempt &Attempt,
                    std::uint32_t Credit) {
-  FlatBufferBuilder &builder = freshBuilder();
-  HeaderOffsets headers = writeHeaders(builder, What.Http.Headers);
+  FlatBufferBuilder &builder = clearedBuilder();
+  HeaderOffsets headers = writeHeaders(builder, Attempt.Http.Headers);
   return finish(builder,
                 wire::CreateRequest(
-                    builder, Id, builder.CreateString(What.Request),
-                    What.Attempt, builder.CreateString(What.Service.Text),
-                    builder.CreateString(What.Server.Text),
-                    builder.CreateString(What.Http.Method),
-                    builder.CreateString(What.Http.Target),
+                    builder, Id, builder.CreateString(Attempt.Request),
+                    Attempt.Attempt, builder.CreateString(Attempt.Service.Text),
+                    builder.CreateString(Attempt.Server.Text),
+                    builder.CreateString(Attempt.Http.Method),
+                    builder.CreateString(Attempt.Http.Target),
                     builder.CreateVector(headers),
-                    writeBytes(builder, What.Http.Body), What.Idempotent,
-                    builder.CreateString(What.Key), clampMillis(What.Deadline),
-                    What.Priority, builder.CreateString(What.Caller),
-                    builder.CreateString(What.Trainer.Text),
-                    builder.CreateString(What.Slot), Credit, true));
+                    writeBytes(builder, Attempt.Http.Body), Attempt.Idempotent,
+                    builder.CreateString(Attempt.Key),
+                    clampMillis(Attempt.Deadline), Attempt.Priority,
+                    builder.CreateString(Attempt.Caller),
+                    builder.CreateString(Attempt.Trainer.Text),
+                    builder.CreateString(Attempt.Slot), Credit, true));
 }
 
 FrameBytes head(std::uint64_t Id, const http::Response &Head,
                 const ServerName &Server) {
-  FlatBufferBuilder &builder = freshBuilder();
+  FlatBufferBuilder &builder = clearedBuilder();
   HeaderOffsets headers = writeHeaders(builder, Head.Headers);
   return finish(
       builder, wire::CreateResponseHead(builder, Id,
@@ -93,38 +94,38 @@
 
 FrameBytes chunk(std::uint64_t Id, std::uint64_t Position,
                  std::string_view Bytes) {
-  FlatBufferBuilder &builder = freshBuilder();
+  FlatBufferBuilder &builder = clearedBuilder();
   return finish(builder, wire::CreateResponseChunk(builder, Id, Position,
                                                    writeBytes(builder, Bytes)));
 }
 
 FrameBytes end(std::uint64_t Id, std::uint64_t Total) {
-  FlatBufferBuilder &builder = freshBuilder();
+  FlatBufferBuilder &builder = clearedBuilder();
   return finish(builder, wire::CreateResponseEnd(builder, Id, Total));
 }
 
-FrameBytes refusal(std::uint64_t Id, const Failure &Why) {
-  FlatBufferBuilder &builder = freshBuilder();
+FrameBytes refusal(std::uint64_t Id, const Failure &Error) {
+  FlatBufferBuilder &builder = clearedBuilder();
   return finish(builder, wire::CreateRefusal(
-                             builder, Id, static_cast<std::uint8_t>(Why.Run),
-                             static_cast<std::uint8_t>(Why.Code),
-                             builder.CreateString(Why.Place),
-                             builder.CreateString(Why.Reason),
-                             clampMillis(Why.RetryAfter)));
+                             builder, Id, static_cast<std::uint8_t>(Error.Run),
+                             static_cast<std::uint8_t>(Error.Code),
+                             builder.CreateString(Error.Place),
+                             builder.CreateString(Error.Reason),
+                             clampMillis(Error.RetryAfter)));
 }
 
 FrameBytes cancel(std::uint64_t Id) {
-  FlatBufferBuilder &builder = freshBuilder();
+  FlatBufferBuilder &builder = clearedBuilder();
   return finish(builder, wire::CreateCancel(builder, Id));
 }
 
 FrameBytes credit(std::uint64_t Id, std::uint32_t Bytes) {
-  FlatBufferBuilder &builder = freshBuilder();
+  FlatBufferBuilder &builder = clearedBuilder();
   return finish(builder, wire::CreateCredit(builder, Id, Bytes));
 }
 
 FrameBytes loads(const std::vector<ReportedLoad> &Loads, bool Leaving) {
-  FlatBufferBuilder &builder = freshBuilder();
+  FlatBufferBuilder &builder = clearedBuilder();
   std::vector<flatbuffers::Offset<wire::ServerLoad>> offsets;
   offsets.reserve(Loads.size());
   for (const ReportedLoad &it : Loads)
--- a/Wasabi/Adapters/Frames/RequestServer.cpp
+++ b/Wasabi/Adapters/Frames/RequestServer.cpp
@@ -23,51 +23,52 @@
 using asio::ip::tcp;
 
 constexpr asio::as_tuple_t<asio::use_awaitable_t<>> Awaited;
-/// Longest wait of a writer before it looks again whether it is still wanted.
-constexpr Millis CreditWait{1000};
-/// Pause after a failed accept (no file descriptors left, say).
-constexpr Millis AcceptPause{50};
+/// Interval at which a writer without credit checks whether the client is gone.
+constexpr Millis CreditPollInterval{1000};
+/// Delay after a failed accept, for example when file descriptors run out.
+constexpr Millis AcceptRetryDelay{50};
 
-std::string textOf(const flatbuffers::String *Text) {
+std::string toStdString(const flatbuffers::String *Text) {
   return Text ? Text->str() : std::string();
 }
 
-RequestAttempt readRequest(const wire::Request &From) {
+RequestAttempt readRequest(const wire::Request &Frame) {
   RequestAttempt attempt;
-  attempt.Request = textOf(From.request());
-  attempt.Attempt = From.attempt();
-  attempt.Service = ServiceName(textOf(From.service()));
-  attempt.Server = ServerName(textOf(From.server()));
-  attempt.Http.Method = textOf(From.method());
-  attempt.Http.Target = textOf(From.target());
-  if (From.headers()) {
-    attempt.Http.Headers.reserve(From.headers()->size());
-    for (const wire::Header *it : *From.headers())
+  attempt.Request = toStdString(Frame.request());
+  attempt.Attempt = Frame.attempt();
+  attempt.Service = ServiceName(toStdString(Frame.service()));
+  attempt.Server = ServerName(toStdString(Frame.server()));
+  attempt.Http.Method = toStdString(Frame.method());
+  attempt.Http.Target = toStdString(Frame.target());
+  if (Frame.headers()) {
+    attempt.Http.Headers.reserve(Frame.headers()->size());
+    for (const wire::Header *it : *Frame.headers())
       attempt.Http.Headers.push_back(
-          http::Header{textOf(it->name()), textOf(it->value())});
+          http::Header{toStdString(it->name()), toStdString(it->value())});
   }
-  if (From.body())
+  if (Frame.body())
     attempt.Http.Body.assign(
-        reinterpret_cast<const char *>(From.body()->data()),
-        From.body()->size());
-  attempt.Idempotent = From.idempotent();
-  attempt.Key = textOf(From.key());
-  attempt.Deadline = Millis(From.deadline_ms());
-  attempt.Priority = From.priority();
-  attempt.Caller = textOf(From.caller());
-  attempt.Trainer = TrainerName(textOf(From.trainer()));
-  attempt.Slot = textOf(From.slot());
+        reinterpret_cast<const char *>(Frame.body()->data()),
+        Frame.body()->size());
+  attempt.Idempotent = Frame.idempotent();
+  attempt.Key = toStdString(Frame.key());
+  attempt.Deadline = Millis(Frame.deadline_ms());
+  attempt.Priority = Frame.priority();
+  attempt.Caller = toStdString(Frame.caller());
+  attempt.Trainer = TrainerName(toStdString(Frame.trainer()));
+  attempt.Slot = toStdString(Frame.slot());
   return attempt;
 }
 
-/// The answer to one request on one connection.
+/// The response to one request on one connection.
 class FrameResponseSink final : public ResponseSink {
 public:
   FrameResponseSink(std::shared_ptr<FrameSocket> Socket, std::uint64_t Id,
-                    std::uint64_t Credit, const asio::any_io_executor &Executor,
-                    std::function<void()> Finish)
-      : Socket(std::move(Socket)), Id(Id), Credit(Credit), Changed(Executor),
-        Finish(std::move(Finish)) {}
+                    std::uint64_t CreditBytes,
+                    const asio::any_io_executor &Executor,
+                    std::function<void()> OnFinish)
+      : Socket(std::move(Socket)), Id(Id), CreditBytes(CreditBytes),
+        Changed(Executor), OnFinish(std::move(OnFinish)) {}
 
   void begin(http::Response Head, ServerName Server) override {
     if (!Gone)
@@ -75,36 +76,37 @@
   }
 
   asio::awaitable<Outcome<Done>> write(std::string Bytes) override {
-    std::string_view left = Bytes;
-    while (!left.empty()) {
-      while (!Gone && Credit == 0) {
-        Changed.expires_after(CreditWait);
+    std::string_view remaining = Bytes;
+    while (!remaining.empty()) {
+      while (!Gone && CreditBytes == 0) {
+        Changed.expires_after(CreditPollInterval);
         co_await Changed.async_wait(Awaited);
       }
       if (Gone)
-        co_return unwanted();
-      std::size_t size =
-          std::min<std::uint64_t>({left.size(), Credit, frames::MaxChunkBytes});
-      if (!Socket->send(frames::chunk(Id, Sent, left.substr(0, size))))
-        co_return unwanted();
-      Sent += size;
-      Credit -= size;
-      left.remove_prefix(size);
+        co_return makeCancelledFailure();
+      std::size_t size = std::min<std::uint64_t>(
+          {remaining.size(), CreditBytes, frames::MaxChunkBytes});
+      if (!Socket->send(
+              frames::chunk(Id, SentBytes, remaining.substr(0, size))))
+        co_return makeCancelledFailure();
+      SentBytes += size;
+      CreditBytes -= size;
+      remaining.remove_prefix(size);
     }
     if (Gone)
-      co_return unwanted();
+      co_return makeCancelledFailure();
     co_return Done{};
   }
 
   void end() override {
     if (!Finished && !Gone)
-      Socket->send(frames::end(Id, Sent));
+      Socket->send(frames::end(Id, SentBytes));
     finish();
   }
 
-  void fail(Failure Why) override {
+  void fail(Failure Error) override {
     if (!Finished && !Gone)
-      Socket->send(frames::refusal(Id, Why));
+      Socket->send(frames::refusal(Id, Error));
     finish();
   }
 
@@ -120,11 +122,11 @@
   bool finished() const { return Finished; }
 
   void addCredit(std::uint64_t Bytes) {
-    Credit += Bytes;
+    CreditBytes += Bytes;
     Changed.cancel();
   }
 
-  void becomeGone() {
+  void markGone() {
     if (Gone || Finished)
       return;
     Gone = true;
@@ -136,11 +138,11 @@
   }
 
 private:
-  Failure unwanted() const {
+  Failure makeCancelledFailure() const {
     return Failure{Verdict::MayHaveRun,
                    FailureCode::Cancelled,
                    Socket->peer(),
-                   "the asker cancelled or is gone",
+                   "the client cancelled or disconnected",
                    {}};
   }
 
@@ -149,15 +151,15 @@
       return;
     Finished = true;
     GoneCallback = {};
-    Finish();
+    OnFinish();
   }
 
   const std::shared_ptr<FrameSocket> Socket;
   const std::uint64_t Id;
-  std::uint64_t Credit;
-  std::uint64_t Sent = 0;
+  std::uint64_t CreditBytes;
+  std::uint64_t SentBytes = 0;
   BootTimer Changed;
-  std::function<void()> Finish;
+  std::function<void()> OnFinish;
   std::function<void()> GoneCallback;
   bool Gone = false;
   bool Finished = false;
@@ -165,11 +167,12 @@
 
 struct Connection {
   std::shared_ptr<FrameSocket> Socket;
-  std::unordered_map<std::uint64_t, std::shared_ptr<FrameResponseSink>> Open;
+  std::unordered_map<std::uint64_t, std::shared_ptr<FrameResponseSink>>
+      OpenRequests;
   std::uint64_t LastId = 0;
-  TimePoint LastHeard;
-  /// When the last load report went.
-  TimePoint LastLoads;
+  TimePoint LastReadAt;
+  /// Time when the last load report was sent.
+  TimePoint LastLoadReportAt;
 };
 
 class FrameRequestServer final
@@ -178,22 +181,23 @@
 public:
   FrameRequestServer(asio::io_context &Context, Settings Setup, Handler Handle)
       : Context(Context), Setup(std::move(Setup)), Handle(std::move(Handle)),
-        Acceptor(Context), Tick(Context) {}
+        Acceptor(Context), ReportTimer(Context) {}
 
   Result<Done> listen() {
     boost::system::error_code ec;
     asio::ip::address host = asio::ip::make_address(Setup.Listen.Host, ec);
-    tcp::endpoint where(host, Setup.Listen.Port);
+    tcp::endpoint endpoint(host, Setup.Listen.Port);
     if (!ec)
-      Acceptor.open(where.protocol(), ec);
-    // A port that the kernel chooses must be ours alone: shared, it could be
-    // given to a second process before either listens.
-    bool chosen = Setup.Listen.Port != 0;
+      Acceptor.open(endpoint.protocol(), ec);
+    // An ephemeral port is bound without address reuse: otherwise a second
+    // process could get the same port before either one listens.
+    bool fixedPort = Setup.Listen.Port != 0;
     if (!ec)
-      Acceptor.set_option(tcp::acceptor::reuse_address(chosen), ec);
+      Acceptor.set_option(tcp::acceptor::reuse_address(fixedPort), ec);
     if (!ec)
-      Acceptor.bind(where, ec);
-    // Connections that outlive this listener must not keep its successor out.
+      Acceptor.bind(endpoint, ec);
+    // Lets a later process bind the port while connections of this listener
+    // remain.
     if (!ec)
       Acceptor.set_option(tcp::acceptor::reuse_address(true), ec);
     if (!ec)
@@ -205,44 +209,47 @@
                                             ec.message(),
                                             {}});
     tcp::endpoint bound = Acceptor.local_endpoint();
-    Bound = Address{bound.address().to_string(), bound.port()};
+    BoundAddress = Address{bound.address().to_string(), bound.port()};
     return Done{};
   }
 
   void start() {
     std::shared_ptr<FrameRequestServer> self = shared_from_this();
     asio::co_spawn(
-        Context, [self]() -> asio::awaitable<void> { return self->accept(); },
+        Context,
+        [self]() -> asio::awaitable<void> { return self->acceptLoop(); },
         asio::detached);
     asio::co_spawn(
-        Context, [self]() -> asio::awaitable<void> { return self->report(); },
+        Context,
+        [self]() -> asio::awaitable<void> { return self->reportLoop(); },
         asio::detached);
   }
 
-  Address address() const override { return Bound; }
+  Address address() const override { return BoundAddress; }
 
   void setLoads(std::vector<ReportedLoad> NewLoads, bool NewLeaving) override {
-    bool urgent = NewLeaving != Leaving || serveOtherwise(NewLoads);
+    bool urgent = NewLeaving != Leaving || servingChanged(NewLoads);
     Loads = std::move(NewLoads);
     Leaving = NewLeaving;
     if (urgent)
       pushLoads(Millis(0));
   }
 
-  /// Whether some server begins or ceases to take work, or has other weights:
-  /// what askers must not learn late.
-  bool serveOtherwise(const std::vector<ReportedLoad> &Now) const {
-    return !std::equal(Now.begin(), Now.end(), Loads.begin(), Loads.end(),
-                       [](const ReportedLoad &One, const ReportedLoad &Other) {
-                         return One.Server == Other.Server &&
-                                One.Serving == Other.Serving &&
-                                One.Version == Other.Version;
+  /// True if a server appeared, disappeared, or changed its serving state or
+  /// its weights. These changes are reported immediately.
+  bool servingChanged(const std::vector<ReportedLoad> &NewLoads) const {
+    return !std::equal(NewLoads.begin(), NewLoads.end(), Loads.begin(),
+                       Loads.end(),
+                       [](const ReportedLoad &Left, const ReportedLoad &Right) {
+                         return Left.Server == Right.Server &&
+                                Left.Serving == Right.Serving &&
+                                Left.Version == Right.Version;
                        });
   }
 
   void
   setLoadSource(std::function<std::vector<ReportedLoad>()> NewSource) override {
-    Source = std::move(NewSource);
+    LoadSource = std::move(NewSource);
   }
 
   std::size_t inFlight() const override { return InFlight; }
@@ -250,7 +257,7 @@
   std::size_t unsentBytes() const override {
     std::size_t sum = 0;
     for (const std::shared_ptr<Connection> &it : Connections)
-      sum += it->Socket->queued();
+      sum += it->Socket->queuedBytes();
     return sum;
   }
 
@@ -260,32 +267,33 @@
     Stopped = true;
     boost::system::error_code ec;
     Acceptor.close(ec);
-    Tick.cancel();
-    std::set<std::shared_ptr<Connection>> closing = Connections;
-    for (const std::shared_ptr<Connection> &it : closing)
+    ReportTimer.cancel();
+    std::set<std::shared_ptr<Connection>> connections = Connections;
+    for (const std::shared_ptr<Connection> &it : connections)
       it->Socket->close();
   }
 
 private:
-  asio::awaitable<void> accept() {
+  asio::awaitable<void> acceptLoop() {
     while (!Stopped) {
-      std::tuple<boost::system::error_code, tcp::socket> got =
+      std::tuple<boost::system::error_code, tcp::socket> accepted =
           co_await Acceptor.async_accept(Awaited);
       if (Stopped)
         break;
-      if (std::get<0>(got)) {
-        spdlog::warn("accept on {}: {}", toText(Bound),
-                     std::get<0>(got).message());
-        BootTimer pause(Context, AcceptPause);
-        co_await pause.async_wait(Awaited);
+      if (std::get<0>(accepted)) {
+        spdlog::warn("accept on {}: {}", toText(BoundAddress),
+                     std::get<0>(accepted).message());
+        BootTimer delay(Context, AcceptRetryDelay);
+        co_await delay.async_wait(Awaited);
         continue;
       }
       if (Connections.size() >= Setup.MaxConnections) {
-        spdlog::warn("more than {} connections: one is closed",
-                     Setup.MaxConnections);
+        spdlog::warn(
+            "limit of {} connections reached: closing a new connection",
+            Setup.MaxConnections);
         continue;
       }
-      serve(std::move(std::get<1>(got)));
+      serve(std::move(std::get<1>(accepted)));
     }
   }
 
@@ -293,7 +301,7 @@
     std::shared_ptr<Connection> connection = std::make_shared<Connection>();
     connection->Socket =
         FrameSocket::adopt(std::move(Socket), FrameSocket::Settings());
-    connection->LastHeard = monotonicNow();
+    connection->LastReadAt = monotonicNow();
     Connections.insert(connection);
     connection->Socket->send(
         frames::hello(Setup.Instance, Setup.Domain, Setup.Life));
@@ -302,46 +310,47 @@
     asio::co_spawn(
         Context,
         [self, connection]() -> asio::awaitable<void> {
-          return self->receiveAll(connection);
+          return self->receiveLoop(connection);
         },
         asio::detached);
   }
 
-  asio::awaitable<void> receiveAll(std::shared_ptr<Connection> From) {
+  asio::awaitable<void> receiveLoop(std::shared_ptr<Connection> Peer) {
     for (;;) {
-      Outcome<FrameBytes> frame = co_await From->Socket->receive();
+      Outcome<FrameBytes> frame = co_await Peer->Socket->receive();
       if (!frame) {
         if (frame.failure().Code == FailureCode::BadInput)
           spdlog::warn("{}", describe(frame.failure()));
         break;
       }
-      From->LastHeard = monotonicNow();
-      if (!take(From, *wire::GetFrame(frame->data())))
+      Peer->LastReadAt = monotonicNow();
+      if (!handleFrame(Peer, *wire::GetFrame(frame->data())))
         break;
     }
-    From->Socket->close();
-    Connections.erase(From);
-    // Nobody can take these answers any more: their work is given up.
+    Peer->Socket->close();
+    Connections.erase(Peer);
+    // Cancels the handlers whose responses can no longer be delivered.
     std::unordered_map<std::uint64_t, std::shared_ptr<FrameResponseSink>> open;
-    open.swap(From->Open);
+    open.swap(Peer->OpenRequests);
     for (const std::pair<const std::uint64_t,
                          std::shared_ptr<FrameResponseSink>> &it : open)
-      it.second->becomeGone();
+      it.second->markGone();
   }
 
-  bool take(const std::shared_ptr<Connection> &From, const wire::Frame &Frame) {
+  bool handleFrame(const std::shared_ptr<Connection> &Peer,
+                   const wire::Frame &Frame) {
     switch (Frame.body_type()) {
     case wire::Body::Request:
-      return takeRequest(From, *Frame.body_as_Request());
+      return handleRequest(Peer, *Frame.body_as_Request());
     case wire::Body::Cancel:
-      takeCancel(*From, Frame.body_as_Cancel()->id());
+      handleCancel(*Peer, Frame.body_as_Cancel()->id());
       return true;
     case wire::Body::Credit: {
       const wire::Credit &credit = *Frame.body_as_Credit();
       std::unordered_map<std::uint64_t,
                          std::shared_ptr<FrameResponseSink>>::iterator it =
-          From->Open.find(credit.id());
-      if (it != From->Open.end())
+          Peer->OpenRequests.find(credit.id());
+      if (it != Peer->OpenRequests.end())
         it->second->addCredit(credit.bytes());
       return true;
     }
@@ -350,78 +359,79 @@
     }
   }
 
-  void takeCancel(Connection &From, std::uint64_t Id) {
+  void handleCancel(Connection &Peer, std::uint64_t Id) {
     std::unordered_map<std::uint64_t,
                        std::shared_ptr<FrameResponseSink>>::iterator it =
-        From.Open.find(Id);
-    if (it == From.Open.end())
+        Peer.OpenRequests.find(Id);
+    if (it == Peer.OpenRequests.end())
       return;
     std::shared_ptr<FrameResponseSink> sink = it->second;
-    From.Open.erase(it);
-    sink->becomeGone();
+    Peer.OpenRequests.erase(it);
+    sink->markGone();
   }
 
-  /// False ends the connection.
-  bool takeRequest(const std::shared_ptr<Connection> &From,
-                   const wire::Request &Frame) {
+  /// Returns false if the connection must be closed.
+  bool handleRequest(const std::shared_ptr<Connection> &Peer,
+                     const wire::Request &Frame) {
     std::uint64_t id = Frame.id();
-    // Ids only grow: a repeated frame must never run a request twice.
-    if (id <= From->LastId) {
+    // Ids increase strictly, so that a repeated frame never runs a request
+    // twice.
+    if (id <= Peer->LastId) {
       spdlog::warn("request frame {} from {} repeats an id: closing the "
                    "connection",
-                   id, From->Socket->peer());
+                   id, Peer->Socket->peer());
       return false;
     }
-    From->LastId = id;
+    Peer->LastId = id;
     if (Draining) {
-      refuse(*From, id, FailureCode::Leaving, "this instance is leaving");
+      refuse(*Peer, id, FailureCode::Leaving, "this instance is leaving");
       return true;
     }
-    if (From->Open.size() >= Setup.MaxRequestsPerConnection) {
-      refuse(*From, id, FailureCode::Overloaded,
+    if (Peer->OpenRequests.size() >= Setup.MaxRequestsPerConnection) {
+      refuse(*Peer, id, FailureCode::Overloaded,
              "too many requests on one connection");
       return true;
     }
-    run(From, id, readRequest(Frame), Frame.credit());
+    startHandler(Peer, id, readRequest(Frame), Frame.credit());
     return true;
   }
 
-  void refuse(Connection &To, std::uint64_t Id, FailureCode Code,
+  void refuse(Connection &Peer, std::uint64_t Id, FailureCode Code,
               std::string Reason) {
-    Failure why{Verdict::NotRun, Code, Setup.Instance.Text, std::move(Reason),
-                Setup.LoadReportInterval};
-    To.Socket->send(frames::refusal(Id, why));
+    Failure failure{Verdict::NotRun, Code, Setup.Instance.Text,
+                    std::move(Reason), Setup.LoadReportInterval};
+    Peer.Socket->send(frames::refusal(Id, failure));
   }
 
-  void run(const std::shared_ptr<Connection> &From, std::uint64_t Id,
-           RequestAttempt Attempt, std::uint32_t Credit) {
-    std::weak_ptr<Connection> weak = From;
+  void startHandler(const std::shared_ptr<Connection> &Peer, std::uint64_t Id,
+                    RequestAttempt Attempt, std::uint32_t Credit) {
+    std::weak_ptr<Connection> weak = Peer;
     std::shared_ptr<FrameResponseSink> sink =
         std::make_shared<FrameResponseSink>(
-            From->Socket, Id, Credit, Context.get_executor(), [weak, Id] {
-              if (std::shared_ptr<Connection> held = weak.lock())
-                held->Open.erase(Id);
+            Peer->Socket, Id, Credit, Context.get_executor(), [weak, Id] {
+              if (std::shared_ptr<Connection> connection = weak.lock())
+                connection->OpenRequests.erase(Id);
             });
-    From->Open.emplace(Id, sink);
+    Peer->OpenRequests.emplace(Id, sink);
     ++InFlight;
     std::shared_ptr<FrameRequestServer> self = shared_from_this();
     asio::co_spawn(Context, Handle(std::move(Attempt), sink),
-                   [self, sink, weak](const std::exception_ptr &Thrown) {
-                     self->handled(*sink, Thrown);
-                     if (std::shared_ptr<Connection> held = weak.lock())
-                       self->reportWithAnswer(*held);
+                   [self, sink, weak](const std::exception_ptr &Error) {
+                     self->onHandlerDone(*sink, Error);
+                     if (std::shared_ptr<Connection> connection = weak.lock())
+                       self->sendLoadsWithResponse(*connection);
                    });
   }
 
-  /// A handler that ends without an answer still owes the asker the truth.
-  void handled(FrameResponseSink &Sink, const std::exception_ptr &Thrown) {
+  /// Sends a failure if the handler has ended without a response.
+  void onHandlerDone(FrameResponseSink &Sink, const std::exception_ptr &Error) {
     --InFlight;
     if (Sink.finished())
       return;
-    std::string reason = "the handler ended without an answer";
-    if (Thrown) {
+    std::string reason = "the handler ended without a response";
+    if (Error) {
       try {
-        std::rethrow_exception(Thrown);
+        std::rethrow_exception(Error);
       } catch (const std::exception &error) {
         reason = error.what();
       }
@@ -434,45 +444,47 @@
                       {}});
   }
 
-  /// Whoever is busy here learns soon what the others do; who is not costs
-  /// nothing.
-  void reportWithAnswer(Connection &To) {
+  /// Sends a load report along with a response. Active clients get recent
+  /// loads; idle ones cause no extra traffic.
+  void sendLoadsWithResponse(Connection &Peer) {
     TimePoint now = monotonicNow();
-    if (!Source || now - To.LastLoads < Setup.MinLoadReportInterval)
+    if (!LoadSource ||
+        now - Peer.LastLoadReportAt < Setup.MinLoadReportInterval)
       return;
-    To.LastLoads = now;
-    Loads = Source();
-    To.Socket->send(frames::loads(Loads, Leaving));
+    Peer.LastLoadReportAt = now;
+    Loads = LoadSource();
+    Peer.Socket->send(frames::loads(Loads, Leaving));
   }
 
-  asio::awaitable<void> report() {
+  asio::awaitable<void> reportLoop() {
     while (!Stopped) {
-      Tick.expires_after(Setup.LoadReportInterval);
-      co_await Tick.async_wait(Awaited);
-      closeSilent();
+      ReportTimer.expires_after(Setup.LoadReportInterval);
+      co_await ReportTimer.async_wait(Awaited);
+      closeUnresponsive();
       pushLoads(Setup.LoadReportInterval / 2);
     }
   }
 
-  void closeSilent() {
+  void closeUnresponsive() {
     TimePoint now = monotonicNow();
     for (const std::shared_ptr<Connection> &it : Connections) {
-      if (now - it->LastHeard > Setup.SilenceLimit) {
-        spdlog::warn("{} was silent for {} ms: closing the connection",
-                     it->Socket->peer(), Setup.SilenceLimit.count());
+      if (now - it->LastReadAt > Setup.HeartbeatTimeout) {
+        spdlog::warn("no frame from {} for {} ms: closing the connection",
+                     it->Socket->peer(), Setup.HeartbeatTimeout.count());
         it->Socket->close();
       }
     }
   }
 
-  /// Sends a report to all but those that had one within `Since`.
-  void pushLoads(Millis Since) {
+  /// Sends a load report on each connection whose last one is at least `MinAge`
+  /// old.
+  void pushLoads(Millis MinAge) {
     FrameBytes frame = frames::loads(Loads, Leaving);
     TimePoint now = monotonicNow();
     for (const std::shared_ptr<Connection> &it : Connections) {
-      if (now - it->LastLoads < Since)
+      if (now - it->LastLoadReportAt < MinAge)
         continue;
-      it->LastLoads = now;
+      it->LastLoadReportAt = now;
       it->Socket->send(frame);
     }
   }
@@ -481,11 +493,11 @@
   const Settings Setup;
   const Handler Handle;
   tcp::acceptor Acceptor;
-  BootTimer Tick;
-  Address Bound;
+  BootTimer ReportTimer;
+  Address BoundAddress;
   std::set<std::shared_ptr<Connection>> Connections;
   std::vector<ReportedLoad> Loads;
-  std::function<std::vector<ReportedLoad>()> Source;
+  std::function<std::vector<ReportedLoad>()> LoadSource;
   std::size_t InFlight = 0;
   bool Leaving = false;
   bool Draining = false;
--- a/Wasabi/Adapters/Frames/RequestServer.h
+++ b/Wasabi/Adapters/Frames/RequestServer.h
@@ -1,5 +1,5 @@
 /// \file
-/// The answering side of the request frames: a daemon's front.
+/// The server side of the request frames, used by daemons.
 #ifndef WASABI_ADAPTERS_FRAMES_REQUESTSERVER_H
 #define WASABI_ADAPTERS_FRAMES_REQUESTSERVER_H
 
@@ -14,28 +14,29 @@
 
 namespace wasabi {
 
-/// Where a daemon's handler puts its answer. One of `refuse` or `begin` is
-/// called, once; after `begin`, `write` any number of times, then `end` or
-/// `fail`. Used on the server's thread.
+/// Writes the response to one request. The handler calls either `fail`, or
+/// `begin` once, then `write` any number of times, then `end` or `fail`. Use on
+/// the thread of the server.
 class ResponseSink {
 public:
   virtual ~ResponseSink() = default;
   virtual void begin(http::Response Head, ServerName Server) = 0;
-  /// Sends body bytes; returns once the asker has credit for them.
-  /// Failures: `Cancelled` or `ConnectionLost` when nobody wants them.
+  /// Sends body bytes; returns once the client has granted credit for all of
+  /// them. Fails with `Cancelled` if the client has cancelled or disconnected.
   virtual boost::asio::awaitable<Outcome<Done>> write(std::string Bytes) = 0;
   virtual void end() = 0;
-  /// Refuses or breaks off, with the verdict.
-  virtual void fail(Failure Why) = 0;
-  /// Whether the asker cancelled or is gone.
+  /// Refuses the request, or ends the response early, with the given failure.
+  virtual void fail(Failure Error) = 0;
+  /// True if the client has cancelled or disconnected.
   virtual bool gone() const = 0;
-  /// Called once when `gone` becomes true.
+  /// Sets a callback that is called once when `gone` becomes true; immediately
+  /// if it is true already.
   virtual void onGone(std::function<void()> Callback) = 0;
 };
 
-/// Accepts connections and runs a handler per request. Malformed frames end
-/// their connection with a logged reason; the server goes on.
-/// Not thread-safe: use on the context's thread.
+/// Accepts connections and runs a handler per request. A malformed frame closes
+/// its connection and is logged. Not thread-safe: use on the thread of the
+/// context.
 class RequestServer {
 public:
   struct Settings {
@@ -43,40 +44,44 @@
     InstanceName Instance;
     DomainName Domain;
     Incarnation Life = 0;
-    /// Most requests open on one connection; further ones are refused `NotRun`.
+    /// Maximum number of open requests per connection; further ones are refused
+    /// with `NotRun`.
     std::size_t MaxRequestsPerConnection = 8192;
     std::size_t MaxConnections = 4096;
-    /// Time between two load reports on a connection that is not answered on:
-    /// with hundreds of daemons these are most of what goes on the wire at
-    /// rest. A server that begins or ceases to take work is told of at once.
+    /// Time between two load reports on a connection without responses. These
+    /// reports are most of the idle traffic of a large system. Changes of the
+    /// serving state or the weights of a server are reported immediately.
     Millis LoadReportInterval{1000};
-    /// A connection that is answered on gets one with the answer, if the last
-    /// one went this long ago.
+    /// Minimum time between a load report and the next one that is sent along
+    /// with a response.
     Millis MinLoadReportInterval{5};
-    /// An asker that sends nothing for this long is taken for gone: its work is
-    /// cancelled and its connection closed.
-    Millis SilenceLimit{10000};
+    /// A connection is closed and its requests are cancelled if the client
+    /// sends no frame for this long.
+    Millis HeartbeatTimeout{10000};
   };
 
   using Handler = std::function<boost::asio::awaitable<void>(
       RequestAttempt, std::shared_ptr<ResponseSink>)>;
 
-  /// Errors: `Unavailable` when the port cannot be bound.
+  /// Binds the port and starts accepting. Errors: `Unavailable` if the port
+  /// cannot be bound.
   static Result<std::shared_ptr<RequestServer>>
   create(boost::asio::io_context &Context, Settings Setup, Handler Handle);
   virtual ~RequestServer() = default;
 
   virtual Address address() const = 0;
-  /// What the next load reports say; set by the daemon.
+  /// Sets the contents of the next load reports.
   virtual void setLoads(std::vector<ReportedLoad> Loads, bool Leaving) = 0;
-  /// Where the reports that go with answers come from; without it there are
-  /// only the periodical ones. Called on the context's thread.
+  /// Sets the source of the load reports that are sent along with responses.
+  /// Without a source, only periodic reports are sent. The source is called on
+  /// the thread of the context.
   virtual void
   setLoadSource(std::function<std::vector<ReportedLoad>()> Source) = 0;
   virtual std::size_t inFlight() const = 0;
-  /// Bytes queued on all connections and not yet taken by the kernel.
+  /// Number of bytes queued on all connections and not yet written to the
+  /// sockets.
   virtual std::size_t unsentBytes() const = 0;
-  /// From now on every new request is refused with `Leaving`, `NotRun`.
+  /// Refuses all further requests with `Leaving`, `NotRun`.
   virtual void drain() = 0;
   virtual void stop() = 0;
 };
--- a/Wasabi/Adapters/Http/HttpClient.cpp
+++ b/Wasabi/Adapters/Http/HttpClient.cpp
@@ -26,21 +26,21 @@
 using ErrorCode = boost::system::error_code;
 using Tcp = asio::ip::tcp;
 
-/// Errors come back as values: a lost connection is an ordinary event here.
+/// Completion token that returns errors as values, since lost connections are
+/// ordinary events.
 constexpr asio::as_tuple_t<asio::use_awaitable_t<>>
     Awaited(asio::use_awaitable);
 
-/// Largest response head.
-constexpr std::uint32_t MaxHead = 65536;
-/// Largest read from the socket.
+constexpr std::uint32_t MaxHeadBytes = 65536;
 constexpr std::size_t ReadBytes = 16384;
-/// How often idle connections of all addresses are looked through.
-constexpr Millis PrunePause{1000};
+/// Minimum time between two scans for expired idle connections.
+constexpr Millis PruneInterval{1000};
 
-/// A body taken piece by piece: it reserves nothing for a length announced.
-struct PieceBody {
+/// A body that is consumed in pieces; it reserves no memory for an announced
+/// length.
+struct StreamedBody {
   using value_type = std::string;
-  // Beast prescribes the name.
+  // The name is required by Beast.
   class reader { // NOLINT(readability-identifier-naming)
   public:
     template <bool IsRequest, typename Fields>
@@ -68,29 +68,29 @@
   };
 };
 
-using Parser = beast::http::response_parser<PieceBody>;
+using Parser = beast::http::response_parser<StreamedBody>;
 
-/// A connection to one address, with the deadline of what it is doing.
-class Link : public std::enable_shared_from_this<Link> {
+/// A connection to one address, with the deadline of its current operation.
+class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
 public:
-  Link(const asio::any_io_executor &Executor, Address Where)
-      : Socket(Executor), Where(std::move(Where)), Timer(Executor) {}
+  ClientConnection(const asio::any_io_executor &Executor, Address Peer)
+      : Socket(Executor), Peer(std::move(Peer)), Timer(Executor) {}
 
-  /// Closes the socket at `Deadline` unless `disarm` comes first.
-  void arm(TimePoint Deadline) {
+  /// Closes the socket at `Deadline` unless `clearDeadline` is called first.
+  void setDeadline(TimePoint Deadline) {
     Timer.expires_at(Deadline);
     Timer.async_wait([weak = weak_from_this()](ErrorCode Failed) {
-      std::shared_ptr<Link> self = weak.lock();
-      if (Failed || !self || !self->Armed)
+      std::shared_ptr<ClientConnection> self = weak.lock();
+      if (Failed || !self || !self->DeadlineActive)
         return;
       self->TimedOut = true;
       self->close();
     });
-    Armed = true;
+    DeadlineActive = true;
   }
 
-  void disarm() {
-    Armed = false;
+  void clearDeadline() {
+    DeadlineActive = false;
     Timer.cancel();
   }
 
@@ -99,39 +99,39 @@
     Socket.close(ec);
   }
 
-  /// Why an operation failed after something had been sent.
-  Failure lost(const ErrorCode &Failed) const {
+  /// Returns the failure of an operation after which the request may have run.
+  Failure makeFailure(const ErrorCode &Failed) const {
     FailureCode code = TimedOut    ? FailureCode::TimedOut
                        : Cancelled ? FailureCode::Cancelled
                                    : FailureCode::ConnectionLost;
-    std::string reason = TimedOut    ? "no answer in time"
+    std::string reason = TimedOut    ? "no response within the deadline"
                          : Cancelled ? "cancelled"
                                      : Failed.message();
-    return Failure{Verdict::MayHaveRun, code, toText(Where), reason, {}};
+    return Failure{Verdict::MayHaveRun, code, toText(Peer), reason, {}};
   }
 
   Tcp::socket Socket;
-  const Address Where;
+  const Address Peer;
   beast::flat_buffer Buffer;
   TimePoint IdleSince;
-  /// How long it may lie idle.
-  Millis MaxIdle{0};
+  /// Maximum time that the connection may stay idle.
+  Millis MaxIdleTime{0};
   bool TimedOut = false;
   bool Cancelled = false;
 
 private:
   BootTimer Timer;
-  bool Armed = false;
+  bool DeadlineActive = false;
 };
 
-/// A request that has been sent, and the head of its answer.
-struct Opened {
-  std::shared_ptr<Link> Via;
+/// A sent request and the head of its response.
+struct OpenResponse {
+  std::shared_ptr<ClientConnection> Connection;
   std::shared_ptr<Parser> Parse;
   Response Head;
 };
 
-Response headOf(const Parser &Parse) {
+Response makeHead(const Parser &Parse) {
   Response head;
   head.Status = Parse.get().result_int();
   for (const beast::http::fields::value_type &it : Parse.get()) {
@@ -141,19 +141,20 @@
   return head;
 }
 
-/// Takes body bytes in until there are some, or the body is whole. Beast's own
-/// read goes on until the next chunk's head is there, which would hold the
-/// bytes of this one back.
-asio::awaitable<ErrorCode> readPart(Link &Via, Parser &Parse) {
+/// Reads until some body bytes are available or the body is complete. The read
+/// function of Beast also waits for the head of the next chunk, which would
+/// delay the bytes of the current one.
+asio::awaitable<ErrorCode> readBodyPart(ClientConnection &Connection,
+                                        Parser &Parse) {
   for (;;) {
     if (Parse.is_done() || !Parse.get().body().empty())
       co_return ErrorCode();
     ErrorCode failed = beast::http::error::need_more;
-    if (Via.Buffer.size() > 0) {
+    if (Connection.Buffer.size() > 0) {
       failed = {};
-      std::size_t used = Parse.put(Via.Buffer.data(), failed);
-      Via.Buffer.consume(used);
-      if (used > 0 && !failed)
+      std::size_t consumed = Parse.put(Connection.Buffer.data(), failed);
+      Connection.Buffer.consume(consumed);
+      if (consumed > 0 && !failed)
         continue;
     }
     if (failed && failed != beast::http::error::need_more)
@@ -161,9 +162,9 @@
     if (Parse.is_done() || !Parse.get().body().empty())
       co_return ErrorCode();
 
-    auto [ec, n] = co_await Via.Socket.async_read_some(
-        Via.Buffer.prepare(ReadBytes), Awaited);
-    Via.Buffer.commit(n);
+    auto [ec, n] = co_await Connection.Socket.async_read_some(
+        Connection.Buffer.prepare(ReadBytes), Awaited);
+    Connection.Buffer.commit(n);
     if (ec == asio::error::eof) {
       failed = {};
       Parse.put_eof(failed);
@@ -174,25 +175,27 @@
   }
 }
 
-/// How long the peer says that it keeps the connection, less a margin.
-Millis promisedIdle(const Parser &Parse, const Client::Settings &Limits) {
+/// Returns the idle time announced by the peer in `Keep-Alive`, reduced by a
+/// margin.
+Millis computeIdleTime(const Parser &Parse, const Client::Settings &Limits) {
   constexpr std::string_view Timeout = "timeout=";
   constexpr Millis PerSecond{1000};
   beast::string_view field = Parse.get()[beast::http::field::keep_alive];
   std::string_view value(field.data(), field.size());
   std::size_t at = value.find(Timeout);
   if (at == std::string_view::npos)
-    return Limits.MaxIdle;
+    return Limits.MaxIdleTime;
   value.remove_prefix(at + Timeout.size());
   std::int64_t seconds = 0;
   std::from_chars(value.data(), value.data() + value.size(), seconds);
   return std::max(seconds * PerSecond - Limits.KeepAliveMargin, Millis(0));
 }
 
-// A function of its own: GCC 12 destroys temporaries of a co_return twice.
-Failure outdated(const Address &Where) {
-  return Failure{Verdict::NotRun, FailureCode::StaleFence, toText(Where),
-                 "it was too late to send the request", Millis(0)};
+// A separate function, because GCC 12 destroys temporaries in a `co_return`
+// twice.
+Failure makeExpiredFailure(const Address &Peer) {
+  return Failure{Verdict::NotRun, FailureCode::StaleFence, toText(Peer),
+                 "the send deadline of the request has passed", Millis(0)};
 }
 
 class ClientImpl final : public Client,
@@ -201,288 +204,303 @@
   ClientImpl(asio::any_io_executor Executor, Settings Limits)
       : Executor(std::move(Executor)), Limits(std::move(Limits)) {}
 
-  asio::awaitable<Outcome<bool>> probe(Address Where, Millis Timeout) override;
-  asio::awaitable<Outcome<Response>> call(Address Where, Request Ask,
+  asio::awaitable<Outcome<bool>> probe(Address Peer, Millis Timeout) override;
+  asio::awaitable<Outcome<Response>> call(Address Peer, Request Req,
                                           Millis Timeout) override;
   asio::awaitable<Outcome<std::unique_ptr<ResponseStream>>>
-  open(Address Where, Request Ask, Millis Timeout) override;
+  open(Address Peer, Request Req, Millis Timeout) override;
 
-  /// Keeps a connection whose answer has been read to its end, if the peer
-  /// keeps it too.
-  void keep(const std::shared_ptr<Link> &Via, const Parser &Parse);
+  /// Returns a connection to the idle pool after its response has been read to
+  /// the end, if the peer keeps it open. Closes it otherwise.
+  void returnToPool(const std::shared_ptr<ClientConnection> &Connection,
+                    const Parser &Parse);
 
 private:
-  asio::awaitable<Outcome<Opened>>
-  start(Address Where, Request Ask, TimePoint Deadline, std::uint64_t MaxBody);
-  asio::awaitable<Outcome<std::shared_ptr<Link>>>
-  sendRequest(Address Where, const Request &Ask, TimePoint Deadline);
-  asio::awaitable<Outcome<std::shared_ptr<Link>>>
-  connect(Address Where, TimePoint Deadline, ErrorCode *Refused = nullptr);
-  asio::awaitable<Outcome<Opened>>
-  readHead(std::shared_ptr<Link> Via, bool HeadOnly, std::uint64_t MaxBody);
-  asio::awaitable<bool> passOver(Opened &Foreign);
-  bool answers(const Request &Ask, const Response &Answer) const;
-  std::shared_ptr<Link> takeIdle(const Address &Where);
+  asio::awaitable<Outcome<OpenResponse>>
+  start(Address Peer, Request Req, TimePoint Deadline, std::uint64_t MaxBody);
+  asio::awaitable<Outcome<std::shared_ptr<ClientConnection>>>
+  sendRequest(Address Peer, const Request &Req, TimePoint Deadline);
+  asio::awaitable<Outcome<std::shared_ptr<ClientConnection>>>
+  connect(Address Peer, TimePoint Deadline, ErrorCode *ConnectError = nullptr);
+  asio::awaitable<Outcome<OpenResponse>>
+  readHead(std::shared_ptr<ClientConnection> Connection, bool HeadOnly,
+           std::uint64_t MaxBody);
+  asio::awaitable<bool> discardResponse(OpenResponse &Unmatched);
+  bool isResponseTo(const Request &Req, const Response &Reply) const;
+  std::shared_ptr<ClientConnection> takeIdle(const Address &Peer);
   void prune();
 
   const asio::any_io_executor Executor;
   const Settings Limits;
-  std::map<Address, std::vector<std::shared_ptr<Link>>> Idle;
+  std::map<Address, std::vector<std::shared_ptr<ClientConnection>>>
+      IdleConnections;
   TimePoint LastPrune;
 };
 
 class StreamImpl final : public ResponseStream {
 public:
-  StreamImpl(std::shared_ptr<ClientImpl> Owner, Opened What)
-      : Owner(std::move(Owner)), What(std::move(What)) {}
+  StreamImpl(std::shared_ptr<ClientImpl> Owner, OpenResponse Source)
+      : Owner(std::move(Owner)), Source(std::move(Source)) {}
   StreamImpl(const StreamImpl &) = delete;
   StreamImpl &operator=(const StreamImpl &) = delete;
   ~StreamImpl() override { StreamImpl::cancel(); }
 
-  const Response &head() const override { return What.Head; }
+  const Response &head() const override { return Source.Head; }
   asio::awaitable<Outcome<std::optional<std::string>>>
   next(Millis Timeout) override;
   void cancel() override;
 
 private:
   std::shared_ptr<ClientImpl> Owner;
-  const Opened What;
+  const OpenResponse Source;
   bool Ended = false;
 };
 
 //===--- Connections ------------------------------------------------------===//
 
-std::shared_ptr<Link> ClientImpl::takeIdle(const Address &Where) {
-  const std::map<Address, std::vector<std::shared_ptr<Link>>>::iterator it =
-      Idle.find(Where);
-  if (it == Idle.end())
+std::shared_ptr<ClientConnection> ClientImpl::takeIdle(const Address &Peer) {
+  const std::map<Address,
+                 std::vector<std::shared_ptr<ClientConnection>>>::iterator it =
+      IdleConnections.find(Peer);
+  if (it == IdleConnections.end())
     return nullptr;
   TimePoint now = monotonicNow();
-  // The last one used is the least likely to have been closed meanwhile.
+  // The most recently used connection is the least likely to be closed.
   while (!it->second.empty()) {
-    std::shared_ptr<Link> link = std::move(it->second.back());
+    std::shared_ptr<ClientConnection> connection = std::move(it->second.back());
     it->second.pop_back();
-    if (now - link->IdleSince <= link->MaxIdle &&
-        peek(link->Socket) == PeerState::NoPendingData)
-      return link;
+    if (now - connection->IdleSince <= connection->MaxIdleTime &&
+        peek(connection->Socket) == PeerState::NoPendingData)
+      return connection;
   }
   return nullptr;
 }
 
-void ClientImpl::keep(const std::shared_ptr<Link> &Via, const Parser &Parse) {
-  Via->disarm();
-  bool usable = Via->Socket.is_open() && Parse.get().keep_alive() &&
-                !Parse.get().need_eof() && Via->Buffer.size() == 0;
-  std::vector<std::shared_ptr<Link>> &idle = Idle[Via->Where];
+void ClientImpl::returnToPool(
+    const std::shared_ptr<ClientConnection> &Connection, const Parser &Parse) {
+  Connection->clearDeadline();
+  bool usable = Connection->Socket.is_open() && Parse.get().keep_alive() &&
+                !Parse.get().need_eof() && Connection->Buffer.size() == 0;
+  std::vector<std::shared_ptr<ClientConnection>> &idle =
+      IdleConnections[Connection->Peer];
   if (!usable || idle.size() >= Limits.MaxIdlePerAddress) {
-    Via->close();
+    Connection->close();
     return;
   }
-  Via->IdleSince = monotonicNow();
-  Via->MaxIdle = std::min(Limits.MaxIdle, promisedIdle(Parse, Limits));
-  idle.push_back(Via);
+  Connection->IdleSince = monotonicNow();
+  Connection->MaxIdleTime =
+      std::min(Limits.MaxIdleTime, computeIdleTime(Parse, Limits));
+  idle.push_back(Connection);
   prune();
 }
 
 void ClientImpl::prune() {
   TimePoint now = monotonicNow();
-  if (now - LastPrune < PrunePause)
+  if (now - LastPrune < PruneInterval)
     return;
   LastPrune = now;
-  for (auto it = Idle.begin(); it != Idle.end();) {
-    std::erase_if(it->second, [now](const std::shared_ptr<Link> &Kept) {
-      return now - Kept->IdleSince > Kept->MaxIdle;
-    });
-    it = it->second.empty() ? Idle.erase(it) : std::next(it);
+  for (auto it = IdleConnections.begin(); it != IdleConnections.end();) {
+    std::erase_if(
+        it->second, [now](const std::shared_ptr<ClientConnection> &Connection) {
+          return now - Connection->IdleSince > Connection->MaxIdleTime;
+        });
+    it = it->second.empty() ? IdleConnections.erase(it) : std::next(it);
   }
 }
 
-/// `Refused`, if given, takes the error of the connect itself.
-asio::awaitable<Outcome<std::shared_ptr<Link>>>
-ClientImpl::connect(Address Where, TimePoint Deadline, ErrorCode *Refused) {
-  Failure why{Verdict::NotRun, FailureCode::Unreachable, toText(Where), {}, {}};
+/// Connects to `Peer`. `ConnectError`, if given, receives the error of the
+/// connect.
+asio::awaitable<Outcome<std::shared_ptr<ClientConnection>>>
+ClientImpl::connect(Address Peer, TimePoint Deadline, ErrorCode *ConnectError) {
+  Failure failure{
+      Verdict::NotRun, FailureCode::Unreachable, toText(Peer), {}, {}};
   ErrorCode failed;
-  asio::ip::address host = asio::ip::make_address(Where.Host, failed);
+  asio::ip::address host = asio::ip::make_address(Peer.Host, failed);
   if (failed) {
-    why.Reason = "not an IP number";
-    co_return why;
+    failure.Reason = "not a valid IP address";
+    co_return failure;
   }
-  std::shared_ptr<Link> link = std::make_shared<Link>(Executor, Where);
-  TimePoint latest = monotonicNow() + Limits.ConnectTimeout;
-  link->arm(std::min(Deadline, latest));
-  Tcp::endpoint peer(host, Where.Port);
-  auto [ec] = co_await link->Socket.async_connect(peer, Awaited);
-  if (Refused != nullptr)
-    *Refused = ec;
-  if (ec || link->TimedOut) {
-    why.Reason = link->TimedOut ? "no connection in time" : ec.message();
-    link->disarm();
-    co_return why;
+  std::shared_ptr<ClientConnection> connection =
+      std::make_shared<ClientConnection>(Executor, Peer);
+  TimePoint limit = monotonicNow() + Limits.ConnectTimeout;
+  connection->setDeadline(std::min(Deadline, limit));
+  Tcp::endpoint peer(host, Peer.Port);
+  auto [ec] = co_await connection->Socket.async_connect(peer, Awaited);
+  if (ConnectError != nullptr)
+    *ConnectError = ec;
+  if (ec || connection->TimedOut) {
+    failure.Reason = connection->TimedOut ? "no connection within the deadline"
+                                          : ec.message();
+    connection->clearDeadline();
+    co_return failure;
   }
-  link->Socket.set_option(Tcp::no_delay(true), failed);
-  co_return link;
+  connection->Socket.set_option(Tcp::no_delay(true), failed);
+  co_return connection;
 }
 
-asio::awaitable<Outcome<bool>> ClientImpl::probe(Address Where,
-                                                 Millis Timeout) {
+asio::awaitable<Outcome<bool>> ClientImpl::probe(Address Peer, Millis Timeout) {
   std::shared_ptr<ClientImpl> self = shared_from_this();
   ErrorCode failed;
-  Outcome<std::shared_ptr<Link>> link =
-      co_await connect(std::move(Where), monotonicNow() + Timeout, &failed);
-  if (!link && failed == asio::error::connection_refused)
+  Outcome<std::shared_ptr<ClientConnection>> connection =
+      co_await connect(std::move(Peer), monotonicNow() + Timeout, &failed);
+  if (!connection && failed == asio::error::connection_refused)
     co_return false;
-  if (!link)
-    co_return link.failure();
-  (*link)->disarm();
-  (*link)->close();
+  if (!connection)
+    co_return connection.failure();
+  (*connection)->clearDeadline();
+  (*connection)->close();
   co_return true;
 }
 
 //===--- Requests ---------------------------------------------------------===//
 
-asio::awaitable<Outcome<std::shared_ptr<Link>>>
-ClientImpl::sendRequest(Address Where, const Request &Ask, TimePoint Deadline) {
-  std::string head = writeHead(Ask, Where);
+asio::awaitable<Outcome<std::shared_ptr<ClientConnection>>>
+ClientImpl::sendRequest(Address Peer, const Request &Req, TimePoint Deadline) {
+  std::string head = writeHead(Req, Peer);
   std::array<asio::const_buffer, 2> data{asio::buffer(head),
-                                         asio::buffer(Ask.Body)};
+                                         asio::buffer(Req.Body)};
   for (;;) {
-    std::shared_ptr<Link> link = takeIdle(Where);
-    bool reused = link != nullptr;
+    std::shared_ptr<ClientConnection> connection = takeIdle(Peer);
+    bool reused = connection != nullptr;
     if (!reused) {
-      Outcome<std::shared_ptr<Link>> fresh = co_await connect(Where, Deadline);
+      Outcome<std::shared_ptr<ClientConnection>> fresh =
+          co_await connect(Peer, Deadline);
       if (!fresh)
         co_return fresh;
-      link = *fresh;
+      connection = *fresh;
     }
-    if (Ask.SendDeadline && monotonicNow() >= *Ask.SendDeadline) {
-      link->disarm();
-      link->close();
-      co_return outdated(Where);
+    if (Req.SendDeadline && monotonicNow() >= *Req.SendDeadline) {
+      connection->clearDeadline();
+      connection->close();
+      co_return makeExpiredFailure(Peer);
     }
-    link->arm(Deadline);
-    auto [ec, n] = co_await asio::async_write(link->Socket, data, Awaited);
-    if (!ec && !link->TimedOut)
-      co_return link;
-    link->disarm();
-    link->close();
-    Failure why = link->lost(ec);
-    // Not a byte was taken, so nothing can have run.
+    connection->setDeadline(Deadline);
+    auto [ec, n] =
+        co_await asio::async_write(connection->Socket, data, Awaited);
+    if (!ec && !connection->TimedOut)
+      co_return connection;
+    connection->clearDeadline();
+    connection->close();
+    Failure failure = connection->makeFailure(ec);
+    // The request cannot have run, as no byte was written.
     if (n == 0)
-      why.Run = Verdict::NotRun;
-    if (n > 0 || !reused || link->TimedOut ||
+      failure.Run = Verdict::NotRun;
+    if (n > 0 || !reused || connection->TimedOut ||
         ec == asio::error::operation_aborted)
-      co_return why;
+      co_return failure;
   }
 }
 
-asio::awaitable<Outcome<Opened>> ClientImpl::readHead(std::shared_ptr<Link> Via,
-                                                      bool HeadOnly,
-                                                      std::uint64_t MaxBody) {
+asio::awaitable<Outcome<OpenResponse>>
+ClientImpl::readHead(std::shared_ptr<ClientConnection> Connection,
+                     bool HeadOnly, std::uint64_t MaxBody) {
   constexpr unsigned FirstFinalStatus = 200;
   for (;;) {
     std::shared_ptr<Parser> parse = std::make_shared<Parser>();
-    parse->header_limit(MaxHead);
+    parse->header_limit(MaxHeadBytes);
     parse->body_limit(MaxBody);
     parse->skip(HeadOnly);
     auto [ec, n] = co_await beast::http::async_read_header(
-        Via->Socket, Via->Buffer, *parse, Awaited);
-    if (ec || Via->TimedOut) {
-      Via->disarm();
-      Via->close();
-      co_return Via->lost(ec);
+        Connection->Socket, Connection->Buffer, *parse, Awaited);
+    if (ec || Connection->TimedOut) {
+      Connection->clearDeadline();
+      Connection->close();
+      co_return Connection->makeFailure(ec);
     }
-    // An interim answer precedes the one that counts.
+    // Interim responses (1xx) precede the final one.
     if (parse->get().result_int() < FirstFinalStatus)
       continue;
     parse->eager(true);
-    Response head = headOf(*parse);
-    co_return Opened{std::move(Via), std::move(parse), std::move(head)};
+    Response head = makeHead(*parse);
+    co_return OpenResponse{std::move(Connection), std::move(parse),
+                           std::move(head)};
   }
 }
 
-asio::awaitable<Outcome<Opened>> ClientImpl::start(Address Where, Request Ask,
-                                                   TimePoint Deadline,
-                                                   std::uint64_t MaxBody) {
-  Outcome<std::shared_ptr<Link>> sent =
-      co_await sendRequest(std::move(Where), Ask, Deadline);
+asio::awaitable<Outcome<OpenResponse>>
+ClientImpl::start(Address Peer, Request Req, TimePoint Deadline,
+                  std::uint64_t MaxBody) {
+  Outcome<std::shared_ptr<ClientConnection>> sent =
+      co_await sendRequest(std::move(Peer), Req, Deadline);
   if (!sent)
     co_return sent.failure();
   for (;;) {
-    Outcome<Opened> got =
-        co_await readHead(*sent, Ask.Method == "HEAD", MaxBody);
-    if (!got || answers(Ask, got->Head))
-      co_return got;
-    if (!co_await passOver(*got))
-      co_return got->Via->lost(asio::error::connection_reset);
+    Outcome<OpenResponse> opened =
+        co_await readHead(*sent, Req.Method == "HEAD", MaxBody);
+    if (!opened || isResponseTo(Req, opened->Head))
+      co_return opened;
+    if (!co_await discardResponse(*opened))
+      co_return opened->Connection->makeFailure(asio::error::connection_reset);
   }
 }
 
-bool ClientImpl::answers(const Request &Ask, const Response &Answer) const {
+bool ClientImpl::isResponseTo(const Request &Req, const Response &Reply) const {
   if (Limits.EchoHeader.empty())
     return true;
-  std::string_view asked = Ask.header(Limits.EchoHeader);
-  std::string_view told = Answer.header(Limits.EchoHeader);
-  return asked.empty() || told.empty() || asked == told;
+  std::string_view expected = Req.header(Limits.EchoHeader);
+  std::string_view echoed = Reply.header(Limits.EchoHeader);
+  return expected.empty() || echoed.empty() || expected == echoed;
 }
 
-/// Reads an answer that belongs to nobody to its end; false if the connection
-/// does not go on behind it.
-asio::awaitable<bool> ClientImpl::passOver(Opened &Foreign) {
-  while (!Foreign.Parse->is_done()) {
-    ErrorCode ec = co_await readPart(*Foreign.Via, *Foreign.Parse);
-    if (ec || Foreign.Via->TimedOut) {
-      Foreign.Via->disarm();
-      Foreign.Via->close();
+/// Reads the rest of a response that does not match the request. Returns false
+/// if the connection cannot be used afterwards.
+asio::awaitable<bool> ClientImpl::discardResponse(OpenResponse &Unmatched) {
+  while (!Unmatched.Parse->is_done()) {
+    ErrorCode ec =
+        co_await readBodyPart(*Unmatched.Connection, *Unmatched.Parse);
+    if (ec || Unmatched.Connection->TimedOut) {
+      Unmatched.Connection->clearDeadline();
+      Unmatched.Connection->close();
       co_return false;
     }
-    Foreign.Parse->get().body().clear();
+    Unmatched.Parse->get().body().clear();
   }
-  bool more = Foreign.Parse->get().keep_alive();
+  bool more = Unmatched.Parse->get().keep_alive();
   if (!more) {
-    Foreign.Via->disarm();
-    Foreign.Via->close();
+    Unmatched.Connection->clearDeadline();
+    Unmatched.Connection->close();
   }
   co_return more;
 }
 
-asio::awaitable<Outcome<Response>> ClientImpl::call(Address Where, Request Ask,
+asio::awaitable<Outcome<Response>> ClientImpl::call(Address Peer, Request Req,
                                                     Millis Timeout) {
   std::shared_ptr<ClientImpl> self = shared_from_this();
   TimePoint deadline = monotonicNow() + Timeout;
-  Outcome<Opened> begun = co_await start(std::move(Where), std::move(Ask),
-                                         deadline, Limits.MaxBody);
-  if (!begun)
-    co_return begun.failure();
-  std::shared_ptr<Link> link = begun->Via;
-  std::shared_ptr<Parser> parse = begun->Parse;
-  Response answer = std::move(begun->Head);
+  Outcome<OpenResponse> opened =
+      co_await start(std::move(Peer), std::move(Req), deadline, Limits.MaxBody);
+  if (!opened)
+    co_return opened.failure();
+  std::shared_ptr<ClientConnection> connection = opened->Connection;
+  std::shared_ptr<Parser> parse = opened->Parse;
+  Response response = std::move(opened->Head);
   while (!parse->is_done()) {
-    ErrorCode ec = co_await readPart(*link, *parse);
-    if (ec || link->TimedOut) {
-      link->disarm();
-      link->close();
-      co_return link->lost(ec);
+    ErrorCode ec = co_await readBodyPart(*connection, *parse);
+    if (ec || connection->TimedOut) {
+      connection->clearDeadline();
+      connection->close();
+      co_return connection->makeFailure(ec);
     }
-    answer.Body += parse->get().body();
+    response.Body += parse->get().body();
     parse->get().body().clear();
   }
-  answer.Body += parse->get().body();
-  keep(link, *parse);
-  co_return answer;
+  response.Body += parse->get().body();
+  returnToPool(connection, *parse);
+  co_return response;
 }
 
 asio::awaitable<Outcome<std::unique_ptr<ResponseStream>>>
-ClientImpl::open(Address Where, Request Ask, Millis Timeout) {
+ClientImpl::open(Address Peer, Request Req, Millis Timeout) {
   std::shared_ptr<ClientImpl> self = shared_from_this();
   TimePoint deadline = monotonicNow() + Timeout;
-  Outcome<Opened> begun =
-      co_await start(std::move(Where), std::move(Ask), deadline,
+  Outcome<OpenResponse> opened =
+      co_await start(std::move(Peer), std::move(Req), deadline,
                      std::numeric_limits<std::uint64_t>::max());
-  if (!begun)
-    co_return begun.failure();
-  begun->Via->disarm();
+  if (!opened)
+    co_return opened.failure();
+  opened->Connection->clearDeadline();
   std::unique_ptr<ResponseStream> stream =
-      std::make_unique<StreamImpl>(self, std::move(*begun));
+      std::make_unique<StreamImpl>(self, std::move(*opened));
   co_return stream;
 }
 
@@ -490,42 +508,42 @@
 
 asio::awaitable<Outcome<std::optional<std::string>>>
 StreamImpl::next(Millis Timeout) {
-  // The stream may be destroyed while this waits.
-  std::shared_ptr<Link> link = What.Via;
-  std::shared_ptr<Parser> parse = What.Parse;
+  // Keeps the state alive if the stream is destroyed during the wait.
+  std::shared_ptr<ClientConnection> connection = Source.Connection;
+  std::shared_ptr<Parser> parse = Source.Parse;
   std::string piece = std::move(parse->get().body());
   parse->get().body().clear();
-  if (link->Cancelled)
-    co_return link->lost(asio::error::operation_aborted);
+  if (connection->Cancelled)
+    co_return connection->makeFailure(asio::error::operation_aborted);
 
   if (piece.empty() && !parse->is_done())
-    link->arm(monotonicNow() + Timeout);
+    connection->setDeadline(monotonicNow() + Timeout);
   while (piece.empty() && !parse->is_done()) {
-    ErrorCode ec = co_await readPart(*link, *parse);
-    if (ec || link->TimedOut || link->Cancelled) {
-      link->disarm();
-      link->close();
-      co_return link->lost(ec);
+    ErrorCode ec = co_await readBodyPart(*connection, *parse);
+    if (ec || connection->TimedOut || connection->Cancelled) {
+      connection->clearDeadline();
+      connection->close();
+      co_return connection->makeFailure(ec);
     }
     piece = std::move(parse->get().body());
     parse->get().body().clear();
   }
-  link->disarm();
+  connection->clearDeadline();
   if (!piece.empty())
     co_return std::optional<std::string>(std::move(piece));
   if (!Ended) {
     Ended = true;
-    Owner->keep(link, *parse);
+    Owner->returnToPool(connection, *parse);
   }
   co_return std::optional<std::string>();
 }
 
 void StreamImpl::cancel() {
-  if (Ended || What.Via->Cancelled)
+  if (Ended || Source.Connection->Cancelled)
     return;
-  What.Via->Cancelled = true;
-  What.Via->disarm();
-  What.Via->close();
+  Source.Connection->Cancelled = true;
+  Source.Connection->clearDeadline();
+  Source.Connection->close();
 }
 
 } // namespace
--- a/Wasabi/Adapters/Http/HttpConnection.cpp
+++ b/Wasabi/Adapters/Http/HttpConnection.cpp
@@ -21,48 +21,52 @@
 
 namespace {
 
-/// Errors come back as values: a lost connection is an ordinary event here.
+/// Completion token that returns errors as values, since lost connections are
+/// ordinary events.
 constexpr asio::as_tuple_t<asio::use_awaitable_t<>>
     Awaited(asio::use_awaitable);
 
-/// One read from the socket between requests.
+/// Read size while waiting for a request.
 constexpr std::size_t ReadBytes = 4096;
-/// One read of a body.
+/// Read size for request bodies.
 constexpr std::size_t BodyReadBytes = 16384;
-/// Pipelined bytes taken in while a handler runs; further ones wait in the
-/// kernel.
-constexpr std::size_t MaxPipelined = 65536;
-/// Largest request head.
-constexpr std::uint32_t MaxHead = 65536;
-/// How long a refused peer may go on sending before it is cut off.
-constexpr Millis LingerTime{1000};
-constexpr TimePoint Never = TimePoint::max();
+/// Maximum number of pipelined bytes that are buffered while a handler runs;
+/// further ones stay in the kernel.
+constexpr std::size_t MaxPipelinedBytes = 65536;
+constexpr std::uint32_t MaxHeadBytes = 65536;
+/// How long input is discarded after the last response before the connection is
+/// closed.
+constexpr Millis LingerTimeout{1000};
+constexpr TimePoint NoDeadline = TimePoint::max();
 
-/// Parses what has been read; `need_more` when that is not enough.
+/// Parses the buffered bytes; returns `need_more` if there are none.
 template <typename Parser>
-ErrorCode feed(beast::flat_buffer &From, Parser &Into) {
-  if (From.size() == 0)
+ErrorCode feed(beast::flat_buffer &Input, Parser &Target) {
+  if (Input.size() == 0)
     return beast::http::error::need_more;
   ErrorCode failed;
-  std::size_t used = Into.put(From.data(), failed);
-  From.consume(used);
+  std::size_t consumed = Target.put(Input.data(), failed);
+  Input.consume(consumed);
   return failed;
 }
 
 } // namespace
 
-// However the connection ends, the server must not go on listing it.
+// Removes the connection from the server also if `serve` did not run to its
+// end.
 Connection::~Connection() { Owner->Open.erase(this); }
 
-bool Connection::closing() const { return Owner->Draining || Owner->Closing; }
+bool Connection::closesAfterResponse() const {
+  return Owner->Draining || Owner->CloseAfterResponse;
+}
 
 asio::awaitable<Outcome<Done>>
 Connection::sendBytes(std::vector<asio::const_buffer> Data) {
   std::shared_ptr<Connection> self = shared_from_this();
-  // A peer that takes nothing for long is as good as gone.
+  // Bounds the wait for a peer that does not read.
   Deadline = monotonicNow() + Owner->Limits.IdleTimeout;
   auto [ec, n] = co_await asio::async_write(Socket, Data, Awaited);
-  Deadline = Never;
+  Deadline = NoDeadline;
   if (!ec)
     co_return Done{};
   close();
@@ -87,19 +91,20 @@
 }
 
 void Connection::drain() {
-  if (Now == Phase::Idle)
+  if (CurrentPhase == Phase::Idle)
     Deadline =
         std::min(Deadline, monotonicNow() + Owner->Limits.DrainGracePeriod);
 }
 
-/// A read is cancelled, not cut off: a request that it has taken in the same
-/// turn of the loop is served, and `serve` alone decides that none has come. A
-/// read that ends and is followed by another one is cancelled at the next look.
-void Connection::enforceDeadline(TimePoint At) {
-  if (At < Deadline)
+/// The read is cancelled rather than the socket closed: a request that was read
+/// in the same turn of the event loop is still served, and `serve` decides
+/// whether the connection ends. If another read follows, it is cancelled by the
+/// next call.
+void Connection::enforceDeadline(TimePoint Now) {
+  if (Now < Deadline)
     return;
   ErrorCode ec;
-  if (Now == Phase::Idle || Now == Phase::Reading)
+  if (CurrentPhase == Phase::Idle || CurrentPhase == Phase::Reading)
     Socket.cancel(ec);
   else
     close();
@@ -117,17 +122,17 @@
       break;
     unsigned version = parse.get().version();
     bool keepAlive = parse.get().keep_alive();
-    Request ask;
+    Request req;
     beast::string_view method = parse.get().method_string();
     beast::string_view target = parse.get().target();
-    ask.Method.assign(method.data(), method.size());
-    ask.Target.assign(target.data(), target.size());
+    req.Method.assign(method.data(), method.size());
+    req.Target.assign(target.data(), target.size());
     for (const beast::http::fields::value_type &it : parse.get()) {
-      ask.Headers.push_back(
+      req.Headers.push_back(
           Header{std::string(it.name_string()), std::string(it.value())});
     }
-    ask.Body = std::move(parse.get().body());
-    more = co_await handle(std::move(ask), version, keepAlive);
+    req.Body = std::move(parse.get().body());
+    more = co_await handle(std::move(req), version, keepAlive);
     if (!more && Socket.is_open())
       co_await linger();
   }
@@ -138,32 +143,33 @@
 }
 
 asio::awaitable<bool> Connection::awaitBytes() {
-  Now = Buffer.size() == 0 ? Phase::Idle : Phase::Reading;
-  if (Now == Phase::Reading)
+  CurrentPhase = Buffer.size() == 0 ? Phase::Idle : Phase::Reading;
+  if (CurrentPhase == Phase::Reading)
     co_return true;
-  // Many idle connections must not hold on to many large buffers.
+  // Releases large buffers of idle connections.
   if (Buffer.capacity() > ReadBytes)
     Buffer.shrink_to_fit();
-  Millis patience = Owner->Draining ? Owner->Limits.DrainGracePeriod
-                                    : Owner->Limits.IdleTimeout;
-  Deadline = monotonicNow() + patience;
+  Millis timeout = Owner->Draining ? Owner->Limits.DrainGracePeriod
+                                   : Owner->Limits.IdleTimeout;
+  Deadline = monotonicNow() + timeout;
   auto [ec, n] =
       co_await Socket.async_read_some(Buffer.prepare(ReadBytes), Awaited);
   Buffer.commit(n);
-  Now = Phase::Reading;
+  CurrentPhase = Phase::Reading;
   co_return n > 0;
 }
 
 asio::awaitable<bool> Connection::readRequest(Parser &Parse) {
-  Parse.header_limit(MaxHead);
+  Parse.header_limit(MaxHeadBytes);
   Parse.body_limit(Owner->Limits.MaxBody);
   ErrorCode ec = co_await readHead(Parse);
   if (!ec)
     ec = co_await readBody(Parse);
-  Deadline = Never;
+  Deadline = NoDeadline;
   if (!ec)
     co_return true;
-  // What the peer sent wrongly is told; what it cut short it cannot hear.
+  // Responds to malformed requests, but not to truncated ones, whose sender has
+  // disconnected.
   bool malformed =
       ec.category() ==
       beast::http::make_error_code(beast::http::error::bad_method).category();
@@ -182,9 +188,9 @@
 
 asio::awaitable<ErrorCode> Connection::readBody(Parser &Parse) {
   constexpr std::string_view Continue = "HTTP/1.1 100 Continue\r\n\r\n";
-  bool asks =
+  bool expectsContinue =
       beast::iequals(Parse.get()[beast::http::field::expect], "100-continue");
-  if (asks && !Parse.is_done()) {
+  if (expectsContinue && !Parse.is_done()) {
     std::vector<asio::const_buffer> more{asio::buffer(Continue)};
     Outcome<Done> sent = co_await sendBytes(std::move(more));
     if (!sent)
@@ -198,7 +204,7 @@
       continue;
     if (failed != beast::http::error::need_more)
       co_return failed;
-    // Each arrival renews the patience with a slow sender.
+    // Each received piece extends the deadline.
     Deadline = monotonicNow() + Owner->Limits.IdleTimeout;
     auto [ec, n] =
         co_await Socket.async_read_some(Buffer.prepare(BodyReadBytes), Awaited);
@@ -209,16 +215,17 @@
   co_return ErrorCode();
 }
 
-asio::awaitable<void> Connection::refuse(ErrorCode Why) {
+asio::awaitable<void> Connection::refuse(ErrorCode Error) {
   constexpr unsigned BadRequest = 400;
   constexpr unsigned PayloadTooLarge = 413;
-  bool large = Why == beast::http::error::body_limit ||
-               Why == beast::http::error::header_limit ||
-               Why == beast::http::error::buffer_overflow;
-  boost::json::value body = {{"error", "malformed HTTP: " + Why.message()}};
-  Response answer = jsonResponse(large ? PayloadTooLarge : BadRequest,
-                                 boost::json::serialize(body));
-  std::string data = writeHead(answer, Framing::Length, false) + answer.Body;
+  bool tooLarge = Error == beast::http::error::body_limit ||
+                  Error == beast::http::error::header_limit ||
+                  Error == beast::http::error::buffer_overflow;
+  boost::json::value body = {{"error", "malformed HTTP: " + Error.message()}};
+  Response response = jsonResponse(tooLarge ? PayloadTooLarge : BadRequest,
+                                   boost::json::serialize(body));
+  std::string data =
+      writeHead(response, Framing::Length, false) + response.Body;
   std::vector<asio::const_buffer> bytes{asio::buffer(data)};
   Outcome<Done> sent = co_await sendBytes(std::move(bytes));
   if (!sent)
@@ -228,12 +235,13 @@
 }
 
 asio::awaitable<void> Connection::linger() {
-  Now = Phase::Lingering;
-  // Closing with unread bytes would reset the connection, and the peer might
-  // lose the answer; so what it still sends is read and thrown away.
+  CurrentPhase = Phase::Lingering;
+  // Closing a socket with unread input resets the connection, which may destroy
+  // the response before the peer reads it. Input is therefore discarded until
+  // the peer closes.
   ErrorCode ec;
   Socket.shutdown(Tcp::socket::shutdown_send, ec);
-  Deadline = monotonicNow() + LingerTime;
+  Deadline = monotonicNow() + LingerTimeout;
   while (!ec) {
     Buffer.clear();
     auto [failed, n] =
@@ -242,28 +250,28 @@
   }
 }
 
-asio::awaitable<bool> Connection::handle(Request Ask, unsigned Version,
+asio::awaitable<bool> Connection::handle(Request Req, unsigned Version,
                                          bool KeepAlive) {
   constexpr unsigned InternalError = 500;
   std::shared_ptr<Exchange> exchange = std::make_shared<Exchange>(
-      shared_from_this(), Version, KeepAlive, Ask.Method == "HEAD");
-  Now = Phase::Answering;
+      shared_from_this(), Version, KeepAlive, Req.Method == "HEAD");
+  CurrentPhase = Phase::Answering;
   Current = exchange;
   ++Owner->InFlight;
-  watch();
+  watchForDisconnect();
   bool failed = false;
   try {
-    co_await Owner->Handle(std::move(Ask), exchange);
+    co_await Owner->Handle(std::move(Req), exchange);
   } catch (const std::exception &) {
     failed = true;
   }
-  // A handler that gives no whole answer must not leave the peer waiting.
-  if (!exchange->begun() && !exchange->gone()) {
+  // Responds with 500 if the handler has not responded.
+  if (!exchange->hasBegun() && !exchange->gone()) {
     co_await exchange->send(jsonResponse(
         InternalError, failed ? R"({"error":"the handler failed"})"
-                              : R"({"error":"the handler did not answer"})"));
+                              : R"({"error":"the handler did not respond"})"));
   }
-  if (!exchange->ended())
+  if (!exchange->hasEnded())
     exchange->abort();
   bool more = exchange->keepAlive() && !exchange->gone();
   exchange->finish();
@@ -272,36 +280,37 @@
   co_return more;
 }
 
-void Connection::watch() {
-  if (Watching || !Socket.is_open())
+void Connection::watchForDisconnect() {
+  if (WaitingForReadable || !Socket.is_open())
     return;
-  Watching = true;
+  WaitingForReadable = true;
   Socket.async_wait(Tcp::socket::wait_read,
                     [self = shared_from_this()](ErrorCode Failed) {
-                      self->Watching = false;
+                      self->WaitingForReadable = false;
                       if (!Failed)
                         self->onReadable();
                     });
 }
 
 void Connection::onReadable() {
-  // Outside of a handler the next request's read sees the same bytes or end.
+  // Without a current exchange, the next read of a request sees the same bytes
+  // or the end of the connection.
   if (Current.expired() || !Socket.is_open())
     return;
   PeerState state = peek(Socket);
-  if (state == PeerState::Gone) {
+  if (state == PeerState::Closed) {
     notifyPeerGone();
     return;
   }
-  // Pipelined bytes are taken in, so that an end behind them is seen too.
-  if (state == PeerState::Sent) {
-    if (Buffer.size() >= MaxPipelined)
+  // Buffers pipelined bytes so that a disconnect after them is detected too.
+  if (state == PeerState::DataAvailable) {
+    if (Buffer.size() >= MaxPipelinedBytes)
       return;
     ErrorCode ec;
     std::size_t n = Socket.read_some(Buffer.prepare(ReadBytes), ec);
     Buffer.commit(n);
   }
-  watch();
+  watchForDisconnect();
 }
 
 } // namespace wasabi::http
--- a/Wasabi/Adapters/Http/HttpConnection.h
+++ b/Wasabi/Adapters/Http/HttpConnection.h
@@ -1,6 +1,6 @@
 /// \file
-/// One connection of an HTTP server, and what the connections of a server
-/// share.
+/// One connection of an HTTP server, and the state that a server shares with
+/// its connections.
 #ifndef WASABI_ADAPTERS_HTTP_HTTPCONNECTION_H
 #define WASABI_ADAPTERS_HTTP_HTTPCONNECTION_H
 
@@ -22,7 +22,8 @@
 class Connection;
 class Exchange;
 
-/// What a server and its connections share. Used on the server's thread.
+/// The state shared by a server and its connections. Use on the thread of the
+/// server.
 struct ServerState {
   ServerState(boost::asio::io_context &Context, Server::Settings Limits,
               Handler Handle)
@@ -32,16 +33,18 @@
   const Server::Settings Limits;
   const Handler Handle;
   bool Draining = false;
-  /// Answers close their connections, though new ones are taken.
-  bool Closing = false;
+  /// True if each response closes its connection while new connections are
+  /// still accepted.
+  bool CloseAfterResponse = false;
   std::size_t InFlight = 0;
   std::unordered_set<Connection *> Open;
-  /// Cancelled when a place for a connection becomes free.
+  /// Cancelled when a connection closes, to wake an accept loop that has
+  /// reached the limit.
   BootTimer CapacityTimer;
 };
 
-/// One connection: reads requests one after the other and runs the handler.
-/// Used on the server's thread only.
+/// One connection: reads requests in sequence and runs the handler for each.
+/// Use on the thread of the server only.
 class Connection : public std::enable_shared_from_this<Connection> {
 public:
   Connection(boost::asio::ip::tcp::socket Socket,
@@ -52,20 +55,21 @@
   ~Connection();
 
   boost::asio::awaitable<void> serve();
-  /// Sends bytes; on failure the connection is closed and gone.
+  /// Sends bytes. Closes the connection on failure.
   boost::asio::awaitable<Outcome<Done>>
   sendBytes(std::vector<boost::asio::const_buffer> Data);
-  /// Closes at once, tells a running exchange, and ends `serve`.
+  /// Closes immediately, notifies the current exchange, and ends `serve`.
   void close();
-  /// As `close`, with a reset.
+  /// Does the same as `close`, but resets the connection.
   void abort();
-  /// Graceful shutdown: an idle connection closes after a short grace.
+  /// Closes the connection after `DrainGracePeriod` if it is idle.
   void drain();
-  /// Ends what the connection waits for if that is later than its deadline.
+  /// Cancels the pending read, or closes the connection, if its deadline has
+  /// passed.
   void enforceDeadline(TimePoint Now);
 
-  /// Whether the connection closes after its next answer.
-  bool closing() const;
+  /// True if the connection closes after its next response.
+  bool closesAfterResponse() const;
 
 private:
   using Parser =
@@ -75,35 +79,35 @@
   boost::asio::awaitable<bool> readRequest(Parser &Parse);
   boost::asio::awaitable<boost::system::error_code> readHead(Parser &Parse);
   boost::asio::awaitable<boost::system::error_code> readBody(Parser &Parse);
-  boost::asio::awaitable<void> refuse(boost::system::error_code Why);
+  boost::asio::awaitable<void> refuse(boost::system::error_code Error);
   boost::asio::awaitable<void> linger();
-  boost::asio::awaitable<bool> handle(Request Ask, unsigned Version,
+  boost::asio::awaitable<bool> handle(Request Req, unsigned Version,
                                       bool KeepAlive);
-  void watch();
+  void watchForDisconnect();
   void onReadable();
   void notifyPeerGone();
 
-  /// What the connection does, and so what its deadline ends.
+  /// The current activity, which determines what `enforceDeadline` does.
   enum class Phase : std::uint8_t {
-    /// Nothing of a next request has been read.
+    /// No byte of the next request has been read.
     Idle,
     Reading,
-    /// A whole request has been read and its answer is owed.
+    /// A complete request has been read; its response is not complete.
     Answering,
-    /// The last answer is sent; what the peer still sends is thrown away.
+    /// The last response has been sent; further input is discarded.
     Lingering,
   };
 
   boost::asio::ip::tcp::socket Socket;
   std::shared_ptr<ServerState> Owner;
   boost::beast::flat_buffer Buffer;
-  /// The request being handled; its handler keeps it.
+  /// The exchange of the current request, owned by its handler.
   std::weak_ptr<Exchange> Current;
-  /// When the connection is closed unless something happens before.
+  /// The time at which `enforceDeadline` takes effect.
   TimePoint Deadline = TimePoint::max();
-  Phase Now = Phase::Idle;
-  /// Whether a wait for readability is pending.
-  bool Watching = false;
+  Phase CurrentPhase = Phase::Idle;
+  /// True while a wait for readability is pending.
+  bool WaitingForReadable = false;
 };
 
 } // namespace wasabi::http
--- a/Wasabi/Adapters/Http/HttpExchange.cpp
+++ b/Wasabi/Adapters/Http/HttpExchange.cpp
@@ -12,10 +12,11 @@
 
 namespace {
 
-/// HTTP/1.1, as the parser counts; before it a body ends with its connection.
-constexpr unsigned FirstWithChunks = 11;
+/// HTTP/1.1, the first version with chunked bodies. In earlier ones the end of
+/// the connection ends the body.
+constexpr unsigned FirstChunkedVersion = 11;
 
-Failure misuse(std::string Reason) {
+Failure makeMisuseFailure(std::string Reason) {
   return Failure{Verdict::NotRun,
                  FailureCode::Internal,
                  "http responder",
@@ -33,28 +34,28 @@
                  {}};
 }
 
-asio::awaitable<Outcome<Done>> Exchange::send(Response Answer) {
-  if (State != Stage::Fresh)
-    co_return misuse("an answer has been begun already");
+asio::awaitable<Outcome<Done>> Exchange::send(Response Reply) {
+  if (State != Stage::Initial)
+    co_return makeMisuseFailure("the response has already begun");
   if (Gone)
     co_return makePeerGoneFailure();
   State = Stage::Ended;
-  KeepAlive = KeepAlive && !Link->closing();
+  KeepAlive = KeepAlive && !Link->closesAfterResponse();
   std::shared_ptr<Connection> link = Link;
-  std::string head = writeHead(Answer, Framing::Length, KeepAlive);
-  std::string_view body = HeadOnly ? std::string_view() : Answer.Body;
+  std::string head = writeHead(Reply, Framing::Length, KeepAlive);
+  std::string_view body = HeadOnly ? std::string_view() : Reply.Body;
   std::vector<asio::const_buffer> data{asio::buffer(head), asio::buffer(body)};
   co_return co_await link->sendBytes(std::move(data));
 }
 
 asio::awaitable<Outcome<Done>> Exchange::begin(Response Head) {
-  if (State != Stage::Fresh)
-    co_return misuse("an answer has been begun already");
+  if (State != Stage::Initial)
+    co_return makeMisuseFailure("the response has already begun");
   if (Gone)
     co_return makePeerGoneFailure();
   State = Stage::Begun;
-  bool chunked = Version >= FirstWithChunks;
-  KeepAlive = KeepAlive && chunked && !Link->closing();
+  bool chunked = Version >= FirstChunkedVersion;
+  KeepAlive = KeepAlive && chunked && !Link->closesAfterResponse();
   std::shared_ptr<Connection> link = Link;
   std::string head = writeHead(
       Head, chunked ? Framing::Chunked : Framing::UntilClose, KeepAlive);
@@ -65,7 +66,7 @@
 asio::awaitable<Outcome<Done>> Exchange::write(std::string Chunk) {
   constexpr int Hexadecimal = 16;
   if (State != Stage::Begun)
-    co_return misuse("no answer has been begun");
+    co_return makeMisuseFailure("the response has not begun or has ended");
   if (Gone)
     co_return makePeerGoneFailure();
   // An empty chunk would end the body.
@@ -74,7 +75,7 @@
   std::shared_ptr<Connection> link = Link;
   std::vector<asio::const_buffer> data{asio::buffer(Chunk)};
   std::array<char, 24> size{};
-  if (Version >= FirstWithChunks) {
+  if (Version >= FirstChunkedVersion) {
     std::to_chars_result last = std::to_chars(
         size.data(), size.data() + size.size() - 2, Chunk.size(), Hexadecimal);
     *last.ptr++ = '\r';
@@ -89,12 +90,12 @@
 asio::awaitable<Outcome<Done>> Exchange::end() {
   constexpr std::string_view LastChunk = "0\r\n\r\n";
   if (State != Stage::Begun)
-    co_return misuse("no answer has been begun");
+    co_return makeMisuseFailure("the response has not begun or has ended");
   if (Gone)
     co_return makePeerGoneFailure();
   State = Stage::Ended;
   std::shared_ptr<Connection> link = Link;
-  if (Version < FirstWithChunks || HeadOnly)
+  if (Version < FirstChunkedVersion || HeadOnly)
     co_return Done{};
   std::vector<asio::const_buffer> data{asio::buffer(LastChunk)};
   co_return co_await link->sendBytes(std::move(data));
@@ -118,7 +119,8 @@
   if (Gone)
     return;
   Gone = true;
-  // The callback is taken out first: it runs once, and may call back.
+  // Moved out first, so that it runs only once and may call back into this
+  // object.
   std::function<void()> callback = std::move(Callback);
   Callback = nullptr;
   if (callback)
--- a/Wasabi/Adapters/Http/HttpMessage.cpp
+++ b/Wasabi/Adapters/Http/HttpMessage.cpp
@@ -16,25 +16,25 @@
   return {};
 }
 
-/// Decodes "%41" and "+"; a malformed escape stays as it is.
+/// Decodes percent escapes and "+". A malformed escape is copied unchanged.
 std::string percentDecoded(std::string_view Text) {
   constexpr int Hexadecimal = 16;
-  std::string plain;
+  std::string decoded;
   for (std::size_t i = 0; i < Text.size(); ++i) {
     unsigned char byte = 0;
     if (Text[i] == '%' && i + 2 < Text.size()) {
       const char *end = Text.data() + i + 3;
-      std::from_chars_result read =
+      std::from_chars_result parsed =
           std::from_chars(Text.data() + i + 1, end, byte, Hexadecimal);
-      if (read.ptr == end) {
-        plain += static_cast<char>(byte);
+      if (parsed.ptr == end) {
+        decoded += static_cast<char>(byte);
         i += 2;
         continue;
       }
     }
-    plain += Text[i] == '+' ? ' ' : Text[i];
+    decoded += Text[i] == '+' ? ' ' : Text[i];
   }
-  return plain;
+  return decoded;
 }
 
 } // namespace
