--- a/Wasabi/Adapters/Http/HttpServer.cpp
+++ b/Wasabi/Adapters/Http/HttpServer.cpp
@@ -20,15 +20,16 @@
 using ErrorCode = boost::system::error_code;
 using Tcp = asio::ip::tcp;
 
-/// Errors come back as values: a lost connection is an ordinary event here.
+/// Completion token that returns errors as values, since lost connections are
+/// ordinary events.
 constexpr asio::as_tuple_t<asio::use_awaitable_t<>>
     Awaited(asio::use_awaitable);
 
-/// Pause after the system has refused to accept, for want of descriptors say.
-constexpr Millis AcceptPause{50};
-/// Bounds of the pause between two looks for connections that are too late.
-constexpr Millis MinSweep{5};
-constexpr Millis MaxSweep{500};
+/// Delay after a failed accept, for example when file descriptors run out.
+constexpr Millis AcceptRetryDelay{50};
+/// Bounds of the interval at which deadlines of connections are checked.
+constexpr Millis MinSweepInterval{5};
+constexpr Millis MaxSweepInterval{500};
 
 class ServerImpl final : public Server {
 public:
@@ -40,10 +41,10 @@
   ErrorCode listen();
   void start();
 
-  Address address() const override { return Bound; }
+  Address address() const override { return BoundAddress; }
   std::size_t inFlight() const override { return Shared->InFlight; }
   std::size_t connections() const override { return Shared->Open.size(); }
-  void closeAfterResponses() override { Shared->Closing = true; }
+  void closeAfterResponses() override { Shared->CloseAfterResponse = true; }
   void drain() override;
   void stop() override;
 
@@ -60,7 +61,7 @@
   asio::io_context &Context;
   Tcp::acceptor Acceptor;
   BootTimer SweepTimer;
-  Address Bound;
+  Address BoundAddress;
   bool Stopped = false;
 };
 
@@ -70,20 +71,21 @@
       asio::ip::make_address(Shared->Limits.Listen.Host, ec);
   if (ec)
     return ec;
-  Tcp::endpoint where(host, Shared->Limits.Listen.Port);
-  Acceptor.open(where.protocol(), ec);
+  Tcp::endpoint endpoint(host, Shared->Limits.Listen.Port);
+  Acceptor.open(endpoint.protocol(), ec);
   if (ec)
     return ec;
-  // A port that the kernel chooses must be ours alone: shared, it could be
-  // given to a second process before either listens.
-  bool chosen = Shared->Limits.Listen.Port != 0;
-  Acceptor.set_option(Tcp::acceptor::reuse_address(chosen), ec);
+  // An ephemeral port is bound without address reuse: otherwise a second
+  // process could get the same port before either one listens.
+  bool fixedPort = Shared->Limits.Listen.Port != 0;
+  Acceptor.set_option(Tcp::acceptor::reuse_address(fixedPort), ec);
   if (ec)
     return ec;
-  Acceptor.bind(where, ec);
+  Acceptor.bind(endpoint, ec);
   if (ec)
     return ec;
-  // Connections that outlive this listener must not keep its successor out.
+  // Lets a later process bind the port while connections of this listener
+  // remain.
   Acceptor.set_option(Tcp::acceptor::reuse_address(true), ec);
   if (ec)
     return ec;
@@ -92,7 +94,7 @@
     return ec;
   Acceptor.non_blocking(true, ec);
   Tcp::endpoint bound = Acceptor.local_endpoint(ec);
-  Bound = Address{bound.address().to_string(), bound.port()};
+  BoundAddress = Address{bound.address().to_string(), bound.port()};
   return ec;
 }
 
@@ -117,7 +119,7 @@
     }
     if (!Acceptor.is_open())
       break;
-    Shared->CapacityTimer.expires_after(AcceptPause);
+    Shared->CapacityTimer.expires_after(AcceptRetryDelay);
     co_await Shared->CapacityTimer.async_wait(Awaited);
   }
 }
@@ -126,17 +128,18 @@
   Millis shortest =
       std::min({Shared->Limits.IdleTimeout, Shared->Limits.HeadTimeout,
                 Shared->Limits.DrainGracePeriod});
-  Millis pause = std::clamp(shortest / 4, MinSweep, MaxSweep);
+  Millis interval =
+      std::clamp(shortest / 4, MinSweepInterval, MaxSweepInterval);
   while (!Stopped && !(Shared->Draining && Shared->Open.empty())) {
-    SweepTimer.expires_after(pause);
+    SweepTimer.expires_after(interval);
     co_await SweepTimer.async_wait(Awaited);
     TimePoint now = monotonicNow();
-    // Closing may call handlers back, which may change the set.
-    std::vector<std::shared_ptr<Connection>> all;
-    all.reserve(Shared->Open.size());
+    // Closing may run callbacks of handlers that change the set.
+    std::vector<std::shared_ptr<Connection>> open;
+    open.reserve(Shared->Open.size());
     for (Connection *it : Shared->Open)
-      all.push_back(it->shared_from_this());
-    for (const std::shared_ptr<Connection> &it : all)
+      open.push_back(it->shared_from_this());
+    for (const std::shared_ptr<Connection> &it : open)
       it->enforceDeadline(now);
   }
 }
@@ -144,16 +147,16 @@
 void ServerImpl::adopt(Tcp::socket Socket) {
   ErrorCode ec;
   Socket.set_option(Tcp::no_delay(true), ec);
-  std::shared_ptr<Connection> link =
+  std::shared_ptr<Connection> connection =
       std::make_shared<Connection>(std::move(Socket), Shared);
-  Shared->Open.insert(link.get());
+  Shared->Open.insert(connection.get());
   asio::co_spawn(
-      Context, [link] { return link->serve(); }, asio::detached);
+      Context, [connection] { return connection->serve(); }, asio::detached);
 }
 
 void ServerImpl::acceptQueued() {
-  // A client whose connect has succeeded may have sent its request: closing the
-  // queue would reset it.
+  // A client with an established connection may have sent its request; closing
+  // the listener would reset connections that are still queued.
   for (;;) {
     ErrorCode ec;
     Tcp::socket socket = Acceptor.accept(ec);
@@ -183,11 +186,11 @@
   Acceptor.close(ec);
   Shared->CapacityTimer.cancel();
   SweepTimer.cancel();
-  std::vector<std::shared_ptr<Connection>> all;
-  all.reserve(Shared->Open.size());
+  std::vector<std::shared_ptr<Connection>> open;
+  open.reserve(Shared->Open.size());
   for (Connection *it : Shared->Open)
-    all.push_back(it->shared_from_this());
-  for (const std::shared_ptr<Connection> &it : all)
+    open.push_back(it->shared_from_this());
+  for (const std::shared_ptr<Connection> &it : open)
     it->close();
 }
 
--- a/Wasabi/Adapters/Http/HttpServer.h
+++ b/Wasabi/Adapters/Http/HttpServer.h
@@ -1,5 +1,5 @@
 /// \file
-/// An HTTP/1.1 server on Boost.Beast, and the values that it hands out.
+/// An HTTP/1.1 server on Boost.Beast.
 #ifndef WASABI_ADAPTERS_HTTP_HTTPSERVER_H
 #define WASABI_ADAPTERS_HTTP_HTTPSERVER_H
 
@@ -19,73 +19,79 @@
 
 namespace wasabi::http {
 
-/// Where a handler writes its answer. One of `send` or `begin` is called, once;
-/// after `begin`, `write` any number of times, then `end` or `abort`.
-/// Used on the server's thread only.
+/// Writes the response to one request. The handler calls either `send`, or
+/// `begin` once, then `write` any number of times, then `end` or `abort`. Use
+/// on the thread of the server only.
 class Responder {
 public:
   virtual ~Responder() = default;
-  /// Sends a whole response with its length.
-  virtual boost::asio::awaitable<Outcome<Done>> send(Response Answer) = 0;
+  /// Sends a whole response with `Content-Length`.
+  virtual boost::asio::awaitable<Outcome<Done>> send(Response Reply) = 0;
   /// Begins a chunked response; `Head.Body` is ignored.
   virtual boost::asio::awaitable<Outcome<Done>> begin(Response Head) = 0;
-  /// Sends one chunk at once; returns when the socket took it, so that a slow
-  /// reader slows its own stream only.
+  /// Sends one chunk immediately. Returns once the socket has accepted it, so
+  /// that a slow reader delays only its own stream.
   virtual boost::asio::awaitable<Outcome<Done>> write(std::string Chunk) = 0;
-  /// Ends the chunked response normally.
+  /// Ends the chunked response.
   virtual boost::asio::awaitable<Outcome<Done>> end() = 0;
-  /// Resets the connection: the peer must not take what it has for whole.
+  /// Resets the connection, so that the peer cannot mistake a partial response
+  /// for a whole one.
   virtual void abort() = 0;
-  /// Whether the peer has closed or reset its side; noticed while the handler
-  /// runs, without a write.
+  /// True if the peer has closed or reset the connection. Detected while the
+  /// handler runs, also without a write.
   virtual bool gone() const = 0;
-  /// Calls `Callback` once, on the server's thread, when `gone` becomes true.
+  /// Sets a callback that is called once, on the thread of the server, when
+  /// `gone` becomes true; immediately if it is true already.
   virtual void onGone(std::function<void()> Callback) = 0;
 };
 
 using Handler = std::function<boost::asio::awaitable<void>(
     Request, std::shared_ptr<Responder>)>;
 
-/// Accepts connections on an `io_context` and runs a handler per request.
-/// Malformed requests get 400 and a JSON `{"error":…}`; too large ones 413.
-/// Not thread-safe: construct, use and stop on the context's thread.
+/// Accepts connections and runs a handler per request. Responds to malformed
+/// requests with 400 and to oversized ones with 413, both with a JSON body
+/// `{"error":…}`. Not thread-safe: construct, use and stop on the thread of the
+/// context.
 class Server : public std::enable_shared_from_this<Server> {
 public:
   struct Settings {
-    /// Port 0 takes an ephemeral one.
+    /// Address to listen on; port 0 selects an ephemeral port.
     Address Listen{"127.0.0.1", 0};
-    /// Most connections at once; further ones wait in the kernel's queue.
+    /// Maximum number of open connections; further ones wait in the queue of
+    /// the kernel.
     std::size_t MaxConnections = 20000;
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     std::uint64_t MaxBody = 8u << 20;
-    /// A connection that sends nothing for this long is closed.
+    /// Connections that are idle, or that make no progress with a read or
+    /// write, are closed after this time.
     Millis IdleTimeout{60000};
-    /// A connection must send its whole request head within this.
+    /// Time limit for receiving a request head after its first bytes.
     Millis HeadTimeout{10000};
-    /// How long a draining server waits for a request that may be on its way
-    /// over an idle connection, before it closes that.
+    /// How long a draining server keeps an idle connection open for a request
+    /// that may be in transit.
     Millis DrainGracePeriod{200};
   };
 
-  /// Binds and starts to accept. Errors: `Unavailable` naming the address.
+  /// Binds the address and starts accepting. Errors: `Unavailable` naming the
+  /// address.
   static Result<std::shared_ptr<Server>>
   create(boost::asio::io_context &Context, Settings Limits, Handler Handle);
 
   virtual ~Server() = default;
-  /// The address bound.
+  /// The bound address.
   virtual Address address() const = 0;
-  /// Requests being handled now.
+  /// Number of requests whose handler is running.
   virtual std::size_t inFlight() const = 0;
-  /// Connections open now.
+  /// Number of open connections.
   virtual std::size_t connections() const = 0;
-  /// Announces a stop: each answer from now on closes its connection, and new
-  /// connections are still taken, for callers who do not know yet.
+  /// Closes each connection after its next response, but still accepts
+  /// connections, for callers that have not yet noticed the shutdown.
   virtual void closeAfterResponses() = 0;
-  /// Graceful shutdown, step one: stops accepting, closes idle connections
-  /// after `DrainGracePeriod`, and answers with `Connection: close` from now
-  /// on. It is complete once `connections` is 0.
+  /// Starts a graceful shutdown: stops accepting, closes idle connections after
+  /// `DrainGracePeriod`, and sends further responses with `Connection: close`.
+  /// Complete once `connections` is 0.
   virtual void drain() = 0;
-  /// Closes everything at once.
+  /// Stops accepting and closes all connections immediately.
   virtual void stop() = 0;
 };
 
--- a/Wasabi/Adapters/Http/HttpWire.cpp
+++ b/Wasabi/Adapters/Http/HttpWire.cpp
@@ -16,7 +16,7 @@
 constexpr unsigned NoContent = 204;
 constexpr unsigned NotModified = 304;
 
-/// Whether the adapter itself writes this header.
+/// Returns true for headers that `writeHead` itself sets.
 bool isFraming(std::string_view Name) {
   return isSameHeaderName(Name, "Content-Length") ||
          isSameHeaderName(Name, "Transfer-Encoding") ||
@@ -24,8 +24,8 @@
          isSameHeaderName(Name, "Keep-Alive");
 }
 
-/// Appends "Name: Value\r\n"; a line break within a value would start another
-/// header, so it becomes a space.
+/// Appends "Name: Value\r\n". Line breaks in the value are replaced by spaces,
+/// as they would start another header.
 void addHeader(std::string &Head, std::string_view Name,
                std::string_view Value) {
   Head += Name;
@@ -54,34 +54,35 @@
                                {Right.data(), Right.size()});
 }
 
-std::string writeHead(const Response &Answer, Framing How, bool KeepAlive) {
+std::string writeHead(const Response &Reply, Framing BodyFraming,
+                      bool KeepAlive) {
   boost::beast::string_view reason = boost::beast::http::obsolete_reason(
-      static_cast<boost::beast::http::status>(Answer.Status));
-  std::string head = "HTTP/1.1 " + std::to_string(Answer.Status) + " ";
+      static_cast<boost::beast::http::status>(Reply.Status));
+  std::string head = "HTTP/1.1 " + std::to_string(Reply.Status) + " ";
   head.append(reason.data(), reason.size());
   head += "\r\n";
-  addHeaders(head, Answer.Headers);
+  addHeaders(head, Reply.Headers);
 
-  if (How == Framing::Chunked)
+  if (BodyFraming == Framing::Chunked)
     addHeader(head, "Transfer-Encoding", "chunked");
-  if (How == Framing::Length && !hasNoBody(Answer.Status))
-    addHeader(head, "Content-Length", std::to_string(Answer.Body.size()));
+  if (BodyFraming == Framing::Length && !hasNoBody(Reply.Status))
+    addHeader(head, "Content-Length", std::to_string(Reply.Body.size()));
   if (!KeepAlive)
     addHeader(head, "Connection", "close");
   head += "\r\n";
   return head;
 }
 
-std::string writeHead(const Request &Ask, const Address &Where) {
-  std::string head = Ask.Method + " " + Ask.Target + " HTTP/1.1\r\n";
-  if (Ask.header("Host").empty())
-    addHeader(head, "Host", toText(Where));
-  addHeaders(head, Ask.Headers);
+std::string writeHead(const Request &Req, const Address &Peer) {
+  std::string head = Req.Method + " " + Req.Target + " HTTP/1.1\r\n";
+  if (Req.header("Host").empty())
+    addHeader(head, "Host", toText(Peer));
+  addHeaders(head, Req.Headers);
 
   bool expectsBody =
-      Ask.Method == "POST" || Ask.Method == "PUT" || Ask.Method == "PATCH";
-  if (expectsBody || !Ask.Body.empty())
-    addHeader(head, "Content-Length", std::to_string(Ask.Body.size()));
+      Req.Method == "POST" || Req.Method == "PUT" || Req.Method == "PATCH";
+  if (expectsBody || !Req.Body.empty())
+    addHeader(head, "Content-Length", std::to_string(Req.Body.size()));
   head += "\r\n";
   return head;
 }
@@ -91,15 +92,15 @@
   ssize_t n = ::recv(Socket.native_handle(), byte.data(), byte.size(),
                      MSG_PEEK | MSG_DONTWAIT);
   if (n > 0)
-    return PeerState::Sent;
+    return PeerState::DataAvailable;
   if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
     return PeerState::NoPendingData;
-  return PeerState::Gone;
+  return PeerState::Closed;
 }
 
 void reset(boost::asio::ip::tcp::socket &Socket) {
   boost::system::error_code ec;
-  // Without a linger time, close sends a reset in place of an end.
+  // With a linger time of 0, close sends a reset.
   Socket.set_option(boost::asio::socket_base::linger(true, 0), ec);
   Socket.close(ec);
 }
--- a/Wasabi/Adapters/Http/HttpWire.h
+++ b/Wasabi/Adapters/Http/HttpWire.h
@@ -1,6 +1,6 @@
 /// \file
-/// How HTTP/1.1 messages are written to a socket, and what can be learnt of a
-/// socket without reading it. Private to the adapter.
+/// Encoding of HTTP/1.1 message heads, and operations on the sockets of
+/// connections. Private to the adapter.
 #ifndef WASABI_ADAPTERS_HTTP_HTTPWIRE_H
 #define WASABI_ADAPTERS_HTTP_HTTPWIRE_H
 
@@ -18,29 +18,32 @@
 enum class Framing : std::uint8_t {
   /// By `Content-Length`.
   Length,
-  /// By chunks.
+  /// By chunked transfer encoding.
   Chunked,
-  /// By the end of the connection, for HTTP/1.0.
+  /// By closing the connection, for HTTP/1.0.
   UntilClose,
 };
 
-/// The head of a response, ready to send. Framing and connection headers in
-/// `Answer` are replaced by those that fit. Thread-safe.
-std::string writeHead(const Response &Answer, Framing How, bool KeepAlive);
+/// Returns the encoded head of a response. Replaces the framing and connection
+/// headers in `Reply` by those for `BodyFraming` and `KeepAlive`. Thread-safe.
+std::string writeHead(const Response &Reply, Framing BodyFraming,
+                      bool KeepAlive);
 
-/// The head of a request to `Where`, ready to send; its body follows.
-/// Thread-safe.
-std::string writeHead(const Request &Ask, const Address &Where);
+/// Returns the encoded head of a request to `Peer`; the body must be sent after
+/// it. Thread-safe.
+std::string writeHead(const Request &Req, const Address &Peer);
 
-/// Whether two header names are the same, without case. Thread-safe.
+/// Returns true if two header names are equal, ignoring case. Thread-safe.
 bool isSameHeaderName(std::string_view Left, std::string_view Right);
 
-/// Whether the peer has closed or reset, or has sent something, as seen by a
-/// peek that takes nothing. Precondition: the socket is open.
-enum class PeerState : std::uint8_t { NoPendingData, Sent, Gone };
+/// The state of a connection, as determined by `peek`: no data is pending, data
+/// can be read, or the peer has closed or reset it.
+enum class PeerState : std::uint8_t { NoPendingData, DataAvailable, Closed };
+/// Returns the state of the connection without consuming data.
+/// Precondition: the socket is open.
 PeerState peek(boost::asio::ip::tcp::socket &Socket);
 
-/// Closes with a reset: the peer sees a lost connection, not an end.
+/// Closes the socket with a reset, which the peer sees as a lost connection.
 void reset(boost::asio::ip::tcp::socket &Socket);
 
 } // namespace wasabi::http
--- a/Wasabi/Adapters/Telemetry/DecisionLog.cpp
+++ b/Wasabi/Adapters/Telemetry/DecisionLog.cpp
@@ -18,18 +18,18 @@
 std::shared_ptr<DecisionLog>
 DecisionLog::create(boost::asio::io_context &Context, Settings Limits) {
   int flags = ::fcntl(Limits.Descriptor, F_GETFL);
-  // A reader that stands still must not hold up the process.
+  // A reader that is stopped must not block the process.
   if (flags >= 0)
     ::fcntl(Limits.Descriptor, F_SETFL, flags | O_NONBLOCK);
   return std::shared_ptr<DecisionLog>(
       new DecisionLog(Context, std::move(Limits)));
 }
 
-bool DecisionLog::admit() {
+bool DecisionLog::takeToken() {
   TimePoint now = monotonicNow();
-  double passed = std::chrono::duration<double>(now - LastRefill).count();
+  double elapsed = std::chrono::duration<double>(now - LastRefill).count();
   LastRefill = now;
-  Tokens = std::min(Limits.Burst, Tokens + passed * Limits.LinesPerSecond);
+  Tokens = std::min(Limits.Burst, Tokens + elapsed * Limits.LinesPerSecond);
   if (Tokens < 1 || Pending.size() > Limits.MaxPendingBytes)
     return false;
   Tokens -= 1;
@@ -38,36 +38,36 @@
 
 void DecisionLog::line(std::string_view Event,
                        const std::vector<EventField> &Fields) {
-  if (!admit()) {
+  if (!takeToken()) {
     ++Dropped;
     return;
   }
-  if (Dropped != Told) {
-    Pending += formatLogLine(wallMicros(), LogLevel::Warning, Limits.Instance,
-                             "log.dropped",
-                             {{"lines", std::to_string(Dropped - Told)}});
+  if (Dropped != ReportedDrops) {
+    Pending += formatLogLine(
+        wallMicros(), LogLevel::Warning, Limits.Instance, "log.dropped",
+        {{"lines", std::to_string(Dropped - ReportedDrops)}});
     Pending += '\n';
-    Told = Dropped;
+    ReportedDrops = Dropped;
   }
   Pending += formatLogLine(wallMicros(), LogLevel::Info, Limits.Instance, Event,
                            Fields);
   Pending += '\n';
-  arm();
+  scheduleFlush();
 }
 
-void DecisionLog::arm() {
-  if (Waiting)
+void DecisionLog::scheduleFlush() {
+  if (FlushScheduled)
     return;
-  Waiting = true;
-  Timer.expires_after(Limits.Gather);
+  FlushScheduled = true;
+  Timer.expires_after(Limits.CoalesceDelay);
   Timer.async_wait([weak = weak_from_this()](boost::system::error_code) {
     std::shared_ptr<DecisionLog> self = weak.lock();
     if (!self)
       return;
-    self->Waiting = false;
+    self->FlushScheduled = false;
     self->flush();
     if (!self->Pending.empty())
-      self->arm();
+      self->scheduleFlush();
   });
 }
 
--- a/Wasabi/Adapters/Telemetry/DecisionLog.h
+++ b/Wasabi/Adapters/Telemetry/DecisionLog.h
@@ -1,6 +1,6 @@
 /// \file
-/// One line on stdout for each decision on a request and each change of what
-/// the process believes. Bounded in rate and memory; never blocks.
+/// Writes one JSON line to stdout for each decision on a request and each state
+/// change of the process. Bounded in rate and memory; never blocks.
 #ifndef WASABI_ADAPTERS_TELEMETRY_DECISIONLOG_H
 #define WASABI_ADAPTERS_TELEMETRY_DECISIONLOG_H
 
@@ -18,42 +18,43 @@
 
 namespace wasabi {
 
-/// Not thread-safe: use on the context's thread.
+/// Rate-limited log of decisions. Not thread-safe: use on the thread of the
+/// context.
 class DecisionLog : public std::enable_shared_from_this<DecisionLog> {
 public:
   struct Settings {
-    /// Named in each line.
+    /// Name of the instance, added to each line.
     std::string Instance;
-    /// Where lines go.
+    /// File descriptor to write to.
     int Descriptor = 1;
-    /// Lines a second on average. A busy dispatcher writes about three lines
-    /// an item and 40 items a second; ten times that is still 1% of a core.
+    /// Average number of lines per second.
     double LinesPerSecond = 1000;
-    /// Lines that may come at once.
+    /// Maximum number of lines in a burst.
     double Burst = 2000;
-    /// Bytes that wait for a reader that is slow; more are dropped.
+    /// Maximum number of bytes buffered for a slow reader; further lines are
+    /// dropped.
     std::size_t MaxPendingBytes = 1u << 20;
-    /// How long a line waits for others, which share its system call.
-    Millis Gather{50};
+    /// How long a line waits so that several lines share one system call.
+    Millis CoalesceDelay{50};
   };
 
   static std::shared_ptr<DecisionLog> create(boost::asio::io_context &Context,
                                              Settings Limits);
   ~DecisionLog();
 
-  /// Writes one line; drops it, counted, when lines come too fast or nobody
-  /// reads them.
+  /// Writes one line. Drops and counts it if the rate limit is exceeded or the
+  /// buffer is full.
   void line(std::string_view Event, const std::vector<EventField> &Fields);
 
-  /// Hands what waits to the system now, as far as it takes it.
+  /// Writes buffered lines as far as the descriptor accepts them.
   void flush();
 
   std::uint64_t dropped() const { return Dropped; }
 
 private:
   DecisionLog(boost::asio::io_context &Context, Settings Limits);
-  bool admit();
-  void arm();
+  bool takeToken();
+  void scheduleFlush();
 
   const Settings Limits;
   BootTimer Timer;
@@ -61,8 +62,8 @@
   double Tokens;
   TimePoint LastRefill;
   std::uint64_t Dropped = 0;
-  std::uint64_t Told = 0;
-  bool Waiting = false;
+  std::uint64_t ReportedDrops = 0;
+  bool FlushScheduled = false;
 };
 
 } // namespace wasabi
--- a/Wasabi/Adapters/Telemetry/Log.cpp
+++ b/Wasabi/Adapters/Telemetry/Log.cpp
@@ -21,9 +21,10 @@
 
 bool isSecret(std::string_view Key) {
   std::string lower(Key);
-  std::transform(lower.begin(), lower.end(), lower.begin(), [](char Sign) {
-    return Sign >= 'A' && Sign <= 'Z' ? static_cast<char>(Sign - 'A' + 'a')
-                                      : Sign;
+  std::transform(lower.begin(), lower.end(), lower.begin(), [](char Letter) {
+    return Letter >= 'A' && Letter <= 'Z'
+               ? static_cast<char>(Letter - 'A' + 'a')
+               : Letter;
   });
   return std::any_of(SecretKeys.begin(), SecretKeys.end(),
                      [&](std::string_view Word) {
@@ -96,11 +97,11 @@
                       "' is not debug, info, warning or error");
 }
 
-std::string sanitizeForLog(std::string_view Text, std::size_t Most) {
-  std::string out(Text.substr(0, Most));
+std::string sanitizeForLog(std::string_view Text, std::size_t MaxBytes) {
+  std::string out(Text.substr(0, MaxBytes));
   std::replace_if(
-      out.begin(), out.end(), [](char It) { return It < ' ' || It > '~'; },
-      '?');
+      out.begin(), out.end(),
+      [](char Char) { return Char < ' ' || Char > '~'; }, '?');
   return out;
 }
 
@@ -124,9 +125,9 @@
 std::shared_ptr<Log> Log::create(Settings Limits) {
   std::shared_ptr<spdlog::logger> sink = std::make_shared<spdlog::logger>(
       Limits.Instance, std::make_shared<spdlog::sinks::stderr_sink_mt>());
-  // The line is whole already: spdlog adds nothing and filters by level.
+  // The line is already formatted: spdlog only filters by level.
   sink->set_pattern("%v");
-  sink->set_level(spdlogLevel(Limits.Least));
+  sink->set_level(spdlogLevel(Limits.MinLevel));
   sink->flush_on(spdlog::level::warn);
   return std::shared_ptr<Log>(new Log(std::move(Limits), std::move(sink)));
 }
--- a/Wasabi/Adapters/Telemetry/Log.h
+++ b/Wasabi/Adapters/Telemetry/Log.h
@@ -1,5 +1,5 @@
 /// \file
-/// Structured log lines: one JSON object a line on stderr, through spdlog.
+/// Structured log: one JSON object per line on stderr, through spdlog.
 #ifndef WASABI_ADAPTERS_TELEMETRY_LOG_H
 #define WASABI_ADAPTERS_TELEMETRY_LOG_H
 
@@ -18,40 +18,40 @@
 
 namespace wasabi {
 
-/// How grave a line is.
+/// Severity of a log line, in ascending order.
 enum class LogLevel : std::uint8_t { Debug, Info, Warning, Error };
 
-/// The word for a level, lower-case. Thread-safe.
+/// Returns the lower-case name of a level. Thread-safe.
 std::string_view toText(LogLevel Level);
 
-/// Reads `debug`, `info`, `warning` or `error`. Errors: `BadInput` naming
+/// Parses `debug`, `info`, `warning` or `error`. Errors: `BadInput` naming
 /// `Place`. Thread-safe.
 Result<LogLevel> parseLogLevel(std::string_view Text, std::string_view Place);
 
-/// One line as it is written, without the newline: time (UTC, ISO 8601 with
-/// microseconds), level, instance, message, then the fields in their order.
-/// The value of a field whose key names a secret is replaced. Pure.
+/// Returns a log line without the newline: time (UTC, ISO 8601 with
+/// microseconds), level, instance, message, then the fields in order. Values of
+/// fields whose key indicates a secret are redacted. Pure.
 std::string formatLogLine(std::uint64_t WallMicroseconds, LogLevel Level,
                           std::string_view Instance, std::string_view Message,
                           const std::vector<EventField> &Fields);
 
-/// Foreign bytes as a field's value: at most `Most` of them, and what is not
-/// visible ASCII or a blank as a question mark. Pure.
-std::string sanitizeForLog(std::string_view Text, std::size_t Most);
+/// Returns at most `MaxBytes` bytes of `Text`, with each byte that is not
+/// printable ASCII replaced by a question mark. Use for untrusted input. Pure.
+std::string sanitizeForLog(std::string_view Text, std::size_t MaxBytes);
 
 /// The log of one process. Thread-safe.
 class Log {
 public:
   struct Settings {
-    /// Named in each line.
+    /// Name of the instance, added to each line.
     std::string Instance;
-    /// Graver lines and these are written.
-    LogLevel Least = LogLevel::Info;
+    /// Lines below this level are discarded.
+    LogLevel MinLevel = LogLevel::Info;
   };
 
   static std::shared_ptr<Log> create(Settings Limits);
 
-  /// Writes a line to stderr; callers' prompts and answers don't belong there.
+  /// Writes a line to stderr. Do not log prompts or responses of callers.
   void write(LogLevel Level, std::string_view Message,
              const std::vector<EventField> &Fields = {});
 
--- a/Wasabi/Adapters/Telemetry/Metrics.cpp
+++ b/Wasabi/Adapters/Telemetry/Metrics.cpp
@@ -21,11 +21,11 @@
     acc::accumulator_set<double, acc::stats<acc::tag::count, acc::tag::sum,
                                             acc::tag::extended_p_square>>;
 
-/// Below this many values P² has not set all its markers: the values
-/// themselves are kept until then.
+/// Up to this count, quantiles are computed from the values themselves: P²
+/// needs some values to initialize its markers.
 constexpr std::size_t ExactValues = 32;
 
-/// The quantile of sorted values, by nearest rank.
+/// Returns a quantile of sorted values by the nearest-rank method.
 double exactQuantile(const std::vector<double> &Sorted, double Probability) {
   if (Sorted.empty())
     return 0;
@@ -37,14 +37,16 @@
 bool isMetricName(std::string_view Name) {
   if (Name.empty() || (Name.front() >= '0' && Name.front() <= '9'))
     return false;
-  return std::all_of(Name.begin(), Name.end(), [](char Sign) {
-    return (Sign >= 'a' && Sign <= 'z') || (Sign >= '0' && Sign <= '9') ||
-           Sign == '_';
+  return std::all_of(Name.begin(), Name.end(), [](char Letter) {
+    return (Letter >= 'a' && Letter <= 'z') ||
+           (Letter >= '0' && Letter <= '9') || Letter == '_';
   });
 }
 
-[[noreturn]] void endOnMisuse(std::string_view Name) {
-  std::fprintf(stderr, "metric '%.*s' is misnamed or of two kinds\n",
+[[noreturn]] void abortOnMisuse(std::string_view Name) {
+  std::fprintf(stderr,
+               "metric '%.*s' has an invalid name or label key, or series of "
+               "two types\n",
                static_cast<int>(Name.size()), Name.data());
   std::abort();
 }
@@ -100,9 +102,9 @@
   return std::string(Name) + labelText(Labels) + " " + Value + "\n";
 }
 
-std::string_view kindText(const Counter &) { return "counter"; }
-std::string_view kindText(const Gauge &) { return "gauge"; }
-std::string_view kindText(const Quantiles &) { return "summary"; }
+std::string_view typeText(const Counter &) { return "counter"; }
+std::string_view typeText(const Gauge &) { return "gauge"; }
+std::string_view typeText(const Quantiles &) { return "summary"; }
 
 std::string seriesText(std::string_view Name,
                        const std::vector<MetricLabel> &Labels,
@@ -119,16 +121,16 @@
 std::string seriesText(std::string_view Name,
                        const std::vector<MetricLabel> &Labels,
                        const Quantiles &Value) {
-  QuantilesSnapshot read = Value.snapshot();
+  QuantilesSnapshot result = Value.snapshot();
   std::string text;
-  for (std::size_t i = 0; i < read.Estimates.size(); ++i) {
+  for (std::size_t i = 0; i < result.Estimates.size(); ++i) {
     std::vector<MetricLabel> labels = Labels;
     labels.push_back({"quantile", numberText(Quantiles::probabilities()[i])});
-    text += sampleLine(Name, labels, numberText(read.Estimates[i]));
+    text += sampleLine(Name, labels, numberText(result.Estimates[i]));
   }
   std::string name(Name);
-  text += sampleLine(name + "_sum", Labels, numberText(read.Sum));
-  text += sampleLine(name + "_count", Labels, std::to_string(read.Count));
+  text += sampleLine(name + "_sum", Labels, numberText(result.Sum));
+  text += sampleLine(name + "_count", Labels, std::to_string(result.Count));
   return text;
 }
 
@@ -136,64 +138,64 @@
 
 struct Quantiles::Estimators {
   Estimators()
-      : Squares(acc::extended_p_square_probabilities = probabilities()) {}
+      : PSquare(acc::extended_p_square_probabilities = probabilities()) {}
 
-  Estimator Squares;
-  /// All values while they are few.
-  std::vector<double> Few;
+  Estimator PSquare;
+  /// The first `ExactValues` values.
+  std::vector<double> FirstValues;
 };
 
 const std::vector<double> &Quantiles::probabilities() {
-  static const std::vector<double> kept = {0.5, 0.9, 0.99, 0.999};
-  return kept;
+  static const std::vector<double> values = {0.5, 0.9, 0.99, 0.999};
+  return values;
 }
 
-Quantiles::Quantiles() : Kept(std::make_unique<Estimators>()) {}
+Quantiles::Quantiles() : EstimatorState(std::make_unique<Estimators>()) {}
 Quantiles::~Quantiles() = default;
 
 void Quantiles::observe(double Value) {
-  std::lock_guard<std::mutex> lock(Guard);
-  Kept->Squares(Value);
-  if (Kept->Few.size() < ExactValues)
-    Kept->Few.push_back(Value);
+  std::lock_guard<std::mutex> lock(Mutex);
+  EstimatorState->PSquare(Value);
+  if (EstimatorState->FirstValues.size() < ExactValues)
+    EstimatorState->FirstValues.push_back(Value);
 }
 
 QuantilesSnapshot Quantiles::snapshot() const {
-  std::lock_guard<std::mutex> lock(Guard);
-  QuantilesSnapshot read;
-  read.Count = acc::count(Kept->Squares);
-  read.Sum = acc::sum(Kept->Squares);
-  std::vector<double> few = Kept->Few;
-  std::sort(few.begin(), few.end());
-  if (read.Count <= ExactValues) {
+  std::lock_guard<std::mutex> lock(Mutex);
+  QuantilesSnapshot result;
+  result.Count = acc::count(EstimatorState->PSquare);
+  result.Sum = acc::sum(EstimatorState->PSquare);
+  std::vector<double> values = EstimatorState->FirstValues;
+  std::sort(values.begin(), values.end());
+  if (result.Count <= ExactValues) {
     for (double it : probabilities())
-      read.Estimates.push_back(exactQuantile(few, it));
-    return read;
+      result.Estimates.push_back(exactQuantile(values, it));
+    return result;
   }
-  for (double it : acc::extended_p_square(Kept->Squares))
-    read.Estimates.push_back(it);
-  return read;
+  for (double it : acc::extended_p_square(EstimatorState->PSquare))
+    result.Estimates.push_back(it);
+  return result;
 }
 
 template <typename T>
 T &Metrics::find(std::string_view Name, std::string_view Help,
                  std::vector<MetricLabel> Labels) {
   if (!isMetricName(Name))
-    endOnMisuse(Name);
+    abortOnMisuse(Name);
   for (const MetricLabel &it : Labels) {
     if (!isMetricName(it.Key))
-      endOnMisuse(Name);
+      abortOnMisuse(Name);
   }
   std::sort(Labels.begin(), Labels.end());
-  std::lock_guard<std::mutex> lock(Guard);
+  std::lock_guard<std::mutex> lock(Mutex);
   Family &family = Families[std::string(Name)];
   if (family.Help.empty())
     family.Help = Help;
-  // One name is one kind over all its series.
+  // All series of a name have the same type.
   if (!family.SeriesByLabels.empty() &&
       !std::holds_alternative<std::unique_ptr<T>>(
           family.SeriesByLabels.begin()->second))
-    endOnMisuse(Name);
+    abortOnMisuse(Name);
   auto it = family.SeriesByLabels.find(Labels);
   if (it == family.SeriesByLabels.end())
     it = family.SeriesByLabels.emplace(std::move(Labels), std::make_unique<T>())
@@ -217,18 +219,18 @@
 }
 
 std::string Metrics::render() const {
-  std::lock_guard<std::mutex> lock(Guard);
+  std::lock_guard<std::mutex> lock(Mutex);
   std::string text;
   for (const auto &[name, family] : Families) {
-    std::string_view kind =
-        std::visit([](const auto &held) { return kindText(*held); },
+    std::string_view type =
+        std::visit([](const auto &metric) { return typeText(*metric); },
                    family.SeriesByLabels.begin()->second);
     text += "# HELP " + name + " " + escapedHelp(family.Help) + "\n";
-    text += "# TYPE " + name + " " + std::string(kind) + "\n";
+    text += "# TYPE " + name + " " + std::string(type) + "\n";
     for (const auto &[labels, series] : family.SeriesByLabels) {
       text += std::visit(
-          [&, &name = name, &labels = labels](const auto &held) {
-            return seriesText(name, labels, *held);
+          [&, &name = name, &labels = labels](const auto &metric) {
+            return seriesText(name, labels, *metric);
           },
           series);
     }
--- a/Wasabi/Adapters/Telemetry/Metrics.h
+++ b/Wasabi/Adapters/Telemetry/Metrics.h
@@ -22,7 +22,7 @@
   auto operator<=>(const MetricLabel &) const = default;
 };
 
-/// A number that only grows. Thread-safe.
+/// A monotonically increasing number. Thread-safe.
 class Counter {
 public:
   void add(std::uint64_t Count = 1) {
@@ -34,20 +34,22 @@
   std::atomic<std::uint64_t> Total{0};
 };
 
-/// A number that goes up and down. Thread-safe.
+/// A number that can increase and decrease. Thread-safe.
 class Gauge {
 public:
-  void set(double Value) { Now.store(Value, std::memory_order_relaxed); }
-  void add(double Change) { Now.fetch_add(Change, std::memory_order_relaxed); }
-  double value() const { return Now.load(std::memory_order_relaxed); }
+  void set(double Value) { Current.store(Value, std::memory_order_relaxed); }
+  void add(double Change) {
+    Current.fetch_add(Change, std::memory_order_relaxed);
+  }
+  double value() const { return Current.load(std::memory_order_relaxed); }
 
 private:
-  std::atomic<double> Now{0};
+  std::atomic<double> Current{0};
 };
 
-/// What a `Quantiles` holds, read at one moment. An immutable value.
+/// A snapshot of a `Quantiles`. An immutable value.
 struct QuantilesSnapshot {
-  /// One estimate per entry of `Quantiles::Probabilities`, in its order.
+  /// One estimate per entry of `Quantiles::probabilities`, in the same order.
   std::vector<double> Estimates;
   double Sum = 0;
   std::uint64_t Count = 0;
@@ -55,11 +57,11 @@
 };
 
 /// Quantiles of all values since the start, estimated in constant memory by the
-/// extended P² algorithm of Boost.Accumulators. Thread-safe: a short lock a
-/// value.
+/// extended P² algorithm of Boost.Accumulators. Thread-safe; each access takes
+/// a lock.
 class Quantiles {
 public:
-  /// The quantiles kept.
+  /// The probabilities for which quantiles are estimated.
   static const std::vector<double> &probabilities();
 
   Quantiles();
@@ -67,24 +69,24 @@
   Quantiles(const Quantiles &) = delete;
   Quantiles &operator=(const Quantiles &) = delete;
 
-  /// Takes one value. Precondition: it is finite.
+  /// Adds one value. Precondition: it is finite.
   void observe(double Value);
   QuantilesSnapshot snapshot() const;
 
 private:
   struct Estimators;
-  mutable std::mutex Guard;
-  std::unique_ptr<Estimators> Kept;
+  mutable std::mutex Mutex;
+  std::unique_ptr<Estimators> EstimatorState;
 };
 
-/// The registry. Series live as long as it does, so that callers keep the
-/// references they were given. Thread-safe.
+/// The registry of all series of a process. References to series stay valid as
+/// long as the registry exists. Thread-safe.
 class Metrics {
 public:
-  /// The series of this name and labels, made at the first call.
-  /// Preconditions, for all three: the name and label keys are Prometheus names
-  /// (`[a-z_][a-z0-9_]*`) and one name stands for one kind; else the program
-  /// ends, since this is a slip in its source.
+  /// Returns the series with this name and these labels; creates it at the
+  /// first call. Preconditions, for all three functions: the name and the label
+  /// keys match `[a-z_][a-z0-9_]*`, and all series of a name have the same
+  /// type. Violations abort the program.
   Counter &counter(std::string_view Name, std::string_view Help,
                    std::vector<MetricLabel> Labels = {});
   Gauge &gauge(std::string_view Name, std::string_view Help,
@@ -92,7 +94,8 @@
   Quantiles &quantiles(std::string_view Name, std::string_view Help,
                        std::vector<MetricLabel> Labels = {});
 
-  /// All series in the Prometheus text format 0.0.4, sorted by name and labels.
+  /// Returns all series in the Prometheus text format 0.0.4, sorted by name and
+  /// labels.
   std::string render() const;
 
 private:
@@ -107,7 +110,7 @@
   T &find(std::string_view Name, std::string_view Help,
           std::vector<MetricLabel> Labels);
 
-  mutable std::mutex Guard;
+  mutable std::mutex Mutex;
   std::map<std::string, Family, std::less<>> Families;
 };
 
--- a/Wasabi/Adapters/Telemetry/TimelineJson.cpp
+++ b/Wasabi/Adapters/Telemetry/TimelineJson.cpp
@@ -41,7 +41,7 @@
   return out;
 }
 
-TimelineEvent readOne(JsonReader &Reader) {
+TimelineEvent readEvent(JsonReader &Reader) {
   TimelineEvent out;
   out.At.Wall = Reader.number("wall");
   out.At.Count = static_cast<std::uint32_t>(
@@ -55,21 +55,21 @@
 
 } // namespace
 
-std::string encodeEvent(const TimelineEvent &What) {
-  std::string out = "{\"wall\":" + std::to_string(What.At.Wall);
-  out += ",\"count\":" + std::to_string(What.At.Count);
-  out += ",\"seq\":" + std::to_string(What.Sequence);
-  out += ",\"instance\":" + quoted(What.Instance);
-  out += ",\"kind\":" + quoted(What.Kind);
-  out += ",\"fields\":" + encodeFields(What.Fields);
+std::string encodeEvent(const TimelineEvent &Event) {
+  std::string out = "{\"wall\":" + std::to_string(Event.At.Wall);
+  out += ",\"count\":" + std::to_string(Event.At.Count);
+  out += ",\"seq\":" + std::to_string(Event.Sequence);
+  out += ",\"instance\":" + quoted(Event.Instance);
+  out += ",\"kind\":" + quoted(Event.Kind);
+  out += ",\"fields\":" + encodeFields(Event.Fields);
   return out + "}";
 }
 
-std::string encodeTimelinePage(const TimelinePage &What) {
-  std::string out = "{\"instance\":" + quoted(What.Instance);
-  out += ",\"dropped\":" + std::to_string(What.Dropped) + ",\"events\":[";
+std::string encodeTimelinePage(const TimelinePage &Page) {
+  std::string out = "{\"instance\":" + quoted(Page.Instance);
+  out += ",\"dropped\":" + std::to_string(Page.Dropped) + ",\"events\":[";
   bool first = true;
-  for (const TimelineEvent &it : What.Events) {
+  for (const TimelineEvent &it : Page.Events) {
     if (!first)
       out += ',';
     first = false;
@@ -78,21 +78,22 @@
   return out + "]}";
 }
 
-TimelinePage makeTimelinePage(const Timeline &Of, std::uint64_t From) {
-  return {Of.instance(), Of.dropped(), Of.since(From)};
+TimelinePage makeTimelinePage(const Timeline &Source,
+                              std::uint64_t FirstSequence) {
+  return {Source.instance(), Source.dropped(), Source.since(FirstSequence)};
 }
 
 Result<TimelinePage> decodeTimelinePage(std::string_view Text,
                                         const std::string &Place) {
   BOOST_LEAF_AUTO(value, parseJson(Text, Place));
   JsonReader reader(value, Place);
-  // A newer process may say more of itself.
+  // Newer processes may add members.
   reader.allowUnknown();
   TimelinePage out;
   out.Instance = reader.text("instance");
   out.Dropped = reader.number("dropped");
   for (JsonReader &part : reader.objects("events", true)) {
-    out.Events.push_back(readOne(part));
+    out.Events.push_back(readEvent(part));
     reader.mergeError(part);
   }
   BOOST_LEAF_CHECK(reader.finish());
@@ -113,7 +114,7 @@
            "}}";
   }
   for (const TimelineEvent &it : Events) {
-    // One row for each domain of events: request, claim, sample …
+    // One row per domain of events, for example `request` or `sample`.
     std::string domain = it.Kind.substr(0, it.Kind.find('.'));
     out += R"(,
 {"ph":"i","s":"t","name":)" +
--- a/Wasabi/Adapters/Telemetry/TimelineJson.h
+++ b/Wasabi/Adapters/Telemetry/TimelineJson.h
@@ -1,6 +1,6 @@
 /// \file
-/// The time line as JSON: what each process serves under `GET /timeline`, what
-/// `wasabictl timeline` writes, and what `wasabi-replay` reads.
+/// JSON format of the time line, used by `GET /timeline`, `wasabictl timeline`
+/// and `wasabi-replay`.
 #ifndef WASABI_ADAPTERS_TELEMETRY_TIMELINEJSON_H
 #define WASABI_ADAPTERS_TELEMETRY_TIMELINEJSON_H
 
@@ -13,33 +13,35 @@
 
 namespace wasabi {
 
-/// What one process tells of its time line. An immutable value.
+/// A part of the time line of one process. An immutable value.
 struct TimelinePage {
   std::string Instance;
-  /// Events that its ring has dropped since it started.
+  /// Number of events dropped by the ring buffer since the process started.
   std::uint64_t Dropped = 0;
   std::vector<TimelineEvent> Events;
   bool operator==(const TimelinePage &) const = default;
 };
 
-/// One event as one line:
+/// Returns one event as one line:
 /// `{"wall":W,"count":C,"seq":S,"instance":"n","kind":"k","fields":{…}}`.
 /// Pure, thread-safe.
-std::string encodeEvent(const TimelineEvent &What);
+std::string encodeEvent(const TimelineEvent &Event);
 
-/// `{"instance":"n","dropped":D,"events":[…]}`. Pure, thread-safe.
-std::string encodeTimelinePage(const TimelinePage &What);
+/// Returns `{"instance":"n","dropped":D,"events":[…]}`. Pure, thread-safe.
+std::string encodeTimelinePage(const TimelinePage &Page);
 
-/// The page of a process from sequence number `From` on. Thread-safe.
-TimelinePage makeTimelinePage(const Timeline &Of, std::uint64_t From);
+/// Returns the events of a time line from sequence number `FirstSequence` on.
+/// Thread-safe.
+TimelinePage makeTimelinePage(const Timeline &Source,
+                              std::uint64_t FirstSequence);
 
-/// The reverse of `encodeTimelinePage`. Errors: `BadInput` at `Place`.
+/// Parses the output of `encodeTimelinePage`. Errors: `BadInput` at `Place`.
 /// Thread-safe.
 Result<TimelinePage> decodeTimelinePage(std::string_view Text,
                                         const std::string &Place);
 
-/// A Chrome trace (about:tracing, Perfetto): a process per instance, an
-/// instant per event. Pure, thread-safe.
+/// Returns a Chrome trace (about:tracing, Perfetto) with one process per
+/// instance and one instant event per event. Pure, thread-safe.
 std::string encodeChromeTrace(const std::vector<TimelineEvent> &Events);
 
 } // namespace wasabi
