--- a/UnitTests/Adapters/Http/HttpClientTests.cpp
+++ b/UnitTests/Adapters/Http/HttpClientTests.cpp
@@ -50,13 +50,13 @@
     return echo(std::move(Req), std::move(Reply));
   });
   fixture.run([&]() -> boost::asio::awaitable<void> {
-    Address where = fixture.Serving->address();
+    Address address = fixture.Serving->address();
     // The third request could use the idle connection of the second one.
     for (Millis remaining : {Millis(-1), Millis(5000), Millis(0)}) {
       Request request = post("x");
       request.SendDeadline = monotonicNow() + remaining;
       Outcome<Response> response = co_await fixture.TestClient->call(
-          where, std::move(request), CallTimeout);
+          address, std::move(request), CallTimeout);
       CHECK(bool(response) == (remaining > Millis(0)));
       if (!response) {
         CHECK(response.failure().Run == Verdict::NotRun);
@@ -72,10 +72,10 @@
   HttpFixture fixture;
   fixture.serve(echo);
   fixture.run([&]() -> boost::asio::awaitable<void> {
-    Address where = fixture.Serving->address();
+    Address address = fixture.Serving->address();
     for (std::string body : {"one", "two", "three"}) {
       Outcome<Response> response =
-          co_await fixture.TestClient->call(where, post(body), CallTimeout);
+          co_await fixture.TestClient->call(address, post(body), CallTimeout);
       REQUIRE(response);
       CHECK(response->Body == body);
       CHECK(fixture.Serving->connections() == 1);
@@ -85,10 +85,10 @@
     fixture.Serving->stop();
     co_await fixture.waitUntilAllClosed();
     Server::Settings same;
-    same.Listen = where;
+    same.Listen = address;
     fixture.serve(echo, same);
     Outcome<Response> response =
-        co_await fixture.TestClient->call(where, post("four"), CallTimeout);
+        co_await fixture.TestClient->call(address, post("four"), CallTimeout);
     REQUIRE(response);
     CHECK(response->Body == "four");
   });
@@ -179,10 +179,10 @@
     CHECK(late.failure().Code == FailureCode::TimedOut);
     CHECK(late.failure().Run == Verdict::MayHaveRun);
 
-    Address where = peer.address();
+    Address address = peer.address();
     peer.Acceptor.close();
     Outcome<Response> none =
-        co_await fixture.TestClient->call(where, post(""), CallTimeout);
+        co_await fixture.TestClient->call(address, post(""), CallTimeout);
     REQUIRE_FALSE(none);
     CHECK(none.failure().Code == FailureCode::Unreachable);
     CHECK(none.failure().Run == Verdict::NotRun);
--- a/UnitTests/Adapters/Http/HttpFixture.h
+++ b/UnitTests/Adapters/Http/HttpFixture.h
@@ -74,9 +74,9 @@
 
   boost::asio::awaitable<RawSocket> connect() {
     RawSocket raw(Context);
-    Address where = Serving->address();
+    Address address = Serving->address();
     boost::asio::ip::tcp::endpoint peer(
-        boost::asio::ip::make_address(where.Host), where.Port);
+        boost::asio::ip::make_address(address.Host), address.Port);
     co_await raw.async_connect(peer, boost::asio::use_awaitable);
     co_return std::move(raw);
   }
--- a/UnitTests/Adapters/Http/HttpServerTests.cpp
+++ b/UnitTests/Adapters/Http/HttpServerTests.cpp
@@ -17,9 +17,9 @@
   RawSocket raw = co_await Fixture.connect();
   co_await HttpFixture::sendText(raw, std::move(Text));
   boost::system::error_code ended;
-  std::string answer = co_await HttpFixture::readAll(raw, ended);
+  std::string response = co_await HttpFixture::readAll(raw, ended);
   CHECK(ended == boost::asio::error::eof);
-  co_return answer;
+  co_return response;
 }
 
 } // namespace
@@ -171,19 +171,19 @@
 
     fixture.Serving->drain();
     boost::system::error_code ended;
-    std::string late = co_await HttpFixture::readAll(queued, ended);
-    CHECK_THAT(late, StartsWith("HTTP/1.1 200 "));
-    CHECK_THAT(late, Contains("Connection: close"));
+    std::string queuedResponse = co_await HttpFixture::readAll(queued, ended);
+    CHECK_THAT(queuedResponse, StartsWith("HTTP/1.1 200 "));
+    CHECK_THAT(queuedResponse, Contains("Connection: close"));
     CHECK(fixture.Serving->inFlight() == 1);
     release.set();
-    std::string whole = co_await HttpFixture::readAll(running, ended);
-    CHECK_THAT(whole, StartsWith("HTTP/1.1 200 "));
-    CHECK_THAT(whole, Contains("Connection: close"));
+    std::string runningResponse = co_await HttpFixture::readAll(running, ended);
+    CHECK_THAT(runningResponse, StartsWith("HTTP/1.1 200 "));
+    CHECK_THAT(runningResponse, Contains("Connection: close"));
 
     RawSocket refused(fixture.Context);
-    Address where = fixture.Serving->address();
+    Address address = fixture.Serving->address();
     boost::asio::ip::tcp::endpoint peer(
-        boost::asio::ip::make_address(where.Host), where.Port);
+        boost::asio::ip::make_address(address.Host), address.Port);
     auto [ec] = co_await refused.async_connect(
         peer, boost::asio::as_tuple(boost::asio::use_awaitable));
     CHECK(ec == boost::asio::error::connection_refused);
--- a/Wasabi/Adapters/Frames/RequestServer.cpp
+++ b/Wasabi/Adapters/Frames/RequestServer.cpp
@@ -23,7 +23,8 @@
 using asio::ip::tcp;
 
 constexpr asio::as_tuple_t<asio::use_awaitable_t<>> Awaited;
-/// Interval at which a writer without credit checks whether the client is gone.
+/// Interval at which a writer that waits for credit checks whether the client
+/// is gone.
 constexpr Millis CreditPollInterval{1000};
 /// Delay after a failed accept, for example when file descriptors run out.
 constexpr Millis AcceptRetryDelay{50};
