--- a/UnitTests/Membership/ChoiceTest.cpp
+++ b/UnitTests/Membership/ChoiceTest.cpp
@@ -14,29 +14,30 @@
 namespace wasabi {
 namespace {
 
-/// `Count` daemons over three failure domains.
+/// Returns a view of `Count` daemons in three failure domains.
 View makeView(std::size_t Count) {
   const std::vector<std::string> domains = {"lulea-hall", "umea-hall",
                                             "sundsvall-hall"};
   View view;
   for (std::size_t n = 0; n < Count; ++n) {
-    Member who;
-    who.Instance = InstanceName("daemon-" + std::to_string(n));
-    who.Domain = DomainName(domains[n % domains.size()]);
-    view.Members[who.Instance] = who;
+    Member member;
+    member.Instance = InstanceName("daemon-" + std::to_string(n));
+    member.Domain = DomainName(domains[n % domains.size()]);
+    view.Members[member.Instance] = member;
   }
   view.Self = InstanceName("daemon-0");
   return view;
 }
 
-View seenBy(View Seen, const InstanceName &Self) {
-  Seen.Self = Self;
-  return Seen;
+View viewFrom(View ClusterView, const InstanceName &Self) {
+  ClusterView.Self = Self;
+  return ClusterView;
 }
 
 } // namespace
 
-TEST_CASE("Things are spread evenly over members", "[membership][rendezvous]") {
+TEST_CASE("Keys are distributed evenly over members",
+          "[membership][rendezvous]") {
   View view = makeView(20);
   std::vector<InstanceName> names;
   names.reserve(view.Members.size());
@@ -53,7 +54,7 @@
   }
 }
 
-TEST_CASE("A member that goes moves only what it had",
+TEST_CASE("A departing member moves only the keys assigned to it",
           "[membership][rendezvous]") {
   std::vector<InstanceName> names;
   names.reserve(10);
@@ -61,9 +62,9 @@
     names.emplace_back("daemon-" + std::to_string(n));
   std::vector<InstanceName> fewer(names.begin(), names.end() - 1);
   for (int n = 0; n < 200; ++n) {
-    std::string thing = "weights/" + std::to_string(n);
-    InstanceName before = rankMembers(thing, names).front();
-    InstanceName after = rankMembers(thing, fewer).front();
+    std::string key = "weights/" + std::to_string(n);
+    InstanceName before = rankMembers(key, names).front();
+    InstanceName after = rankMembers(key, fewer).front();
     CHECK((before == names.back() || before == after));
   }
 }
@@ -72,37 +73,37 @@
   View view = makeView(12);
   std::set<std::size_t> ranks;
   for (const auto &[name, member] : view.Members)
-    ranks.insert(rankOf("snapshots", seenBy(view, name)));
+    ranks.insert(rankOf("snapshots", viewFrom(view, name)));
   CHECK(ranks.size() == 12);
   CHECK(*ranks.rbegin() == 11);
 }
 
-TEST_CASE("Each failure domain has its own readers of the log",
+TEST_CASE("Each failure domain has its own log readers",
           "[membership][rendezvous]") {
   View view = makeView(30);
   std::map<DomainName, int> readers;
   for (const auto &[name, member] : view.Members)
-    readers[member.Domain] += isLogReader(seenBy(view, name), 2) ? 1 : 0;
+    readers[member.Domain] += isLogReader(viewFrom(view, name), 2) ? 1 : 0;
   REQUIRE(readers.size() == 3);
   for (const auto &[domain, count] : readers)
     CHECK(count == 2);
 }
 
-TEST_CASE("A reader that dies is replaced", "[membership][rendezvous]") {
+TEST_CASE("A dead log reader is replaced", "[membership][rendezvous]") {
   View view = makeView(9);
   for (const auto &[name, member] : makeView(9).Members) {
-    if (isLogReader(seenBy(view, name), 1))
+    if (isLogReader(viewFrom(view, name), 1))
       view.Members[name].State = Health::Dead;
   }
   int readers = 0;
   for (const auto &[name, member] : view.Members) {
     if (takesWork(member))
-      readers += isLogReader(seenBy(view, name), 1) ? 1 : 0;
+      readers += isLogReader(viewFrom(view, name), 1) ? 1 : 0;
   }
   CHECK(readers == 3);
 }
 
-TEST_CASE("News passed on at once reaches all, at few copies a member",
+TEST_CASE("Urgent updates reach all members with few copies per member",
           "[membership][fanout]") {
   constexpr std::size_t Count = 120;
   View view = makeView(Count);
@@ -111,13 +112,13 @@
   std::deque<InstanceName> infected = {view.Self};
   std::size_t copies = 0;
   while (!infected.empty()) {
-    InstanceName teller = infected.front();
+    InstanceName sender = infected.front();
     infected.pop_front();
     FanoutSettings limits;
-    limits.OtherDomains = teller == view.Self;
+    limits.OtherDomains = sender == view.Self;
     for (const InstanceName &it :
-         chooseFanout(seenBy(view, teller), limits, random)) {
-      REQUIRE(it != teller);
+         chooseFanout(viewFrom(view, sender), limits, random)) {
+      REQUIRE(it != sender);
       ++copies;
       if (reached.insert(it).second)
         infected.push_back(it);
@@ -127,7 +128,7 @@
   CHECK(copies <= 3 * Count + 2);
 }
 
-TEST_CASE("The dead are told nothing", "[membership][fanout]") {
+TEST_CASE("Dead members receive no updates", "[membership][fanout]") {
   View view = makeView(6);
   for (auto &[name, member] : view.Members) {
     if (name != view.Self)
--- a/UnitTests/Node/ControlMessageTest.cpp
+++ b/UnitTests/Node/ControlMessageTest.cpp
@@ -8,9 +8,9 @@
 namespace wasabi {
 namespace {
 
-/// What comes out of a message's frame.
-template <typename Message> Message roundTrip(const Message &What) {
-  std::vector<std::uint8_t> frame = encodeControl(What);
+/// Encodes a message and returns its decoded form.
+template <typename Message> Message roundTrip(const Message &Input) {
+  std::vector<std::uint8_t> frame = encodeControl(Input);
   flatbuffers::Verifier verifier(frame.data(), frame.size());
   REQUIRE(wire::VerifyFrameBuffer(verifier));
   Outcome<ControlMessage> read = decodeControl(frame);
@@ -20,33 +20,33 @@
 }
 
 Gossip someGossip() {
-  MemberUpdate news;
-  news.Subject.Instance = InstanceName("daemon-1");
-  news.Subject.Domain = DomainName("pasig-a");
-  news.Subject.Life = 77;
-  news.Subject.Requests = Address{"127.0.0.1", 1};
-  news.Subject.Control = Address{"127.0.0.1", 2};
-  news.Subject.Admin = Address{"127.0.0.1", 3};
-  news.Subject.Stamp = 5;
-  news.Subject.Servers.push_back(ServerStatus{
+  MemberUpdate update;
+  update.Subject.Instance = InstanceName("daemon-1");
+  update.Subject.Domain = DomainName("pasig-a");
+  update.Subject.Life = 77;
+  update.Subject.Requests = Address{"127.0.0.1", 1};
+  update.Subject.Control = Address{"127.0.0.1", 2};
+  update.Subject.Admin = Address{"127.0.0.1", 3};
+  update.Subject.Stamp = 5;
+  update.Subject.Servers.push_back(ServerStatus{
       ServerName("inspect-1"), ServiceName("inspect-llm"), 9, 4, false});
   MemberUpdate suspect;
   suspect.Subject.Instance = InstanceName("daemon-2");
   suspect.Subject.State = Health::Suspect;
   suspect.Accuser = InstanceName("daemon-3");
-  Gossip carried;
-  carried.Updates = {news, suspect};
-  carried.Digests = {1, 2, 3};
-  carried.Full = true;
-  carried.Next = 42;
-  carried.CaughtUpAge = Millis(150);
-  carried.At = HybridTime{1000, 2};
-  return carried;
+  Gossip gossip;
+  gossip.Updates = {update, suspect};
+  gossip.Digests = {1, 2, 3};
+  gossip.IsFullSync = true;
+  gossip.Next = 42;
+  gossip.CaughtUpAge = Millis(150);
+  gossip.At = HybridTime{1000, 2};
+  return gossip;
 }
 
 } // namespace
 
-TEST_CASE("Control messages come out of their frames as they went in",
+TEST_CASE("Control messages are unchanged by encoding and decoding",
           "[node][frames]") {
   PingMessage ping{3, "a", "b", someGossip()};
   CHECK(roundTrip(ping) == ping);
@@ -62,14 +62,14 @@
   CHECK(roundTrip(ask) == ask);
   StateRequestMessage state{6, "a"};
   CHECK(roundTrip(state) == state);
-  StateResponseMessage give{6, 8, "hash", "{}"};
-  CHECK(roundTrip(give) == give);
+  StateResponseMessage response{6, 8, "hash", "{}"};
+  CHECK(roundTrip(response) == response);
   OrderRequestMessage order{
       7, "a", Order{ServerName("s"), "weights/m", 3, ModelName("m"), 4}};
   CHECK(roundTrip(order) == order);
 }
 
-TEST_CASE("An order's failure keeps its verdict", "[node][frames]") {
+TEST_CASE("The failure of an order keeps its verdict", "[node][frames]") {
   Failure why{Verdict::NotRun, FailureCode::StaleFence, "server s",
               "token 3 is older than 4", Millis(0)};
   OrderResponseMessage done;
@@ -81,7 +81,7 @@
   CHECK(read.Answer.failure() == why);
 }
 
-TEST_CASE("A frame of another kind, or of values out of range, is refused",
+TEST_CASE("Frames of another kind or with values out of range are rejected",
           "[node][frames]") {
   flatbuffers::FlatBufferBuilder builder;
   builder.Finish(wire::CreateFrame(builder, wire::Body::Cancel,
--- a/UnitTests/Node/ControlPlaneTest.cpp
+++ b/UnitTests/Node/ControlPlaneTest.cpp
@@ -16,21 +16,21 @@
 namespace {
 
 constexpr std::chrono::seconds Deadline(20);
-constexpr std::chrono::milliseconds LookPeriod(5);
+constexpr std::chrono::milliseconds PollInterval(5);
 
-/// Waits until a condition holds, or a deadline that only a fault reaches.
+/// Waits until a condition holds. Returns false after the deadline.
 template <typename Condition> bool eventually(Condition &&Holds) {
   std::chrono::steady_clock::time_point until =
       std::chrono::steady_clock::now() + Deadline;
   while (!Holds()) {
     if (std::chrono::steady_clock::now() > until)
       return false;
-    std::this_thread::sleep_for(LookPeriod);
+    std::this_thread::sleep_for(PollInterval);
   }
   return true;
 }
 
-/// One process' control plane with its time line.
+/// The control plane of one process and its time line.
 struct Node {
   std::unique_ptr<Timeline> Events;
   std::unique_ptr<ControlPlane> Plane;
@@ -48,7 +48,7 @@
     setup.Domain = DomainName(Index % 2 == 0 ? "lulea-hall" : "umea-hall");
     setup.Log = Platform.address();
     setup.Instances = Platform.address();
-    setup.ProbePeriod = Millis(100);
+    setup.PeerProbeInterval = Millis(100);
     setup.ProbeTimeout = Millis(300);
     setup.ClaimTerm = Millis(1000);
     setup.ClaimSettleDelay = Millis(200);
@@ -83,11 +83,11 @@
   void start(std::size_t Count) {
     for (std::size_t n = 0; n < Count; ++n)
       add(settings(n));
-    REQUIRE(eventually([&]() { return allSee(Count); }));
+    REQUIRE(eventually([&]() { return allSeeAlive(Count); }));
   }
 
-  /// Whether all are ready and each sees so many alive.
-  bool allSee(std::size_t Count) const {
+  /// Returns true if all nodes are ready and each sees `Count` members alive.
+  bool allSeeAlive(std::size_t Count) const {
     for (const std::unique_ptr<Node> &it : Nodes) {
       if (!it->Plane->ready() || countAlive(*it->Plane) != Count)
         return false;
@@ -102,7 +102,7 @@
     return count;
   }
 
-  /// The node that holds a claim now; null for none.
+  /// Returns the node that holds a claim; null for none.
   Node *holder(const std::string &Resource) const {
     for (const std::unique_ptr<Node> &it : Nodes) {
       if (it->Plane->held(Resource))
@@ -111,7 +111,7 @@
     return nullptr;
   }
 
-  void end(const Node *Which) {
+  void stopNode(const Node *Which) {
     std::erase_if(Nodes, [&](const auto &it) { return it.get() == Which; });
   }
 };
@@ -133,8 +133,8 @@
       std::make_shared<std::promise<Outcome<ControlStateChange>>>();
   std::future<Outcome<ControlStateChange>> done = promise->get_future();
   Plane.append(std::move(Body),
-               [promise](const Outcome<ControlStateChange> &Did) {
-                 promise->set_value(Did);
+               [promise](const Outcome<ControlStateChange> &Value) {
+                 promise->set_value(Value);
                });
   REQUIRE(done.wait_for(Deadline) == std::future_status::ready);
   return done.get();
@@ -151,10 +151,10 @@
   Cluster cluster;
   cluster.start(6);
   ControlPlane &author = *cluster.Nodes.front()->Plane;
-  Outcome<ControlStateChange> did =
+  Outcome<ControlStateChange> result =
       appendAndWait(author, limitChange(author.state()->Next, "crew"));
-  REQUIRE(did);
-  CHECK(did->ApplyStatus == RecordStatus::Accepted);
+  REQUIRE(result);
+  CHECK(result->ApplyStatus == RecordStatus::Accepted);
   CHECK(eventually([&]() {
     return std::all_of(
         cluster.Nodes.begin(), cluster.Nodes.end(),
@@ -162,20 +162,21 @@
   }));
 }
 
-TEST_CASE("A lost answer is settled by reading, and the record counts once",
-          "[node][control]") {
+TEST_CASE(
+    "A record whose answer is lost is confirmed by reading and applied once",
+    "[node][control]") {
   Cluster cluster;
   cluster.start(1);
   ControlPlane &author = *cluster.Nodes.front()->Plane;
-  cluster.Platform.LoseAnswers = 2;
-  Outcome<ControlStateChange> did =
+  cluster.Platform.AppendAnswersToLose = 2;
+  Outcome<ControlStateChange> result =
       appendAndWait(author, limitChange(author.state()->Next, "planner"));
-  REQUIRE(did);
-  CHECK(did->ApplyStatus == RecordStatus::Accepted);
+  REQUIRE(result);
+  CHECK(result->ApplyStatus == RecordStatus::Accepted);
   CHECK(inForce(author, "planner"));
 }
 
-TEST_CASE("A claim has one holder and moves after its holder's death",
+TEST_CASE("A claim has one holder and moves to another after its holder stops",
           "[node][claims]") {
   Cluster cluster;
   cluster.start(4);
@@ -187,22 +188,23 @@
   for (const std::unique_ptr<Node> &it : cluster.Nodes)
     CHECK((it.get() == first) == it->Plane->held("trainer/drafts").has_value());
 
-  cluster.end(first);
+  cluster.stopNode(first);
   REQUIRE(eventually([&]() { return cluster.holder("trainer/drafts"); }));
   CHECK(cluster.holder("trainer/drafts")->Plane->held("trainer/drafts")->Token >
         token);
 }
 
-TEST_CASE("Leaving is known everywhere while the platform's list lags",
-          "[node][membership]") {
+TEST_CASE(
+    "All members learn of a leaving process while the platform's list lags",
+    "[node][membership]") {
   Cluster cluster;
   cluster.start(5);
   cluster.Platform.ListFrozen = true;
-  std::shared_ptr<std::promise<void>> told =
+  std::shared_ptr<std::promise<void>> left =
       std::make_shared<std::promise<void>>();
-  std::future<void> done = told->get_future();
+  std::future<void> done = left->get_future();
   Node &leaver = *cluster.Nodes.front();
-  leaver.Plane->leave([told]() { told->set_value(); });
+  leaver.Plane->leave([left]() { left->set_value(); });
   REQUIRE(done.wait_for(Deadline) == std::future_status::ready);
   InstanceName name("node-0");
   CHECK(eventually([&]() {
@@ -213,7 +215,7 @@
   }));
 }
 
-TEST_CASE("During an outage of the log claims lapse and do not move",
+TEST_CASE("Claims expire and do not move while the log is unreachable",
           "[node][claims]") {
   Cluster cluster;
   cluster.start(3);
@@ -224,7 +226,7 @@
   FencingToken token = owner->Plane->held("weights/drafts")->Token;
   cluster.Platform.Outage = true;
   CHECK(eventually([&]() { return !cluster.holder("weights/drafts"); }));
-  // Towards targets that check tokens the owner may go on.
+  // The owner keeps its token for targets that check tokens.
   CHECK(owner->Plane->tokenDespiteOutage("weights/drafts") == token);
   for (const std::unique_ptr<Node> &it : cluster.Nodes) {
     if (it.get() != owner)
@@ -234,7 +236,7 @@
   CHECK(eventually([&]() { return cluster.holder("weights/drafts"); }));
 }
 
-TEST_CASE("A process starts from a peer's state while the log is down",
+TEST_CASE("A process starts from a peer's state while the log is unreachable",
           "[node][control]") {
   Cluster cluster;
   cluster.start(2);
@@ -248,7 +250,7 @@
   CHECK(inForce(*late.Plane, "buyer"));
 }
 
-TEST_CASE("A log that serves an older tail takes nothing back",
+TEST_CASE("A log that serves an older tail does not revert the state",
           "[node][control]") {
   Cluster cluster;
   cluster.start(1);
@@ -268,7 +270,7 @@
   CHECK(inForce(plane, "two"));
 }
 
-TEST_CASE("A process starts from the snapshot that the log still holds",
+TEST_CASE("A process starts from a snapshot after older records have expired",
           "[node][snapshot]") {
   Cluster cluster;
   cluster.start(1);
@@ -279,11 +281,11 @@
     REQUIRE(appendAndWait(*first.Plane,
                           limitChange(first.Plane->state()->Next, name)));
   }
-  // The oldest records expire; the claim's holder writes a snapshot by itself.
+  // The oldest records expire, and the claim's holder writes a snapshot.
   cluster.Platform.retainNewest(20);
   REQUIRE(
       eventually([&]() { return first.Plane->state()->SnapshotRevision > 0; }));
-  cluster.end(&first);
+  cluster.stopNode(&first);
   REQUIRE(cluster.Platform.first() > 0);
 
   ControlPlane::Settings setup = cluster.settings(1);
@@ -294,16 +296,16 @@
     CHECK(inForce(*late.Plane, "caller-" + std::to_string(n)));
 }
 
-TEST_CASE("Who leaves releases its claims, and a successor need not wait",
+TEST_CASE("A leaving process releases its claims to a successor immediately",
           "[node][claims]") {
   Cluster cluster;
-  // A term that outlasts the test: only a release can free the claim.
+  // The term outlasts the test, so only a release can free the claim.
   for (std::size_t n = 0; n < 2; ++n) {
     ControlPlane::Settings setup = cluster.settings(n);
     setup.ClaimTerm = Millis(600000);
     cluster.add(setup);
   }
-  REQUIRE(eventually([&]() { return cluster.allSee(2); }));
+  REQUIRE(eventually([&]() { return cluster.allSeeAlive(2); }));
   for (const std::unique_ptr<Node> &it : cluster.Nodes)
     it->Plane->requestClaim("trainer/notes");
   REQUIRE(eventually([&]() { return cluster.holder("trainer/notes"); }));
@@ -333,21 +335,22 @@
     CHECK(status.find(it) != std::string::npos);
 }
 
-TEST_CASE("An order reaches its daemon and its answer comes back",
+TEST_CASE("An order reaches its daemon and its answer is returned",
           "[node][control]") {
   Cluster cluster;
   cluster.start(2);
-  Order what{ServerName("s"), "weights/m", 7, ModelName("m"), 3};
+  Order order{ServerName("s"), "weights/m", 7, ModelName("m"), 3};
   std::shared_ptr<std::promise<Outcome<OrderAnswer>>> promise =
       std::make_shared<std::promise<Outcome<OrderAnswer>>>();
   std::future<Outcome<OrderAnswer>> done = promise->get_future();
-  cluster.Nodes[0]->Plane->order(
-      InstanceName("node-1"), what, Millis(5000),
-      [promise](const Outcome<OrderAnswer> &Did) { promise->set_value(Did); });
+  cluster.Nodes[0]->Plane->order(InstanceName("node-1"), order, Millis(5000),
+                                 [promise](const Outcome<OrderAnswer> &Value) {
+                                   promise->set_value(Value);
+                                 });
   REQUIRE(done.wait_for(Deadline) == std::future_status::ready);
-  Outcome<OrderAnswer> did = done.get();
-  REQUIRE(did);
-  CHECK(did->Version == 3);
+  Outcome<OrderAnswer> result = done.get();
+  REQUIRE(result);
+  CHECK(result->Version == 3);
   CHECK(cluster.Nodes[1]->Orders.load() == 1);
 }
 
--- a/UnitTests/Node/DutyRulesTest.cpp
+++ b/UnitTests/Node/DutyRulesTest.cpp
@@ -17,14 +17,15 @@
   return claim;
 }
 
-/// Another's claim, read at `Start`, wanted long since.
+/// Returns the input of a successor to another holder's claim, which was read
+/// at `Start`.
 ClaimDecisionInput successor() {
-  ClaimDecisionInput now;
-  now.Current = claimOf("other");
-  now.Wanted = true;
-  now.ReadAt = Start;
-  now.WantedAt = Start - std::chrono::seconds(60);
-  return now;
+  ClaimDecisionInput input;
+  input.Current = claimOf("other");
+  input.Wanted = true;
+  input.ReadAt = Start;
+  input.WantedAt = Start - std::chrono::seconds(60);
+  return input;
 }
 
 ClaimAction at(const ClaimDecisionInput &Now, Millis Later) {
@@ -33,87 +34,87 @@
 
 } // namespace
 
-TEST_CASE("A successor waits a full term from when it read the renewal",
+TEST_CASE("A successor waits a full term after it has read the last renewal",
           "[node][claims]") {
   CHECK(at(successor(), Millis(9999)) == ClaimAction::Wait);
-  CHECK(at(successor(), Millis(10000)) == ClaimAction::Take);
+  CHECK(at(successor(), Millis(10000)) == ClaimAction::Acquire);
 }
 
-TEST_CASE("Those that rank later wait longer", "[node][claims]") {
-  ClaimDecisionInput now = successor();
-  now.Rank = 2;
-  CHECK(at(now, Millis(10900)) == ClaimAction::Wait);
-  CHECK(at(now, Millis(11000)) == ClaimAction::Take);
-  now.Rank = 300;
-  CHECK(at(now, Millis(15000)) == ClaimAction::Take);
+TEST_CASE("Members of lower rank wait longer", "[node][claims]") {
+  ClaimDecisionInput input = successor();
+  input.Rank = 2;
+  CHECK(at(input, Millis(10900)) == ClaimAction::Wait);
+  CHECK(at(input, Millis(11000)) == ClaimAction::Acquire);
+  input.Rank = 300;
+  CHECK(at(input, Millis(15000)) == ClaimAction::Acquire);
 }
 
-TEST_CASE("A released claim is free at once", "[node][claims]") {
-  ClaimDecisionInput now = successor();
-  now.Current->Released = true;
-  CHECK(at(now, Millis(0)) == ClaimAction::Take);
+TEST_CASE("A released claim is available immediately", "[node][claims]") {
+  ClaimDecisionInput input = successor();
+  input.Current->Released = true;
+  CHECK(at(input, Millis(0)) == ClaimAction::Acquire);
 }
 
-TEST_CASE("Who may not decide, or waits for an answer, takes nothing",
+TEST_CASE("A claim is not acquired if not allowed, not requested or in flight",
           "[node][claims]") {
-  ClaimDecisionInput now = successor();
-  now.MayAcquire = false;
-  CHECK(at(now, Millis(60000)) == ClaimAction::Wait);
-  now = successor();
-  now.Busy = true;
-  CHECK(at(now, Millis(60000)) == ClaimAction::Wait);
-  now = successor();
-  now.Wanted = false;
-  CHECK(at(now, Millis(60000)) == ClaimAction::Wait);
+  ClaimDecisionInput input = successor();
+  input.MayAcquire = false;
+  CHECK(at(input, Millis(60000)) == ClaimAction::Wait);
+  input = successor();
+  input.AppendInFlight = true;
+  CHECK(at(input, Millis(60000)) == ClaimAction::Wait);
+  input = successor();
+  input.Wanted = false;
+  CHECK(at(input, Millis(60000)) == ClaimAction::Wait);
 }
 
-TEST_CASE("A claim nobody has is taken once the view has filled",
-          "[node][claims]") {
-  ClaimDecisionInput now;
-  now.Wanted = true;
-  now.WantedAt = Start;
-  CHECK(at(now, Millis(1400)) == ClaimAction::Wait);
-  CHECK(at(now, Millis(1500)) == ClaimAction::Take);
+TEST_CASE("A free claim is acquired after the settle delay", "[node][claims]") {
+  ClaimDecisionInput input;
+  input.Wanted = true;
+  input.WantedAt = Start;
+  CHECK(at(input, Millis(1400)) == ClaimAction::Wait);
+  CHECK(at(input, Millis(1500)) == ClaimAction::Acquire);
 }
 
-TEST_CASE("A holder renews at a third of the term, and gives up what it does "
-          "not want",
+TEST_CASE("A holder renews after a third of the term and releases claims that "
+          "are not requested",
           "[node][claims]") {
-  ClaimDecisionInput now;
-  now.Current = claimOf("self");
-  now.Mine = true;
-  now.Wanted = true;
-  now.SentAt = Start;
-  CHECK(at(now, Millis(3300)) == ClaimAction::Wait);
-  CHECK(at(now, Millis(3400)) == ClaimAction::Renew);
-  now.Wanted = false;
-  CHECK(at(now, Millis(0)) == ClaimAction::Release);
+  ClaimDecisionInput input;
+  input.Current = claimOf("self");
+  input.IsHolder = true;
+  input.Wanted = true;
+  input.SentAt = Start;
+  CHECK(at(input, Millis(3300)) == ClaimAction::Wait);
+  CHECK(at(input, Millis(3400)) == ClaimAction::Renew);
+  input.Wanted = false;
+  CHECK(at(input, Millis(0)) == ClaimAction::Release);
 }
 
-TEST_CASE("Snapshots are written well before what they stand for expires",
+TEST_CASE("Snapshots are written well before the records they replace expire",
           "[node][snapshot]") {
   SnapshotSettings limits;
-  SnapshotDecisionInput now;
-  CHECK(!snapshotDue(now, limits));
-  now.Next = 999;
-  CHECK(!snapshotDue(now, limits));
-  now.Next = 1000;
-  CHECK(snapshotDue(now, limits));
-  now.Last = 1000;
-  now.Age = limits.MaxAge;
-  CHECK(!snapshotDue(now, limits));
-  now.Next = 1001;
-  CHECK(snapshotDue(now, limits));
-
-  // A log that keeps 300 records gets one for each 100.
-  now = SnapshotDecisionInput{1099, 1000, 799, Millis(0)};
-  CHECK(!snapshotDue(now, limits));
-  now.Next = 1100;
-  now.LogFirst = 800;
-  CHECK(snapshotDue(now, limits));
+  SnapshotDecisionInput input;
+  CHECK(!snapshotDue(input, limits));
+  input.Next = 999;
+  CHECK(!snapshotDue(input, limits));
+  input.Next = 1000;
+  CHECK(snapshotDue(input, limits));
+  input.Last = 1000;
+  input.Age = limits.MaxAge;
+  CHECK(!snapshotDue(input, limits));
+  input.Next = 1001;
+  CHECK(snapshotDue(input, limits));
+
+  // A log that retains 300 records gets a snapshot every 100 records.
+  input = SnapshotDecisionInput{1099, 1000, 799, Millis(0)};
+  CHECK(!snapshotDue(input, limits));
+  input.Next = 1100;
+  input.LogFirst = 800;
+  CHECK(snapshotDue(input, limits));
 }
 
-TEST_CASE("The platform's list is read line by line", "[node][list]") {
+TEST_CASE("Malformed entries of the platform's list are skipped",
+          "[node][list]") {
   Outcome<std::vector<ListedInstance>> lines = parseInstanceList(
       R"({"as_of_us":1,"instances":[
         {"name":"a","failure_domain":"d","role":"entry",
--- a/UnitTests/Node/FakePlatform.cpp
+++ b/UnitTests/Node/FakePlatform.cpp
@@ -19,7 +19,7 @@
 namespace json = boost::json;
 
 constexpr asio::as_tuple_t<asio::use_awaitable_t<>> Awaited;
-constexpr std::chrono::milliseconds PollPeriod(5);
+constexpr std::chrono::milliseconds PollInterval(5);
 
 std::uint64_t number(const std::string &Text) {
   return Text.empty() ? 0 : std::stoull(Text);
@@ -33,8 +33,9 @@
       toOutcome<std::shared_ptr<http::Server>>([&]() {
         return http::Server::create(
             Context, limits,
-            [this](http::Request Ask, std::shared_ptr<http::Responder> Answer) {
-              return handle(std::move(Ask), std::move(Answer));
+            [this](http::Request Request,
+                   std::shared_ptr<http::Responder> Answer) {
+              return handle(std::move(Request), std::move(Answer));
             });
       });
   if (!made)
@@ -74,11 +75,11 @@
 }
 
 asio::awaitable<void>
-FakePlatform::handle(http::Request Ask,
+FakePlatform::handle(http::Request Request,
                      std::shared_ptr<http::Responder> Answer) {
-  if (Ask.path() == "/v1/instances") {
-    if (Ask.Method == "POST")
-      announce(Ask.Body);
+  if (Request.path() == "/v1/instances") {
+    if (Request.Method == "POST")
+      announce(Request.Body);
     http::Response list = http::jsonResponse(200, listJson());
     co_await Answer->send(std::move(list));
     co_return;
@@ -87,22 +88,22 @@
     Answer->abort();
     co_return;
   }
-  if (Ask.Method == "POST")
-    co_await append(Ask, *Answer);
+  if (Request.Method == "POST")
+    co_await append(Request, *Answer);
   else
-    co_await read(Ask, *Answer);
+    co_await read(Request, *Answer);
 }
 
-asio::awaitable<void> FakePlatform::append(const http::Request &Ask,
+asio::awaitable<void> FakePlatform::append(const http::Request &Request,
                                            http::Responder &Answer) {
   Offset at = 0;
   {
     std::lock_guard<std::mutex> lock(Guard);
     at = Records.size();
-    Records.push_back(Ask.Body);
+    Records.push_back(Request.Body);
   }
-  if (LoseAnswers.load() > 0) {
-    LoseAnswers.fetch_sub(1);
+  if (AppendAnswersToLose.load() > 0) {
+    AppendAnswersToLose.fetch_sub(1);
     Answer.abort();
     co_return;
   }
@@ -112,12 +113,12 @@
   co_await Answer.send(std::move(done));
 }
 
-asio::awaitable<void> FakePlatform::read(const http::Request &Ask,
+asio::awaitable<void> FakePlatform::read(const http::Request &Request,
                                          http::Responder &Answer) {
   Reads.fetch_add(1);
-  Offset from = number(Ask.query("from"));
-  std::size_t max = number(Ask.query("max"));
-  std::chrono::milliseconds wait(number(Ask.query("wait_ms")));
+  Offset from = number(Request.query("from"));
+  std::size_t max = number(Request.query("max"));
+  std::chrono::milliseconds wait(number(Request.query("wait_ms")));
   std::chrono::steady_clock::time_point until =
       std::chrono::steady_clock::now() + wait;
   BootTimer timer(co_await asio::this_coro::executor);
@@ -126,7 +127,7 @@
   std::string body = rangeJson(from, max, expired, empty);
   while (empty && !expired && !Outage.load() && !Answer.gone() &&
          std::chrono::steady_clock::now() < until) {
-    timer.expires_after(PollPeriod);
+    timer.expires_after(PollInterval);
     co_await timer.async_wait(Awaited);
     body = rangeJson(from, max, expired, empty);
   }
--- a/UnitTests/Node/FakePlatform.h
+++ b/UnitTests/Node/FakePlatform.h
@@ -1,5 +1,6 @@
 /// \file
-/// The platform's log and instance list in memory, over HTTP, for tests.
+/// In-memory implementation of the platform's log and instance list over HTTP,
+/// for tests.
 #ifndef WASABI_UNITTESTS_NODE_FAKEPLATFORM_H
 #define WASABI_UNITTESTS_NODE_FAKEPLATFORM_H
 
@@ -19,7 +20,7 @@
 
 namespace wasabi {
 
-/// Serves both interfaces on one address, on a thread of its own. Thread-safe.
+/// Serves both interfaces on one address and its own thread. Thread-safe.
 class FakePlatform {
 public:
   FakePlatform();
@@ -30,28 +31,28 @@
   Address address() const { return Bound; }
   std::vector<std::string> records() const;
   Offset first() const;
-  /// Drops the oldest records but `Count`.
+  /// Drops all but the newest `Count` records.
   void retainNewest(std::size_t Count);
-  /// Drops an instance from the list.
+  /// Removes an instance from the list.
   void unlist(const std::string &Name);
-  /// Requests for records so far.
+  /// Number of read requests so far.
   std::size_t reads() const { return Reads.load(); }
 
-  /// The log answers nothing.
+  /// While true, the log answers no request.
   std::atomic<bool> Outage{false};
-  /// The list stays as it is, whatever is announced.
+  /// While true, announcements do not change the list.
   std::atomic<bool> ListFrozen{false};
-  /// This many next appends take effect and lose their answer.
-  std::atomic<int> LoseAnswers{0};
-  /// Reads hide this many of the newest records.
+  /// Number of appends that take effect but lose their answer.
+  std::atomic<int> AppendAnswersToLose{0};
+  /// Number of the newest records that reads hide.
   std::atomic<std::size_t> HideNewest{0};
 
 private:
-  boost::asio::awaitable<void> handle(http::Request Ask,
+  boost::asio::awaitable<void> handle(http::Request Request,
                                       std::shared_ptr<http::Responder> Answer);
-  boost::asio::awaitable<void> append(const http::Request &Ask,
+  boost::asio::awaitable<void> append(const http::Request &Request,
                                       http::Responder &Answer);
-  boost::asio::awaitable<void> read(const http::Request &Ask,
+  boost::asio::awaitable<void> read(const http::Request &Request,
                                     http::Responder &Answer);
   std::string rangeJson(Offset From, std::size_t Max, bool &Expired,
                         bool &Empty) const;
@@ -64,7 +65,7 @@
   mutable std::mutex Guard;
   std::vector<std::string> Records;
   Offset First = 0;
-  /// Bodies of announcements by name, as JSON.
+  /// Announced entries as JSON, by name.
   std::vector<std::pair<std::string, std::string>> Listed;
   std::atomic<std::size_t> Reads{0};
   std::thread Thread;
--- a/Wasabi/Membership/Fanout.cpp
+++ b/Wasabi/Membership/Fanout.cpp
@@ -12,23 +12,24 @@
 
 constexpr char Ring[] = "ring";
 
-bool canBeTold(const Member &Who) { return Who.State != Health::Dead; }
+bool isGossipTarget(const Member &Info) { return Info.State != Health::Dead; }
 
-/// A random element taken out of `From`. Precondition: there is one.
-InstanceName takeOne(std::vector<InstanceName> &From, std::mt19937_64 &Random) {
-  std::size_t at = Random() % From.size();
-  std::swap(From[at], From.back());
-  InstanceName taken = std::move(From.back());
-  From.pop_back();
+/// Removes and returns a random name. Precondition: `Names` is not empty.
+InstanceName takeRandom(std::vector<InstanceName> &Names,
+                        std::mt19937_64 &Random) {
+  std::size_t at = Random() % Names.size();
+  std::swap(Names[at], Names.back());
+  InstanceName taken = std::move(Names.back());
+  Names.pop_back();
   return taken;
 }
 
-/// Moves the first name after `Self` on the ring to the end of `Names`.
+/// Moves the successor of `Self` on the ring to the end of `Names`.
 void putSuccessorLast(std::vector<InstanceName> &Names,
                       const InstanceName &Self) {
   std::uint64_t own = rendezvousWeight(Ring, Self);
   auto closer = [&](const InstanceName &Left, const InstanceName &Right) {
-    // Distance round the ring, which wraps as the numbers do.
+    // Distance on the ring; unsigned subtraction wraps around.
     return rendezvousWeight(Ring, Left) - own <
            rendezvousWeight(Ring, Right) - own;
   };
@@ -38,16 +39,16 @@
 
 } // namespace
 
-std::vector<InstanceName> chooseFanout(const View &Seen,
+std::vector<InstanceName> chooseFanout(const View &ClusterView,
                                        const FanoutSettings &Limits,
                                        std::mt19937_64 &Random) {
-  auto self = Seen.Members.find(Seen.Self);
+  auto self = ClusterView.Members.find(ClusterView.Self);
   DomainName domain =
-      self == Seen.Members.end() ? DomainName() : self->second.Domain;
+      self == ClusterView.Members.end() ? DomainName() : self->second.Domain;
   std::vector<InstanceName> own;
   std::map<DomainName, std::vector<InstanceName>> others;
-  for (const auto &[name, member] : Seen.Members) {
-    if (name == Seen.Self || !canBeTold(member))
+  for (const auto &[name, member] : ClusterView.Members) {
+    if (name == ClusterView.Self || !isGossipTarget(member))
       continue;
     if (member.Domain == domain)
       own.push_back(name);
@@ -57,15 +58,15 @@
 
   std::vector<InstanceName> chosen;
   if (!own.empty()) {
-    putSuccessorLast(own, Seen.Self);
+    putSuccessorLast(own, ClusterView.Self);
     chosen.push_back(std::move(own.back()));
     own.pop_back();
   }
   for (std::size_t n = 0; n < Limits.RandomPeers && !own.empty(); ++n)
-    chosen.push_back(takeOne(own, Random));
+    chosen.push_back(takeRandom(own, Random));
   if (Limits.OtherDomains) {
     for (auto &[other, names] : others)
-      chosen.push_back(takeOne(names, Random));
+      chosen.push_back(takeRandom(names, Random));
   }
   return chosen;
 }
--- a/Wasabi/Membership/Fanout.h
+++ b/Wasabi/Membership/Fanout.h
@@ -1,8 +1,8 @@
 /// \file
-/// To whom news goes on at once. Within a failure domain the members stand in a
-/// ring by hash; each passes news on to its successor, so that none is left out
-/// while the ring holds, and to a few random members, so that it is quick. One
-/// member of each other domain gets it too.
+/// Selects the members that an urgent update is forwarded to.
+/// Within a failure domain the members form a ring ordered by hash. Each member
+/// forwards to its successor, which guarantees coverage, and to a few random
+/// members, which limits the number of hops.
 #ifndef WASABI_MEMBERSHIP_FANOUT_H
 #define WASABI_MEMBERSHIP_FANOUT_H
 
@@ -16,16 +16,17 @@
 namespace wasabi {
 
 struct FanoutSettings {
-  /// Random members of the own domain, besides the successor.
+  /// Number of random members of the own failure domain, in addition to the
+  /// successor.
   std::size_t RandomPeers = 2;
-  /// Whether one member of each other domain is told too.
+  /// True if one member of each other failure domain is also selected.
   bool OtherDomains = false;
   bool operator==(const FanoutSettings &) const = default;
 };
 
-/// The members to tell, each once, never self, none that is dead. Pure but for
-/// the engine.
-std::vector<InstanceName> chooseFanout(const View &Seen,
+/// Returns the members to forward to, without duplicates, `Self` or dead
+/// members. Pure except for `Random`.
+std::vector<InstanceName> chooseFanout(const View &ClusterView,
                                        const FanoutSettings &Limits,
                                        std::mt19937_64 &Random);
 
--- a/Wasabi/Membership/ListedInstance.h
+++ b/Wasabi/Membership/ListedInstance.h
@@ -1,5 +1,6 @@
 /// \file
-/// One line of the platform's lagging list of instances.
+/// An entry of the platform's list of instances, which lags behind the actual
+/// state.
 #ifndef WASABI_MEMBERSHIP_LISTEDINSTANCE_H
 #define WASABI_MEMBERSHIP_LISTEDINSTANCE_H
 
@@ -9,14 +10,14 @@
 
 namespace wasabi {
 
-/// An instance as the platform lists it. An immutable value.
+/// An instance as listed by the platform. An immutable value.
 struct ListedInstance {
   InstanceName Instance;
   DomainName Domain;
   Role Kind = Role::Daemon;
-  /// Where it takes control frames.
+  /// Address on which it accepts control frames.
   Address ControlAddress;
-  /// Its admin HTTP.
+  /// Address of its admin HTTP server.
   Address AdminAddress;
   bool Leaving = false;
   Incarnation Life = 0;
--- a/Wasabi/Membership/MemberUpdate.h
+++ b/Wasabi/Membership/MemberUpdate.h
@@ -1,5 +1,5 @@
 /// \file
-/// One thing told about a member.
+/// An update about one member, as exchanged by gossip.
 #ifndef WASABI_MEMBERSHIP_MEMBERUPDATE_H
 #define WASABI_MEMBERSHIP_MEMBERUPDATE_H
 
@@ -8,12 +8,13 @@
 
 namespace wasabi {
 
-/// What is told about a member. An immutable value.
+/// An update about one member. An immutable value.
 struct MemberUpdate {
-  /// The member. Without addresses and domain where these have not changed, and
-  /// without servers too where only its bad health is told.
+  /// The member. Addresses and failure domain are empty if they are unchanged;
+  /// servers are empty too if the update reports a health other than alive.
   Member Subject;
-  /// Who suspects it, when it is told as suspect.
+  /// The instance that suspects the member; empty unless the update reports a
+  /// suspicion.
   InstanceName Accuser;
   bool operator==(const MemberUpdate &) const = default;
 };
--- a/Wasabi/Membership/Rendezvous.h
+++ b/Wasabi/Membership/Rendezvous.h
@@ -1,7 +1,7 @@
 /// \file
-/// Rendezvous hashing (Thaler and Ravishankar 1998) over the view: all who hold
-/// the same view choose the same members for a thing, and a member that goes
-/// moves only what it had.
+/// Rendezvous hashing (Thaler and Ravishankar 1998) over the membership view.
+/// Processes with equal views choose the same members for a key, and the
+/// departure of a member moves only the keys assigned to it.
 #ifndef WASABI_MEMBERSHIP_RENDEZVOUS_H
 #define WASABI_MEMBERSHIP_RENDEZVOUS_H
 
@@ -15,22 +15,23 @@
 
 namespace wasabi {
 
-/// The weight of a member for a thing; the greatest is chosen first. Pure.
-std::uint64_t rendezvousWeight(std::string_view Thing,
+/// Returns the weight of a member for a key. The member with the greatest
+/// weight is chosen first. Pure.
+std::uint64_t rendezvousWeight(std::string_view Key,
                                const InstanceName &Member);
 
-/// The names with the first of the ranking first. Pure.
-std::vector<InstanceName> rankMembers(std::string_view Thing,
+/// Returns the names sorted by descending weight for `Key`. Pure.
+std::vector<InstanceName> rankMembers(std::string_view Key,
                                       std::vector<InstanceName> Names);
 
-/// How many members of `Self`'s role that take work come before `Self` for a
-/// thing: 0 for the first. Pure.
-std::size_t rankOf(std::string_view Thing, const View &Seen);
+/// Returns the number of members with `Self`'s role that accept work and rank
+/// before `Self` for `Key`; 0 if `Self` ranks first. Pure.
+std::size_t rankOf(std::string_view Key, const View &ClusterView);
 
-/// Whether `Self` is among the readers of the log: the first `PerDomain`
-/// members of its domain that take work. True for a `Self` not in the view,
-/// which has nobody to read for it. Pure.
-bool isLogReader(const View &Seen, std::uint32_t PerDomain);
+/// Returns true if `Self` ranks among the first `PerDomain` members of its
+/// failure domain that accept work. Also true if `Self` is not in the view, as
+/// no other process is known to read the log for it. Pure.
+bool isLogReader(const View &ClusterView, std::uint32_t PerDomain);
 
 } // namespace wasabi
 
--- a/Wasabi/Membership/Swim.cpp
+++ b/Wasabi/Membership/Swim.cpp
@@ -10,16 +10,16 @@
 namespace wasabi {
 namespace {
 
-/// Most steps of bad local health.
+/// Maximum local health score.
 constexpr std::uint32_t MaxLocalHealth = 8;
-/// Hearing news that one tells oneself saves this many tellings: who hears it
-/// often enough can take it as known (Demers et al. 1987, rumours with a
-/// counter).
-constexpr std::uint32_t HeardAgain = 4;
-/// How often a process repeats a refutation that someone missed.
-constexpr std::uint32_t Reminders = 2;
-/// Fewest failed targets by which a process doubts itself.
-constexpr std::size_t FewestDoubtful = 2;
+/// Number of transmissions saved when a peer is found to know an update already
+/// (Demers et al. 1987, rumor mongering with a counter).
+constexpr std::uint32_t TransmitsSavedPerEcho = 4;
+/// Number of transmissions of a refutation that a peer has missed.
+constexpr std::uint32_t RefutationTransmits = 2;
+/// Minimum number of unreachable members at which this process may consider
+/// itself isolated.
+constexpr std::size_t MinUnreachableMembers = 2;
 
 constexpr char ByItself[] = "itself";
 constexpr char ByList[] = "list";
@@ -29,598 +29,637 @@
 constexpr char ByLeavingAndProbe[] = "leaving+probe";
 constexpr char BySuspicion[] = "probe+peers";
 
-/// One decision in the making.
-struct Step {
+/// State of applying one event.
+struct EventContext {
   SwimState &State;
   TimePoint Now;
-  SwimEffects Done;
-  /// Whether the news at hand came in bulk.
-  bool Bulk = false;
+  SwimEffects Effects;
+  /// True if the updates come from a digest exchange.
+  bool IsBulk = false;
 };
 
 bool isSelf(const SwimState &State, const InstanceName &Name) {
   return Name == State.Self;
 }
 
-bool isPresent(const SwimMember &Held) {
-  return Held.Who.State != Health::Dead;
+bool isPresent(const SwimMember &Entry) {
+  return Entry.Info.State != Health::Dead;
 }
 
 std::size_t countPresent(const SwimState &State) {
   std::size_t count = 0;
-  for (const auto &[name, held] : State.Members)
-    count += isPresent(held) ? 1 : 0;
+  for (const auto &[name, entry] : State.Members)
+    count += isPresent(entry) ? 1 : 0;
   return count;
 }
 
-/// What is told of a member: all when it is alive, else its health alone.
-MemberUpdate newsOf(const SwimMember &Held) {
-  MemberUpdate news;
-  news.Subject = Held.Who;
-  if (Held.Who.State == Health::Alive)
-    return news;
-  Member slim;
-  slim.Instance = Held.Who.Instance;
-  slim.Domain = Held.Who.Domain;
-  slim.Kind = Held.Who.Kind;
-  slim.Life = Held.Who.Life;
-  slim.State = Held.Who.State;
-  slim.Stamp = Held.Who.Stamp;
-  news.Subject = std::move(slim);
-  return news;
-}
-
-/// What is told of a member whose servers or stamp alone have changed: most
-/// changes are of that kind, and addresses are most of a member's bytes.
-MemberUpdate updateOf(const SwimMember &Held) {
-  MemberUpdate news = newsOf(Held);
-  news.Subject.Domain = DomainName();
-  news.Subject.Requests = Address();
-  news.Subject.Control = Address();
-  news.Subject.Admin = Address();
-  return news;
-}
-
-/// Whether news is of servers or the stamp alone.
-bool isUpdate(const MemberUpdate &News) {
-  return News.Subject.State == Health::Alive && News.Subject.Control.empty();
-}
-
-std::uint32_t timesToTell(const SwimState &State, bool Update) {
+/// Returns the complete state of an alive member; for other members only
+/// identity and health.
+MemberUpdate makeUpdate(const SwimMember &Entry) {
+  MemberUpdate update;
+  update.Subject = Entry.Info;
+  if (Entry.Info.State == Health::Alive)
+    return update;
+  Member healthOnly;
+  healthOnly.Instance = Entry.Info.Instance;
+  healthOnly.Domain = Entry.Info.Domain;
+  healthOnly.Kind = Entry.Info.Kind;
+  healthOnly.Life = Entry.Info.Life;
+  healthOnly.State = Entry.Info.State;
+  healthOnly.Stamp = Entry.Info.Stamp;
+  update.Subject = std::move(healthOnly);
+  return update;
+}
+
+/// Returns an update without addresses and failure domain, for changes of
+/// servers or stamp only. These changes are the most frequent, and addresses
+/// are most of a member's size.
+MemberUpdate makePartialUpdate(const SwimMember &Entry) {
+  MemberUpdate update = makeUpdate(Entry);
+  update.Subject.Domain = DomainName();
+  update.Subject.Requests = Address();
+  update.Subject.Control = Address();
+  update.Subject.Admin = Address();
+  return update;
+}
+
+/// Returns true if an update covers only servers and stamp.
+bool isPartialUpdate(const MemberUpdate &Update) {
+  return Update.Subject.State == Health::Alive &&
+         Update.Subject.Control.empty();
+}
+
+std::uint32_t transmitCount(const SwimState &State, bool Partial) {
   const SwimSettings &limits = State.Limits;
   std::uint32_t factor =
-      Update ? limits.ServerRetransmitFactor : limits.RetransmitFactor;
+      Partial ? limits.ServerRetransmitFactor : limits.RetransmitFactor;
   double members = static_cast<double>(countPresent(State) + 1);
   std::uint32_t rounds =
       static_cast<std::uint32_t>(std::ceil(std::log(members)));
   return std::max(factor * rounds, 1u);
 }
 
-void tell(Step &On, MemberUpdate News) {
-  InstanceName name = News.Subject.Instance;
-  // Addresses that are still being told must not be lost to an update.
-  auto held = On.State.PendingUpdates.find(name);
-  if (isUpdate(News) && held != On.State.PendingUpdates.end() &&
-      !held->second.News.Subject.Control.empty())
-    News = newsOf(On.State.Members.at(name));
-  std::uint32_t times = timesToTell(On.State, isUpdate(News));
-  // What an exchange brings in bulk, the others get by their own exchanges.
-  if (On.Bulk)
+void queueUpdate(EventContext &Context, MemberUpdate Update) {
+  InstanceName name = Update.Subject.Instance;
+  // A pending update with addresses must not be replaced by one without.
+  auto entry = Context.State.PendingUpdates.find(name);
+  if (isPartialUpdate(Update) && entry != Context.State.PendingUpdates.end() &&
+      !entry->second.Update.Subject.Control.empty())
+    Update = makeUpdate(Context.State.Members.at(name));
+  std::uint32_t times = transmitCount(Context.State, isPartialUpdate(Update));
+  // Other members obtain the result of a digest exchange by their own
+  // exchanges.
+  if (Context.IsBulk)
     times = 1;
-  On.State.PendingUpdates[name] = PendingUpdate{std::move(News), times};
+  Context.State.PendingUpdates[name] = PendingUpdate{std::move(Update), times};
 }
 
-/// Takes note of a new health, or of new content with the same health.
-void noteChange(Step &On, SwimMember &Held, Health Was, std::string Witness) {
-  On.Done.ViewChanged = true;
-  Health now = Held.Who.State;
+/// Records a change of health, or of other state with the same health.
+void recordChange(EventContext &Context, SwimMember &Entry, Health Was,
+                  std::string Witness) {
+  Context.Effects.ViewChanged = true;
+  Health now = Entry.Info.State;
   if (now != Health::Suspect)
-    Held.Accusers.clear();
+    Entry.Accusers.clear();
   if (now == Was)
     return;
-  Held.Since = On.Now;
+  Entry.HealthSince = Context.Now;
   if (now == Health::Leaving)
-    Held.Left = true;
-  On.Done.Changes.push_back(
-      HealthChange{Held.Who.Instance, Held.Who.Life, now, std::move(Witness)});
-  // Who leaves or is gone must get no more work: that does not wait for probes.
+    Entry.HasLeft = true;
+  Context.Effects.Changes.push_back(HealthChange{
+      Entry.Info.Instance, Entry.Info.Life, now, std::move(Witness)});
+  // Leaving and dead members must receive no more work, so this is sent
+  // immediately.
   if (now == Health::Leaving || now == Health::Dead)
-    On.Done.Urgent.push_back(newsOf(Held));
+    Context.Effects.Urgent.push_back(makeUpdate(Entry));
 }
 
-void setHealth(Step &On, SwimMember &Held, Health Now, std::string Witness) {
-  Health was = Held.Who.State;
-  Held.Who.State = Now;
-  noteChange(On, Held, was, std::move(Witness));
-  tell(On, newsOf(Held));
+void setHealth(EventContext &Context, SwimMember &Entry, Health NewHealth,
+               std::string Witness) {
+  Health was = Entry.Info.State;
+  Entry.Info.State = NewHealth;
+  recordChange(Context, Entry, was, std::move(Witness));
+  queueUpdate(Context, makeUpdate(Entry));
 }
 
-void suspect(Step &On, SwimMember &Held, const InstanceName &Accuser,
-             const char *Witness) {
-  if (Held.Who.State != Health::Alive && Held.Who.State != Health::Suspect)
+void suspect(EventContext &Context, SwimMember &Entry,
+             const InstanceName &Accuser, const char *Witness) {
+  if (Entry.Info.State != Health::Alive && Entry.Info.State != Health::Suspect)
     return;
-  bool enough = Held.Accusers.size() >= On.State.Limits.Accusers;
-  bool known = Held.Accusers.contains(Accuser);
-  if (Held.Who.State == Health::Suspect && (enough || known))
+  bool enough =
+      Entry.Accusers.size() >= Context.State.Limits.MinSuspicionAccusers;
+  bool known = Entry.Accusers.contains(Accuser);
+  if (Entry.Info.State == Health::Suspect && (enough || known))
     return;
-  if (Held.Who.State == Health::Alive)
-    setHealth(On, Held, Health::Suspect, Witness);
-  Held.Accusers.insert(Accuser);
-  MemberUpdate news = newsOf(Held);
-  news.Accuser = Accuser;
-  tell(On, std::move(news));
+  if (Entry.Info.State == Health::Alive)
+    setHealth(Context, Entry, Health::Suspect, Witness);
+  Entry.Accusers.insert(Accuser);
+  MemberUpdate update = makeUpdate(Entry);
+  update.Accuser = Accuser;
+  queueUpdate(Context, std::move(update));
 }
 
-/// A new member takes its place among the probes at random, so that it waits
-/// half a round on average.
+/// Inserts a new member at a random position, so that it waits half a round on
+/// average.
 void insertIntoProbes(SwimState &State, const InstanceName &Name) {
   std::size_t at = State.Random() % (State.ProbeOrder.size() + 1);
   State.ProbeOrder.insert(
       State.ProbeOrder.begin() + static_cast<std::ptrdiff_t>(at), Name);
 }
 
-SwimMember &addMember(Step &On, Member Who, std::string Witness) {
-  InstanceName name = Who.Instance;
-  SwimMember &held = On.State.Members[name];
-  held = SwimMember();
-  On.State.PendingUpdates.erase(name);
-  held.Who = std::move(Who);
-  held.Since = On.Now;
-  held.Left = held.Who.State == Health::Leaving;
-  if (std::find(On.State.ProbeOrder.begin(), On.State.ProbeOrder.end(), name) ==
-      On.State.ProbeOrder.end())
-    insertIntoProbes(On.State, name);
-  On.Done.ViewChanged = true;
-  On.Done.Changes.push_back(
-      HealthChange{name, held.Who.Life, held.Who.State, std::move(Witness)});
-  return held;
+SwimMember &addMember(EventContext &Context, Member Info, std::string Witness) {
+  InstanceName name = Info.Instance;
+  SwimMember &entry = Context.State.Members[name];
+  entry = SwimMember();
+  Context.State.PendingUpdates.erase(name);
+  entry.Info = std::move(Info);
+  entry.HealthSince = Context.Now;
+  entry.HasLeft = entry.Info.State == Health::Leaving;
+  if (std::find(Context.State.ProbeOrder.begin(),
+                Context.State.ProbeOrder.end(),
+                name) == Context.State.ProbeOrder.end())
+    insertIntoProbes(Context.State, name);
+  Context.Effects.ViewChanged = true;
+  Context.Effects.Changes.push_back(HealthChange{
+      name, entry.Info.Life, entry.Info.State, std::move(Witness)});
+  return entry;
 }
 
-// ---- self ----
+// ---- This process ----
 
-Member &selfOf(SwimState &State) { return State.Members.at(State.Self).Who; }
+Member &selfOf(SwimState &State) { return State.Members.at(State.Self).Info; }
 
-void tellSelf(Step &On, bool Whole) {
-  SwimMember &held = On.State.Members.at(On.State.Self);
-  ++held.Who.Stamp;
-  On.Done.ViewChanged = true;
-  tell(On, Whole ? newsOf(held) : updateOf(held));
+void announceSelf(EventContext &Context, bool IsComplete) {
+  SwimMember &entry = Context.State.Members.at(Context.State.Self);
+  ++entry.Info.Stamp;
+  Context.Effects.ViewChanged = true;
+  queueUpdate(Context,
+              IsComplete ? makeUpdate(entry) : makePartialUpdate(entry));
 }
 
-/// Whoever says it, to leave is final: work is no longer sent here.
-void leaveSelf(Step &On, const char *Witness) {
-  SwimMember &held = On.State.Members.at(On.State.Self);
-  if (held.Left)
+/// Leaving is final, whatever its source: no more work is sent here.
+void leaveSelf(EventContext &Context, const char *Witness) {
+  SwimMember &entry = Context.State.Members.at(Context.State.Self);
+  if (entry.HasLeft)
     return;
-  ++held.Who.Stamp;
-  setHealth(On, held, Health::Leaving, Witness);
+  ++entry.Info.Stamp;
+  setHealth(Context, entry, Health::Leaving, Witness);
 }
 
-/// Others say something of this process.
-void hearOfSelf(Step &On, const Member &Told) {
-  Member &self = selfOf(On.State);
-  if (Told.Life != self.Life)
+/// Applies an update about this process.
+void applyUpdateAboutSelf(EventContext &Context, const Member &Reported) {
+  Member &self = selfOf(Context.State);
+  if (Reported.Life != self.Life)
     return;
-  if (Told.State == Health::Leaving) {
-    leaveSelf(On, ByPeers);
+  if (Reported.State == Health::Leaving) {
+    leaveSelf(Context, ByPeers);
     return;
   }
-  bool bad = Told.State == Health::Suspect || Told.State == Health::Dead;
-  if (Told.Stamp < self.Stamp) {
-    // Refuted already, but the teller has missed it: the answer tells it again.
-    if (bad && !On.State.PendingUpdates.contains(On.State.Self))
-      On.State.PendingUpdates[On.State.Self] =
-          PendingUpdate{newsOf(On.State.Members.at(On.State.Self)), Reminders};
+  bool accused =
+      Reported.State == Health::Suspect || Reported.State == Health::Dead;
+  if (Reported.Stamp < self.Stamp) {
+    // The sender has missed an earlier refutation; send it again.
+    if (accused && !Context.State.PendingUpdates.contains(Context.State.Self))
+      Context.State.PendingUpdates[Context.State.Self] = PendingUpdate{
+          makeUpdate(Context.State.Members.at(Context.State.Self)),
+          RefutationTransmits};
     return;
   }
-  if (bad) {
-    // Only this process can refute it, by saying something newer. To have been
-    // suspected is a sign that it is slow itself.
-    self.Stamp = Told.Stamp;
-    On.State.LocalHealth = std::min(On.State.LocalHealth + 1, MaxLocalHealth);
-    tellSelf(On, true);
-  } else if (Told.Stamp > self.Stamp) {
-    self.Stamp = Told.Stamp;
-    tellSelf(On, true);
+  if (accused) {
+    // Only this process can refute the report, with a greater stamp. A
+    // suspicion also indicates that this process is slow.
+    self.Stamp = Reported.Stamp;
+    Context.State.LocalHealth =
+        std::min(Context.State.LocalHealth + 1, MaxLocalHealth);
+    announceSelf(Context, true);
+  } else if (Reported.Stamp > self.Stamp) {
+    self.Stamp = Reported.Stamp;
+    announceSelf(Context, true);
   }
 }
 
-// ---- news ----
+// ---- Updates ----
 
-/// Copies what a member says of itself; slim news has none of it.
-void takeContent(Member &Into, const Member &From) {
-  if (From.State != Health::Alive)
+/// Copies the state that a member reports of itself; health-only updates have
+/// none.
+void copySelfReported(Member &Target, const Member &Source) {
+  if (Source.State != Health::Alive)
     return;
-  Into.Servers = From.Servers;
-  if (From.Control.empty())
+  Target.Servers = Source.Servers;
+  if (Source.Control.empty())
     return;
-  Into.Domain = From.Domain;
-  Into.Kind = From.Kind;
-  Into.Requests = From.Requests;
-  Into.Control = From.Control;
-  Into.Admin = From.Admin;
+  Target.Domain = Source.Domain;
+  Target.Kind = Source.Kind;
+  Target.Requests = Source.Requests;
+  Target.Control = Source.Control;
+  Target.Admin = Source.Admin;
 }
 
-/// News of an incarnation not known here.
-void hearOfNew(Step &On, const MemberUpdate &News) {
-  const Member &told = News.Subject;
-  // Without addresses it is of no use; but a leaver or a dead one is kept as a
-  // mark against older news.
-  bool mark = told.State == Health::Leaving || told.State == Health::Dead;
-  if (!mark && told.Control.empty())
+/// Applies an update about an unknown incarnation.
+void applyNewIncarnation(EventContext &Context, const MemberUpdate &Update) {
+  const Member &reported = Update.Subject;
+  // A member without addresses is ignored, except that a leaving or dead one is
+  // kept to reject older updates.
+  bool isTombstone =
+      reported.State == Health::Leaving || reported.State == Health::Dead;
+  if (!isTombstone && reported.Control.empty())
     return;
-  SwimMember &held = addMember(On, told, ByPeers);
-  if (told.State == Health::Leaving)
-    On.Done.Urgent.push_back(newsOf(held));
-  tell(On, newsOf(held));
+  SwimMember &entry = addMember(Context, reported, ByPeers);
+  if (reported.State == Health::Leaving)
+    Context.Effects.Urgent.push_back(makeUpdate(entry));
+  queueUpdate(Context, makeUpdate(entry));
 }
 
-/// Counts one more process that knows what is being told.
-void countKnown(SwimState &State,
-                std::map<InstanceName, PendingUpdate>::iterator At) {
+/// Reduces the remaining transmissions, as one more process knows the update.
+void reduceTransmits(SwimState &State,
+                     std::map<InstanceName, PendingUpdate>::iterator At) {
   std::uint32_t &left = At->second.TransmitsLeft;
-  left -= std::min(left, HeardAgain);
+  left -= std::min(left, TransmitsSavedPerEcho);
   if (left == 0)
     State.PendingUpdates.erase(At);
 }
 
-/// News that is known already needs less telling.
-void hearAgain(Step &On, const MemberUpdate &News) {
-  auto found = On.State.PendingUpdates.find(News.Subject.Instance);
-  if (found == On.State.PendingUpdates.end())
+/// A known update needs fewer transmissions.
+void countRedundantUpdate(EventContext &Context, const MemberUpdate &Update) {
+  auto found = Context.State.PendingUpdates.find(Update.Subject.Instance);
+  if (found == Context.State.PendingUpdates.end())
     return;
-  const Member &own = found->second.News.Subject;
-  const Member &told = News.Subject;
-  if (own.Life != told.Life || own.Stamp != told.Stamp ||
-      own.State != told.State || found->second.News.Accuser != News.Accuser)
+  const Member &own = found->second.Update.Subject;
+  const Member &reported = Update.Subject;
+  if (own.Life != reported.Life || own.Stamp != reported.Stamp ||
+      own.State != reported.State ||
+      found->second.Update.Accuser != Update.Accuser)
     return;
-  countKnown(On.State, found);
+  reduceTransmits(Context.State, found);
 }
 
-/// Leaving is final, whatever stamp it is told with.
-void hearLeaving(Step &On, SwimMember &Held, const Member &Told) {
-  if (Held.Left)
+/// Leaving is final, regardless of the stamp.
+void applyLeaving(EventContext &Context, SwimMember &Entry,
+                  const Member &Reported) {
+  if (Entry.HasLeft)
     return;
-  Held.Who.Stamp = std::max(Held.Who.Stamp, Told.Stamp);
-  if (Held.Who.State == Health::Dead)
-    Held.Left = true;
+  Entry.Info.Stamp = std::max(Entry.Info.Stamp, Reported.Stamp);
+  if (Entry.Info.State == Health::Dead)
+    Entry.HasLeft = true;
   else
-    setHealth(On, Held, Health::Leaving, ByPeers);
+    setHealth(Context, Entry, Health::Leaving, ByPeers);
 }
 
-void hearAlive(Step &On, SwimMember &Held, const MemberUpdate &News) {
-  const Member &told = News.Subject;
-  if (told.Stamp <= Held.Who.Stamp) {
-    hearAgain(On, News);
+void applyAlive(EventContext &Context, SwimMember &Entry,
+                const MemberUpdate &Update) {
+  const Member &reported = Update.Subject;
+  if (reported.Stamp <= Entry.Info.Stamp) {
+    countRedundantUpdate(Context, Update);
     return;
   }
-  // An update on one known by the list alone lacks what is not known yet.
-  if (Held.Who.Stamp == 0 && told.Control.empty())
-    return;
-  Health was = Held.Who.State;
-  takeContent(Held.Who, told);
-  Held.Who.Stamp = told.Stamp;
-  // The member itself has spoken: suspicion and death are refuted; but a
-  // leaver stays one.
-  if (!Held.Left) {
-    Held.Who.State = Health::Alive;
-    Held.LastProbeFailed = false;
+  // A partial update about a member that is known only from the list lacks its
+  // addresses.
+  if (Entry.Info.Stamp == 0 && reported.Control.empty())
+    return;
+  Health was = Entry.Info.State;
+  copySelfReported(Entry.Info, reported);
+  Entry.Info.Stamp = reported.Stamp;
+  // A greater stamp comes from the member itself and refutes suspicion and
+  // death, but not leaving.
+  if (!Entry.HasLeft) {
+    Entry.Info.State = Health::Alive;
+    Entry.LastProbeFailed = false;
   }
-  noteChange(On, Held, was, ByItself);
-  if (!Held.Left)
-    tell(On, told.Control.empty() ? updateOf(Held) : newsOf(Held));
+  recordChange(Context, Entry, was, ByItself);
+  if (!Entry.HasLeft)
+    queueUpdate(Context, reported.Control.empty() ? makePartialUpdate(Entry)
+                                                  : makeUpdate(Entry));
 }
 
-/// Whether anything but the teller's word says that a member is gone.
-bool hasOtherWitness(const SwimMember &Held, const InstanceName &Teller) {
-  if (Held.LastProbeFailed || Held.Unlisted || Held.Left)
+/// Returns true if there is evidence other than the sender's report that a
+/// member is gone.
+bool hasOtherWitness(const SwimMember &Entry, const InstanceName &Sender) {
+  if (Entry.LastProbeFailed || Entry.RemovedFromList || Entry.HasLeft)
     return true;
-  return std::any_of(Held.Accusers.begin(), Held.Accusers.end(),
-                     [&](const InstanceName &it) { return it != Teller; });
+  return std::any_of(Entry.Accusers.begin(), Entry.Accusers.end(),
+                     [&](const InstanceName &it) { return it != Sender; });
 }
 
-/// One process alone may be wrong about all others: its word is an accusation
-/// until another witness joins it.
-void hearDead(Step &On, SwimMember &Held, const InstanceName &Teller) {
-  if (hasOtherWitness(Held, Teller)) {
-    setHealth(On, Held, Health::Dead, ByPeers);
+/// A single process may be isolated: its report that a member is dead counts as
+/// a suspicion until there is other evidence.
+void applyDead(EventContext &Context, SwimMember &Entry,
+               const InstanceName &Sender) {
+  if (hasOtherWitness(Entry, Sender)) {
+    setHealth(Context, Entry, Health::Dead, ByPeers);
     return;
   }
-  suspect(On, Held, Teller, ByPeers);
-  On.Done.Probes.push_back(Held.Who.Instance);
+  suspect(Context, Entry, Sender, ByPeers);
+  Context.Effects.Probes.push_back(Entry.Info.Instance);
 }
 
-void hearBad(Step &On, SwimMember &Held, const MemberUpdate &News,
-             const InstanceName &Teller) {
-  const Member &told = News.Subject;
-  if (told.Stamp < Held.Who.Stamp || Held.Who.State == Health::Dead) {
-    hearAgain(On, News);
+void applySuspectOrDead(EventContext &Context, SwimMember &Entry,
+                        const MemberUpdate &Update,
+                        const InstanceName &Sender) {
+  const Member &reported = Update.Subject;
+  if (reported.Stamp < Entry.Info.Stamp || Entry.Info.State == Health::Dead) {
+    countRedundantUpdate(Context, Update);
     return;
   }
-  Held.Who.Stamp = told.Stamp;
-  if (told.State == Health::Dead) {
-    hearDead(On, Held, Teller);
+  Entry.Info.Stamp = reported.Stamp;
+  if (reported.State == Health::Dead) {
+    applyDead(Context, Entry, Sender);
     return;
   }
-  hearAgain(On, News);
-  suspect(On, Held, News.Accuser, ByPeers);
+  countRedundantUpdate(Context, Update);
+  suspect(Context, Entry, Update.Accuser, ByPeers);
 }
 
-void hearOne(Step &On, const MemberUpdate &News, const InstanceName &Teller) {
-  const Member &told = News.Subject;
-  if (isSelf(On.State, told.Instance)) {
-    hearOfSelf(On, told);
+void applyUpdate(EventContext &Context, const MemberUpdate &Update,
+                 const InstanceName &Sender) {
+  const Member &reported = Update.Subject;
+  if (isSelf(Context.State, reported.Instance)) {
+    applyUpdateAboutSelf(Context, reported);
     return;
   }
-  auto found = On.State.Members.find(told.Instance);
-  if (found == On.State.Members.end() || told.Life > found->second.Who.Life) {
-    hearOfNew(On, News);
+  auto found = Context.State.Members.find(reported.Instance);
+  if (found == Context.State.Members.end() ||
+      reported.Life > found->second.Info.Life) {
+    applyNewIncarnation(Context, Update);
     return;
   }
-  SwimMember &held = found->second;
-  if (told.Life < held.Who.Life)
+  SwimMember &entry = found->second;
+  if (reported.Life < entry.Info.Life)
     return;
-  if (told.State == Health::Leaving)
-    hearLeaving(On, held, told);
-  else if (told.State == Health::Alive)
-    hearAlive(On, held, News);
+  if (reported.State == Health::Leaving)
+    applyLeaving(Context, entry, reported);
+  else if (reported.State == Health::Alive)
+    applyAlive(Context, entry, Update);
   else
-    hearBad(On, held, News, Teller);
+    applySuspectOrDead(Context, entry, Update, Sender);
 }
 
-// ---- probes ----
+// ---- Probes ----
 
-/// The next in a round through all members in random order, so that each is
-/// probed within two rounds.
-void chooseProbe(Step &On) {
-  SwimState &state = On.State;
+/// Selects the next member of a round in random order, so that each member is
+/// probed at least once in two rounds.
+void chooseProbe(EventContext &Context) {
+  SwimState &state = Context.State;
   for (std::size_t n = 0; n <= state.ProbeOrder.size(); ++n) {
-    if (state.ProbeAt >= state.ProbeOrder.size()) {
+    if (state.NextProbeIndex >= state.ProbeOrder.size()) {
       std::shuffle(state.ProbeOrder.begin(), state.ProbeOrder.end(),
                    state.Random);
-      state.ProbeAt = 0;
+      state.NextProbeIndex = 0;
       if (state.ProbeOrder.empty())
         return;
     }
-    const InstanceName &name = state.ProbeOrder[state.ProbeAt];
-    ++state.ProbeAt;
+    const InstanceName &name = state.ProbeOrder[state.NextProbeIndex];
+    ++state.NextProbeIndex;
     if (isPresent(state.Members.at(name))) {
-      On.Done.Probes.push_back(name);
+      Context.Effects.Probes.push_back(name);
       return;
     }
   }
 }
 
-/// A random dead member, so that after a cut both sides find each other.
-void chooseDeadProbe(Step &On) {
+/// Selects a random dead member, so that both sides of a network partition find
+/// each other after it heals.
+void chooseDeadProbe(EventContext &Context) {
   std::vector<InstanceName> dead;
-  for (const auto &[name, held] : On.State.Members) {
-    if (!isPresent(held) && !held.Left && !held.Who.Control.empty())
+  for (const auto &[name, entry] : Context.State.Members) {
+    if (!isPresent(entry) && !entry.HasLeft && !entry.Info.Control.empty())
       dead.push_back(name);
   }
   if (!dead.empty())
-    On.Done.Probes.push_back(dead[On.State.Random() % dead.size()]);
+    Context.Effects.Probes.push_back(
+        dead[Context.State.Random() % dead.size()]);
 }
 
-/// Whether most of what was probed of late, or most of the view, failed.
-bool judgeSelf(const SwimState &State) {
+/// Returns true if most of the recently probed members failed, or most of the
+/// view is suspect.
+bool detectIsolation(const SwimState &State) {
   std::map<InstanceName, bool> last;
-  for (const ProbeResult &it : State.Recent)
+  for (const ProbeResult &it : State.RecentProbes)
     last[it.Target] = it.Reached;
   std::size_t failed = 0;
   for (const auto &[name, reached] : last)
     failed += reached ? 0 : 1;
-  if (failed >= FewestDoubtful && 2 * failed > last.size())
+  if (failed >= MinUnreachableMembers && 2 * failed > last.size())
     return true;
 
   std::size_t suspects = 0;
-  for (const auto &[name, held] : State.Members)
-    suspects += held.Who.State == Health::Suspect ? 1 : 0;
+  for (const auto &[name, entry] : State.Members)
+    suspects += entry.Info.State == Health::Suspect ? 1 : 0;
   std::size_t others = countPresent(State) - 1;
-  return suspects >= FewestDoubtful && 2 * suspects > others;
+  return suspects >= MinUnreachableMembers && 2 * suspects > others;
 }
 
-void judge(Step &On) {
-  bool doubt = judgeSelf(On.State);
-  if (doubt == On.State.MayBeIsolated)
+void updateIsolation(EventContext &Context) {
+  bool isolated = detectIsolation(Context.State);
+  if (isolated == Context.State.MayBeIsolated)
     return;
-  On.Done.ViewChanged = true;
-  On.State.MayBeIsolated = doubt;
-  if (doubt)
+  Context.Effects.ViewChanged = true;
+  Context.State.MayBeIsolated = isolated;
+  if (isolated)
     return;
-  // What was suspected meanwhile may have been this process' own fault: the
-  // others get their whole time to refute it.
-  for (auto &[name, held] : On.State.Members) {
-    if (held.Who.State != Health::Suspect)
+  // Suspicions raised during the isolation may be wrong: restart their
+  // timeouts.
+  for (auto &[name, entry] : Context.State.Members) {
+    if (entry.Info.State != Health::Suspect)
       continue;
-    held.Since = On.Now;
-    held.Accusers.clear();
-    held.LastProbeFailed = false;
+    entry.HealthSince = Context.Now;
+    entry.Accusers.clear();
+    entry.LastProbeFailed = false;
   }
 }
 
-void endProbe(Step &On, const ProbeEnded &Event) {
-  SwimState &state = On.State;
+void endProbe(EventContext &Context, const ProbeEnded &Event) {
+  SwimState &state = Context.State;
   auto found = state.Members.find(Event.Target);
-  if (found == state.Members.end() || found->second.Who.Life != Event.Life)
+  if (found == state.Members.end() || found->second.Info.Life != Event.Life)
     return;
-  SwimMember &held = found->second;
-  held.LastProbeFailed = !Event.Reached;
-  if (held.Who.State == Health::Dead)
+  SwimMember &entry = found->second;
+  entry.LastProbeFailed = !Event.Reached;
+  if (entry.Info.State == Health::Dead)
     return;
-  state.Recent.push_back(ProbeResult{Event.Target, Event.Reached});
-  if (state.Recent.size() > state.Limits.IsolationProbeWindow)
-    state.Recent.pop_front();
+  state.RecentProbes.push_back(ProbeResult{Event.Target, Event.Reached});
+  if (state.RecentProbes.size() > state.Limits.IsolationProbeWindow)
+    state.RecentProbes.pop_front();
 
   if (Event.Reached) {
     state.LocalHealth -= std::min(state.LocalHealth, 1u);
   } else {
-    // Where not even the helpers answer, the fault may be here.
+    // If no helper answers either, the fault may be local.
     if (!Event.PeersAnswered)
       state.LocalHealth = std::min(state.LocalHealth + 1, MaxLocalHealth);
-    if (held.Left)
-      setHealth(On, held, Health::Dead, ByLeavingAndProbe);
-    else if (held.Unlisted)
-      setHealth(On, held, Health::Dead, ByListAndProbe);
+    if (entry.HasLeft)
+      setHealth(Context, entry, Health::Dead, ByLeavingAndProbe);
+    else if (entry.RemovedFromList)
+      setHealth(Context, entry, Health::Dead, ByListAndProbe);
     else
-      suspect(On, held, state.Self, ByProbe);
+      suspect(Context, entry, state.Self, ByProbe);
   }
-  judge(On);
+  updateIsolation(Context);
 }
 
-// ---- the platform's list ----
+// ---- The platform's list ----
 
-Member memberFrom(const ListedInstance &Line) {
-  Member who;
-  who.Instance = Line.Instance;
-  who.Domain = Line.Domain;
-  who.Kind = Line.Kind;
-  who.Life = Line.Life;
-  who.Control = Line.ControlAddress;
-  who.Admin = Line.AdminAddress;
-  who.State = Line.Leaving ? Health::Leaving : Health::Alive;
-  return who;
+Member makeMember(const ListedInstance &Line) {
+  Member member;
+  member.Instance = Line.Instance;
+  member.Domain = Line.Domain;
+  member.Kind = Line.Kind;
+  member.Life = Line.Life;
+  member.Control = Line.ControlAddress;
+  member.Admin = Line.AdminAddress;
+  member.State = Line.Leaving ? Health::Leaving : Health::Alive;
+  return member;
 }
 
-void readLine(Step &On, const ListedInstance &Line) {
-  auto found = On.State.Members.find(Line.Instance);
-  if (found == On.State.Members.end() || Line.Life > found->second.Who.Life) {
-    // Known by name only; its own news, with a stamp, takes the place of this.
-    addMember(On, memberFrom(Line), ByList).Listed = true;
+void applyListLine(EventContext &Context, const ListedInstance &Line) {
+  auto found = Context.State.Members.find(Line.Instance);
+  if (found == Context.State.Members.end() ||
+      Line.Life > found->second.Info.Life) {
+    // The list has no stamp, so any update by the member itself replaces this
+    // entry.
+    addMember(Context, makeMember(Line), ByList).WasListed = true;
     return;
   }
-  SwimMember &held = found->second;
-  if (Line.Life < held.Who.Life)
+  SwimMember &entry = found->second;
+  if (Line.Life < entry.Info.Life)
     return;
-  held.Listed = true;
-  held.Unlisted = false;
-  if (Line.Leaving && !held.Left && held.Who.State != Health::Dead)
-    setHealth(On, held, Health::Leaving, ByList);
+  entry.WasListed = true;
+  entry.RemovedFromList = false;
+  if (Line.Leaving && !entry.HasLeft && entry.Info.State != Health::Dead)
+    setHealth(Context, entry, Health::Leaving, ByList);
 }
 
-/// A member that the platform listed and no longer does.
-void readRemoval(Step &On, SwimMember &Held) {
-  Held.Unlisted = true;
-  if (Held.Who.State == Health::Dead)
+/// Handles a member that the platform no longer lists.
+void applyRemoval(EventContext &Context, SwimMember &Entry) {
+  Entry.RemovedFromList = true;
+  if (Entry.Info.State == Health::Dead)
     return;
-  if (Held.LastProbeFailed)
-    setHealth(On, Held, Health::Dead, ByListAndProbe);
+  if (Entry.LastProbeFailed)
+    setHealth(Context, Entry, Health::Dead, ByListAndProbe);
   else
-    On.Done.Probes.push_back(Held.Who.Instance);
+    Context.Effects.Probes.push_back(Entry.Info.Instance);
 }
 
-void readList(Step &On, const ListRead &Event) {
+void applyList(EventContext &Context, const ListRead &Event) {
   std::map<InstanceName, Incarnation> listed;
   for (const ListedInstance &it : Event.Lines) {
     listed[it.Instance] = it.Life;
-    if (!isSelf(On.State, it.Instance))
-      readLine(On, it);
-    else if (it.Leaving && it.Life == selfOf(On.State).Life)
-      leaveSelf(On, ByList);
+    if (!isSelf(Context.State, it.Instance))
+      applyListLine(Context, it);
+    else if (it.Leaving && it.Life == selfOf(Context.State).Life)
+      leaveSelf(Context, ByList);
   }
-  // A list that lacks even this process is no witness of removals.
-  auto self = listed.find(On.State.Self);
-  Incarnation life = selfOf(On.State).Life;
-  On.Done.SelfMissingFromList = self == listed.end() || self->second < life;
-  if (On.Done.SelfMissingFromList)
-    return;
-  for (auto &[name, held] : On.State.Members) {
-    if (held.Listed && !held.Unlisted && !listed.contains(name) &&
-        !isSelf(On.State, name))
-      readRemoval(On, held);
+  // A list that lacks this process is no evidence of removals.
+  auto self = listed.find(Context.State.Self);
+  Incarnation life = selfOf(Context.State).Life;
+  Context.Effects.SelfMissingFromList =
+      self == listed.end() || self->second < life;
+  if (Context.Effects.SelfMissingFromList)
+    return;
+  for (auto &[name, entry] : Context.State.Members) {
+    if (entry.WasListed && !entry.RemovedFromList && !listed.contains(name) &&
+        !isSelf(Context.State, name))
+      applyRemoval(Context, entry);
   }
 }
 
-// ---- time ----
+// ---- Time ----
 
-/// Time in which this process stood still proves nothing about others.
-void skipPause(Step &On) {
-  SwimState &state = On.State;
-  Micros gap = On.Now - state.LastTime;
-  state.LastTime = On.Now;
+/// Excludes a pause of this process from the suspicion timeouts.
+void excludeProcessPause(EventContext &Context) {
+  SwimState &state = Context.State;
+  Micros gap = Context.Now - state.LastTickTime;
+  state.LastTickTime = Context.Now;
   if (gap <= state.Limits.ProcessPauseThreshold)
     return;
   state.LocalHealth = std::min(state.LocalHealth + 2, MaxLocalHealth);
-  for (auto &[name, held] : state.Members) {
-    if (held.Who.State == Health::Suspect)
-      held.Since += gap;
+  for (auto &[name, entry] : state.Members) {
+    if (entry.Info.State == Health::Suspect)
+      entry.HealthSince += gap;
   }
 }
 
-void endSuspicions(Step &On) {
-  SwimState &state = On.State;
+void expireSuspicions(EventContext &Context) {
+  SwimState &state = Context.State;
   if (state.MayBeIsolated)
     return;
   std::size_t members = countPresent(state);
-  for (auto &[name, held] : state.Members) {
-    if (held.Who.State != Health::Suspect)
+  for (auto &[name, entry] : state.Members) {
+    if (entry.Info.State != Health::Suspect)
       continue;
     Millis timeout = suspicionTimeout(state.Limits, members,
-                                      held.Accusers.size(), state.LocalHealth);
-    if (On.Now - held.Since >= timeout)
-      setHealth(On, held, Health::Dead, BySuspicion);
+                                      entry.Accusers.size(), state.LocalHealth);
+    if (Context.Now - entry.HealthSince >= timeout)
+      setHealth(Context, entry, Health::Dead, BySuspicion);
   }
 }
 
-void forgetDead(Step &On) {
-  SwimState &state = On.State;
+void removeExpiredMembers(EventContext &Context) {
+  SwimState &state = Context.State;
   for (auto it = state.Members.begin(); it != state.Members.end();) {
-    const SwimMember &held = it->second;
-    bool old = On.Now - held.Since >= state.Limits.DeadMemberRetention;
-    if (isPresent(held) || !old) {
+    const SwimMember &entry = it->second;
+    bool old =
+        Context.Now - entry.HealthSince >= state.Limits.DeadMemberRetention;
+    if (isPresent(entry) || !old) {
       ++it;
       continue;
     }
     std::erase(state.ProbeOrder, it->first);
     state.PendingUpdates.erase(it->first);
-    On.Done.ViewChanged = true;
+    Context.Effects.ViewChanged = true;
     it = state.Members.erase(it);
   }
 }
 
-// ---- one function an event ----
+// ---- Event handlers ----
 
-void handle(Step &On, const ProbeDue &) {
-  chooseProbe(On);
-  ++On.State.ProbeCount;
-  if (On.State.ProbeCount % On.State.Limits.ProbesPerDeadProbe == 0)
-    chooseDeadProbe(On);
+void handle(EventContext &Context, const ProbeDue &) {
+  chooseProbe(Context);
+  ++Context.State.ProbeCount;
+  if (Context.State.ProbeCount % Context.State.Limits.ProbesPerDeadProbe == 0)
+    chooseDeadProbe(Context);
 }
 
-void handle(Step &On, const ProbeEnded &Event) { endProbe(On, Event); }
+void handle(EventContext &Context, const ProbeEnded &Event) {
+  endProbe(Context, Event);
+}
 
-void handle(Step &On, const UpdatesReceived &Event) {
-  On.Bulk = Event.Updates.size() > 2 * On.State.Limits.MaxUpdatesPerFrame;
+void handle(EventContext &Context, const UpdatesReceived &Event) {
+  Context.IsBulk =
+      Event.Updates.size() > 2 * Context.State.Limits.MaxUpdatesPerFrame;
   for (const MemberUpdate &it : Event.Updates)
-    hearOne(On, it, Event.From);
-  judge(On);
+    applyUpdate(Context, it, Event.From);
+  updateIsolation(Context);
 }
 
-void handle(Step &On, const ListRead &Event) { readList(On, Event); }
+void handle(EventContext &Context, const ListRead &Event) {
+  applyList(Context, Event);
+}
 
-void handle(Step &On, const RequestFailed &Event) {
-  // One failed request proves little: it only hastens a probe.
-  auto found = On.State.Members.find(Event.Target);
-  if (found != On.State.Members.end() && isPresent(found->second) &&
-      !isSelf(On.State, Event.Target))
-    On.Done.Probes.push_back(Event.Target);
+void handle(EventContext &Context, const RequestFailed &Event) {
+  // A failed request is weak evidence, so the member is only probed earlier.
+  auto found = Context.State.Members.find(Event.Target);
+  if (found != Context.State.Members.end() && isPresent(found->second) &&
+      !isSelf(Context.State, Event.Target))
+    Context.Effects.Probes.push_back(Event.Target);
 }
 
-void handle(Step &On, const TimePassed &) {
-  skipPause(On);
-  judge(On);
-  endSuspicions(On);
-  forgetDead(On);
+void handle(EventContext &Context, const TimePassed &) {
+  excludeProcessPause(Context);
+  updateIsolation(Context);
+  expireSuspicions(Context);
+  removeExpiredMembers(Context);
 }
 
-void handle(Step &On, const ServersChanged &Event) {
-  if (selfOf(On.State).Servers == Event.Servers)
+void handle(EventContext &Context, const ServersChanged &Event) {
+  if (selfOf(Context.State).Servers == Event.Servers)
     return;
-  selfOf(On.State).Servers = Event.Servers;
-  tellSelf(On, false);
+  selfOf(Context.State).Servers = Event.Servers;
+  announceSelf(Context, false);
 }
 
-void handle(Step &On, const SelfLeaves &) { leaveSelf(On, ByItself); }
+void handle(EventContext &Context, const SelfLeaves &) {
+  leaveSelf(Context, ByItself);
+}
 
 } // namespace
 
@@ -630,57 +669,58 @@
   state.Limits = Limits;
   state.Self = Self.Instance;
   state.Random.seed(Seed);
-  state.LastTime = Now;
+  state.LastTickTime = Now;
   Self.Stamp = 0;
   Self.State = Health::Alive;
-  SwimMember &held = state.Members[state.Self];
-  held.Who = std::move(Self);
-  held.Since = Now;
-  Step step{state, Now, {}, false};
-  tellSelf(step, true);
+  SwimMember &entry = state.Members[state.Self];
+  entry.Info = std::move(Self);
+  entry.HealthSince = Now;
+  EventContext context{state, Now, {}, false};
+  announceSelf(context, true);
   return state;
 }
 
-SwimEffects decide(SwimState &State, const SwimEvent &Event, TimePoint Now) {
-  Step step{State, Now, {}, false};
-  std::visit([&](const auto &it) { handle(step, it); }, Event);
-  // Many at once would be a herd; the rest have their turn in the round.
-  if (step.Done.Probes.size() > State.Limits.MaxProbes)
-    step.Done.Probes.resize(State.Limits.MaxProbes);
-  return std::move(step.Done);
+SwimEffects applySwimEvent(SwimState &State, const SwimEvent &Event,
+                           TimePoint Now) {
+  EventContext context{State, Now, {}, false};
+  std::visit([&](const auto &it) { handle(context, it); }, Event);
+  // Limits the burst; the remaining members are probed in their regular turn.
+  if (context.Effects.Probes.size() > State.Limits.MaxProbes)
+    context.Effects.Probes.resize(State.Limits.MaxProbes);
+  return std::move(context.Effects);
 }
 
 std::vector<MemberUpdate> takeUpdatesFor(SwimState &State,
                                          const InstanceName &Peer) {
   std::vector<MemberUpdate> chosen;
   auto peer = State.Members.find(Peer);
-  if (peer != State.Members.end() && peer->second.Who.State != Health::Alive)
-    chosen.push_back(newsOf(peer->second));
+  if (peer != State.Members.end() && peer->second.Info.State != Health::Alive)
+    chosen.push_back(makeUpdate(peer->second));
 
-  // What was told least goes first.
+  // The least transmitted updates go first.
   std::vector<std::pair<std::uint32_t, InstanceName>> order;
-  for (const auto &[name, telling] : State.PendingUpdates) {
+  for (const auto &[name, pending] : State.PendingUpdates) {
     if (name != Peer)
-      order.emplace_back(telling.TransmitsLeft, name);
+      order.emplace_back(pending.TransmitsLeft, name);
   }
   std::sort(order.rbegin(), order.rend());
   for (const auto &[left, name] : order) {
     if (chosen.size() >= State.Limits.MaxUpdatesPerFrame)
       break;
-    PendingUpdate &telling = State.PendingUpdates.at(name);
-    chosen.push_back(telling.News);
-    --telling.TransmitsLeft;
-    if (telling.TransmitsLeft == 0)
+    PendingUpdate &pending = State.PendingUpdates.at(name);
+    chosen.push_back(pending.Update);
+    --pending.TransmitsLeft;
+    if (pending.TransmitsLeft == 0)
       State.PendingUpdates.erase(name);
   }
   return chosen;
 }
 
-std::uint64_t digestOf(const Member &Who) {
-  Health shown = Who.State == Health::Suspect ? Health::Alive : Who.State;
+std::uint64_t computeMemberDigest(const Member &Info) {
+  Health shown = Info.State == Health::Suspect ? Health::Alive : Info.State;
   std::uint64_t parts[] = {
-      XXH64(Who.Instance.Text.data(), Who.Instance.Text.size(), 0), Who.Life,
-      Who.Stamp, static_cast<std::uint64_t>(shown)};
+      XXH64(Info.Instance.Text.data(), Info.Instance.Text.size(), 0), Info.Life,
+      Info.Stamp, static_cast<std::uint64_t>(shown)};
   return XXH64(parts, sizeof(parts), 0);
 }
 
@@ -690,8 +730,8 @@
   for (auto it = State.PendingUpdates.begin();
        it != State.PendingUpdates.end();) {
     auto next = std::next(it);
-    if (known.contains(digestOf(it->second.News.Subject)))
-      countKnown(State, it);
+    if (known.contains(computeMemberDigest(it->second.Update.Subject)))
+      reduceTransmits(State, it);
     it = next;
   }
 }
@@ -699,8 +739,8 @@
 std::vector<std::uint64_t> computeDigests(const SwimState &State) {
   std::vector<std::uint64_t> digests;
   digests.reserve(State.Members.size());
-  for (const auto &[name, held] : State.Members)
-    digests.push_back(digestOf(held.Who));
+  for (const auto &[name, entry] : State.Members)
+    digests.push_back(computeMemberDigest(entry.Info));
   return digests;
 }
 
@@ -708,19 +748,20 @@
 findMissingUpdates(const SwimState &State,
                    const std::vector<std::uint64_t> &Digests) {
   std::unordered_set<std::uint64_t> known(Digests.begin(), Digests.end());
-  std::vector<MemberUpdate> news;
-  for (const auto &[name, held] : State.Members) {
-    if (known.contains(digestOf(held.Who)))
+  std::vector<MemberUpdate> updates;
+  for (const auto &[name, entry] : State.Members) {
+    if (known.contains(computeMemberDigest(entry.Info)))
       continue;
-    // Alive or suspect, the other side may not know it at all: tell it whole.
-    MemberUpdate whole = newsOf(held);
-    if (held.Who.State == Health::Suspect) {
-      whole.Subject = held.Who;
+    // The other side may not know an alive or suspect member, so send its
+    // complete state.
+    MemberUpdate whole = makeUpdate(entry);
+    if (entry.Info.State == Health::Suspect) {
+      whole.Subject = entry.Info;
       whole.Subject.State = Health::Alive;
     }
-    news.push_back(std::move(whole));
+    updates.push_back(std::move(whole));
   }
-  return news;
+  return updates;
 }
 
 Millis suspicionTimeout(const SwimSettings &Limits, std::size_t Members,
@@ -728,14 +769,15 @@
   double scale = std::max(
       1.0, std::log10(static_cast<double>(std::max<std::size_t>(Members, 1))));
   double least = scale * Limits.MinSuspicionPeriods *
-                 static_cast<double>(Limits.ProbePeriod.count());
+                 static_cast<double>(Limits.PeerProbeInterval.count());
   double most = least * Limits.MaxSuspicionFactor;
-  // Each further accuser shortens it, the first ones most.
+  // Each further accuser shortens the timeout, with a decreasing effect.
   double further = static_cast<double>(std::max<std::size_t>(Accusers, 1) - 1);
-  double wanted = static_cast<double>(std::max(Limits.Accusers, 2u) - 1);
-  double share = std::min(1.0, std::log(further + 1) / std::log(wanted + 1));
+  double needed =
+      static_cast<double>(std::max(Limits.MinSuspicionAccusers, 2u) - 1);
+  double share = std::min(1.0, std::log(further + 1) / std::log(needed + 1));
   double span = most - (most - least) * share;
-  // Who is not well itself gives the others more time.
+  // An unhealthy process allows the others more time.
   span *= 1.0 + 0.5 * LocalHealth;
   return Millis(static_cast<std::int64_t>(span));
 }
@@ -744,8 +786,9 @@
                                             const InstanceName &Target,
                                             std::size_t Count) {
   std::vector<InstanceName> names;
-  for (const auto &[name, held] : State.Members) {
-    if (name != Target && name != State.Self && held.Who.State == Health::Alive)
+  for (const auto &[name, entry] : State.Members) {
+    if (name != Target && name != State.Self &&
+        entry.Info.State == Health::Alive)
       names.push_back(name);
   }
   std::shuffle(names.begin(), names.end(), State.Random);
@@ -754,12 +797,12 @@
   return names;
 }
 
-View viewOf(const SwimState &State) {
+View makeMembershipView(const SwimState &State) {
   View view;
   view.Self = State.Self;
   view.MayBeIsolated = State.MayBeIsolated;
-  for (const auto &[name, held] : State.Members)
-    view.Members.emplace_hint(view.Members.end(), name, held.Who);
+  for (const auto &[name, entry] : State.Members)
+    view.Members.emplace_hint(view.Members.end(), name, entry.Info);
   return view;
 }
 
--- a/Wasabi/Membership/Swim.h
+++ b/Wasabi/Membership/Swim.h
@@ -1,9 +1,10 @@
 /// \file
-/// Failure detection and the members' view, after SWIM (Das, Gupta and Motivala
-/// 2002) with the local health of Lifeguard (Dadgar, Phillips and Currey 2018).
+/// Failure detection and the membership view, after SWIM (Das, Gupta and
+/// Motivala 2002) with the local health of Lifeguard (Dadgar, Phillips and
+/// Currey 2018).
 ///
-/// All here decides and nothing here sends: the caller passes events and the
-/// time, and carries out the effects. docs/design/membership.md has the rule of
+/// This code performs no I/O: the caller passes events and the time, and
+/// carries out the returned effects. docs/design/membership.md has the rule of
 /// which witness may say what.
 #ifndef WASABI_MEMBERSHIP_SWIM_H
 #define WASABI_MEMBERSHIP_SWIM_H
@@ -28,93 +29,100 @@
 namespace wasabi {
 
 struct SwimSettings {
-  /// Time between two probes; suspicion scales with it.
-  Millis ProbePeriod{1000};
-  /// Shortest suspicion, in probe periods for each factor of ten of members.
+  /// Time between two probes; the suspicion timeout scales with it.
+  Millis PeerProbeInterval{1000};
+  /// Minimum suspicion timeout in probe intervals, for each factor of ten in
+  /// the number of members.
   std::uint32_t MinSuspicionPeriods = 2;
-  /// The longest suspicion is this many times the shortest.
+  /// Ratio of the maximum to the minimum suspicion timeout.
   std::uint32_t MaxSuspicionFactor = 3;
-  /// This many accusers shorten a suspicion to its least.
-  std::uint32_t Accusers = 3;
-  /// Each change is told this many times for each factor e of members.
+  /// Number of distinct accusers at which a suspicion has its minimum timeout.
+  std::uint32_t MinSuspicionAccusers = 3;
+  /// Number of transmissions of a change, for each factor e in the number of
+  /// members.
   std::uint32_t RetransmitFactor = 3;
-  /// The same of a change of servers alone, which is frequent; exchanges of
-  /// digests bring it to whom the few tellings missed.
+  /// As `RetransmitFactor`, for changes of servers only. These are frequent;
+  /// digest exchanges deliver them to members that gossip has missed.
   std::uint32_t ServerRetransmitFactor = 1;
-  /// Most news that one frame carries.
+  /// Maximum number of updates in one frame.
   std::size_t MaxUpdatesPerFrame = 8;
-  /// A dead member is forgotten after this.
+  /// Time after which a dead member is removed from the view.
   Millis DeadMemberRetention{600000};
-  /// Recent probes by which a process judges itself.
+  /// Number of recent probes considered when the process checks whether it is
+  /// isolated.
   std::size_t IsolationProbeWindow = 10;
-  /// A step of the clock longer than this was a pause of this process.
+  /// A gap between two ticks longer than this counts as a pause of this
+  /// process.
   Millis ProcessPauseThreshold{1500};
-  /// Most probes that one event may start at once.
+  /// Maximum number of probes that one event starts.
   std::size_t MaxProbes = 8;
-  /// Every n-th probe tries a dead member, so that a healed cut is noticed.
+  /// One in this many probes also probes a dead member, so that both sides find
+  /// each other after a network partition.
   std::uint32_t ProbesPerDeadProbe = 5;
   bool operator==(const SwimSettings &) const = default;
 };
 
-/// What is held on one member.
+/// State of one member as known to this process.
 struct SwimMember {
-  Member Who;
-  /// While suspect: who accuses it, since when.
+  Member Info;
+  /// The instances that accuse the member while it is suspect.
   std::set<InstanceName> Accusers;
-  /// Since when it has its present health.
-  TimePoint Since;
-  /// Whether the last probe from here failed.
+  /// Time of the last change of its health.
+  TimePoint HealthSince;
+  /// True if the last probe by this process failed.
   bool LastProbeFailed = false;
-  /// Whether the platform has listed this incarnation.
-  bool Listed = false;
-  /// Whether the platform listed this incarnation and no longer does.
-  bool Unlisted = false;
-  /// Whether it said that it leaves: final for the incarnation, also once dead.
-  bool Left = false;
+  /// True if the platform has listed this incarnation.
+  bool WasListed = false;
+  /// True if the platform listed this incarnation and no longer does.
+  bool RemovedFromList = false;
+  /// True if the member is leaving. Final for the incarnation, also after its
+  /// death.
+  bool HasLeft = false;
 };
 
-/// News that is still being told.
+/// An update that is still being transmitted.
 struct PendingUpdate {
-  MemberUpdate News;
+  MemberUpdate Update;
   std::uint32_t TransmitsLeft = 0;
 };
 
-/// One probe's end, as a process judges itself by.
+/// Result of one probe, used to detect isolation of this process.
 struct ProbeResult {
   InstanceName Target;
   bool Reached = false;
 };
 
-/// All that the decisions depend on. Made by `startSwim`.
+/// State of the failure detector. Created by `startSwim`.
 struct SwimState {
   SwimSettings Limits;
   InstanceName Self;
   std::map<InstanceName, SwimMember> Members;
   std::map<InstanceName, PendingUpdate> PendingUpdates;
   std::vector<InstanceName> ProbeOrder;
-  std::size_t ProbeAt = 0;
+  std::size_t NextProbeIndex = 0;
   std::uint64_t ProbeCount = 0;
-  std::deque<ProbeResult> Recent;
-  /// 0 is well; each step makes this process more patient with others.
+  std::deque<ProbeResult> RecentProbes;
+  /// Local health score of Lifeguard: 0 if healthy; each step lengthens the
+  /// timeouts that this process applies to others.
   std::uint32_t LocalHealth = 0;
   bool MayBeIsolated = false;
-  TimePoint LastTime;
+  TimePoint LastTickTime;
   std::mt19937_64 Random;
 };
 
-// ---- events ----
+// ---- Events ----
 
-/// It is time to probe the next member.
+/// The next member is due to be probed.
 struct ProbeDue {};
-/// A probe, direct and through others, has ended.
+/// A probe, including its indirect probes, has ended.
 struct ProbeEnded {
   InstanceName Target;
   Incarnation Life = 0;
   bool Reached = false;
-  /// Whether any asked peer answered that it did not reach the target either.
+  /// True if any helper answered, whatever its result.
   bool PeersAnswered = false;
 };
-/// Another process told news.
+/// Another process sent updates.
 struct UpdatesReceived {
   InstanceName From;
   std::vector<MemberUpdate> Updates;
@@ -127,27 +135,28 @@
 struct RequestFailed {
   InstanceName Target;
 };
-/// Time has passed; to be given a few times a second.
+/// Periodic tick, expected several times a second.
 struct TimePassed {};
-/// This process' servers changed.
+/// The servers of this process changed.
 struct ServersChanged {
   std::vector<ServerStatus> Servers;
 };
-/// This process begins to leave.
+/// This process starts to leave.
 struct SelfLeaves {};
 
 using SwimEvent =
     std::variant<ProbeDue, ProbeEnded, UpdatesReceived, ListRead, RequestFailed,
                  TimePassed, ServersChanged, SelfLeaves>;
 
-// ---- effects ----
+// ---- Effects ----
 
-/// A member's health changed here, by which witness.
+/// A change of a member's health and the evidence for it.
 struct HealthChange {
   InstanceName Instance;
   Incarnation Life = 0;
-  Health Now = Health::Alive;
-  /// `itself`, `list`, `probe`, `peers`, or two of them.
+  Health State = Health::Alive;
+  /// Source of the evidence: `itself`, `list`, `probe`, `peers`, `list+probe`,
+  /// `leaving+probe` or `probe+peers`.
   std::string Witness;
   bool operator==(const HealthChange &) const = default;
 };
@@ -155,55 +164,61 @@
 struct SwimEffects {
   /// Members to probe now.
   std::vector<InstanceName> Probes;
-  /// News to pass on at once, besides being carried by probes.
+  /// Updates to send immediately, in addition to piggybacking them on probes.
   std::vector<MemberUpdate> Urgent;
   std::vector<HealthChange> Changes;
-  /// Whether the view differs from before.
+  /// True if the view has changed.
   bool ViewChanged = false;
-  /// Whether the platform's list lacks this process.
+  /// True if the platform's list does not contain this process.
   bool SelfMissingFromList = false;
 };
 
-/// The state of a process that knows only itself. `Self.Stamp` becomes 1. Pure.
+/// Returns the initial state of a process that knows only itself. `Self.Stamp`
+/// becomes 1. Pure.
 SwimState startSwim(SwimSettings Limits, Member Self, std::uint64_t Seed,
                     TimePoint Now);
 
-/// Decides on one event. Pure but for `State`.
-SwimEffects decide(SwimState &State, const SwimEvent &Event, TimePoint Now);
+/// Applies one event and returns the effects to carry out. Pure except for
+/// `State`.
+SwimEffects applySwimEvent(SwimState &State, const SwimEvent &Event,
+                           TimePoint Now);
 
-/// News for a frame to `Peer`: first what is held against the peer itself, so
-/// that it can refute it, then what was told least. Pure but for `State`.
+/// Returns the updates for a frame to `Peer`. A suspicion of the peer itself
+/// comes first, so that it can refute it, then the least transmitted updates.
+/// Pure except for `State`.
 std::vector<MemberUpdate> takeUpdatesFor(SwimState &State,
                                          const InstanceName &Peer);
 
-/// 64 bits that differ when what is known of a member differs; a suspect counts
-/// as alive. Pure.
-std::uint64_t digestOf(const Member &Who);
-/// The digests of all members. Pure.
+/// Returns a digest of a member's identity, incarnation, stamp and health, with
+/// suspect treated as alive. Pure.
+std::uint64_t computeMemberDigest(const Member &Info);
+/// Returns the digests of all members. Pure.
 std::vector<std::uint64_t> computeDigests(const SwimState &State);
-/// Takes note of what a peer knows, which needs less telling. Pure but for
-/// `State`.
+/// Reduces the remaining transmissions of updates that a peer already knows.
+/// Pure except for `State`.
 void applyPeerDigests(SwimState &State,
                       const std::vector<std::uint64_t> &Digests);
-/// News of all members that the other side knows otherwise. Pure.
+/// Returns updates for all members whose digest is not among `Digests`. Pure.
 std::vector<MemberUpdate>
 findMissingUpdates(const SwimState &State,
                    const std::vector<std::uint64_t> &Digests);
 
-/// How long a suspicion lasts with so many members and accusers. Pure.
+/// Returns the suspicion timeout for the given numbers of members and accusers.
+/// Pure.
 Millis suspicionTimeout(const SwimSettings &Limits, std::size_t Members,
                         std::size_t Accusers, std::uint32_t LocalHealth);
 
-/// Members that a probe of `Target` may be sent through, at most `Count`. Pure
-/// but for `State`.
+/// Returns at most `Count` random alive members other than `Target` and this
+/// process. Pure except for `State`.
 std::vector<InstanceName> chooseRandomPeers(SwimState &State,
                                             const InstanceName &Target,
                                             std::size_t Count);
 
-/// The view as others read it. Pure.
-View viewOf(const SwimState &State);
+/// Returns the membership view of this state. Pure.
+View makeMembershipView(const SwimState &State);
 
-/// The word for a health: `alive`, `suspect`, `leaving`, `dead`. Thread-safe.
+/// Returns the name of a health state: `alive`, `suspect`, `leaving` or `dead`.
+/// Thread-safe.
 std::string_view toText(Health State);
 
 } // namespace wasabi
--- a/Wasabi/Membership/View.h
+++ b/Wasabi/Membership/View.h
@@ -1,5 +1,5 @@
 /// \file
-/// Who is there: the view of all members that each process holds.
+/// The membership view that each process holds.
 #ifndef WASABI_MEMBERSHIP_VIEW_H
 #define WASABI_MEMBERSHIP_VIEW_H
 
@@ -14,21 +14,22 @@
 
 enum class Role : std::uint8_t { Entry, Daemon };
 
-/// What is believed of a member. For one incarnation it only moves down this
-/// list, except that the member itself may refute `Suspect` and `Dead` by
-/// saying something newer. `Leaving` is final: who left comes back as a new
-/// one.
+/// Health of a member as seen by one process. Within one incarnation it only
+/// moves down this list, except that the member itself may refute `Suspect` and
+/// `Dead` with a greater stamp. `Leaving` is final: an instance that has left
+/// returns with a new incarnation.
 enum class Health : std::uint8_t { Alive, Suspect, Leaving, Dead };
 
-/// A server behind a daemon, as the daemon says.
+/// A server behind a daemon, as reported by the daemon.
 struct ServerStatus {
   ServerName Name;
   ServiceName Service;
-  /// Version its engine last reported; 0 for plain servers or unknown.
+  /// Weight version that its engine last reported; 0 for plain servers or if
+  /// unknown.
   WeightVersion Version = 0;
-  /// Requests it runs at once, as far as the daemon knows.
+  /// Maximum number of concurrent requests, as known to the daemon.
   std::uint32_t Slots = 1;
-  /// Whether the daemon takes new work for it.
+  /// True if the daemon accepts new work for it.
   bool Serving = true;
   bool operator==(const ServerStatus &) const = default;
 };
@@ -39,32 +40,34 @@
   DomainName Domain;
   Role Kind = Role::Daemon;
   Incarnation Life = 0;
-  /// Where it takes request frames (daemons).
+  /// Address on which it accepts request frames (daemons only).
   Address Requests;
-  /// Where it takes control frames.
+  /// Address on which it accepts control frames.
   Address Control;
-  /// Its HTTP for status, metrics and time line.
+  /// Address of its HTTP server for status, metrics and time line.
   Address Admin;
   Health State = Health::Alive;
-  /// Grows when the member itself says something new; the greater one wins.
+  /// Version of the member's own state, incremented by the member; the greater
+  /// one wins.
   std::uint64_t Stamp = 0;
   std::vector<ServerStatus> Servers;
   bool operator==(const Member &) const = default;
 };
 
-/// All members known, self included. An immutable value, published whole.
+/// All known members, including this process. An immutable value that is
+/// published as a whole.
 struct View {
   std::map<InstanceName, Member> Members;
   InstanceName Self;
-  /// Set while most of the view seems gone at once: then this process doubts
-  /// itself first, declares nobody dead and takes no new claim.
+  /// True while most members seem unreachable, so that this process may be
+  /// isolated. It then declares no member dead and acquires no new claim.
   bool MayBeIsolated = false;
   bool operator==(const View &) const = default;
 };
 
-/// Whether new work may go to this member. Pure.
-inline bool takesWork(const Member &Who) {
-  return Who.State == Health::Alive || Who.State == Health::Suspect;
+/// Returns true if new work may be sent to this member. Pure.
+inline bool takesWork(const Member &Info) {
+  return Info.State == Health::Alive || Info.State == Health::Suspect;
 }
 
 } // namespace wasabi
--- a/Wasabi/Node/ClaimManager.cpp
+++ b/Wasabi/Node/ClaimManager.cpp
@@ -45,7 +45,8 @@
   return found->second;
 }
 
-std::map<std::string, HeldClaim> ClaimManager::heldNow(TimePoint Now) const {
+std::map<std::string, HeldClaim>
+ClaimManager::activeClaims(TimePoint Now) const {
   std::lock_guard<std::mutex> lock(Guard);
   std::map<std::string, HeldClaim> found;
   for (const auto &[resource, claim] : Held) {
@@ -58,7 +59,7 @@
 std::optional<FencingToken>
 ClaimManager::token(const FoldState &State, const std::string &Resource) const {
   auto found = State.Claims.find(Resource);
-  if (found == State.Claims.end() || !isMine(found->second))
+  if (found == State.Claims.end() || !isHeldHere(found->second))
     return std::nullopt;
   std::lock_guard<std::mutex> lock(Guard);
   if (!Wanted.contains(Resource))
@@ -66,39 +67,39 @@
   return found->second.Token;
 }
 
-bool ClaimManager::isMine(const Claim &What) const {
-  return !What.Released && What.Holder == Setup.Instance &&
-         What.HolderIncarnation == Setup.Life;
+bool ClaimManager::isHeldHere(const Claim &Entry) const {
+  return !Entry.Released && Entry.Holder == Setup.Instance &&
+         Entry.HolderIncarnation == Setup.Life;
 }
 
 bool ClaimManager::holdsAny(const FoldState &State) const {
   for (const auto &[resource, claim] : State.Claims) {
-    if (isMine(claim))
+    if (isHeldHere(claim))
       return true;
   }
   return false;
 }
 
-// ---- following the fold ----
+// ---- Following the fold ----
 
 void ClaimManager::onApplied(Offset At, const FoldState &State,
-                             const ControlStateChange &Did, TimePoint Now) {
-  if (Did.ChangedClaimResource.empty())
+                             const ControlStateChange &Change, TimePoint Now) {
+  if (Change.ChangedClaimResource.empty())
     return;
-  auto found = State.Claims.find(Did.ChangedClaimResource);
+  auto found = State.Claims.find(Change.ChangedClaimResource);
   if (found == State.Claims.end())
     return;
-  note(found->first, found->second, Now);
-  if (!isMine(found->second) || found->second.RenewalOffset != At)
+  recordClaim(found->first, found->second, Now);
+  if (!isHeldHere(found->second) || found->second.RenewalOffset != At)
     return;
 
-  // Authority counts from before the record was sent, never from its answer.
-  Tracked &known = Known[found->first];
-  known.SentAt = Appender->firstSent();
+  // The authority starts when the record was sent, not when its answer arrived.
+  ClaimProgress &progress = Known[found->first];
+  progress.SentAt = Appender->firstSent();
   HeldClaim claim{found->second.Token,
-                  authorityEnd(known.SentAt, found->second.Term)};
-  bool taken = found->second.Token == At + 1;
-  Events.record(taken ? "claim.taken" : "claim.renewed",
+                  authorityEnd(progress.SentAt, found->second.Term)};
+  bool acquired = found->second.Token == At + 1;
+  Events.record(acquired ? "claim.taken" : "claim.renewed",
                 {{"resource", found->first},
                  {"fence", std::to_string(claim.Token)},
                  {"offset", std::to_string(At)}});
@@ -108,25 +109,25 @@
 }
 
 void ClaimManager::onStateReplaced(const FoldState &State, TimePoint Now) {
-  // How long ago these were renewed is unknown: a full term counts from now.
+  // The time of the last renewal is unknown, so a full term counts from now.
   for (const auto &[resource, claim] : State.Claims) {
     if (Known[resource].RenewalOffset != claim.RenewalOffset ||
         Known[resource].ReadAt == TimePoint())
-      note(resource, claim, Now);
+      recordClaim(resource, claim, Now);
   }
 }
 
-void ClaimManager::note(const std::string &Resource, const Claim &What,
-                        TimePoint Now) {
-  Tracked &known = Known[Resource];
-  known.RenewalOffset = What.RenewalOffset;
-  known.ReadAt = Now;
-  known.Token = What.Token;
-  if (!isMine(What))
-    lose(Resource);
+void ClaimManager::recordClaim(const std::string &Resource, const Claim &Entry,
+                               TimePoint Now) {
+  ClaimProgress &progress = Known[Resource];
+  progress.RenewalOffset = Entry.RenewalOffset;
+  progress.ReadAt = Now;
+  progress.Token = Entry.Token;
+  if (!isHeldHere(Entry))
+    dropHeldClaim(Resource);
 }
 
-void ClaimManager::lose(const std::string &Resource) {
+void ClaimManager::dropHeldClaim(const std::string &Resource) {
   std::lock_guard<std::mutex> lock(Guard);
   auto found = Held.find(Resource);
   if (found == Held.end())
@@ -136,50 +137,51 @@
   Held.erase(found);
 }
 
-// ---- deciding ----
+// ---- Decisions ----
 
-void ClaimManager::decide(const FoldState &State, const View &Seen,
+void ClaimManager::decide(const FoldState &State, const View &ClusterView,
                           bool MayAcquire, TimePoint Now) {
   std::map<std::string, TimePoint> wanted;
   {
     std::lock_guard<std::mutex> lock(Guard);
     wanted = Wanted;
   }
-  // What is ours but no longer wanted has to be released.
-  std::map<std::string, TimePoint> looked = wanted;
+  // Held claims that are no longer requested have to be released.
+  std::map<std::string, TimePoint> resources = wanted;
   for (const auto &[resource, claim] : State.Claims) {
-    if (isMine(claim))
-      looked.emplace(resource, Now);
+    if (isHeldHere(claim))
+      resources.emplace(resource, Now);
   }
 
-  for (const auto &[resource, since] : looked) {
-    Tracked &known = Known[resource];
-    ClaimDecisionInput now;
+  for (const auto &[resource, since] : resources) {
+    ClaimProgress &progress = Known[resource];
+    ClaimDecisionInput input;
     auto found = State.Claims.find(resource);
     if (found != State.Claims.end())
-      now.Current = found->second;
-    now.Mine = now.Current && isMine(*now.Current);
-    now.Wanted = wanted.contains(resource);
-    now.Busy = known.Busy;
-    now.ReadAt = known.ReadAt;
-    now.WantedAt = since;
-    now.SentAt = known.SentAt;
-    now.MayAcquire = MayAcquire;
-    // The rank costs a look at every member: only where it can matter.
-    const Claim *current = now.Current ? &*now.Current : nullptr;
-    if (!now.Mine && MayAcquire && canAcquireClaim(current, now.ReadAt, Now))
-      now.Rank = rankOf(resource, Seen);
-    act(resource, decideClaim(now, Setup.Rules, Now), now.Current);
+      input.Current = found->second;
+    input.IsHolder = input.Current && isHeldHere(*input.Current);
+    input.Wanted = wanted.contains(resource);
+    input.AppendInFlight = progress.AppendInFlight;
+    input.ReadAt = progress.ReadAt;
+    input.WantedAt = since;
+    input.SentAt = progress.SentAt;
+    input.MayAcquire = MayAcquire;
+    // Computing the rank visits every member, so do so only if it is needed.
+    const Claim *current = input.Current ? &*input.Current : nullptr;
+    if (!input.IsHolder && MayAcquire &&
+        canAcquireClaim(current, input.ReadAt, Now))
+      input.Rank = rankOf(resource, ClusterView);
+    appendAction(resource, decideClaim(input, Setup.Rules, Now), input.Current);
   }
 }
 
-void ClaimManager::act(const std::string &Resource, ClaimAction Step,
-                       const std::optional<Claim> &Current) {
+void ClaimManager::appendAction(const std::string &Resource, ClaimAction Action,
+                                const std::optional<Claim> &Current) {
   RecordBody body;
-  switch (Step) {
+  switch (Action) {
   case ClaimAction::Wait:
     return;
-  case ClaimAction::Take:
+  case ClaimAction::Acquire:
     body = makeClaimAcquire(Resource, Current ? &*Current : nullptr,
                             Setup.Rules.Term);
     break;
@@ -190,15 +192,16 @@
     body = ClaimRelease{Resource, Current->Token};
     break;
   }
-  Known[Resource].Busy = true;
+  Known[Resource].AppendInFlight = true;
   std::shared_ptr<ClaimManager> self = shared_from_this();
   FencingToken token = Current ? Current->Token : 0;
   Appender->append(
       std::move(body), true,
-      [self, Resource, Step, token](const Outcome<Appended> &Done) {
-        self->Known[Resource].Busy = false;
-        bool accepted = Done && Done->Did.ApplyStatus == RecordStatus::Accepted;
-        if (accepted && Step == ClaimAction::Release)
+      [self, Resource, Action, token](const Outcome<AppendedRecord> &Done) {
+        self->Known[Resource].AppendInFlight = false;
+        bool accepted =
+            Done && Done->Change.ApplyStatus == RecordStatus::Accepted;
+        if (accepted && Action == ClaimAction::Release)
           self->Events.record(
               "claim.released",
               {{"resource", Resource}, {"fence", std::to_string(token)}});
--- a/Wasabi/Node/ClaimManager.h
+++ b/Wasabi/Node/ClaimManager.h
@@ -1,5 +1,5 @@
 /// \file
-/// Takes, renews and releases the claims that this process wants.
+/// Acquires, renews and releases the claims that this process requests.
 #ifndef WASABI_NODE_CLAIMMANAGER_H
 #define WASABI_NODE_CLAIMMANAGER_H
 
@@ -20,7 +20,7 @@
 
 namespace wasabi {
 
-/// Not thread-safe but for what says otherwise: use on the control thread.
+/// Not thread-safe except where stated: use on the control thread.
 class ClaimManager : public std::enable_shared_from_this<ClaimManager> {
 public:
   struct Settings {
@@ -33,58 +33,63 @@
   create(Settings Setup, std::shared_ptr<RecordAppender> Appender,
          Timeline &Events);
 
-  /// Thread-safe.
+  /// Adds a resource to the claims that this process requests. Thread-safe.
   void requestClaim(const std::string &Resource);
-  /// Thread-safe. `held` gives nothing from now on.
+  /// Stops requesting the claim. `held` returns nothing for it from now on.
+  /// Thread-safe.
   void withdrawClaim(const std::string &Resource);
-  /// Stops wanting all. Thread-safe.
+  /// Stops requesting all claims. Thread-safe.
   void withdrawAllClaims();
-  /// The claim, while this process may act on it. Thread-safe.
+  /// Returns the claim while this process may act on it. Thread-safe.
   std::optional<HeldClaim> held(const std::string &Resource,
                                 TimePoint Now) const;
-  /// The token of the claim that the fold still gives this process, also past
-  /// its term. Thread-safe.
+  /// Returns the token of the claim that this process holds according to the
+  /// folded state, also after its term has expired. Thread-safe.
   std::optional<FencingToken> token(const FoldState &State,
                                     const std::string &Resource) const;
-  /// All that may be acted on now. Thread-safe.
-  std::map<std::string, HeldClaim> heldNow(TimePoint Now) const;
+  /// Returns all claims that this process may act on at `Now`. Thread-safe.
+  std::map<std::string, HeldClaim> activeClaims(TimePoint Now) const;
 
-  /// Decides on each resource. `MayAcquire` as in `ClaimDecisionInput`.
-  void decide(const FoldState &State, const View &Seen, bool MayAcquire,
+  /// Applies the claim rules to each resource and appends the resulting
+  /// records. `MayAcquire` is defined in `ClaimDecisionInput`.
+  void decide(const FoldState &State, const View &ClusterView, bool MayAcquire,
               TimePoint Now);
-  /// Whether the fold still has a claim of this process that is not released.
+  /// Returns true if the folded state has a claim of this process that is not
+  /// released.
   bool holdsAny(const FoldState &State) const;
 
   void onApplied(Offset At, const FoldState &State,
-                 const ControlStateChange &Did, TimePoint Now);
+                 const ControlStateChange &Change, TimePoint Now);
   void onStateReplaced(const FoldState &State, TimePoint Now);
 
 private:
-  /// What is known here of one resource.
-  struct Tracked {
-    /// Offset and time of the last record on it that was read.
+  /// Local progress of one resource's claim.
+  struct ClaimProgress {
+    /// Offset of the last record on the resource, and the time at which it was
+    /// read.
     Offset RenewalOffset = 0;
     TimePoint ReadAt;
     FencingToken Token = 0;
-    bool Busy = false;
+    bool AppendInFlight = false;
     TimePoint SentAt;
   };
 
   ClaimManager(Settings Setup, std::shared_ptr<RecordAppender> Appender,
                Timeline &Events);
-  bool isMine(const Claim &What) const;
-  void note(const std::string &Resource, const Claim &What, TimePoint Now);
-  void act(const std::string &Resource, ClaimAction Step,
-           const std::optional<Claim> &Current);
-  void lose(const std::string &Resource);
+  bool isHeldHere(const Claim &Entry) const;
+  void recordClaim(const std::string &Resource, const Claim &Entry,
+                   TimePoint Now);
+  void appendAction(const std::string &Resource, ClaimAction Action,
+                    const std::optional<Claim> &Current);
+  void dropHeldClaim(const std::string &Resource);
 
   const Settings Setup;
   std::shared_ptr<RecordAppender> Appender;
   Timeline &Events;
-  std::map<std::string, Tracked> Known;
+  std::map<std::string, ClaimProgress> Known;
 
   mutable std::mutex Guard;
-  /// Wanted resources, since when.
+  /// Requested resources and the time of each request.
   std::map<std::string, TimePoint> Wanted;
   std::map<std::string, HeldClaim> Held;
 };
--- a/Wasabi/Node/ClaimRules.cpp
+++ b/Wasabi/Node/ClaimRules.cpp
@@ -7,43 +7,44 @@
 namespace wasabi {
 namespace {
 
-/// A holder renews after this part of the term.
+/// Number of renewals in one term.
 constexpr int RenewalsPerTerm = 3;
 
-Millis rankDelay(const ClaimDecisionInput &Now, const ClaimSettings &Limits) {
-  Millis delay = Limits.RankDelay * static_cast<std::int64_t>(Now.Rank);
+Millis rankDelay(const ClaimDecisionInput &Input, const ClaimSettings &Limits) {
+  Millis delay = Limits.RankDelay * static_cast<std::int64_t>(Input.Rank);
   return std::min(delay, Limits.MaxRankDelay);
 }
 
-ClaimAction decideOwn(const ClaimDecisionInput &Now, TimePoint At) {
-  if (!Now.Wanted)
+ClaimAction decideHeldClaim(const ClaimDecisionInput &Input, TimePoint Now) {
+  if (!Input.Wanted)
     return ClaimAction::Release;
-  Micros period = Micros(Now.Current->Term) / RenewalsPerTerm;
-  return At - Now.SentAt >= period ? ClaimAction::Renew : ClaimAction::Wait;
+  Micros period = Micros(Input.Current->Term) / RenewalsPerTerm;
+  return Now - Input.SentAt >= period ? ClaimAction::Renew : ClaimAction::Wait;
 }
 
 } // namespace
 
-ClaimAction decideClaim(const ClaimDecisionInput &Now,
-                        const ClaimSettings &Limits, TimePoint At) {
-  if (Now.Busy)
+ClaimAction decideClaim(const ClaimDecisionInput &Input,
+                        const ClaimSettings &Limits, TimePoint Now) {
+  if (Input.AppendInFlight)
     return ClaimAction::Wait;
-  if (Now.Mine)
-    return decideOwn(Now, At);
-  if (!Now.Wanted || !Now.MayAcquire)
+  if (Input.IsHolder)
+    return decideHeldClaim(Input, Now);
+  if (!Input.Wanted || !Input.MayAcquire)
     return ClaimAction::Wait;
-  if (At - Now.WantedAt < Limits.Settle)
+  if (Now - Input.WantedAt < Limits.SettleDelay)
     return ClaimAction::Wait;
 
-  // Those that rank first try first; the rest stay in reserve.
-  Millis delay = rankDelay(Now, Limits);
-  const Claim *current = Now.Current ? &*Now.Current : nullptr;
-  TimePoint free = Now.WantedAt + Limits.Settle;
+  // Members acquire in the order of their rank.
+  Millis delay = rankDelay(Input, Limits);
+  const Claim *current = Input.Current ? &*Input.Current : nullptr;
+  TimePoint free = Input.WantedAt + Limits.SettleDelay;
   if (current != nullptr)
-    free = std::max(free, current->Released ? Now.ReadAt
-                                            : Now.ReadAt + current->Term);
-  bool lapsed = canAcquireClaim(current, Now.ReadAt, At);
-  return lapsed && At - free >= delay ? ClaimAction::Take : ClaimAction::Wait;
+    free = std::max(free, current->Released ? Input.ReadAt
+                                            : Input.ReadAt + current->Term);
+  bool available = canAcquireClaim(current, Input.ReadAt, Now);
+  return available && Now - free >= delay ? ClaimAction::Acquire
+                                          : ClaimAction::Wait;
 }
 
 } // namespace wasabi
--- a/Wasabi/Node/ClaimRules.h
+++ b/Wasabi/Node/ClaimRules.h
@@ -1,5 +1,6 @@
 /// \file
-/// When a process takes, renews or releases a claim. Pure decisions.
+/// Rules by which a process acquires, renews or releases a claim. Pure
+/// functions.
 #ifndef WASABI_NODE_CLAIMRULES_H
 #define WASABI_NODE_CLAIMRULES_H
 
@@ -13,45 +14,46 @@
 namespace wasabi {
 
 struct ClaimSettings {
-  /// Term of the claims taken.
+  /// Term of acquired claims.
   Millis Term{10000};
-  /// A process waits this long for each one that ranks before it.
+  /// Additional delay for each member that ranks before this one.
   Millis RankDelay{500};
-  /// Most that it waits for them.
+  /// Maximum of the total rank delay.
   Millis MaxRankDelay{5000};
-  /// How long a process must have wanted a claim before it takes it, so that
-  /// its view has filled.
-  Millis Settle{1500};
+  /// Minimum time between the request for a claim and its acquisition, which
+  /// lets the membership view fill.
+  Millis SettleDelay{1500};
   bool operator==(const ClaimSettings &) const = default;
 };
 
-/// All that a decision on one resource depends on. An immutable value.
+/// Input of the decision on one resource. An immutable value.
 struct ClaimDecisionInput {
-  /// The claim in the fold; empty when there is none.
+  /// The claim in the folded state; empty if there is none.
   std::optional<Claim> Current;
-  /// Whether this process, in this life, is its holder.
-  bool Mine = false;
+  /// True if this incarnation of the process holds the claim.
+  bool IsHolder = false;
   bool Wanted = false;
-  /// Whether a record on this resource is under way from here.
-  bool Busy = false;
-  /// When the last take, renewal or release was read here.
+  /// True while an append by this process for the resource is in flight.
+  bool AppendInFlight = false;
+  /// Time at which the last acquisition, renewal or release was read.
   TimePoint ReadAt;
-  /// Since when it is wanted.
+  /// Time since which the claim is requested.
   TimePoint WantedAt;
-  /// Just before the last accepted take or renewal of this process was sent.
+  /// Time just before the last accepted acquisition or renewal by this process
+  /// was sent.
   TimePoint SentAt;
-  /// How many members rank before this one for the resource.
+  /// Number of members that rank before this one for the resource.
   std::size_t Rank = 0;
-  /// Whether this process may decide anew: it trusts its view, the log answers,
-  /// and no newer schema blocks its fold.
+  /// True if this process may acquire claims: it is not isolated or leaving,
+  /// the log is reachable, and no newer schema blocks its fold.
   bool MayAcquire = true;
 };
 
-enum class ClaimAction : std::uint8_t { Wait, Take, Renew, Release };
+enum class ClaimAction : std::uint8_t { Wait, Acquire, Renew, Release };
 
-/// What to do now. Pure.
-ClaimAction decideClaim(const ClaimDecisionInput &Now,
-                        const ClaimSettings &Limits, TimePoint At);
+/// Returns the action to take at `Now`. Pure.
+ClaimAction decideClaim(const ClaimDecisionInput &Input,
+                        const ClaimSettings &Limits, TimePoint Now);
 
 } // namespace wasabi
 
--- a/Wasabi/Node/ControlCounters.h
+++ b/Wasabi/Node/ControlCounters.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the control duty counts of itself.
+/// Counters of the control plane.
 #ifndef WASABI_NODE_CONTROLCOUNTERS_H
 #define WASABI_NODE_CONTROLCOUNTERS_H
 
@@ -10,8 +10,8 @@
 
 /// Counters since the start of the process. Thread-safe.
 struct ControlCounters {
-  /// Frames with their length prefixes, the log's records and the platform's
-  /// lists; headers of HTTP, TCP and IP are not counted.
+  /// Bytes of frames with their length prefixes, of log records and of the
+  /// platform's lists, without HTTP, TCP and IP headers.
   std::atomic<std::uint64_t> BytesIn{0};
   std::atomic<std::uint64_t> BytesOut{0};
   std::atomic<std::uint64_t> FramesIn{0};
@@ -20,7 +20,7 @@
   std::atomic<std::uint64_t> LogAppends{0};
   std::atomic<std::uint64_t> Probes{0};
   std::atomic<std::uint64_t> ProbesFailed{0};
-  /// Records that arrived again although they were known.
+  /// Records received that were already applied.
   std::atomic<std::uint64_t> RepeatedRecords{0};
 };
 
--- a/Wasabi/Node/ControlMessage.cpp
+++ b/Wasabi/Node/ControlMessage.cpp
@@ -14,19 +14,19 @@
 using TextOffset = flatbuffers::Offset<flatbuffers::String>;
 using BodyOffset = std::pair<wire::Body, flatbuffers::Offset<void>>;
 
-/// Longest span that a frame can tell.
-constexpr std::uint32_t MostMillis = std::numeric_limits<std::uint32_t>::max();
+/// Maximum duration that a frame can hold, in milliseconds.
+constexpr std::uint32_t MaxMillis = std::numeric_limits<std::uint32_t>::max();
 
 std::uint32_t millis(Millis Span) {
-  std::int64_t count = std::clamp<std::int64_t>(Span.count(), 0, MostMillis);
+  std::int64_t count = std::clamp<std::int64_t>(Span.count(), 0, MaxMillis);
   return static_cast<std::uint32_t>(count);
 }
 
-std::string text(const flatbuffers::String *From) {
-  return From == nullptr ? std::string() : From->str();
+std::string text(const flatbuffers::String *Source) {
+  return Source == nullptr ? std::string() : Source->str();
 }
 
-/// An empty text takes no room in the frame.
+/// Omits empty strings from the frame.
 TextOffset put(FlatBufferBuilder &Builder, const std::string &Text) {
   return Text.empty() ? TextOffset() : Builder.CreateString(Text);
 }
@@ -35,7 +35,7 @@
   return Where.empty() ? TextOffset() : Builder.CreateString(toText(Where));
 }
 
-// ---- members ----
+// ---- Members ----
 
 flatbuffers::Offset<wire::ServerState> put(FlatBufferBuilder &Builder,
                                            const ServerStatus &Server) {
@@ -46,277 +46,287 @@
 }
 
 flatbuffers::Offset<wire::MemberState> put(FlatBufferBuilder &Builder,
-                                           const MemberUpdate &News) {
-  const Member &who = News.Subject;
+                                           const MemberUpdate &Update) {
+  const Member &member = Update.Subject;
   std::vector<flatbuffers::Offset<wire::ServerState>> servers;
-  servers.reserve(who.Servers.size());
-  for (const ServerStatus &it : who.Servers)
+  servers.reserve(member.Servers.size());
+  for (const ServerStatus &it : member.Servers)
     servers.push_back(put(Builder, it));
   flatbuffers::Offset<
       flatbuffers::Vector<flatbuffers::Offset<wire::ServerState>>>
       list;
   if (!servers.empty())
     list = Builder.CreateVector(servers);
-  TextOffset instance = put(Builder, who.Instance.Text);
-  TextOffset domain = who.Domain.empty()
+  TextOffset instance = put(Builder, member.Instance.Text);
+  TextOffset domain = member.Domain.empty()
                           ? TextOffset()
-                          : Builder.CreateSharedString(who.Domain.Text);
-  TextOffset requests = put(Builder, who.Requests);
-  TextOffset control = put(Builder, who.Control);
-  TextOffset admin = put(Builder, who.Admin);
-  TextOffset accuser = put(Builder, News.Accuser.Text);
+                          : Builder.CreateSharedString(member.Domain.Text);
+  TextOffset requests = put(Builder, member.Requests);
+  TextOffset control = put(Builder, member.Control);
+  TextOffset admin = put(Builder, member.Admin);
+  TextOffset accuser = put(Builder, Update.Accuser.Text);
   return wire::CreateMemberState(
-      Builder, instance, domain, static_cast<std::uint8_t>(who.Kind), who.Life,
-      requests, control, admin, static_cast<std::uint8_t>(who.State), who.Stamp,
-      list, accuser);
+      Builder, instance, domain, static_cast<std::uint8_t>(member.Kind),
+      member.Life, requests, control, admin,
+      static_cast<std::uint8_t>(member.State), member.Stamp, list, accuser);
 }
 
-/// An absent or malformed address reads as none.
-Address addressFrom(const flatbuffers::String *From) {
-  if (From == nullptr || From->size() == 0)
+/// Returns an empty address if it is absent or malformed.
+Address parseAddressOrEmpty(const flatbuffers::String *Source) {
+  if (Source == nullptr || Source->size() == 0)
     return {};
-  std::string text = From->str();
+  std::string text = Source->str();
   Outcome<Address> read = toOutcome<Address>(
       [&]() { return parseAddress(text, "member's address"); });
   return read ? *read : Address();
 }
 
-std::optional<MemberUpdate> newsFrom(const wire::MemberState &From) {
-  if (From.role() > static_cast<std::uint8_t>(Role::Daemon) ||
-      From.health() > static_cast<std::uint8_t>(Health::Dead))
+std::optional<MemberUpdate> parseUpdate(const wire::MemberState &Source) {
+  if (Source.role() > static_cast<std::uint8_t>(Role::Daemon) ||
+      Source.health() > static_cast<std::uint8_t>(Health::Dead))
     return std::nullopt;
-  MemberUpdate news;
-  Member &who = news.Subject;
-  who.Instance = InstanceName(text(From.instance()));
-  who.Domain = DomainName(text(From.domain()));
-  who.Kind = static_cast<Role>(From.role());
-  who.Life = From.incarnation();
-  who.Requests = addressFrom(From.requests());
-  who.Control = addressFrom(From.control());
-  who.Admin = addressFrom(From.admin());
-  who.State = static_cast<Health>(From.health());
-  who.Stamp = From.stamp();
-  if (From.servers() != nullptr) {
-    for (const wire::ServerState *it : *From.servers())
-      who.Servers.push_back(ServerStatus{
+  MemberUpdate update;
+  Member &member = update.Subject;
+  member.Instance = InstanceName(text(Source.instance()));
+  member.Domain = DomainName(text(Source.domain()));
+  member.Kind = static_cast<Role>(Source.role());
+  member.Life = Source.incarnation();
+  member.Requests = parseAddressOrEmpty(Source.requests());
+  member.Control = parseAddressOrEmpty(Source.control());
+  member.Admin = parseAddressOrEmpty(Source.admin());
+  member.State = static_cast<Health>(Source.health());
+  member.Stamp = Source.stamp();
+  if (Source.servers() != nullptr) {
+    for (const wire::ServerState *it : *Source.servers())
+      member.Servers.push_back(ServerStatus{
           ServerName(text(it->name())), ServiceName(text(it->service())),
           it->version(), it->slots(), it->serving()});
   }
-  news.Accuser = InstanceName(text(From.accuser()));
-  if (who.Instance.empty())
+  update.Accuser = InstanceName(text(Source.accuser()));
+  if (member.Instance.empty())
     return std::nullopt;
-  return news;
+  return update;
 }
 
-// ---- gossip, alike in probes and their answers ----
+// ---- Gossip of probes and their answers ----
 
 struct GossipOffsets {
   flatbuffers::Offset<
       flatbuffers::Vector<flatbuffers::Offset<wire::MemberState>>>
-      News;
+      Updates;
   flatbuffers::Offset<flatbuffers::Vector<std::uint64_t>> Digests;
 };
 
-GossipOffsets put(FlatBufferBuilder &Builder, const Gossip &Carried) {
+GossipOffsets put(FlatBufferBuilder &Builder, const Gossip &Piggybacked) {
   GossipOffsets offsets;
-  std::vector<flatbuffers::Offset<wire::MemberState>> news;
-  news.reserve(Carried.Updates.size());
-  for (const MemberUpdate &it : Carried.Updates)
-    news.push_back(put(Builder, it));
-  if (!news.empty())
-    offsets.News = Builder.CreateVector(news);
-  if (!Carried.Digests.empty())
-    offsets.Digests = Builder.CreateVector(Carried.Digests);
+  std::vector<flatbuffers::Offset<wire::MemberState>> updates;
+  updates.reserve(Piggybacked.Updates.size());
+  for (const MemberUpdate &it : Piggybacked.Updates)
+    updates.push_back(put(Builder, it));
+  if (!updates.empty())
+    offsets.Updates = Builder.CreateVector(updates);
+  if (!Piggybacked.Digests.empty())
+    offsets.Digests = Builder.CreateVector(Piggybacked.Digests);
   return offsets;
 }
 
-/// Works for `Ping` and `Ack`, which carry the same. Nothing for a member that
-/// no sender of this schema could have meant.
-template <typename Table> std::optional<Gossip> gossipFrom(const Table &From) {
-  Gossip carried;
-  if (From.members() != nullptr) {
-    for (const wire::MemberState *it : *From.members()) {
-      std::optional<MemberUpdate> news = newsFrom(*it);
-      if (!news)
+/// Decodes the gossip of a `Ping` or an `Ack`. Returns nothing if a member is
+/// invalid.
+template <typename Table>
+std::optional<Gossip> parseGossip(const Table &Source) {
+  Gossip gossip;
+  if (Source.members() != nullptr) {
+    for (const wire::MemberState *it : *Source.members()) {
+      std::optional<MemberUpdate> update = parseUpdate(*it);
+      if (!update)
         return std::nullopt;
-      carried.Updates.push_back(std::move(*news));
+      gossip.Updates.push_back(std::move(*update));
     }
   }
-  if (From.digests() != nullptr)
-    carried.Digests.assign(From.digests()->begin(), From.digests()->end());
-  carried.Full = From.full();
-  carried.Next = From.next();
-  carried.CaughtUpAge = Millis(From.log_age_ms());
-  carried.At = HybridTime{From.hlc_wall(), From.hlc_count()};
-  return carried;
+  if (Source.digests() != nullptr)
+    gossip.Digests.assign(Source.digests()->begin(), Source.digests()->end());
+  gossip.IsFullSync = Source.full();
+  gossip.Next = Source.next();
+  gossip.CaughtUpAge = Millis(Source.log_age_ms());
+  gossip.At = HybridTime{Source.hlc_wall(), Source.hlc_count()};
+  return gossip;
 }
 
-// ---- encoding, one function a message ----
+// ---- Encoding ----
 
-BodyOffset put(FlatBufferBuilder &Builder, const PingMessage &What) {
-  GossipOffsets carried = put(Builder, What.Piggybacked);
-  TextOffset from = put(Builder, What.From);
-  TextOffset target = put(Builder, What.Target);
-  const Gossip &it = What.Piggybacked;
+BodyOffset put(FlatBufferBuilder &Builder, const PingMessage &Message) {
+  GossipOffsets gossip = put(Builder, Message.Piggybacked);
+  TextOffset from = put(Builder, Message.From);
+  TextOffset target = put(Builder, Message.Target);
+  const Gossip &it = Message.Piggybacked;
   return {wire::Body::Ping,
-          wire::CreatePing(Builder, What.Sequence, from, target, carried.News,
-                           it.Next, it.Full, it.At.Wall, it.At.Count,
-                           millis(it.CaughtUpAge), carried.Digests)
+          wire::CreatePing(Builder, Message.Sequence, from, target,
+                           gossip.Updates, it.Next, it.IsFullSync, it.At.Wall,
+                           it.At.Count, millis(it.CaughtUpAge), gossip.Digests)
               .Union()};
 }
 
-BodyOffset put(FlatBufferBuilder &Builder, const AckMessage &What) {
-  GossipOffsets carried = put(Builder, What.Piggybacked);
-  TextOffset from = put(Builder, What.From);
-  const Gossip &it = What.Piggybacked;
+BodyOffset put(FlatBufferBuilder &Builder, const AckMessage &Message) {
+  GossipOffsets gossip = put(Builder, Message.Piggybacked);
+  TextOffset from = put(Builder, Message.From);
+  const Gossip &it = Message.Piggybacked;
   return {wire::Body::Ack,
-          wire::CreateAck(Builder, What.Sequence, from, carried.News, it.Next,
-                          it.Full, it.At.Wall, it.At.Count,
-                          millis(it.CaughtUpAge), carried.Digests)
+          wire::CreateAck(Builder, Message.Sequence, from, gossip.Updates,
+                          it.Next, it.IsFullSync, it.At.Wall, it.At.Count,
+                          millis(it.CaughtUpAge), gossip.Digests)
               .Union()};
 }
 
-BodyOffset put(FlatBufferBuilder &Builder, const PingRequestMessage &What) {
-  TextOffset from = put(Builder, What.From);
-  TextOffset target = put(Builder, What.Target);
+BodyOffset put(FlatBufferBuilder &Builder, const PingRequestMessage &Message) {
+  TextOffset from = put(Builder, Message.From);
+  TextOffset target = put(Builder, Message.Target);
   return {
       wire::Body::PingRequest,
-      wire::CreatePingRequest(Builder, What.Sequence, from, target).Union()};
+      wire::CreatePingRequest(Builder, Message.Sequence, from, target).Union()};
 }
 
-BodyOffset put(FlatBufferBuilder &Builder, const PingAnswerMessage &What) {
-  TextOffset target = put(Builder, What.Target);
-  return {wire::Body::PingAnswer,
-          wire::CreatePingAnswer(Builder, What.Sequence, target, What.Reached)
-              .Union()};
+BodyOffset put(FlatBufferBuilder &Builder, const PingAnswerMessage &Message) {
+  TextOffset target = put(Builder, Message.Target);
+  return {
+      wire::Body::PingAnswer,
+      wire::CreatePingAnswer(Builder, Message.Sequence, target, Message.Reached)
+          .Union()};
 }
 
-BodyOffset put(FlatBufferBuilder &Builder, const LogPushMessage &What) {
+BodyOffset put(FlatBufferBuilder &Builder, const LogPushMessage &Message) {
   std::vector<flatbuffers::Offset<wire::LogRecord>> records;
-  for (const LogEntry &it : What.Records) {
+  for (const LogEntry &it : Message.Records) {
     TextOffset body = put(Builder, it.Text);
     records.push_back(wire::CreateLogRecord(Builder, it.At, body));
   }
   flatbuffers::Offset<flatbuffers::Vector<flatbuffers::Offset<wire::LogRecord>>>
       list = Builder.CreateVector(records);
-  TextOffset from = put(Builder, What.From);
+  TextOffset from = put(Builder, Message.From);
   return {wire::Body::LogPush,
-          wire::CreateLogPush(Builder, from, list, What.Next, What.First,
-                              millis(What.CaughtUpAge), What.Sequence)
+          wire::CreateLogPush(Builder, from, list, Message.Next, Message.First,
+                              millis(Message.CaughtUpAge), Message.Sequence)
               .Union()};
 }
 
-BodyOffset put(FlatBufferBuilder &Builder, const LogRequestMessage &What) {
-  TextOffset from = put(Builder, What.From);
+BodyOffset put(FlatBufferBuilder &Builder, const LogRequestMessage &Message) {
+  TextOffset from = put(Builder, Message.From);
   return {wire::Body::LogAsk,
-          wire::CreateLogAsk(Builder, What.Sequence, from, What.Start).Union()};
+          wire::CreateLogAsk(Builder, Message.Sequence, from, Message.Start)
+              .Union()};
 }
 
-BodyOffset put(FlatBufferBuilder &Builder, const StateRequestMessage &What) {
-  TextOffset from = put(Builder, What.From);
+BodyOffset put(FlatBufferBuilder &Builder, const StateRequestMessage &Message) {
+  TextOffset from = put(Builder, Message.From);
   return {wire::Body::StateAsk,
-          wire::CreateStateAsk(Builder, What.Sequence, from).Union()};
+          wire::CreateStateAsk(Builder, Message.Sequence, from).Union()};
 }
 
-BodyOffset put(FlatBufferBuilder &Builder, const StateResponseMessage &What) {
-  TextOffset hash = put(Builder, What.Hash);
-  TextOffset state = put(Builder, What.State);
+BodyOffset put(FlatBufferBuilder &Builder,
+               const StateResponseMessage &Message) {
+  TextOffset hash = put(Builder, Message.Hash);
+  TextOffset state = put(Builder, Message.State);
   return {wire::Body::StateGive,
-          wire::CreateStateGive(Builder, What.Sequence, What.Next, hash, state)
+          wire::CreateStateGive(Builder, Message.Sequence, Message.Next, hash,
+                                state)
               .Union()};
 }
 
-BodyOffset put(FlatBufferBuilder &Builder, const OrderRequestMessage &What) {
-  TextOffset from = put(Builder, What.From);
-  TextOffset server = put(Builder, What.What.Server.Text);
-  TextOffset resource = put(Builder, What.What.Resource);
-  TextOffset model = put(Builder, What.What.Model.Text);
+BodyOffset put(FlatBufferBuilder &Builder, const OrderRequestMessage &Message) {
+  TextOffset from = put(Builder, Message.From);
+  TextOffset server = put(Builder, Message.Command.Server.Text);
+  TextOffset resource = put(Builder, Message.Command.Resource);
+  TextOffset model = put(Builder, Message.Command.Model.Text);
   return {wire::Body::OrderAsk,
-          wire::CreateOrderAsk(Builder, What.Sequence, from, server, resource,
-                               What.What.Token, model, What.What.Version)
+          wire::CreateOrderAsk(Builder, Message.Sequence, from, server,
+                               resource, Message.Command.Token, model,
+                               Message.Command.Version)
               .Union()};
 }
 
-BodyOffset put(FlatBufferBuilder &Builder, const OrderResponseMessage &What) {
-  if (What.Answer)
+BodyOffset put(FlatBufferBuilder &Builder,
+               const OrderResponseMessage &Message) {
+  if (Message.Answer)
     return {wire::Body::OrderDone,
-            wire::CreateOrderDone(Builder, What.Sequence, true,
-                                  What.Answer->Version)
+            wire::CreateOrderDone(Builder, Message.Sequence, true,
+                                  Message.Answer->Version)
                 .Union()};
-  const Failure &why = What.Answer.failure();
+  const Failure &why = Message.Answer.failure();
   TextOffset place = put(Builder, why.Place);
   TextOffset reason = put(Builder, why.Reason);
   return {wire::Body::OrderDone,
-          wire::CreateOrderDone(Builder, What.Sequence, false, 0,
+          wire::CreateOrderDone(Builder, Message.Sequence, false, 0,
                                 static_cast<std::uint8_t>(why.Run),
                                 static_cast<std::uint8_t>(why.Code), place,
                                 reason)
               .Union()};
 }
 
-// ---- decoding ----
+// ---- Decoding ----
 
 Failure malformed(std::string Reason) {
   return Failure{Verdict::NotRun, FailureCode::BadInput, "control frame",
                  std::move(Reason), Millis(0)};
 }
 
-Outcome<ControlMessage> pingFrom(const wire::Ping &From) {
-  std::optional<Gossip> carried = gossipFrom(From);
-  if (!carried)
-    return malformed("ping: a member without name, or of unknown health");
-  return ControlMessage(PingMessage{From.sequence(), text(From.from()),
-                                    text(From.target()), std::move(*carried)});
+Outcome<ControlMessage> parsePing(const wire::Ping &Source) {
+  std::optional<Gossip> gossip = parseGossip(Source);
+  if (!gossip)
+    return malformed(
+        "ping: a member has no name, or an unknown role or health");
+  return ControlMessage(PingMessage{Source.sequence(), text(Source.from()),
+                                    text(Source.target()), std::move(*gossip)});
 }
 
-Outcome<ControlMessage> ackFrom(const wire::Ack &From) {
-  std::optional<Gossip> carried = gossipFrom(From);
-  if (!carried)
-    return malformed("ack: a member without name, or of unknown health");
+Outcome<ControlMessage> parseAck(const wire::Ack &Source) {
+  std::optional<Gossip> gossip = parseGossip(Source);
+  if (!gossip)
+    return malformed("ack: a member has no name, or an unknown role or health");
   return ControlMessage(
-      AckMessage{From.sequence(), text(From.from()), std::move(*carried)});
+      AckMessage{Source.sequence(), text(Source.from()), std::move(*gossip)});
 }
 
-Outcome<ControlMessage> pushFrom(const wire::LogPush &From) {
+Outcome<ControlMessage> parseLogPush(const wire::LogPush &Source) {
   LogPushMessage push;
-  push.Sequence = From.sequence();
-  push.From = text(From.from());
-  push.Next = From.next();
-  push.First = From.first();
-  push.CaughtUpAge = Millis(From.log_age_ms());
-  if (From.records() != nullptr) {
-    for (const wire::LogRecord *it : *From.records())
+  push.Sequence = Source.sequence();
+  push.From = text(Source.from());
+  push.Next = Source.next();
+  push.First = Source.first();
+  push.CaughtUpAge = Millis(Source.log_age_ms());
+  if (Source.records() != nullptr) {
+    for (const wire::LogRecord *it : *Source.records())
       push.Records.push_back(LogEntry{it->offset(), text(it->text())});
   }
   return ControlMessage(std::move(push));
 }
 
-Outcome<ControlMessage> doneFrom(const wire::OrderDone &From) {
-  if (From.ok())
+Outcome<ControlMessage> parseOrderResponse(const wire::OrderDone &Source) {
+  if (Source.ok())
     return ControlMessage(
-        OrderResponseMessage{From.sequence(), OrderAnswer{From.version()}});
-  if (From.run() > static_cast<std::uint8_t>(Verdict::Ran) ||
-      From.code() > static_cast<std::uint8_t>(FailureCode::Internal))
-    return malformed("order done: unknown verdict or code");
-  Failure why{static_cast<Verdict>(From.run()),
-              static_cast<FailureCode>(From.code()), text(From.place()),
-              text(From.reason()), Millis(0)};
-  return ControlMessage(OrderResponseMessage{From.sequence(), std::move(why)});
+        OrderResponseMessage{Source.sequence(), OrderAnswer{Source.version()}});
+  if (Source.run() > static_cast<std::uint8_t>(Verdict::Ran) ||
+      Source.code() > static_cast<std::uint8_t>(FailureCode::Internal))
+    return malformed("order response: unknown verdict or failure code");
+  Failure why{static_cast<Verdict>(Source.run()),
+              static_cast<FailureCode>(Source.code()), text(Source.place()),
+              text(Source.reason()), Millis(0)};
+  return ControlMessage(
+      OrderResponseMessage{Source.sequence(), std::move(why)});
 }
 
-ControlMessage orderFrom(const wire::OrderAsk &From) {
-  Order what{ServerName(text(From.server())), text(From.resource()),
-             From.token(), ModelName(text(From.model())), From.version()};
-  return OrderRequestMessage{From.sequence(), text(From.from()),
-                             std::move(what)};
+ControlMessage parseOrderRequest(const wire::OrderAsk &Source) {
+  Order command{ServerName(text(Source.server())), text(Source.resource()),
+                Source.token(), ModelName(text(Source.model())),
+                Source.version()};
+  return OrderRequestMessage{Source.sequence(), text(Source.from()),
+                             std::move(command)};
 }
 
 } // namespace
 
-std::vector<std::uint8_t> encodeControl(const ControlMessage &What) {
+std::vector<std::uint8_t> encodeControl(const ControlMessage &Message) {
   FlatBufferBuilder builder(256);
   BodyOffset body =
-      std::visit([&](const auto &it) { return put(builder, it); }, What);
+      std::visit([&](const auto &it) { return put(builder, it); }, Message);
   builder.Finish(wire::CreateFrame(builder, body.first, body.second));
   return {builder.GetBufferPointer(),
           builder.GetBufferPointer() + builder.GetSize()};
@@ -325,12 +335,12 @@
 Outcome<ControlMessage> decodeControl(const std::vector<std::uint8_t> &Frame) {
   const wire::Frame *frame = wire::GetFrame(Frame.data());
   if (frame->body() == nullptr)
-    return malformed("it has no body");
+    return malformed("the frame has no body");
   switch (frame->body_type()) {
   case wire::Body::Ping:
-    return pingFrom(*frame->body_as_Ping());
+    return parsePing(*frame->body_as_Ping());
   case wire::Body::Ack:
-    return ackFrom(*frame->body_as_Ack());
+    return parseAck(*frame->body_as_Ack());
   case wire::Body::PingRequest: {
     const wire::PingRequest &it = *frame->body_as_PingRequest();
     return ControlMessage(
@@ -342,7 +352,7 @@
         PingAnswerMessage{it.sequence(), text(it.target()), it.reached()});
   }
   case wire::Body::LogPush:
-    return pushFrom(*frame->body_as_LogPush());
+    return parseLogPush(*frame->body_as_LogPush());
   case wire::Body::LogAsk: {
     const wire::LogAsk &it = *frame->body_as_LogAsk();
     return ControlMessage(
@@ -358,15 +368,15 @@
         it.sequence(), it.next(), text(it.hash()), text(it.state())});
   }
   case wire::Body::OrderAsk:
-    return orderFrom(*frame->body_as_OrderAsk());
+    return parseOrderRequest(*frame->body_as_OrderAsk());
   case wire::Body::OrderDone:
-    return doneFrom(*frame->body_as_OrderDone());
+    return parseOrderResponse(*frame->body_as_OrderDone());
   default:
-    return malformed("its kind is not one of the control frames");
+    return malformed("the body is not a control message");
   }
 }
 
-std::uint64_t sequenceOf(const ControlMessage &What) {
+std::uint64_t sequenceOf(const ControlMessage &Message) {
   return std::visit(
       [](const auto &it) -> std::uint64_t {
         if constexpr (requires { it.Sequence; })
@@ -374,7 +384,7 @@
         else
           return 0;
       },
-      What);
+      Message);
 }
 
 } // namespace wasabi
--- a/Wasabi/Node/ControlMessage.h
+++ b/Wasabi/Node/ControlMessage.h
@@ -1,5 +1,6 @@
 /// \file
-/// The control messages between processes as typed values, and their frames.
+/// Control messages between processes as typed values, and their encoding as
+/// frames.
 #ifndef WASABI_NODE_CONTROLMESSAGE_H
 #define WASABI_NODE_CONTROLMESSAGE_H
 
@@ -17,26 +18,26 @@
 
 namespace wasabi {
 
-/// What each probe and its answer carry besides: news of members, and how far
-/// the sender has folded the log.
+/// Payload piggybacked on each probe and its answer: member updates and the
+/// sender's position in the log.
 struct Gossip {
   std::vector<MemberUpdate> Updates;
-  /// Hashes of all that the sender knows; only with `Full`.
+  /// Digests of all members known to the sender; only with `IsFullSync`.
   std::vector<std::uint64_t> Digests;
-  /// Asks for all that the receiver knows otherwise.
-  bool Full = false;
+  /// Requests updates on all members whose digests differ.
+  bool IsFullSync = false;
   Offset Next = 0;
-  /// How long ago the log was known to end at or before `Next`.
+  /// Time since the log was last known to end at or before `Next`.
   Millis CaughtUpAge{0};
   HybridTime At;
   bool operator==(const Gossip &) const = default;
 };
 
-/// A probe; with sequence 0, a notice that wants no answer.
+/// A probe. With sequence 0 it is a notification that needs no answer.
 struct PingMessage {
   std::uint64_t Sequence = 0;
   std::string From;
-  /// The instance meant; empty for whoever listens there.
+  /// The target instance; empty to address any process that listens there.
   std::string Target;
   Gossip Piggybacked;
   bool operator==(const PingMessage &) const = default;
@@ -64,21 +65,21 @@
   bool operator==(const PingAnswerMessage &) const = default;
 };
 
-/// Records of the control stream, contiguous.
+/// Contiguous records of the control stream.
 struct LogPushMessage {
-  /// Of the `LogRequestMessage` that it answers, or 0.
+  /// Sequence of the `LogRequestMessage` that this answers, or 0.
   std::uint64_t Sequence = 0;
   std::string From;
   std::vector<LogEntry> Records;
-  /// The sender's next offset after all it knows.
+  /// The next offset that the sender will apply.
   Offset Next = 0;
-  /// The oldest offset that the sender could push.
+  /// The oldest offset that the sender retains.
   Offset First = 0;
   Millis CaughtUpAge{0};
   bool operator==(const LogPushMessage &) const = default;
 };
 
-/// Asks for records from `Start`; answered by a `LogPushMessage`.
+/// Requests records from `Start`; answered by a `LogPushMessage`.
 struct LogRequestMessage {
   std::uint64_t Sequence = 0;
   std::string From;
@@ -86,18 +87,18 @@
   bool operator==(const LogRequestMessage &) const = default;
 };
 
-/// Asks for the whole state.
+/// Requests the complete folded state.
 struct StateRequestMessage {
   std::uint64_t Sequence = 0;
   std::string From;
   bool operator==(const StateRequestMessage &) const = default;
 };
 
-/// The whole state; empty text when the sender has none to give.
+/// The complete folded state; `State` is empty if the sender has none.
 struct StateResponseMessage {
   std::uint64_t Sequence = 0;
   Offset Next = 0;
-  /// `hashState` of the state.
+  /// `hashState` of `State`.
   std::string Hash;
   std::string State;
   bool operator==(const StateResponseMessage &) const = default;
@@ -106,7 +107,7 @@
 struct OrderRequestMessage {
   std::uint64_t Sequence = 0;
   std::string From;
-  Order What;
+  Order Command;
   bool operator==(const OrderRequestMessage &) const = default;
 };
 
@@ -121,15 +122,16 @@
                  StateResponseMessage, OrderRequestMessage,
                  OrderResponseMessage>;
 
-/// The frame of a message, without its length prefix. Pure.
-std::vector<std::uint8_t> encodeControl(const ControlMessage &What);
+/// Encodes a message as a frame without its length prefix. Pure.
+std::vector<std::uint8_t> encodeControl(const ControlMessage &Message);
 
-/// Reads a verified frame. Fails with `BadInput` for a frame that is no control
-/// message or holds a value out of range. Pure.
+/// Decodes a verified frame. Fails with `BadInput` if the frame is not a
+/// control message or holds a value out of range. Pure.
 Outcome<ControlMessage> decodeControl(const std::vector<std::uint8_t> &Frame);
 
-/// The number that joins a message to its answer; 0 for none. Pure.
-std::uint64_t sequenceOf(const ControlMessage &What);
+/// Returns the sequence number that matches a message with its answer; 0 for
+/// none. Pure.
+std::uint64_t sequenceOf(const ControlMessage &Message);
 
 } // namespace wasabi
 
--- a/Wasabi/Node/ControlPlane.cpp
+++ b/Wasabi/Node/ControlPlane.cpp
@@ -32,26 +32,27 @@
 
 constexpr asio::as_tuple_t<asio::use_awaitable_t<>> Awaited;
 constexpr char SnapshotResource[] = "snapshots";
-/// Time between two looks at claims and snapshots.
-constexpr Millis DutyPeriod(100);
-/// How often the writer of snapshots looks where the log begins.
-constexpr Millis RetentionLook(10000);
-/// Longest that leaving waits for the releases of claims.
-constexpr Millis LeaveLimit(3000);
-constexpr Millis LeaveLook(20);
+/// Time between two checks of claims and snapshots.
+constexpr Millis TickInterval(100);
+/// Time between two reads of the log's first offset by the snapshot writer.
+constexpr Millis RetentionCheckInterval(10000);
+/// Maximum time that leaving waits for the release of claims.
+constexpr Millis LeaveTimeout(3000);
+constexpr Millis LeavePollInterval(20);
 
 Failure notRun(FailureCode Code, std::string Place, std::string Reason) {
   return Failure{Verdict::NotRun, Code, std::move(Place), std::move(Reason),
                  Millis(0)};
 }
 
-/// The control plane on its own thread. Its parts live on that thread.
+/// Implements the control plane on its own thread, on which all its components
+/// run.
 class ControlThread final : public ControlPlane {
 public:
   ControlThread(Settings Setup, Timeline &Events, OrderHandler Handle)
       : Setup(std::move(Setup)), Events(Events), Handle(std::move(Handle)),
-        Life(wallMicros()), Guard(asio::make_work_guard(Context)),
-        DutyTimer(Context) {}
+        Life(wallMicros()), WorkGuard(asio::make_work_guard(Context)),
+        TickTimer(Context) {}
   ~ControlThread() override;
 
   Result<Done> bind();
@@ -63,23 +64,25 @@
   }
   bool ready() const override;
   Incarnation life() const override { return Life; }
-  std::shared_ptr<const View> view() const override { return Watch->view(); }
+  std::shared_ptr<const View> view() const override {
+    return Membership->view();
+  }
   void setServers(std::vector<ServerStatus> Servers) override;
   void requestClaim(std::string Resource) override {
-    Keeper->requestClaim(Resource);
+    Claims->requestClaim(Resource);
   }
   void withdrawClaim(std::string Resource) override {
-    Keeper->withdrawClaim(Resource);
+    Claims->withdrawClaim(Resource);
   }
   std::optional<HeldClaim> held(const std::string &Resource) const override {
-    return Keeper->held(Resource, monotonicNow());
+    return Claims->held(Resource, monotonicNow());
   }
   std::optional<FencingToken>
   tokenDespiteOutage(const std::string &Resource) const override {
-    return Keeper->token(*state(), Resource);
+    return Claims->token(*state(), Resource);
   }
-  void noteUnreachable(InstanceName Member) override;
-  void order(InstanceName Daemon, Order What, Millis Timeout,
+  void noteUnreachable(InstanceName Target) override;
+  void order(InstanceName Daemon, Order Command, Millis Timeout,
              std::function<void(Outcome<OrderAnswer>)> Callback) override;
   void
   append(RecordBody Body,
@@ -88,19 +91,20 @@
   std::string statusJson() const override;
 
 private:
-  void makeParts();
+  void createComponents();
   Member selfMember() const;
-  MembershipManager::Hooks watchHooks();
+  MembershipManager::Hooks membershipHooks();
   LogFollower::Hooks followerHooks();
-  void receive(ControlMessage What, const ControlServer::Reply &Answer);
-  void takeOrder(const OrderRequestMessage &Ask, ControlServer::Reply Answer);
+  void receive(ControlMessage Message, const ControlServer::Reply &Answer);
+  void handleOrder(const OrderRequestMessage &Request,
+                   ControlServer::Reply Answer);
   asio::awaitable<void>
-  sendOrder(InstanceName Daemon, Order What, Millis Timeout,
+  sendOrder(InstanceName Daemon, Order Command, Millis Timeout,
             std::function<void(Outcome<OrderAnswer>)> Callback);
-  asio::awaitable<void> dutyLoop();
-  asio::awaitable<void> leaveSteps(std::function<void()> Callback);
-  void lookAtSnapshots(TimePoint Now);
-  bool mayDecide() const;
+  asio::awaitable<void> tickLoop();
+  asio::awaitable<void> performLeave(std::function<void()> Callback);
+  void appendSnapshotIfDue(TimePoint Now);
+  bool mayAcquireClaims() const;
 
   const Settings Setup;
   Timeline &Events;
@@ -108,34 +112,34 @@
   const Incarnation Life;
   ControlCounters Counters;
   asio::io_context Context{1};
-  asio::executor_work_guard<asio::io_context::executor_type> Guard;
-  BootTimer DutyTimer;
+  asio::executor_work_guard<asio::io_context::executor_type> WorkGuard;
+  BootTimer TickTimer;
   std::shared_ptr<http::Client> Client;
   std::shared_ptr<ControlServer> Server;
   std::shared_ptr<PeerLinks> Links;
-  std::shared_ptr<MembershipManager> Watch;
+  std::shared_ptr<MembershipManager> Membership;
   std::shared_ptr<LogFollower> Follower;
   std::shared_ptr<RecordAppender> Appender;
-  std::shared_ptr<ClaimManager> Keeper;
+  std::shared_ptr<ClaimManager> Claims;
   SnapshotSettings SnapshotLimits;
-  Offset SnapshotSeen = 0;
-  TimePoint SnapshotSeenAt = monotonicNow();
-  TimePoint RetentionLookedAt;
-  bool SnapshotBusy = false;
+  Offset LastSnapshotOffset = 0;
+  TimePoint LastSnapshotTime = monotonicNow();
+  TimePoint LastRetentionCheck;
+  bool SnapshotInFlight = false;
   bool Stopped = false;
   std::thread Thread;
 };
 
-// ---- construction ----
+// ---- Construction ----
 
 ControlThread::~ControlThread() {
   if (!Thread.joinable())
     return;
   asio::post(Context, [this]() {
     Stopped = true;
-    DutyTimer.cancel();
+    TickTimer.cancel();
     Server->stop();
-    Watch->stop();
+    Membership->stop();
     Appender->stop();
     Follower->stop();
     Links->stop();
@@ -148,7 +152,7 @@
   ControlServer::Settings limits;
   limits.Listen = Setup.Listen;
   BOOST_LEAF_ASSIGN(Server, ControlServer::create(Context, limits, Counters));
-  makeParts();
+  createComponents();
   return Done();
 }
 
@@ -164,53 +168,54 @@
   return self;
 }
 
-MembershipManager::Hooks ControlThread::watchHooks() {
-  MembershipManager::Hooks calls;
-  calls.FillLogPosition = [this](Gossip &Carried) {
-    Carried.Next = Follower->next();
-    Carried.CaughtUpAge = Follower->caughtUpAge();
+MembershipManager::Hooks ControlThread::membershipHooks() {
+  MembershipManager::Hooks hooks;
+  hooks.FillLogPosition = [this](Gossip &Piggybacked) {
+    Piggybacked.Next = Follower->next();
+    Piggybacked.CaughtUpAge = Follower->caughtUpAge();
   };
-  calls.OnPeerLogPosition = [this](const InstanceName &Peer, Offset Next,
+  hooks.OnPeerLogPosition = [this](const InstanceName &Peer, Offset Next,
                                    Millis Age) {
-    Follower->hear(Peer, Next, Age);
+    Follower->onPeerLogPosition(Peer, Next, Age);
   };
-  return calls;
+  return hooks;
 }
 
 LogFollower::Hooks ControlThread::followerHooks() {
-  LogFollower::Hooks calls;
-  calls.CurrentView = [this]() { return Watch->view(); };
-  calls.OnApplied = [this](Offset At, const FoldState &State,
-                           const ControlStateChange &Did) {
-    // The claims look at the record in flight before the appender closes it.
-    Keeper->onApplied(At, State, Did, monotonicNow());
-    Appender->onApplied(At, State, Did);
+  LogFollower::Hooks hooks;
+  hooks.CurrentView = [this]() { return Membership->view(); };
+  hooks.OnApplied = [this](Offset At, const FoldState &State,
+                           const ControlStateChange &Change) {
+    // The claim manager reads `firstSent` before the appender completes the
+    // record.
+    Claims->onApplied(At, State, Change, monotonicNow());
+    Appender->onApplied(At, State, Change);
   };
-  calls.OnStateReplaced = [this](const FoldState &State) {
-    Keeper->onStateReplaced(State, monotonicNow());
+  hooks.OnStateReplaced = [this](const FoldState &State) {
+    Claims->onStateReplaced(State, monotonicNow());
     Appender->onStateReplaced(State);
   };
-  return calls;
+  return hooks;
 }
 
-void ControlThread::makeParts() {
+void ControlThread::createComponents() {
   asio::any_io_executor executor = Context.get_executor();
   http::Client::Settings client;
   Client = http::Client::create(executor, client);
   PeerLinks::Settings links;
   Links = PeerLinks::create(executor, links, Counters);
 
-  MembershipManager::Settings watch;
-  watch.Self = selfMember();
-  watch.Instances = Setup.Instances;
-  watch.Seeds = Setup.Seeds;
-  watch.Swim.ProbePeriod = Setup.ProbePeriod;
-  watch.ProbeTimeout = Setup.ProbeTimeout;
-  watch.MinListReadInterval = Setup.MinListReadInterval;
-  watch.ListBytesPerSecond = Setup.ListBytesPerSecond;
-  watch.Seed = Setup.Seed;
-  Watch = MembershipManager::create(executor, watch, Links, Client, Counters,
-                                    Events, watchHooks());
+  MembershipManager::Settings membership;
+  membership.Self = selfMember();
+  membership.Instances = Setup.Instances;
+  membership.Seeds = Setup.Seeds;
+  membership.Swim.PeerProbeInterval = Setup.PeerProbeInterval;
+  membership.ProbeTimeout = Setup.ProbeTimeout;
+  membership.MinListReadInterval = Setup.MinListReadInterval;
+  membership.ListBytesPerSecond = Setup.ListBytesPerSecond;
+  membership.Seed = Setup.Seed;
+  Membership = MembershipManager::create(executor, membership, Links, Client,
+                                         Counters, Events, membershipHooks());
 
   LogPort log = makeHttpLog(Client, Setup.Log);
   LogFollower::Settings follower;
@@ -226,26 +231,26 @@
   Appender =
       RecordAppender::create(executor, appender, log, Follower, Counters);
 
-  ClaimManager::Settings keeper;
-  keeper.Instance = Setup.Instance;
-  keeper.Life = Life;
-  keeper.Rules.Term = Setup.ClaimTerm;
-  keeper.Rules.Settle = Setup.ClaimSettleDelay;
-  Keeper = ClaimManager::create(keeper, Appender, Events);
+  ClaimManager::Settings claims;
+  claims.Instance = Setup.Instance;
+  claims.Life = Life;
+  claims.Rules.Term = Setup.ClaimTerm;
+  claims.Rules.SettleDelay = Setup.ClaimSettleDelay;
+  Claims = ClaimManager::create(claims, Appender, Events);
 }
 
 void ControlThread::start() {
   if (Setup.Kind == Role::Daemon)
-    Keeper->requestClaim(SnapshotResource);
+    Claims->requestClaim(SnapshotResource);
   Server->start(
-      [this](ControlMessage What, const ControlServer::Reply &Answer) {
-        receive(std::move(What), Answer);
+      [this](ControlMessage Message, const ControlServer::Reply &Answer) {
+        receive(std::move(Message), Answer);
       });
-  Watch->start();
+  Membership->start();
   Follower->start();
   Appender->start();
   asio::co_spawn(
-      Context, [this]() -> asio::awaitable<void> { return dutyLoop(); },
+      Context, [this]() -> asio::awaitable<void> { return tickLoop(); },
       asio::detached);
   Thread = std::thread([this]() { Context.run(); });
 }
@@ -254,89 +259,90 @@
   return Follower->hasState() && view()->Members.contains(Setup.Instance);
 }
 
-// ---- messages ----
+// ---- Messages ----
 
-void ControlThread::receive(ControlMessage What,
+void ControlThread::receive(ControlMessage Message,
                             const ControlServer::Reply &Answer) {
-  if (const PingMessage *ping = std::get_if<PingMessage>(&What))
-    Watch->receive(*ping, Answer);
-  else if (const PingRequestMessage *ask =
-               std::get_if<PingRequestMessage>(&What))
-    Watch->receive(*ask, Answer);
-  else if (const LogPushMessage *push = std::get_if<LogPushMessage>(&What))
+  if (const PingMessage *ping = std::get_if<PingMessage>(&Message))
+    Membership->receive(*ping, Answer);
+  else if (const PingRequestMessage *request =
+               std::get_if<PingRequestMessage>(&Message))
+    Membership->receive(*request, Answer);
+  else if (const LogPushMessage *push = std::get_if<LogPushMessage>(&Message))
     Follower->receive(*push);
-  else if (const LogRequestMessage *gap = std::get_if<LogRequestMessage>(&What))
+  else if (const LogRequestMessage *gap =
+               std::get_if<LogRequestMessage>(&Message))
     Answer(Follower->answer(*gap));
   else if (const StateRequestMessage *state =
-               std::get_if<StateRequestMessage>(&What))
+               std::get_if<StateRequestMessage>(&Message))
     Answer(Follower->answer(*state));
   else if (const OrderRequestMessage *order =
-               std::get_if<OrderRequestMessage>(&What))
-    takeOrder(*order, Answer);
+               std::get_if<OrderRequestMessage>(&Message))
+    handleOrder(*order, Answer);
 }
 
-void ControlThread::takeOrder(const OrderRequestMessage &Ask,
-                              ControlServer::Reply Answer) {
-  std::uint64_t sequence = Ask.Sequence;
+void ControlThread::handleOrder(const OrderRequestMessage &Request,
+                                ControlServer::Reply Answer) {
+  std::uint64_t sequence = Request.Sequence;
   if (!Handle) {
     OrderResponseMessage refused;
     refused.Sequence = sequence;
     refused.Answer = notRun(FailureCode::NoUpstream, Setup.Instance.Text,
-                            "no server stands behind this process");
+                            "this process has no server");
     Answer(refused);
     return;
   }
   asio::any_io_executor executor = Context.get_executor();
-  Handle(Ask.What, [executor, sequence,
-                    Answer = std::move(Answer)](Outcome<OrderAnswer> Did) {
-    // The answer may come from any thread.
+  Handle(Request.Command, [executor, sequence, Answer = std::move(Answer)](
+                              Outcome<OrderAnswer> Reply) {
+    // The handler may answer from any thread.
     OrderResponseMessage done;
     done.Sequence = sequence;
-    done.Answer = std::move(Did);
+    done.Answer = std::move(Reply);
     asio::post(executor, [Answer, done]() { Answer(done); });
   });
 }
 
-// ---- what other threads ask ----
+// ---- Calls from other threads ----
 
 void ControlThread::setServers(std::vector<ServerStatus> Servers) {
   asio::post(Context, [this, Servers = std::move(Servers)]() mutable {
-    Watch->setServers(std::move(Servers));
+    Membership->setServers(std::move(Servers));
   });
 }
 
-void ControlThread::noteUnreachable(InstanceName Member) {
-  asio::post(Context, [this, Member = std::move(Member)]() {
-    Watch->noteUnreachable(Member);
+void ControlThread::noteUnreachable(InstanceName Target) {
+  asio::post(Context, [this, Target = std::move(Target)]() {
+    Membership->noteUnreachable(Target);
   });
 }
 
-void ControlThread::order(InstanceName Daemon, Order What, Millis Timeout,
+void ControlThread::order(InstanceName Daemon, Order Command, Millis Timeout,
                           std::function<void(Outcome<OrderAnswer>)> Callback) {
   asio::co_spawn(
       Context,
-      [this, Daemon, What, Timeout, Callback]() -> asio::awaitable<void> {
-        return sendOrder(Daemon, What, Timeout, Callback);
+      [this, Daemon, Command, Timeout, Callback]() -> asio::awaitable<void> {
+        return sendOrder(Daemon, Command, Timeout, Callback);
       },
       asio::detached);
 }
 
 asio::awaitable<void>
-ControlThread::sendOrder(InstanceName Daemon, Order What, Millis Timeout,
+ControlThread::sendOrder(InstanceName Daemon, Order Command, Millis Timeout,
                          std::function<void(Outcome<OrderAnswer>)> Callback) {
-  std::shared_ptr<const View> seen = view();
-  auto found = seen->Members.find(Daemon);
-  if (found == seen->Members.end() || found->second.Control.empty()) {
+  std::shared_ptr<const View> clusterView = view();
+  auto found = clusterView->Members.find(Daemon);
+  if (found == clusterView->Members.end() || found->second.Control.empty()) {
     Callback(notRun(FailureCode::Unreachable, Daemon.Text,
-                    "it is not among the members"));
+                    "not a member, or its control address is unknown"));
     co_return;
   }
   Address where = found->second.Control;
-  OrderRequestMessage ask{Links->nextSequence(), Setup.Instance.Text,
-                          std::move(What)};
-  ControlMessage question = std::move(ask);
+  OrderRequestMessage request{Links->nextSequence(), Setup.Instance.Text,
+                              std::move(Command)};
+  ControlMessage message = std::move(request);
   Outcome<ControlMessage> answer =
-      co_await Links->ask(where, std::move(question), Timeout);
+      co_await Links->ask(where, std::move(message), Timeout);
   if (!answer) {
     Callback(answer.failure());
     co_return;
@@ -345,7 +351,7 @@
       std::get_if<OrderResponseMessage>(&*answer);
   if (done == nullptr) {
     Failure why{Verdict::MayHaveRun, FailureCode::BadInput, Daemon.Text,
-                "its answer is not one to an order", Millis(0)};
+                "the answer is not an order response", Millis(0)};
     Callback(std::move(why));
     co_return;
   }
@@ -358,63 +364,64 @@
   asio::post(Context, [this, Body = std::move(Body),
                        Callback = std::move(Callback)]() mutable {
     Appender->append(std::move(Body), false,
-                     [Callback](const Outcome<Appended> &Done) {
+                     [Callback](const Outcome<AppendedRecord> &Done) {
                        if (Done)
-                         Callback(Done->Did);
+                         Callback(Done->Change);
                        else
                          Callback(Done.failure());
                      });
   });
 }
 
-// ---- duties ----
+// ---- Periodic work ----
 
-bool ControlThread::mayDecide() const {
-  std::shared_ptr<const View> seen = view();
-  bool leaving = seen->Members.at(Setup.Instance).State == Health::Leaving;
+bool ControlThread::mayAcquireClaims() const {
+  std::shared_ptr<const View> clusterView = view();
+  bool leaving =
+      clusterView->Members.at(Setup.Instance).State == Health::Leaving;
   return Follower->hasState() && Follower->logReachable() && !leaving &&
-         !seen->MayBeIsolated && !state()->BlockedOffset;
+         !clusterView->MayBeIsolated && !state()->BlockedOffset;
 }
 
-asio::awaitable<void> ControlThread::dutyLoop() {
+asio::awaitable<void> ControlThread::tickLoop() {
   while (!Stopped) {
-    DutyTimer.expires_after(DutyPeriod);
-    co_await DutyTimer.async_wait(Awaited);
+    TickTimer.expires_after(TickInterval);
+    co_await TickTimer.async_wait(Awaited);
     if (Stopped || !Follower->hasState())
       continue;
     TimePoint now = monotonicNow();
     std::shared_ptr<const FoldState> folded = state();
-    std::shared_ptr<const View> seen = view();
-    Keeper->decide(*folded, *seen, mayDecide(), now);
-    lookAtSnapshots(now);
+    std::shared_ptr<const View> clusterView = view();
+    Claims->decide(*folded, *clusterView, mayAcquireClaims(), now);
+    appendSnapshotIfDue(now);
   }
 }
 
-void ControlThread::lookAtSnapshots(TimePoint Now) {
+void ControlThread::appendSnapshotIfDue(TimePoint Now) {
   std::shared_ptr<const FoldState> folded = state();
-  if (folded->SnapshotRevision != SnapshotSeen) {
-    SnapshotSeen = folded->SnapshotRevision;
-    SnapshotSeenAt = Now;
+  if (folded->SnapshotRevision != LastSnapshotOffset) {
+    LastSnapshotOffset = folded->SnapshotRevision;
+    LastSnapshotTime = Now;
   }
-  std::optional<HeldClaim> claim = Keeper->held(SnapshotResource, Now);
-  if (!claim || SnapshotBusy || folded->BlockedOffset)
+  std::optional<HeldClaim> claim = Claims->held(SnapshotResource, Now);
+  if (!claim || SnapshotInFlight || folded->BlockedOffset)
     return;
-  if (Now - RetentionLookedAt > RetentionLook) {
-    RetentionLookedAt = Now;
+  if (Now - LastRetentionCheck > RetentionCheckInterval) {
+    LastRetentionCheck = Now;
     Follower->requestRead();
   }
-  SnapshotDecisionInput situation;
-  situation.Next = folded->Next;
-  situation.Last = folded->SnapshotRevision;
-  situation.LogFirst = Follower->logFirst();
-  situation.Age = std::chrono::duration_cast<Millis>(Now - SnapshotSeenAt);
-  if (!snapshotDue(situation, SnapshotLimits))
+  SnapshotDecisionInput input;
+  input.Next = folded->Next;
+  input.Last = folded->SnapshotRevision;
+  input.LogFirst = Follower->logFirst();
+  input.Age = std::chrono::duration_cast<Millis>(Now - LastSnapshotTime);
+  if (!snapshotDue(input, SnapshotLimits))
     return;
 
-  SnapshotBusy = true;
+  SnapshotInFlight = true;
   Appender->append(makeSnapshot(*folded, claim->Token), false,
-                   [this](const Outcome<Appended> &Done) {
-                     SnapshotBusy = false;
+                   [this](const Outcome<AppendedRecord> &Done) {
+                     SnapshotInFlight = false;
                      if (!Done)
                        spdlog::warn("control: snapshot: {}",
                                     describe(Done.failure()));
@@ -425,20 +432,21 @@
   asio::co_spawn(
       Context,
       [this, Callback]() -> asio::awaitable<void> {
-        return leaveSteps(Callback);
+        return performLeave(Callback);
       },
       asio::detached);
 }
 
 asio::awaitable<void>
-ControlThread::leaveSteps(std::function<void()> Callback) {
-  // Successors need not wait a term for what is given up.
-  Keeper->withdrawAllClaims();
-  TimePoint until = monotonicNow() + LeaveLimit;
-  co_await Watch->leave();
+ControlThread::performLeave(std::function<void()> Callback) {
+  // Releases the claims, so that successors need not wait for their terms to
+  // end.
+  Claims->withdrawAllClaims();
+  TimePoint until = monotonicNow() + LeaveTimeout;
+  co_await Membership->leave();
   BootTimer timer(Context);
-  while (!Stopped && Keeper->holdsAny(*state()) && monotonicNow() < until) {
-    timer.expires_after(LeaveLook);
+  while (!Stopped && Claims->holdsAny(*state()) && monotonicNow() < until) {
+    timer.expires_after(LeavePollInterval);
     co_await timer.async_wait(Awaited);
   }
   Callback();
@@ -447,8 +455,8 @@
 std::string ControlThread::statusJson() const {
   ControlStatus status;
   status.State = state();
-  status.Seen = view();
-  status.Held = Keeper->heldNow(monotonicNow());
+  status.ClusterView = view();
+  status.Held = Claims->activeClaims(monotonicNow());
   status.LogReachable = Follower->logReachable();
   status.Ready = ready();
   return toJson(status, Counters);
@@ -459,12 +467,12 @@
 Result<std::unique_ptr<ControlPlane>>
 ControlPlane::create(Settings Setup, Timeline &Events, OrderHandler Handle) {
   if (Setup.Instance.empty())
-    return badInput("control plane", "the instance has no name");
-  if (Setup.ProbePeriod <= Millis(0) || Setup.ProbeTimeout <= Millis(0))
+    return badInput("control plane", "the instance name is empty");
+  if (Setup.PeerProbeInterval <= Millis(0) || Setup.ProbeTimeout <= Millis(0))
     return badInput("control plane",
-                    "probe period and timeout must be above 0");
+                    "probe interval and timeout must be greater than 0");
   if (Setup.ClaimTerm <= Millis(0))
-    return badInput("control plane", "the claims' term must be above 0");
+    return badInput("control plane", "the claim term must be greater than 0");
   std::unique_ptr<ControlThread> made = std::make_unique<ControlThread>(
       std::move(Setup), Events, std::move(Handle));
   BOOST_LEAF_CHECK(made->bind());
--- a/Wasabi/Node/ControlPlane.h
+++ b/Wasabi/Node/ControlPlane.h
@@ -1,7 +1,8 @@
 /// \file
-/// The control duty of a process, on a thread of its own: it knows the members,
-/// follows the control stream, spreads both, keeps claims, and carries orders.
-/// Requests never wait for it: they read what it publishes.
+/// The control plane of a process, which runs on its own thread. It maintains
+/// the membership view, follows the control stream, distributes both, holds
+/// claims and delivers orders. Requests never wait for it: they read the state
+/// that it publishes.
 #ifndef WASABI_NODE_CONTROLPLANE_H
 #define WASABI_NODE_CONTROLPLANE_H
 
@@ -21,10 +22,10 @@
 
 namespace wasabi {
 
-/// An order to a server, carried by the daemon in front of it.
+/// An order to a server, executed by the daemon in front of it.
 struct Order {
   ServerName Server;
-  /// The claim that authorises it, `weights/MODEL`, and its token.
+  /// The claim that authorizes the order, `weights/MODEL`, and its token.
   std::string Resource;
   FencingToken Token = 0;
   ModelName Model;
@@ -32,17 +33,17 @@
   bool operator==(const Order &) const = default;
 };
 
-/// What the daemon answers: the version that its engine then reported.
+/// The daemon's answer: the version that its engine reported after the order.
 struct OrderAnswer {
   WeightVersion Version = 0;
   bool operator==(const OrderAnswer &) const = default;
 };
 
-/// A claim this process holds, as far as it may act on it.
+/// A claim that this process holds and may act on until `Until`.
 struct HeldClaim {
   FencingToken Token = 0;
-  /// Monotonic end of its authority, counted from before the last accepted
-  /// renewal was sent. Checked again before each effect.
+  /// End of the authority on the monotonic clock, counted from before the last
+  /// accepted renewal was sent. To be checked again before each effect.
   TimePoint Until;
   bool operator==(const HeldClaim &) const = default;
 };
@@ -53,96 +54,99 @@
     InstanceName Instance;
     DomainName Domain;
     Role Kind = Role::Daemon;
-    /// Where to take control frames; port 0 for an ephemeral one.
+    /// Address on which to accept control frames; port 0 for an ephemeral port.
     Address Listen{"127.0.0.1", 0};
-    /// What others are told instead of the bound address; empty for that.
+    /// Control address announced to others; empty for the bound address.
     Address Advertise;
-    /// This process' other addresses, as told to others.
+    /// Further addresses of this process, announced to others.
     Address Requests;
     Address Admin;
-    /// The platform.
+    /// Addresses of the platform's log and instance list.
     Address Log;
     Address Instances;
-    /// Control addresses to begin with, besides the platform's list.
+    /// Control addresses of initial peers, in addition to the platform's list.
     std::vector<Address> Seeds;
-    /// Time between two probes of a member.
-    Millis ProbePeriod{1000};
-    /// How long an answer to a probe may take.
+    /// Time between two probes.
+    Millis PeerProbeInterval{1000};
+    /// Time limit for the answer to a probe.
     Millis ProbeTimeout{500};
-    /// Term of the claims taken.
+    /// Term of acquired claims.
     Millis ClaimTerm{10000};
-    /// Readers of the log in each failure domain.
+    /// Number of log readers in each failure domain.
     std::uint32_t ReadersPerDomain = 2;
-    /// Time between two readings of the platform's list.
+    /// Minimum time between two reads of the platform's list.
     Millis MinListReadInterval{3000};
-    /// Bytes a second that a reader of the list spends on it; the others spend
-    /// a third of it.
+    /// Bytes per second that a log reader spends on the list; other processes
+    /// spend a third of it.
     std::int64_t ListBytesPerSecond = 1000;
-    /// How long a claim must have been wanted before it is taken, so that the
-    /// view has filled.
+    /// Minimum time between the request for a claim and its acquisition, which
+    /// lets the membership view fill.
     Millis ClaimSettleDelay{1500};
-    /// Seed of every random choice here.
+    /// Seed of all random choices of the control plane.
     std::uint64_t Seed = 1;
   };
 
-  /// What a daemon does with an order; called on the control thread, answers
-  /// through the callback, from any thread, once.
+  /// Executes an order on a daemon. Called on the control thread; calls the
+  /// callback once, from any thread.
   using OrderHandler =
       std::function<void(Order, std::function<void(Outcome<OrderAnswer>)>)>;
 
   /// Binds the control port and starts the thread. Errors: `BadInput` for
-  /// settings, `Unavailable` when the port cannot be bound.
+  /// invalid settings, `Unavailable` if the port cannot be bound.
   static Result<std::unique_ptr<ControlPlane>>
   create(Settings Setup, Timeline &Events, OrderHandler Handle);
 
   /// Stops the thread.
   virtual ~ControlPlane() = default;
 
-  /// The bound control address.
+  /// Returns the bound control address.
   virtual Address address() const = 0;
-  /// The state in force here; `Next` never goes back. Thread-safe.
+  /// Returns the current folded state; `Next` never decreases. Thread-safe.
   virtual std::shared_ptr<const FoldState> state() const = 0;
-  /// Whether a state was obtained, from the log or a peer. Thread-safe.
+  /// Returns true once a state was obtained from the log or a peer.
+  /// Thread-safe.
   virtual bool ready() const = 0;
-  /// The start of this process, as others know it.
+  /// Returns the incarnation of this process, as known to others.
   virtual Incarnation life() const = 0;
-  /// The members. Thread-safe.
+  /// Returns the membership view. Thread-safe.
   virtual std::shared_ptr<const View> view() const = 0;
-  /// Tells the others of this daemon's servers when they changed.
+  /// Announces this daemon's servers to the other members if they have changed.
   /// Thread-safe.
   virtual void setServers(std::vector<ServerStatus> Servers) = 0;
-  /// Adds to what this process claims when it is free: the control plane takes
-  /// and renews `Resource` while wanted, and only if this process ranks among
-  /// the first for it by rendezvous hashing over the view. Thread-safe.
+  /// Requests a claim. The control plane acquires and renews `Resource` while
+  /// it is requested. Members acquire a free claim in the order of their rank
+  /// by rendezvous hashing over the view. Thread-safe.
   virtual void requestClaim(std::string Resource) = 0;
-  /// Gives the claim up and stops wanting it. Thread-safe.
+  /// Releases the claim and stops requesting it. Thread-safe.
   virtual void withdrawClaim(std::string Resource) = 0;
-  /// The claim, if this process holds it and may act now. Thread-safe; checks
-  /// the monotonic clock at each call.
+  /// Returns the claim if this process holds it and may act now. Checks the
+  /// monotonic clock at each call. Thread-safe.
   virtual std::optional<HeldClaim> held(const std::string &Resource) const = 0;
-  /// The token of the claim that was last known to be this process' own, also
-  /// past its term. While the log is down nobody can take the claim, so that
-  /// the holder may go on towards targets that refuse an older token; towards
-  /// targets that do not check tokens only `held` counts. Empty once a
-  /// successor or a release was read. Thread-safe.
+  /// Returns the token of the claim that this process was last known to hold,
+  /// also after its term has expired. While the log is unreachable no other
+  /// process can acquire the claim, so the holder may continue towards targets
+  /// that reject older tokens; towards targets that do not check tokens only
+  /// `held` applies. Empty once a successor's acquisition or a release was
+  /// read. Thread-safe.
   virtual std::optional<FencingToken>
   tokenDespiteOutage(const std::string &Resource) const = 0;
-  /// Tells that a request to this member could not be delivered: it is probed
-  /// soon. Says nothing of its health by itself. Thread-safe.
-  virtual void noteUnreachable(InstanceName Member) = 0;
-  /// Sends an order to the daemon in front of a server. The callback comes on
-  /// the control thread, once, within `Timeout`. Thread-safe.
-  virtual void order(InstanceName Daemon, Order What, Millis Timeout,
+  /// Reports that a request to this member could not be delivered, so that it
+  /// is probed soon. This alone does not change its health. Thread-safe.
+  virtual void noteUnreachable(InstanceName Target) = 0;
+  /// Sends an order to the daemon in front of a server. The callback is called
+  /// once on the control thread, within `Timeout`. Thread-safe.
+  virtual void order(InstanceName Daemon, Order Command, Millis Timeout,
                      std::function<void(Outcome<OrderAnswer>)> Callback) = 0;
   /// Appends a record to the control stream with an id of this process, and
-  /// answers with its fate once it is read back. Thread-safe.
+  /// reports the result once the record is read back. Thread-safe.
   virtual void
   append(RecordBody Body,
          std::function<void(Outcome<ControlStateChange>)> Callback) = 0;
-  /// Tells everyone that this process is leaving, releases its claims, and
-  /// calls back when told or after a bounded time. Thread-safe.
+  /// Announces that this process is leaving, releases its claims, and calls
+  /// back when this is done or after a bounded time. Thread-safe.
   virtual void leave(std::function<void()> Callback) = 0;
-  /// A JSON object for `/status`: offset, claims, view, log's health.
+  /// Returns a JSON object for `/status` with offset, claims, view and the
+  /// reachability of the log.
   virtual std::string statusJson() const = 0;
 };
 
--- a/Wasabi/Node/ControlServer.cpp
+++ b/Wasabi/Node/ControlServer.cpp
@@ -22,8 +22,9 @@
 
 constexpr asio::as_tuple_t<asio::use_awaitable_t<>> Awaited;
 constexpr std::size_t PrefixBytes = 4;
-/// Pause after a failed accept (out of descriptors, say).
-constexpr std::chrono::milliseconds AcceptPause(100);
+/// Delay after a failed accept, for example if the process is out of file
+/// descriptors.
+constexpr std::chrono::milliseconds AcceptRetryDelay(100);
 
 } // namespace
 
@@ -36,7 +37,7 @@
   asio::ip::address host = asio::ip::make_address(Limits.Listen.Host, ec);
   if (ec)
     return badInput("control address",
-                    "'" + Limits.Listen.Host + "' is not an IP number");
+                    "'" + Limits.Listen.Host + "' is not an IP address");
   tcp::endpoint end(host, Limits.Listen.Port);
   made->Acceptor.open(end.protocol(), ec);
   if (!ec)
@@ -59,11 +60,11 @@
     : Context(Context), Limits(std::move(Limits)), Counters(Counters),
       Acceptor(Context) {}
 
-void ControlServer::start(Handler With) {
-  Handle = std::move(With);
+void ControlServer::start(Handler NewHandler) {
+  Handle = std::move(NewHandler);
   std::shared_ptr<ControlServer> self = shared_from_this();
   asio::co_spawn(
-      Context, [self]() -> asio::awaitable<void> { return self->accept(); },
+      Context, [self]() -> asio::awaitable<void> { return self->acceptLoop(); },
       asio::detached);
 }
 
@@ -71,30 +72,30 @@
   Stopped = true;
   boost::system::error_code ec;
   Acceptor.close(ec);
-  std::set<std::shared_ptr<FrameSocket>> all = std::exchange(Open, {});
+  std::set<std::shared_ptr<FrameSocket>> all = std::exchange(OpenSockets, {});
   for (const std::shared_ptr<FrameSocket> &it : all)
     it->close();
 }
 
-asio::awaitable<void> ControlServer::accept() {
+asio::awaitable<void> ControlServer::acceptLoop() {
   std::shared_ptr<ControlServer> self = shared_from_this();
   BootTimer pause(Context);
   while (!Stopped) {
-    std::tuple<boost::system::error_code, tcp::socket> got =
+    std::tuple<boost::system::error_code, tcp::socket> accepted =
         co_await Acceptor.async_accept(Awaited);
     if (Stopped)
       co_return;
-    if (std::get<0>(got)) {
-      pause.expires_after(AcceptPause);
+    if (std::get<0>(accepted)) {
+      pause.expires_after(AcceptRetryDelay);
       co_await pause.async_wait(Awaited);
       continue;
     }
-    if (Open.size() >= Limits.MaxConnections)
+    if (OpenSockets.size() >= Limits.MaxConnections)
       continue;
     FrameSocket::Settings limits;
     std::shared_ptr<FrameSocket> socket =
-        FrameSocket::adopt(std::move(std::get<1>(got)), limits);
-    Open.insert(socket);
+        FrameSocket::adopt(std::move(std::get<1>(accepted)), limits);
+    OpenSockets.insert(socket);
     asio::co_spawn(
         Context,
         [self, socket]() -> asio::awaitable<void> {
@@ -122,14 +123,14 @@
                    Socket->peer());
       break;
     }
-    Handle(std::move(*message), replyOn(Socket));
+    Handle(std::move(*message), makeReply(Socket));
   }
   Socket->close();
-  Open.erase(Socket);
+  OpenSockets.erase(Socket);
 }
 
 ControlServer::Reply
-ControlServer::replyOn(const std::shared_ptr<FrameSocket> &Socket) {
+ControlServer::makeReply(const std::shared_ptr<FrameSocket> &Socket) {
   std::shared_ptr<ControlServer> self = shared_from_this();
   std::weak_ptr<FrameSocket> weak = Socket;
   return [self, weak](const ControlMessage &Answer) {
--- a/Wasabi/Node/ControlServer.h
+++ b/Wasabi/Node/ControlServer.h
@@ -1,5 +1,5 @@
 /// \file
-/// Where a process takes control messages from others.
+/// Server that accepts control messages from other processes.
 #ifndef WASABI_NODE_CONTROLSERVER_H
 #define WASABI_NODE_CONTROLSERVER_H
 
@@ -20,39 +20,39 @@
 
 class FrameSocket;
 
-/// Accepts connections and hands each message to a handler. A malformed frame
-/// ends its connection with a logged reason; the server goes on.
-/// Not thread-safe: use on the context's thread.
+/// Accepts connections and passes each message to a handler. A malformed frame
+/// is logged and closes its connection only. Not thread-safe: use on the
+/// context's thread.
 class ControlServer : public std::enable_shared_from_this<ControlServer> {
 public:
   struct Settings {
     Address Listen{"127.0.0.1", 0};
-    /// Further connections are closed at once.
+    /// Maximum number of open connections; further ones are closed immediately.
     std::size_t MaxConnections = 2048;
   };
-  /// Sends the answer on the question's connection, if it is still open.
+  /// Sends the answer on the connection of the request, if it is still open.
   using Reply = std::function<void(const ControlMessage &)>;
   using Handler = std::function<void(ControlMessage, Reply)>;
 
-  /// Binds; messages flow after `start`. Errors: `Unavailable` when the port
-  /// cannot be bound.
+  /// Binds the address; messages are accepted after `start`. Errors: `BadInput`
+  /// for an invalid host, `Unavailable` if the port cannot be bound.
   static Result<std::shared_ptr<ControlServer>>
   create(boost::asio::io_context &Context, const Settings &Limits,
          ControlCounters &Counters);
 
-  /// Starts to accept.
+  /// Starts accepting connections.
   void start(Handler Handle);
-  /// The address bound.
+  /// Returns the bound address.
   Address address() const { return Bound; }
-  /// Closes everything.
+  /// Stops accepting and closes all connections.
   void stop();
 
 private:
   ControlServer(boost::asio::io_context &Context, Settings Limits,
                 ControlCounters &Counters);
-  boost::asio::awaitable<void> accept();
+  boost::asio::awaitable<void> acceptLoop();
   boost::asio::awaitable<void> serve(std::shared_ptr<FrameSocket> Socket);
-  Reply replyOn(const std::shared_ptr<FrameSocket> &Socket);
+  Reply makeReply(const std::shared_ptr<FrameSocket> &Socket);
 
   boost::asio::io_context &Context;
   const Settings Limits;
@@ -60,7 +60,7 @@
   boost::asio::ip::tcp::acceptor Acceptor;
   Address Bound;
   Handler Handle;
-  std::set<std::shared_ptr<FrameSocket>> Open;
+  std::set<std::shared_ptr<FrameSocket>> OpenSockets;
   bool Stopped = false;
 };
 
--- a/Wasabi/Node/ControlStatus.cpp
+++ b/Wasabi/Node/ControlStatus.cpp
@@ -11,13 +11,13 @@
 
 namespace json = boost::json;
 
-std::string shown(const Address &Where) {
+std::string textOrEmpty(const Address &Where) {
   return Where.empty() ? std::string() : toText(Where);
 }
 
-json::object memberJson(const Member &Who) {
+json::object memberJson(const Member &Info) {
   json::array servers;
-  for (const ServerStatus &it : Who.Servers) {
+  for (const ServerStatus &it : Info.Servers) {
     json::object server;
     server["name"] = it.Name.Text;
     server["service"] = it.Service.Text;
@@ -27,14 +27,14 @@
     servers.push_back(std::move(server));
   }
   json::object member;
-  member["instance"] = Who.Instance.Text;
-  member["role"] = Who.Kind == Role::Entry ? "entry" : "daemon";
-  member["domain"] = Who.Domain.Text;
-  member["state"] = std::string(toText(Who.State));
-  member["incarnation"] = Who.Life;
-  member["requests"] = shown(Who.Requests);
-  member["control"] = shown(Who.Control);
-  member["admin"] = shown(Who.Admin);
+  member["instance"] = Info.Instance.Text;
+  member["role"] = Info.Kind == Role::Entry ? "entry" : "daemon";
+  member["domain"] = Info.Domain.Text;
+  member["state"] = std::string(toText(Info.State));
+  member["incarnation"] = Info.Life;
+  member["requests"] = textOrEmpty(Info.Requests);
+  member["control"] = textOrEmpty(Info.Control);
+  member["admin"] = textOrEmpty(Info.Admin);
   member["servers"] = std::move(servers);
   return member;
 }
@@ -42,10 +42,10 @@
 json::array claimsJson(const std::map<std::string, HeldClaim> &Held) {
   json::array claims;
   for (const auto &[resource, claim] : Held) {
-    json::object shownClaim;
-    shownClaim["resource"] = resource;
-    shownClaim["token"] = claim.Token;
-    claims.push_back(std::move(shownClaim));
+    json::object claimJson;
+    claimJson["resource"] = resource;
+    claimJson["token"] = claim.Token;
+    claims.push_back(std::move(claimJson));
   }
   return claims;
 }
@@ -54,19 +54,19 @@
 
 std::string toJson(const ControlStatus &Status,
                    const ControlCounters &Counters) {
-  json::object whole;
-  whole["ready"] = Status.Ready;
-  whole["next"] = Status.State->Next;
-  whole["config_revision"] = Status.State->ConfigRevision;
-  whole["preset"] = Status.State->Config->ActivePreset.Text;
+  json::object status;
+  status["ready"] = Status.Ready;
+  status["next"] = Status.State->Next;
+  status["config_revision"] = Status.State->ConfigRevision;
+  status["preset"] = Status.State->Config->ActivePreset.Text;
   if (Status.State->BlockedOffset)
-    whole["blocked_at"] = *Status.State->BlockedOffset;
-  whole["self_doubt"] = Status.Seen->MayBeIsolated;
+    status["blocked_at"] = *Status.State->BlockedOffset;
+  status["self_doubt"] = Status.ClusterView->MayBeIsolated;
   json::array members;
-  for (const auto &[name, member] : Status.Seen->Members)
+  for (const auto &[name, member] : Status.ClusterView->Members)
     members.push_back(memberJson(member));
-  whole["members"] = std::move(members);
-  whole["claims"] = claimsJson(Status.Held);
+  status["members"] = std::move(members);
+  status["claims"] = claimsJson(Status.Held);
 
   std::uint64_t reads = Counters.LogReads.load();
   std::uint64_t appends = Counters.LogAppends.load();
@@ -74,17 +74,17 @@
   log["reachable"] = Status.LogReachable;
   log["reads"] = reads;
   log["appends"] = appends;
-  whole["log"] = std::move(log);
-  whole["log_reads"] = reads;
-  whole["log_appends"] = appends;
-  whole["control_bytes_in"] = Counters.BytesIn.load();
-  whole["control_bytes_out"] = Counters.BytesOut.load();
-  whole["frames_in"] = Counters.FramesIn.load();
-  whole["frames_out"] = Counters.FramesOut.load();
-  whole["probes"] = Counters.Probes.load();
-  whole["probes_failed"] = Counters.ProbesFailed.load();
-  whole["repeated_records"] = Counters.RepeatedRecords.load();
-  return json::serialize(whole);
+  status["log"] = std::move(log);
+  status["log_reads"] = reads;
+  status["log_appends"] = appends;
+  status["control_bytes_in"] = Counters.BytesIn.load();
+  status["control_bytes_out"] = Counters.BytesOut.load();
+  status["frames_in"] = Counters.FramesIn.load();
+  status["frames_out"] = Counters.FramesOut.load();
+  status["probes"] = Counters.Probes.load();
+  status["probes_failed"] = Counters.ProbesFailed.load();
+  status["repeated_records"] = Counters.RepeatedRecords.load();
+  return json::serialize(status);
 }
 
 } // namespace wasabi
--- a/Wasabi/Node/ControlStatus.h
+++ b/Wasabi/Node/ControlStatus.h
@@ -1,5 +1,5 @@
 /// \file
-/// The control duty's part of `/status`.
+/// The control plane's part of `/status`.
 #ifndef WASABI_NODE_CONTROLSTATUS_H
 #define WASABI_NODE_CONTROLSTATUS_H
 
@@ -14,17 +14,17 @@
 
 namespace wasabi {
 
-/// What is shown, taken at one moment.
+/// State shown in `/status`.
 struct ControlStatus {
   std::shared_ptr<const FoldState> State;
-  std::shared_ptr<const View> Seen;
+  std::shared_ptr<const View> ClusterView;
   std::map<std::string, HeldClaim> Held;
   bool LogReachable = false;
   bool Ready = false;
 };
 
-/// A JSON object: `next`, `config_revision`, `members`, `claims`, `log`,
-/// `self_doubt` and the counters. Pure, thread-safe.
+/// Returns a JSON object with `next`, `config_revision`, `members`, `claims`,
+/// `log`, `self_doubt` and the counters. Pure, thread-safe.
 std::string toJson(const ControlStatus &Status,
                    const ControlCounters &Counters);
 
--- a/Wasabi/Node/InstanceList.cpp
+++ b/Wasabi/Node/InstanceList.cpp
@@ -79,7 +79,7 @@
       object == nullptr ? nullptr : object->if_contains("instances");
   if (lines == nullptr || !lines->is_array())
     return Failure{Verdict::Ran, FailureCode::BadInput, "instance list",
-                   "no array `instances`", Millis(0)};
+                   "the body has no array `instances`", Millis(0)};
   std::vector<ListedInstance> found;
   for (const json::value &it : lines->as_array()) {
     std::optional<ListedInstance> line = lineFrom(it);
--- a/Wasabi/Node/InstanceList.h
+++ b/Wasabi/Node/InstanceList.h
@@ -1,5 +1,5 @@
 /// \file
-/// The platform's lagging list of instances (docs/PLATFORM.md, "instances").
+/// Client of the platform's list of instances (docs/PLATFORM.md, "instances").
 #ifndef WASABI_NODE_INSTANCELIST_H
 #define WASABI_NODE_INSTANCELIST_H
 
@@ -19,15 +19,15 @@
 class Client;
 } // namespace http
 
-/// Reads the body of the list; lines that cannot be read are left out.
-/// Fails with `BadInput` when it is no list at all. Pure.
+/// Parses the body of the list and skips entries that are malformed. Fails with
+/// `BadInput` if the body is not a list. Pure.
 Outcome<std::vector<ListedInstance>> parseInstanceList(const std::string &Body);
 
-/// Reads the list at `Service`.
+/// Reads and parses the list at `Service`.
 boost::asio::awaitable<Outcome<std::vector<ListedInstance>>>
 readInstanceList(http::Client &Client, Address Service, Millis Timeout);
 
-/// The same, not parsed: for one that counts its bytes.
+/// Reads the list at `Service` and returns its body unparsed.
 boost::asio::awaitable<Outcome<std::string>>
 readInstanceListBody(http::Client &Client, Address Service, Millis Timeout);
 
