--- a/Wasabi/Node/LogFollower.cpp
+++ b/Wasabi/Node/LogFollower.cpp
@@ -22,7 +22,8 @@
 
 namespace asio = boost::asio;
 
-/// Whether a record was an operator's; claims are refused every day.
+/// Returns true if the record is a configuration change. Refused claims are
+/// normal and are not reported.
 bool isConfigChange(std::string_view Text) {
   const Outcome<Record> read =
       toOutcome<Record>([&] { return decodeRecord(Text); });
@@ -30,17 +31,17 @@
 }
 
 constexpr asio::as_tuple_t<asio::use_awaitable_t<>> Awaited;
-/// How often a process that does not read looks whether it should.
-constexpr Millis LookPeriod(250);
-/// How long a peer may take for records or a state.
-constexpr Millis PeerTimeout(2000);
-/// Peers asked for a state before the log is.
-constexpr int StatePeers = 2;
-/// Pause while a newer schema blocks the fold.
-constexpr Millis BlockedPause(5000);
-/// Most records, and bytes of them, in one answer to a peer.
-constexpr std::size_t MaxAnswered = 512;
-constexpr std::size_t MaxAnsweredBytes = 2u << 20;
+/// Time between two checks whether a process that is not a reader has to read.
+constexpr Millis IdleCheckInterval(250);
+/// Time limit for a peer's response with records or a state.
+constexpr Millis PeerRequestTimeout(2000);
+/// Maximum number of peers that are asked for a state before the log is read.
+constexpr int MaxStatePeers = 2;
+/// Delay between two checks while a newer schema blocks the fold.
+constexpr Millis BlockedDelay(5000);
+/// Maximum number of records, and their bytes, in one response to a peer.
+constexpr std::size_t MaxResponseRecords = 512;
+constexpr std::size_t MaxResponseBytes = 2u << 20;
 
 Millis millisSince(TimePoint Then, TimePoint Now) {
   if (Then == TimePoint())
@@ -53,24 +54,26 @@
 std::shared_ptr<LogFollower>
 LogFollower::create(asio::any_io_executor Executor, Settings Setup, LogPort Log,
                     std::shared_ptr<PeerLinks> Links, ControlCounters &Counters,
-                    Timeline &Events, Hooks Calls) {
-  return std::shared_ptr<LogFollower>(
-      new LogFollower(std::move(Executor), Setup, std::move(Log),
-                      std::move(Links), Counters, Events, std::move(Calls)));
+                    Timeline &Events, Hooks Callbacks) {
+  return std::shared_ptr<LogFollower>(new LogFollower(
+      std::move(Executor), Setup, std::move(Log), std::move(Links), Counters,
+      Events, std::move(Callbacks)));
 }
 
 LogFollower::LogFollower(asio::any_io_executor Executor, Settings Setup,
                          LogPort Log, std::shared_ptr<PeerLinks> Links,
                          ControlCounters &Counters, Timeline &Events,
-                         Hooks Calls)
+                         Hooks Callbacks)
     : Executor(std::move(Executor)), Setup(Setup), Log(std::move(Log)),
       Links(std::move(Links)), Counters(Counters), Events(Events),
-      Calls(std::move(Calls)), Wake(this->Executor), Random(Setup.Seed) {}
+      Callbacks(std::move(Callbacks)), Wake(this->Executor),
+      Random(Setup.Seed) {}
 
 void LogFollower::start() {
   std::shared_ptr<LogFollower> self = shared_from_this();
   asio::co_spawn(
-      Executor, [self]() -> asio::awaitable<void> { return self->run(); },
+      Executor,
+      [self]() -> asio::awaitable<void> { return self->followLoop(); },
       asio::detached);
 }
 
@@ -80,12 +83,12 @@
 }
 
 Millis LogFollower::caughtUpAge() const {
-  return millisSince(FreshAt, monotonicNow());
+  return millisSince(LastCaughtUpTime, monotonicNow());
 }
 
-// ---- following ----
+// ---- Following ----
 
-asio::awaitable<void> LogFollower::run() {
+asio::awaitable<void> LogFollower::followLoop() {
   std::shared_ptr<LogFollower> self = shared_from_this();
   while (!Stopped) {
     if (Obtained.load()) {
@@ -105,16 +108,16 @@
 
 asio::awaitable<void> LogFollower::followOnce() {
   if (Fold.BlockedOffset) {
-    co_await pause(BlockedPause);
+    co_await pause(BlockedDelay);
     co_return;
   }
   bool reader = isReader();
   if (!reader && !ReadRequested && !isCatchUpOverdue()) {
-    co_await pause(LookPeriod);
+    co_await pause(IdleCheckInterval);
     co_return;
   }
 
-  // A reader waits at the log for news; others only look.
+  // Readers wait at the log for new records; other processes only poll.
   bool waits = reader && !ReadRequested;
   ReadRequested = false;
   Outcome<LogRange> got = co_await read(Fold.Next, Setup.MaxReadRecords,
@@ -127,16 +130,16 @@
   }
   Failures = 0;
   if (got->End < Fold.Next) {
-    // An older tail than was seen before: what is in force stays.
-    if (!StaleNoted)
+    // The log ends before the state that is already applied, which is kept.
+    if (!StaleTailRecorded)
       Events.record("log.stale_tail",
                     {{"offset", std::to_string(got->End)},
                      {"reason", "ends before " + std::to_string(Fold.Next)}});
-    StaleNoted = true;
+    StaleTailRecorded = true;
     co_await pause(backOff());
     co_return;
   }
-  StaleNoted = false;
+  StaleTailRecorded = false;
   if (got->First > Fold.Next && got->Entries.empty()) {
     co_await recoverFromExpiredOffset(got->First);
     co_return;
@@ -147,9 +150,10 @@
 }
 
 asio::awaitable<Outcome<LogRange>>
-LogFollower::read(Offset From, std::size_t Max, Millis Wait) {
+LogFollower::read(Offset Start, std::size_t MaxRecords, Millis PollTimeout) {
   Counters.LogReads.fetch_add(1);
-  Outcome<LogRange> got = co_await Log.Read(ControlStream, From, Max, Wait);
+  Outcome<LogRange> got =
+      co_await Log.Read(ControlStream, Start, MaxRecords, PollTimeout);
   if (got) {
     recordReachability(true, "");
     LogFirst = std::max(LogFirst, got->First);
@@ -162,50 +166,54 @@
 }
 
 asio::awaitable<void> LogFollower::recoverFromExpiredOffset(Offset First) {
-  // The log has dropped what comes next here: only a whole state helps.
+  // The log has dropped the next record, so the complete state has to be
+  // replaced.
   spdlog::warn("control: offset {} has expired, the log begins at {}",
                Fold.Next, First);
-  bool got = co_await stateFromPeer();
+  bool got = co_await fetchStateFromPeer();
   if (!got)
-    got = co_await stateFromLog();
+    got = co_await recoverStateFromLog();
   if (!got)
     co_await pause(backOff());
 }
 
 bool LogFollower::isReader() const {
-  std::shared_ptr<const View> seen = Calls.CurrentView();
-  return isLogReader(*seen, Setup.ReadersPerDomain);
+  std::shared_ptr<const View> clusterView = Callbacks.CurrentView();
+  return isLogReader(*clusterView, Setup.ReadersPerDomain);
 }
 
 bool LogFollower::isCatchUpOverdue() const {
-  return caughtUpAge() > Setup.SilenceLimit + CaughtUpAgeJitter;
+  return caughtUpAge() > Setup.MaxCaughtUpAge + CaughtUpAgeJitter;
 }
 
 void LogFollower::recordCaughtUp(TimePoint At) {
-  if (At <= FreshAt)
+  if (At <= LastCaughtUpTime)
     return;
-  FreshAt = At;
-  // Each process has its own patience, so that they do not read in step.
-  std::uint64_t most = static_cast<std::uint64_t>(Setup.SilenceLimit.count());
-  CaughtUpAgeJitter = Millis(static_cast<std::int64_t>(Random() % (most + 1)));
+  LastCaughtUpTime = At;
+  // Jitter keeps processes from reading at the same time.
+  std::uint64_t bound =
+      static_cast<std::uint64_t>(Setup.MaxCaughtUpAge.count());
+  CaughtUpAgeJitter = Millis(static_cast<std::int64_t>(Random() % (bound + 1)));
 }
 
-void LogFollower::recordReachability(bool Up, const std::string &Reason) {
-  bool was = Reachable.exchange(Up);
-  if (was == Up && LogNoted)
+void LogFollower::recordReachability(bool IsReachable,
+                                     const std::string &Reason) {
+  bool was = Reachable.exchange(IsReachable);
+  if (was == IsReachable && ReachabilityRecorded)
     return;
-  LogNoted = true;
-  Events.record(Up ? "log.up" : "log.down", {{"reason", Reason}});
+  ReachabilityRecorded = true;
+  Events.record(IsReachable ? "log.up" : "log.down", {{"reason", Reason}});
 }
 
 Millis LogFollower::backOff() {
-  // Exponential with full jitter: after an outage nobody comes in step.
-  std::int64_t most = Setup.MinBackOff.count()
-                      << std::min<unsigned>(Failures, 10);
-  most = std::min(most, Setup.MaxBackOff.count());
+  // Exponential back-off with full jitter, so that processes do not retry at
+  // the same time after an outage.
+  std::int64_t bound = Setup.MinBackOff.count()
+                       << std::min<unsigned>(Failures, 10);
+  bound = std::min(bound, Setup.MaxBackOff.count());
   ++Failures;
   std::int64_t drawn = static_cast<std::int64_t>(
-      Random() % static_cast<std::uint64_t>(most + 1));
+      Random() % static_cast<std::uint64_t>(bound + 1));
   return std::max(Setup.MinBackOff, Millis(drawn));
 }
 
@@ -214,84 +222,87 @@
   Wake.cancel();
 }
 
-// ---- obtaining a state ----
+// ---- Obtaining a state ----
 
 asio::awaitable<bool> LogFollower::obtainState() {
-  bool got = co_await stateFromPeer();
+  bool got = co_await fetchStateFromPeer();
   if (!got)
-    got = co_await stateFromLog();
+    got = co_await recoverStateFromLog();
   co_return got;
 }
 
-asio::awaitable<bool> LogFollower::stateFromPeer() {
-  std::shared_ptr<const View> seen = Calls.CurrentView();
+asio::awaitable<bool> LogFollower::fetchStateFromPeer() {
+  std::shared_ptr<const View> clusterView = Callbacks.CurrentView();
   std::vector<const Member *> peers;
-  for (const auto &[name, member] : seen->Members) {
-    if (name != seen->Self && takesWork(member) && !member.Control.empty())
+  for (const auto &[name, member] : clusterView->Members) {
+    if (name != clusterView->Self && takesWork(member) &&
+        !member.Control.empty())
       peers.push_back(&member);
   }
   std::shuffle(peers.begin(), peers.end(), Random);
-  if (peers.size() > StatePeers)
-    peers.resize(StatePeers);
+  if (peers.size() > MaxStatePeers)
+    peers.resize(MaxStatePeers);
   for (const Member *it : peers) {
-    StateRequestMessage ask{Links->nextSequence(), seen->Self.Text};
+    StateRequestMessage request{Links->nextSequence(), clusterView->Self.Text};
     Address where = it->Control;
-    ControlMessage question = ask;
+    ControlMessage message = request;
     Outcome<ControlMessage> answer =
-        co_await Links->ask(where, std::move(question), PeerTimeout);
-    const StateResponseMessage *given =
+        co_await Links->ask(where, std::move(message), PeerRequestTimeout);
+    const StateResponseMessage *response =
         answer ? std::get_if<StateResponseMessage>(&*answer) : nullptr;
-    if (Stopped || given == nullptr || given->State.empty())
+    if (Stopped || response == nullptr || response->State.empty())
       continue;
     Outcome<FoldState> state =
-        toOutcome<FoldState>([&]() { return decodeState(given->State); });
-    bool whole = state && state->Next == given->Next &&
-                 hashText(given->State) == given->Hash;
-    if (!whole) {
+        toOutcome<FoldState>([&]() { return decodeState(response->State); });
+    bool valid = state && state->Next == response->Next &&
+                 hashText(response->State) == response->Hash;
+    if (!valid) {
       spdlog::error("control: the state from {} does not match its hash",
                     it->Instance.Text);
       continue;
     }
-    if (adopt(std::move(*state)))
+    if (replaceState(std::move(*state)))
       co_return true;
   }
   co_return false;
 }
 
-asio::awaitable<bool> LogFollower::stateFromLog() {
+asio::awaitable<bool> LogFollower::recoverStateFromLog() {
   Outcome<LogRange> bounds = co_await read(Fold.Next, 1, Millis(0));
   if (!bounds || Stopped)
     co_return false;
   Offset first = bounds->First;
   Offset end = bounds->End;
 
-  // The newest snapshot is near the end; all that is kept is the second try.
+  // The newest snapshot is usually near the end; otherwise search all retained
+  // records.
   Offset window = Setup.SnapshotWindow;
-  Offset near = end > first + window ? end - window : first;
-  std::array<Offset, 2> starts = {near, first};
+  Offset recent = end > first + window ? end - window : first;
+  std::array<Offset, 2> starts = {recent, first};
   for (Offset from : starts) {
     Outcome<std::vector<LogEntry>> tail = co_await readAll(from, end);
     if (!tail || Stopped)
       co_return false;
     Outcome<FoldState> state =
         toOutcome<FoldState>([&]() { return recoverState(*tail); });
-    if (state && adopt(std::move(*state))) {
+    if (state && replaceState(std::move(*state))) {
       for (const LogEntry &it : *tail)
-        keep(it);
+        retainEntry(it);
       co_return true;
     }
     if (state || from == first)
       break;
   }
-  spdlog::error("control: no state can be had from the log, which begins at {}",
-                first);
+  spdlog::error(
+      "control: no state can be recovered from the log, which begins at {}",
+      first);
   co_return false;
 }
 
 asio::awaitable<Outcome<std::vector<LogEntry>>>
-LogFollower::readAll(Offset From, Offset End) {
+LogFollower::readAll(Offset Start, Offset End) {
   std::vector<LogEntry> all;
-  Offset next = From;
+  Offset next = Start;
   while (next < End && !Stopped) {
     Outcome<LogRange> got =
         co_await read(next, Setup.MaxReadRecords, Millis(0));
@@ -306,115 +317,119 @@
   co_return all;
 }
 
-bool LogFollower::adopt(FoldState State) {
-  // What is in force here never goes back.
+bool LogFollower::replaceState(FoldState State) {
+  // The published state never goes back.
   if (Obtained.load() && State.Next <= Fold.Next)
     return false;
   Fold = std::move(State);
-  Kept.clear();
-  KeptBytes = 0;
-  Calls.OnStateReplaced(Fold);
+  Retained.clear();
+  RetainedBytes = 0;
+  Callbacks.OnStateReplaced(Fold);
   publish();
   Obtained.store(true);
   Failures = 0;
   return true;
 }
 
-// ---- applying and spreading ----
+// ---- Applying and distributing ----
 
 bool LogFollower::applyLogEntries(const std::vector<LogEntry> &Entries,
-                                  bool Spread) {
-  std::vector<LogEntry> fresh;
-  bool whole = true;
-  bool quick = false;
+                                  bool PushToPeers) {
+  std::vector<LogEntry> newEntries;
+  bool contiguous = true;
+  bool hasUrgent = false;
   for (const LogEntry &it : Entries) {
     if (it.At < Fold.Next) {
       Counters.RepeatedRecords.fetch_add(1);
       continue;
     }
     if (it.At > Fold.Next) {
-      whole = false;
+      contiguous = false;
       break;
     }
-    quick = applyLogEntry(it) || quick;
+    hasUrgent = applyLogEntry(it) || hasUrgent;
     if (Fold.BlockedOffset)
       break;
-    fresh.push_back(it);
+    newEntries.push_back(it);
   }
-  if (fresh.empty() && !Fold.BlockedOffset)
-    return whole;
+  if (newEntries.empty() && !Fold.BlockedOffset)
+    return contiguous;
   publish();
-  if (Spread && fresh.size() <= Setup.MaxPushed)
-    pushToPeers(fresh, quick);
-  return whole;
+  if (PushToPeers && newEntries.size() <= Setup.MaxPushed)
+    pushToPeers(newEntries, hasUrgent);
+  return contiguous;
 }
 
 bool LogFollower::applyLogEntry(const LogEntry &Entry) {
-  ControlStateChange did = apply(Fold, Entry.At, Entry.Text);
-  if (did.ApplyStatus == RecordStatus::NewerSchema) {
+  ControlStateChange change = apply(Fold, Entry.At, Entry.Text);
+  if (change.ApplyStatus == RecordStatus::NewerSchema) {
     Events.record("fold.blocked", {{"offset", std::to_string(Entry.At)},
-                                   {"reason", did.Reason}});
-    spdlog::error("control: offset {} needs a newer program: {}", Entry.At,
-                  did.Reason);
+                                   {"reason", change.Reason}});
+    spdlog::error("control: the record at offset {} needs a newer version: {}",
+                  Entry.At, change.Reason);
     return false;
   }
-  keep(Entry);
-  if (did.Diverged) {
+  retainEntry(Entry);
+  if (change.Diverged) {
     Events.record("fold.diverged", {{"offset", std::to_string(Entry.At)},
-                                    {"reason", did.Reason}});
+                                    {"reason", change.Reason}});
     spdlog::error("control: the snapshot at offset {} differs from the state "
                   "here",
                   Entry.At);
   }
-  if (did.ApplyStatus == RecordStatus::Refused && isConfigChange(Entry.Text))
+  if (change.ApplyStatus == RecordStatus::Refused && isConfigChange(Entry.Text))
     Events.record("config.refused", {{"offset", std::to_string(Entry.At)},
-                                     {"reason", did.Reason}});
-  if (did.ConfigChanged)
+                                     {"reason", change.Reason}});
+  if (change.ConfigChanged)
     Events.record("config.in_force",
                   {{"offset", std::to_string(Entry.At)},
                    {"preset", Fold.Config->ActivePreset.Text}});
-  Calls.OnApplied(Entry.At, Fold, did);
-  bool taken = !did.ChangedClaimResource.empty() &&
-               Fold.Claims.at(did.ChangedClaimResource).Token == Entry.At + 1;
-  return did.ConfigChanged || taken;
-}
-
-void LogFollower::keep(const LogEntry &Entry) {
-  Kept.push_back(Entry);
-  KeptBytes += Entry.Text.size();
-  while (Kept.size() > 1 && (Kept.size() > Setup.MaxRetainedRecords ||
-                             KeptBytes > Setup.MaxRetainedBytes)) {
-    KeptBytes -= Kept.front().Text.size();
-    Kept.pop_front();
+  Callbacks.OnApplied(Entry.At, Fold, change);
+  bool acquired =
+      !change.ChangedClaimResource.empty() &&
+      Fold.Claims.at(change.ChangedClaimResource).Token == Entry.At + 1;
+  return change.ConfigChanged || acquired;
+}
+
+void LogFollower::retainEntry(const LogEntry &Entry) {
+  Retained.push_back(Entry);
+  RetainedBytes += Entry.Text.size();
+  while (Retained.size() > 1 && (Retained.size() > Setup.MaxRetainedRecords ||
+                                 RetainedBytes > Setup.MaxRetainedBytes)) {
+    RetainedBytes -= Retained.front().Text.size();
+    Retained.pop_front();
   }
 }
 
-void LogFollower::publish() { Shown.set(Fold); }
+void LogFollower::publish() { PublishedState.set(Fold); }
 
-void LogFollower::pushToPeers(const std::vector<LogEntry> &Fresh, bool Quick) {
-  if (Fresh.empty())
+void LogFollower::pushToPeers(const std::vector<LogEntry> &NewEntries,
+                              bool HasUrgent) {
+  if (NewEntries.empty())
     return;
-  std::shared_ptr<const View> seen = Calls.CurrentView();
+  std::shared_ptr<const View> clusterView = Callbacks.CurrentView();
   FanoutSettings limits;
-  limits.RandomPeers = Quick ? Setup.ChangeFanout : Setup.RenewalFanout;
+  limits.RandomPeers = HasUrgent ? Setup.ChangeFanout : Setup.RenewalFanout;
   limits.OtherDomains = isReader();
-  // The same choice for a while: fewer connections, and peers whose offset is
-  // known.
-  std::mt19937_64 sticky(Setup.Seed + static_cast<std::uint64_t>(
-                                          monotonicNow().time_since_epoch() /
-                                          Setup.PeerSelectionInterval));
+  // A fixed selection for some time needs fewer connections and reuses the
+  // known positions of peers.
+  std::mt19937_64 selectionRandom(
+      Setup.Seed +
+      static_cast<std::uint64_t>(monotonicNow().time_since_epoch() /
+                                 Setup.PeerSelectionInterval));
   LogPushMessage push;
-  push.From = seen->Self.Text;
-  push.Records = Fresh;
+  push.From = clusterView->Self.Text;
+  push.Records = NewEntries;
   push.Next = Fold.Next;
-  push.First = Kept.front().At;
+  push.First = Retained.front().At;
   push.CaughtUpAge = caughtUpAge();
-  for (const InstanceName &it : chooseFanout(*seen, limits, sticky)) {
-    // A peer that is known to be as far needs nothing.
+  for (const InstanceName &it :
+       chooseFanout(*clusterView, limits, selectionRandom)) {
+    // Skip peers that are known to have these records.
     auto known = PeerNext.find(it);
     if (known != PeerNext.end() && known->second >= Fold.Next)
       continue;
-    Address where = seen->Members.at(it).Control;
+    Address where = clusterView->Members.at(it).Control;
     if (!where.empty())
       Links->send(where, push);
   }
@@ -434,16 +449,16 @@
   InstanceName peer(Push.From);
   if (Obtained.load() && !Fold.BlockedOffset)
     applyLogEntries(Push.Records, true);
-  hear(peer, Push.Next, Push.CaughtUpAge);
+  onPeerLogPosition(peer, Push.Next, Push.CaughtUpAge);
 }
 
-void LogFollower::hear(const InstanceName &Peer, Offset Next,
-                       Millis CaughtUpAge) {
+void LogFollower::onPeerLogPosition(const InstanceName &Peer, Offset Next,
+                                    Millis CaughtUpAge) {
   if (Peer.empty() || !Obtained.load())
     return;
   PeerNext[Peer] = Next;
   if (Next <= Fold.Next) {
-    if (Next == Fold.Next && CaughtUpAge < Setup.SilenceLimit)
+    if (Next == Fold.Next && CaughtUpAge < Setup.MaxCaughtUpAge)
       recordCaughtUp(monotonicNow() - CaughtUpAge);
     return;
   }
@@ -461,25 +476,26 @@
 
 asio::awaitable<void> LogFollower::requestMissingRecords(InstanceName Peer) {
   std::shared_ptr<LogFollower> self = shared_from_this();
-  // What is missing may be on its way.
+  // The missing records may be on their way.
   BootTimer grace(Executor, Setup.GapRequestDelay);
   co_await grace.async_wait(Awaited);
-  std::shared_ptr<const View> seen = Calls.CurrentView();
-  auto found = seen->Members.find(Peer);
-  while (!Stopped && found != seen->Members.end() &&
+  std::shared_ptr<const View> clusterView = Callbacks.CurrentView();
+  auto found = clusterView->Members.find(Peer);
+  while (!Stopped && found != clusterView->Members.end() &&
          PeerNext[Peer] > Fold.Next && !Fold.BlockedOffset) {
-    LogRequestMessage ask{Links->nextSequence(), seen->Self.Text, Fold.Next};
+    LogRequestMessage request{Links->nextSequence(), clusterView->Self.Text,
+                              Fold.Next};
     Address where = found->second.Control;
-    ControlMessage question = ask;
+    ControlMessage message = request;
     Outcome<ControlMessage> answer =
-        co_await Links->ask(where, std::move(question), PeerTimeout);
+        co_await Links->ask(where, std::move(message), PeerRequestTimeout);
     const LogPushMessage *push =
         answer ? std::get_if<LogPushMessage>(&*answer) : nullptr;
     Offset before = Fold.Next;
     if (push != nullptr && !Stopped)
       applyLogEntries(push->Records, true);
     if (Fold.Next == before) {
-      // The peer cannot help: the log itself can.
+      // The peer has no further records, so read the log.
       requestRead();
       break;
     }
@@ -487,36 +503,37 @@
   GapRequestInFlight = false;
 }
 
-LogPushMessage LogFollower::answer(const LogRequestMessage &Ask) const {
+LogPushMessage LogFollower::answer(const LogRequestMessage &Request) const {
   LogPushMessage push;
-  push.Sequence = Ask.Sequence;
-  push.From = Calls.CurrentView()->Self.Text;
+  push.Sequence = Request.Sequence;
+  push.From = Callbacks.CurrentView()->Self.Text;
   push.Next = Fold.Next;
-  push.First = Kept.empty() ? Fold.Next : Kept.front().At;
+  push.First = Retained.empty() ? Fold.Next : Retained.front().At;
   push.CaughtUpAge = caughtUpAge();
-  if (Ask.Start < push.First)
+  if (Request.Start < push.First)
     return push;
   std::size_t bytes = 0;
-  std::size_t skipped = static_cast<std::size_t>(Ask.Start - push.First);
-  for (std::size_t n = skipped; n < Kept.size(); ++n) {
-    bytes += Kept[n].Text.size();
-    if (push.Records.size() == MaxAnswered ||
-        (bytes > MaxAnsweredBytes && !push.Records.empty()))
+  std::size_t skipped = static_cast<std::size_t>(Request.Start - push.First);
+  for (std::size_t n = skipped; n < Retained.size(); ++n) {
+    bytes += Retained[n].Text.size();
+    if (push.Records.size() == MaxResponseRecords ||
+        (bytes > MaxResponseBytes && !push.Records.empty()))
       break;
-    push.Records.push_back(Kept[n]);
+    push.Records.push_back(Retained[n]);
   }
   return push;
 }
 
-StateResponseMessage LogFollower::answer(const StateRequestMessage &Ask) const {
-  StateResponseMessage give;
-  give.Sequence = Ask.Sequence;
+StateResponseMessage
+LogFollower::answer(const StateRequestMessage &Request) const {
+  StateResponseMessage response;
+  response.Sequence = Request.Sequence;
   if (!Obtained.load())
-    return give;
-  give.Next = Fold.Next;
-  give.State = encodeState(Fold);
-  give.Hash = hashText(give.State);
-  return give;
+    return response;
+  response.Next = Fold.Next;
+  response.State = encodeState(Fold);
+  response.Hash = hashText(response.State);
+  return response;
 }
 
 } // namespace wasabi
--- a/Wasabi/Node/LogFollower.h
+++ b/Wasabi/Node/LogFollower.h
@@ -1,7 +1,7 @@
 /// \file
-/// Follows the control stream: folds it, publishes the state, and spreads new
-/// records. A few processes of each failure domain read the log; all pass on
-/// what is new to them, and ask a peer for what they miss.
+/// Follows the control stream: folds it, publishes the state, and distributes
+/// new records. A few processes of each failure domain read the log. All
+/// processes push new records to peers and request missing ones from a peer.
 #ifndef WASABI_NODE_LOGFOLLOWER_H
 #define WASABI_NODE_LOGFOLLOWER_H
 
@@ -32,114 +32,123 @@
 
 namespace wasabi {
 
-/// Not thread-safe: use on the executor's thread, but for what says otherwise.
+/// Not thread-safe except where stated: use on the executor's thread.
 class LogFollower : public std::enable_shared_from_this<LogFollower> {
 public:
   struct Settings {
     std::uint32_t ReadersPerDomain = 2;
-    /// How long a reader's read waits at the log for something new.
+    /// Time that a reader's request waits at the log for new records.
     Millis PollTimeout{5000};
-    /// Without a sign, for this long, that somebody has read the log to its
-    /// end, a process reads it itself. A random part of as much is added.
-    Millis SilenceLimit{6000};
-    /// How long pushes may lag before a gap is asked for.
+    /// A process reads the log itself if it was not known to be caught up for
+    /// this long. A random part of the same length is added.
+    Millis MaxCaughtUpAge{6000};
+    /// Delay before missing records are requested, as a push may be on its way.
     Millis GapRequestDelay{150};
-    /// Bounds of the back-off while the log does not answer.
+    /// Bounds of the back-off while the log is unreachable.
     Millis MinBackOff{100};
     Millis MaxBackOff{3000};
-    /// Most records taken in one read.
+    /// Maximum number of records in one read.
     std::size_t MaxReadRecords = 512;
-    /// Records kept for peers that ask, and their bytes.
+    /// Maximum number and total bytes of records retained for requests by
+    /// peers.
     std::size_t MaxRetainedRecords = 4096;
     std::size_t MaxRetainedBytes = 4u << 20;
-    /// Longest stretch that is pushed on; more is catching up, not news.
+    /// Maximum number of records in one push. A longer range means that this
+    /// process is catching up, and is not pushed.
     std::size_t MaxPushed = 64;
-    /// Random peers that a record is pushed to besides the ring's successor: of
-    /// a change, and of a mere renewal, which is in no hurry.
+    /// Number of random peers that a record is pushed to in addition to the
+    /// ring successor: for changes, and for renewals, which are less urgent.
     std::size_t ChangeFanout = 2;
     std::size_t RenewalFanout = 1;
-    /// How long the same random peers are kept, for their connections' sake.
+    /// Time for which the same random peers are selected, so that connections
+    /// are reused.
     Millis PeerSelectionInterval{30000};
-    /// How far from the end a start looks for a snapshot first.
+    /// Number of records before the end of the log that are searched for a
+    /// snapshot first.
     std::size_t SnapshotWindow = 2048;
     std::uint64_t Seed = 1;
   };
 
   struct Hooks {
-    /// The members, now.
+    /// Returns the current membership view.
     std::function<std::shared_ptr<const View>()> CurrentView;
-    /// Called after each record, before the state is published.
+    /// Called after each applied record, before the state is published.
     std::function<void(Offset At, const FoldState &State,
-                       const ControlStateChange &Did)>
+                       const ControlStateChange &Change)>
         OnApplied;
-    /// Called when a whole state was taken over.
+    /// Called after the complete state was replaced.
     std::function<void(const FoldState &State)> OnStateReplaced;
   };
 
   static std::shared_ptr<LogFollower>
   create(boost::asio::any_io_executor Executor, Settings Setup, LogPort Log,
          std::shared_ptr<PeerLinks> Links, ControlCounters &Counters,
-         Timeline &Events, Hooks Calls);
+         Timeline &Events, Hooks Callbacks);
 
-  /// Starts to obtain a state and to follow.
+  /// Starts to obtain a state and then to follow the stream.
   void start();
   void stop();
 
-  /// The state published last. Thread-safe.
-  std::shared_ptr<const FoldState> state() const { return Shown.get(); }
-  /// Whether a state was obtained. Thread-safe.
+  /// Returns the last published state. Thread-safe.
+  std::shared_ptr<const FoldState> state() const {
+    return PublishedState.get();
+  }
+  /// Returns true once a state was obtained. Thread-safe.
   bool hasState() const { return Obtained.load(); }
-  /// Whether the log answered when last asked. Thread-safe.
+  /// Returns true if the last request to the log succeeded. Thread-safe.
   bool logReachable() const { return Reachable.load(); }
-  /// The next offset to fold.
+  /// Returns the next offset to fold.
   Offset next() const { return Fold.Next; }
-  /// The oldest offset that the log kept when last read.
+  /// Returns the oldest offset that the log retained at the last read.
   Offset logFirst() const { return LogFirst; }
-  /// How long ago the log was known to end at or before `next`.
+  /// Returns the time since the log was last known to end at or before `next`.
   Millis caughtUpAge() const;
 
-  /// Takes records that a peer pushed.
+  /// Applies records that a peer pushed.
   void receive(const LogPushMessage &Push);
-  /// Notes how far a peer is, and asks it for what is missing here.
-  void hear(const InstanceName &Peer, Offset PeerNext, Millis PeerLogAge);
-  /// Takes a record that the log took from this process at `At`.
+  /// Records a peer's position and requests the records that are missing here.
+  void onPeerLogPosition(const InstanceName &Peer, Offset PeerNext,
+                         Millis PeerLogAge);
+  /// Applies a record of this process that the log accepted at `At`.
   void applyOwnRecord(Offset At, std::string Text);
-  /// Reads the log soon, reader or not.
+  /// Requests a read of the log, also if this process is not a reader.
   void requestRead();
 
-  LogPushMessage answer(const LogRequestMessage &Ask) const;
-  StateResponseMessage answer(const StateRequestMessage &Ask) const;
+  LogPushMessage answer(const LogRequestMessage &Request) const;
+  StateResponseMessage answer(const StateRequestMessage &Request) const;
 
 private:
   LogFollower(boost::asio::any_io_executor Executor, Settings Setup,
               LogPort Log, std::shared_ptr<PeerLinks> Links,
-              ControlCounters &Counters, Timeline &Events, Hooks Calls);
+              ControlCounters &Counters, Timeline &Events, Hooks Callbacks);
 
-  boost::asio::awaitable<void> run();
+  boost::asio::awaitable<void> followLoop();
   boost::asio::awaitable<void> pause(Millis Span);
   boost::asio::awaitable<void> followOnce();
-  boost::asio::awaitable<Outcome<LogRange>> read(Offset From, std::size_t Max,
-                                                 Millis Wait);
+  boost::asio::awaitable<Outcome<LogRange>>
+  read(Offset Start, std::size_t MaxRecords, Millis PollTimeout);
   boost::asio::awaitable<bool> obtainState();
-  boost::asio::awaitable<bool> stateFromPeer();
-  boost::asio::awaitable<bool> stateFromLog();
-  boost::asio::awaitable<Outcome<std::vector<LogEntry>>> readAll(Offset From,
+  boost::asio::awaitable<bool> fetchStateFromPeer();
+  boost::asio::awaitable<bool> recoverStateFromLog();
+  boost::asio::awaitable<Outcome<std::vector<LogEntry>>> readAll(Offset Start,
                                                                  Offset End);
   boost::asio::awaitable<void> requestMissingRecords(InstanceName Peer);
   boost::asio::awaitable<void> recoverFromExpiredOffset(Offset First);
 
   bool isReader() const;
   bool isCatchUpOverdue() const;
-  void recordReachability(bool Up, const std::string &Reason);
+  void recordReachability(bool IsReachable, const std::string &Reason);
   void recordCaughtUp(TimePoint At);
-  /// Applies what follows on; false when something before it is missing.
-  bool applyLogEntries(const std::vector<LogEntry> &Entries, bool Spread);
-  /// Whether the record changed more than a claim's term.
+  /// Applies contiguous entries. Returns false if records before an entry are
+  /// missing.
+  bool applyLogEntries(const std::vector<LogEntry> &Entries, bool PushToPeers);
+  /// Applies one entry. Returns true if it changed the configuration or
+  /// acquired a claim.
   bool applyLogEntry(const LogEntry &Entry);
-  void keep(const LogEntry &Entry);
-  bool adopt(FoldState State);
+  void retainEntry(const LogEntry &Entry);
+  bool replaceState(FoldState State);
   void publish();
-  void pushToPeers(const std::vector<LogEntry> &Fresh, bool Quick);
+  void pushToPeers(const std::vector<LogEntry> &NewEntries, bool HasUrgent);
   Millis backOff();
 
   boost::asio::any_io_executor Executor;
@@ -148,24 +157,24 @@
   std::shared_ptr<PeerLinks> Links;
   ControlCounters &Counters;
   Timeline &Events;
-  const Hooks Calls;
+  const Hooks Callbacks;
   BootTimer Wake;
   std::mt19937_64 Random;
 
   FoldState Fold;
   Offset LogFirst = 0;
-  Published<FoldState> Shown;
+  Published<FoldState> PublishedState;
   std::atomic<bool> Obtained{false};
   std::atomic<bool> Reachable{false};
-  std::deque<LogEntry> Kept;
-  std::size_t KeptBytes = 0;
+  std::deque<LogEntry> Retained;
+  std::size_t RetainedBytes = 0;
   std::map<InstanceName, Offset> PeerNext;
-  /// When the log was known to end at or before `Fold.Next`.
-  TimePoint FreshAt;
+  /// Time at which the log was last known to end at or before `Fold.Next`.
+  TimePoint LastCaughtUpTime;
   Millis CaughtUpAgeJitter{0};
   unsigned Failures = 0;
-  bool LogNoted = false;
-  bool StaleNoted = false;
+  bool ReachabilityRecorded = false;
+  bool StaleTailRecorded = false;
   bool ReadRequested = false;
   bool GapRequestInFlight = false;
   bool Stopped = false;
--- a/Wasabi/Node/MembershipManager.cpp
+++ b/Wasabi/Node/MembershipManager.cpp
@@ -22,27 +22,32 @@
 namespace asio = boost::asio;
 
 constexpr asio::as_tuple_t<asio::use_awaitable_t<>> Awaited;
-/// Time between two looks at suspicions; the view is published as often.
+/// Time between two checks of suspicions and between two publications of the
+/// view.
 constexpr Millis TickInterval(100);
 constexpr Millis ListTimeout(2000);
 constexpr Millis ExchangeTimeout(3000);
-/// First pause after a failed reading of the list.
+/// Initial delay after a failed read of the list.
 constexpr Millis MinListBackOff(200);
-/// Readers per domain that pass urgent news on to other domains.
+/// Number of members per failure domain that forward urgent updates to other
+/// domains.
 constexpr std::uint32_t RelaysPerDomain = 2;
-/// Time between two exchanges of digests: at least, and for each member.
-constexpr Millis MinDigestPeriod(3000);
-constexpr Millis DigestPeriodPerMember(75);
-/// Of what a reader of the list may spend on it, the others spend this part.
-constexpr std::int64_t OthersListPart = 3;
-/// More news than a part of so many of the members is much.
-constexpr std::size_t MuchLearned = 20;
-/// How long the same random peers are told urgent news.
+/// Minimum time between two digest exchanges, and the time added for each
+/// member.
+constexpr Millis MinDigestInterval(3000);
+constexpr Millis DigestIntervalPerMember(75);
+/// Processes that are not log readers spend this fraction of a reader's budget
+/// on the list.
+constexpr std::int64_t NonReaderBudgetDivisor = 3;
+/// Digest exchanges continue at the probe interval while one returns updates on
+/// more than this fraction of the members.
+constexpr std::size_t CatchUpShareDivisor = 20;
+/// Time for which the same random peers receive urgent updates.
 constexpr Millis PeerSelectionInterval(30000);
 
-/// One wait for any of several helpers.
-struct HelperWait {
-  explicit HelperWait(const asio::any_io_executor &Executor)
+/// Waits for the first success among several indirect probes.
+struct IndirectProbe {
+  explicit IndirectProbe(const asio::any_io_executor &Executor)
       : Timer(Executor) {}
   BootTimer Timer;
   std::size_t Pending = 0;
@@ -55,10 +60,10 @@
 std::shared_ptr<MembershipManager> MembershipManager::create(
     asio::any_io_executor Executor, Settings Setup,
     std::shared_ptr<PeerLinks> Links, std::shared_ptr<http::Client> Client,
-    ControlCounters &Counters, Timeline &Events, Hooks Calls) {
+    ControlCounters &Counters, Timeline &Events, Hooks Callbacks) {
   return std::shared_ptr<MembershipManager>(new MembershipManager(
       std::move(Executor), std::move(Setup), std::move(Links),
-      std::move(Client), Counters, Events, std::move(Calls)));
+      std::move(Client), Counters, Events, std::move(Callbacks)));
 }
 
 MembershipManager::MembershipManager(asio::any_io_executor Executor,
@@ -66,16 +71,16 @@
                                      std::shared_ptr<PeerLinks> Links,
                                      std::shared_ptr<http::Client> Client,
                                      ControlCounters &Counters,
-                                     Timeline &Events, Hooks Calls)
+                                     Timeline &Events, Hooks Callbacks)
     : Executor(std::move(Executor)), Setup(std::move(Setup)),
       Links(std::move(Links)), Client(std::move(Client)), Counters(Counters),
-      Events(Events), Calls(std::move(Calls)),
+      Events(Events), Callbacks(std::move(Callbacks)),
       Swim(startSwim(this->Setup.Swim, this->Setup.Self, this->Setup.Seed,
                      monotonicNow())),
-      Shown(viewOf(Swim)), Random(this->Setup.Seed + 1) {}
+      PublishedView(makeMembershipView(Swim)), Random(this->Setup.Seed + 1) {}
 
-template <typename Body> void MembershipManager::spawn(Body &&What) {
-  asio::co_spawn(Executor, std::forward<Body>(What), asio::detached);
+template <typename Body> void MembershipManager::spawn(Body &&Coroutine) {
+  asio::co_spawn(Executor, std::forward<Body>(Coroutine), asio::detached);
 }
 
 void MembershipManager::start() {
@@ -92,19 +97,20 @@
 void MembershipManager::stop() { Stopped = true; }
 
 Millis MembershipManager::jittered(Millis Span) {
-  // Half of it up to one and a half: nobody keeps step with anybody.
+  // Returns 0.5 to 1.5 times the duration, so that processes do not act at the
+  // same time.
   std::uint64_t span = static_cast<std::uint64_t>(Span.count());
   return Millis(static_cast<std::int64_t>(span / 2 + Random() % (span + 1)));
 }
 
-// ---- loops ----
+// ---- Loops ----
 
 asio::awaitable<void> MembershipManager::probeLoop() {
   std::shared_ptr<MembershipManager> self = shared_from_this();
   BootTimer timer(Executor);
   while (!Stopped) {
-    // Who is not well probes less often.
-    Millis period = Setup.Swim.ProbePeriod;
+    // An unhealthy process probes less often.
+    Millis period = Setup.Swim.PeerProbeInterval;
     period += period * Swim.LocalHealth / 4;
     timer.expires_after(jittered(period));
     co_await timer.async_wait(Awaited);
@@ -122,7 +128,7 @@
     if (Stopped)
       break;
     apply(TimePassed());
-    if (Dirty)
+    if (NeedsPublish)
       publish();
   }
 }
@@ -130,38 +136,41 @@
 asio::awaitable<void> MembershipManager::listLoop() {
   std::shared_ptr<MembershipManager> self = shared_from_this();
   BootTimer timer(Executor);
-  Millis failing = MinListBackOff;
+  Millis retryDelay = MinListBackOff;
   while (!Stopped) {
     bool good = true;
     if (!Announced) {
-      bool leaving = Swim.Members.at(Swim.Self).Left;
+      bool leaving = Swim.Members.at(Swim.Self).HasLeft;
       good = co_await announce(leaving);
       Announced = good;
       AnnouncedAt = monotonicNow();
     }
     if (good && !Stopped)
       good = co_await readList();
-    failing =
-        good ? MinListBackOff : std::min(failing * 2, Setup.MaxListBackOff);
-    timer.expires_after(jittered(good ? listReadInterval() : failing));
+    retryDelay =
+        good ? MinListBackOff : std::min(retryDelay * 2, Setup.MaxListBackOff);
+    timer.expires_after(jittered(good ? listReadInterval() : retryDelay));
     co_await timer.async_wait(Awaited);
   }
 }
 
 Millis MembershipManager::digestInterval() const {
-  // Digests cost by the member; while they are few, what gossip missed need not
-  // wait for long.
+  // The size of a digest exchange grows with the number of members, so it is
+  // more frequent while there are few.
   std::int64_t members = static_cast<std::int64_t>(Swim.Members.size());
-  Millis afforded = std::max(MinDigestPeriod, members * DigestPeriodPerMember);
+  Millis afforded =
+      std::max(MinDigestInterval, members * DigestIntervalPerMember);
   return std::min(afforded, Setup.MaxDigestInterval);
 }
 
 Millis MembershipManager::listReadInterval() const {
-  // A few in each domain read it often and tell the rest, which need it only to
-  // be sure: with hundreds of lines it is the largest thing on the wire.
-  std::shared_ptr<const View> seen = Shown.get();
-  std::int64_t part = isLogReader(*seen, RelaysPerDomain) ? 1 : OthersListPart;
-  std::int64_t spent = static_cast<std::int64_t>(ListBytes) * part;
+  // A few processes per failure domain read the list often and distribute
+  // changes. The others read it rarely, as the list grows with the number of
+  // instances.
+  std::shared_ptr<const View> clusterView = PublishedView.get();
+  std::int64_t divisor =
+      isLogReader(*clusterView, RelaysPerDomain) ? 1 : NonReaderBudgetDivisor;
+  std::int64_t spent = static_cast<std::int64_t>(ListBytes) * divisor;
   constexpr std::int64_t MillisPerSecond = 1000;
   Millis afforded(spent * MillisPerSecond / Setup.ListBytesPerSecond);
   return std::max(Setup.MinListReadInterval, afforded);
@@ -170,8 +179,8 @@
 asio::awaitable<void> MembershipManager::digestLoop() {
   std::shared_ptr<MembershipManager> self = shared_from_this();
   BootTimer timer(Executor);
-  // The first exchange comes early: it is how a new process learns the rest.
-  Millis span = Setup.Swim.ProbePeriod;
+  // The first exchange is early, as a new process learns the members by it.
+  Millis span = Setup.Swim.PeerProbeInterval;
   while (!Stopped) {
     timer.expires_after(jittered(span));
     co_await timer.async_wait(Awaited);
@@ -183,11 +192,12 @@
         co_await join(it);
       continue;
     }
-    Address where = Swim.Members.at(peer.front()).Who.Control;
+    Address where = Swim.Members.at(peer.front()).Info.Control;
     std::size_t learned = co_await exchange(where, peer.front());
-    // Often while there is much to learn.
-    bool much = learned * MuchLearned > Swim.Members.size();
-    span = much ? Setup.Swim.ProbePeriod : std::min(span * 2, digestInterval());
+    // Exchange often until the view is nearly complete.
+    bool catchingUp = learned * CatchUpShareDivisor > Swim.Members.size();
+    span = catchingUp ? Setup.Swim.PeerProbeInterval
+                      : std::min(span * 2, digestInterval());
   }
 }
 
@@ -196,26 +206,26 @@
   co_await exchange(std::move(Seed), InstanceName());
 }
 
-// ---- probes ----
+// ---- Probes ----
 
 asio::awaitable<bool> MembershipManager::ping(InstanceName Target,
                                               Millis Timeout) {
   auto found = Swim.Members.find(Target);
-  if (found == Swim.Members.end() || found->second.Who.Control.empty())
+  if (found == Swim.Members.end() || found->second.Info.Control.empty())
     co_return false;
-  Address where = found->second.Who.Control;
+  Address where = found->second.Info.Control;
   PingMessage ping;
   ping.Sequence = Links->nextSequence();
   ping.From = Swim.Self.Text;
   ping.Target = Target.Text;
   ping.Piggybacked = gossipTo(Target);
-  ControlMessage question = std::move(ping);
+  ControlMessage message = std::move(ping);
   Outcome<ControlMessage> answer =
-      co_await Links->ask(where, std::move(question), Timeout);
+      co_await Links->ask(where, std::move(message), Timeout);
   const AckMessage *ack = answer ? std::get_if<AckMessage>(&*answer) : nullptr;
   if (ack == nullptr || Stopped)
     co_return false;
-  hear(ack->From, ack->Piggybacked);
+  applyGossip(ack->From, ack->Piggybacked);
   co_return true;
 }
 
@@ -224,7 +234,7 @@
   auto found = Swim.Members.find(Target);
   if (found == Swim.Members.end() || !Probing.insert(Target).second)
     co_return;
-  Incarnation life = found->second.Who.Life;
+  Incarnation life = found->second.Info.Life;
   Counters.Probes.fetch_add(1);
   Millis timeout = Setup.ProbeTimeout;
   timeout += timeout * Swim.LocalHealth / 2;
@@ -232,19 +242,20 @@
   ProbeEnded ended{Target, life, reached, false};
 
   if (!reached && !Stopped) {
-    // Others may reach what this process cannot.
-    std::shared_ptr<HelperWait> wait = std::make_shared<HelperWait>(Executor);
+    // Other members may reach the target.
+    std::shared_ptr<IndirectProbe> wait =
+        std::make_shared<IndirectProbe>(Executor);
     wait->Timer.expires_after(3 * timeout);
     for (const InstanceName &it :
          chooseRandomPeers(Swim, Target, Setup.IndirectProbePeers)) {
       ++wait->Pending;
-      Address where = Swim.Members.at(it).Who.Control;
+      Address where = Swim.Members.at(it).Info.Control;
       spawn([self, wait, where, Target, timeout]() -> asio::awaitable<void> {
-        PingRequestMessage ask{self->Links->nextSequence(),
-                               self->Swim.Self.Text, Target.Text};
-        ControlMessage question = ask;
+        PingRequestMessage request{self->Links->nextSequence(),
+                                   self->Swim.Self.Text, Target.Text};
+        ControlMessage message = request;
         Outcome<ControlMessage> answer =
-            co_await self->Links->ask(where, std::move(question), 3 * timeout);
+            co_await self->Links->ask(where, std::move(message), 3 * timeout);
         const PingAnswerMessage *got =
             answer ? std::get_if<PingAnswerMessage>(&*answer) : nullptr;
         wait->Answered = wait->Answered || got != nullptr;
@@ -269,34 +280,34 @@
 
 void MembershipManager::receive(const PingMessage &Ping,
                                 const ControlServer::Reply &Answer) {
-  // A process that took over the port must not answer for its predecessor.
+  // A process that reuses the port must not answer for its predecessor.
   if (!Ping.Target.empty() && Ping.Target != Swim.Self.Text)
     return;
-  hear(Ping.From, Ping.Piggybacked);
+  applyGossip(Ping.From, Ping.Piggybacked);
   if (Ping.Sequence == 0)
     return;
   AckMessage ack;
   ack.Sequence = Ping.Sequence;
   ack.From = Swim.Self.Text;
-  if (Ping.Piggybacked.Full) {
+  if (Ping.Piggybacked.IsFullSync) {
     ack.Piggybacked.Updates =
         findMissingUpdates(Swim, Ping.Piggybacked.Digests);
     ack.Piggybacked.Digests = computeDigests(Swim);
     ack.Piggybacked.At = Events.now();
-    Calls.FillLogPosition(ack.Piggybacked);
+    Callbacks.FillLogPosition(ack.Piggybacked);
   } else {
     ack.Piggybacked = gossipTo(InstanceName(Ping.From));
   }
   Answer(ack);
 }
 
-void MembershipManager::receive(const PingRequestMessage &Ask,
+void MembershipManager::receive(const PingRequestMessage &Request,
                                 const ControlServer::Reply &Answer) {
   std::shared_ptr<MembershipManager> self = shared_from_this();
-  spawn([self, Ask, Answer]() -> asio::awaitable<void> {
-    InstanceName target(Ask.Target);
+  spawn([self, Request, Answer]() -> asio::awaitable<void> {
+    InstanceName target(Request.Target);
     bool reached = co_await self->ping(target, self->Setup.ProbeTimeout);
-    PingAnswerMessage answer{Ask.Sequence, Ask.Target, reached};
+    PingAnswerMessage answer{Request.Sequence, Request.Target, reached};
     if (!self->Stopped)
       Answer(answer);
   });
@@ -309,34 +320,34 @@
   ping.From = Swim.Self.Text;
   ping.Target = Peer.Text;
   ping.Piggybacked = gossipTo(Peer);
-  ping.Piggybacked.Full = true;
+  ping.Piggybacked.IsFullSync = true;
   ping.Piggybacked.Digests = computeDigests(Swim);
-  // To be known by the other side is the first purpose of joining.
+  // Include this process, so that the other side learns of it.
   MemberUpdate self;
-  self.Subject = Swim.Members.at(Swim.Self).Who;
+  self.Subject = Swim.Members.at(Swim.Self).Info;
   ping.Piggybacked.Updates.push_back(std::move(self));
-  ControlMessage question = std::move(ping);
+  ControlMessage message = std::move(ping);
   Outcome<ControlMessage> answer =
-      co_await Links->ask(Where, std::move(question), ExchangeTimeout);
+      co_await Links->ask(Where, std::move(message), ExchangeTimeout);
   const AckMessage *ack = answer ? std::get_if<AckMessage>(&*answer) : nullptr;
   if (ack == nullptr || Stopped)
     co_return 0;
-  hear(ack->From, ack->Piggybacked);
+  applyGossip(ack->From, ack->Piggybacked);
 
-  // What the other side lacks goes back without a question.
+  // Send the updates that the other side lacks.
   PingMessage notice;
   notice.From = Swim.Self.Text;
   notice.Target = ack->From;
   notice.Piggybacked.Updates =
       findMissingUpdates(Swim, ack->Piggybacked.Digests);
   notice.Piggybacked.At = Events.now();
-  Calls.FillLogPosition(notice.Piggybacked);
+  Callbacks.FillLogPosition(notice.Piggybacked);
   if (!notice.Piggybacked.Updates.empty())
     Links->send(Where, notice);
   co_return ack->Piggybacked.Updates.size();
 }
 
-// ---- the platform's list ----
+// ---- The platform's list ----
 
 asio::awaitable<bool> MembershipManager::readList() {
   Outcome<std::string> body =
@@ -354,7 +365,7 @@
 }
 
 asio::awaitable<bool> MembershipManager::announce(bool Leaving) {
-  const Member &self = Swim.Members.at(Swim.Self).Who;
+  const Member &self = Swim.Members.at(Swim.Self).Info;
   ListedInstance line;
   line.Instance = self.Instance;
   line.Domain = self.Domain;
@@ -366,42 +377,44 @@
   Outcome<Done> done = co_await announceInstance(*Client, Setup.Instances,
                                                  std::move(line), ListTimeout);
   if (!done)
-    spdlog::warn("control: announcing failed: {}", describe(done.failure()));
+    spdlog::warn("control: announcement to the instance list failed: {}",
+                 describe(done.failure()));
   co_return static_cast<bool>(done);
 }
 
-// ---- news ----
+// ---- Updates ----
 
 Gossip MembershipManager::gossipTo(const InstanceName &Peer) {
-  Gossip carried;
-  carried.Updates = takeUpdatesFor(Swim, Peer);
-  carried.At = Events.now();
-  Calls.FillLogPosition(carried);
-  return carried;
+  Gossip gossip;
+  gossip.Updates = takeUpdatesFor(Swim, Peer);
+  gossip.At = Events.now();
+  Callbacks.FillLogPosition(gossip);
+  return gossip;
 }
 
-void MembershipManager::hear(const std::string &From, const Gossip &Carried) {
-  Events.mergeRemoteTime(Carried.At);
-  if (!Carried.Digests.empty())
-    applyPeerDigests(Swim, Carried.Digests);
-  if (!Carried.Updates.empty())
-    apply(UpdatesReceived{InstanceName(From), Carried.Updates});
-  Calls.OnPeerLogPosition(InstanceName(From), Carried.Next,
-                          Carried.CaughtUpAge);
+void MembershipManager::applyGossip(const std::string &From,
+                                    const Gossip &Received) {
+  Events.mergeRemoteTime(Received.At);
+  if (!Received.Digests.empty())
+    applyPeerDigests(Swim, Received.Digests);
+  if (!Received.Updates.empty())
+    apply(UpdatesReceived{InstanceName(From), Received.Updates});
+  Callbacks.OnPeerLogPosition(InstanceName(From), Received.Next,
+                              Received.CaughtUpAge);
 }
 
 void MembershipManager::apply(const SwimEvent &Event) {
-  applyEffects(decide(Swim, Event, monotonicNow()));
+  applyEffects(applySwimEvent(Swim, Event, monotonicNow()));
 }
 
 void MembershipManager::applyEffects(const SwimEffects &Effects) {
   for (const HealthChange &it : Effects.Changes) {
-    std::string kind = "member." + std::string(toText(it.Now));
+    std::string kind = "member." + std::string(toText(it.State));
     Events.record(kind, {{"member", it.Instance.Text},
                          {"incarnation", std::to_string(it.Life)},
                          {"witness", it.Witness}});
   }
-  Dirty = Dirty || Effects.ViewChanged;
+  NeedsPublish = NeedsPublish || Effects.ViewChanged;
   bool lagged = monotonicNow() - AnnouncedAt > Setup.ReannounceDelay;
   if (Effects.SelfMissingFromList && lagged)
     Announced = false;
@@ -416,17 +429,19 @@
 
 void MembershipManager::broadcastUrgent(
     const std::vector<MemberUpdate> &Urgent) {
-  std::shared_ptr<const View> seen = Shown.get();
+  std::shared_ptr<const View> clusterView = PublishedView.get();
   FanoutSettings limits;
   bool own = std::any_of(Urgent.begin(), Urgent.end(), [&](const auto &it) {
-    return it.About.Instance == Swim.Self;
+    return it.Subject.Instance == Swim.Self;
   });
-  limits.OtherDomains = own || isLogReader(*seen, RelaysPerDomain);
-  std::mt19937_64 sticky(Setup.Seed + static_cast<std::uint64_t>(
-                                          monotonicNow().time_since_epoch() /
-                                          PeerSelectionInterval));
-  for (const InstanceName &it : chooseFanout(*seen, limits, sticky)) {
-    const Address &where = seen->Members.at(it).Control;
+  limits.OtherDomains = own || isLogReader(*clusterView, RelaysPerDomain);
+  std::mt19937_64 selectionRandom(
+      Setup.Seed +
+      static_cast<std::uint64_t>(monotonicNow().time_since_epoch() /
+                                 PeerSelectionInterval));
+  for (const InstanceName &it :
+       chooseFanout(*clusterView, limits, selectionRandom)) {
+    const Address &where = clusterView->Members.at(it).Control;
     if (where.empty())
       continue;
     PingMessage notice;
@@ -434,14 +449,14 @@
     notice.Target = it.Text;
     notice.Piggybacked.Updates = Urgent;
     notice.Piggybacked.At = Events.now();
-    Calls.FillLogPosition(notice.Piggybacked);
+    Callbacks.FillLogPosition(notice.Piggybacked);
     Links->send(where, notice);
   }
 }
 
 void MembershipManager::publish() {
-  Dirty = false;
-  Shown.set(viewOf(Swim));
+  NeedsPublish = false;
+  PublishedView.set(makeMembershipView(Swim));
 }
 
 void MembershipManager::setServers(std::vector<ServerStatus> Servers) {
@@ -457,14 +472,14 @@
   apply(SelfLeaves());
   if (!Setup.Instances.empty()) {
     spawn([self]() -> asio::awaitable<void> {
-      bool told = co_await self->announce(true);
-      self->Announced = told;
+      bool announced = co_await self->announce(true);
+      self->Announced = announced;
     });
   }
-  // The notices are under way; an answered probe carries the news for certain.
-  std::vector<InstanceName> helpers =
+  // Notifications may be lost; an answered probe confirms that a member knows.
+  std::vector<InstanceName> peers =
       chooseRandomPeers(Swim, Swim.Self, Setup.IndirectProbePeers);
-  for (const InstanceName &it : helpers) {
+  for (const InstanceName &it : peers) {
     bool confirmed = co_await ping(it, Setup.ProbeTimeout);
     if (confirmed || Stopped)
       break;
--- a/Wasabi/Node/MembershipManager.h
+++ b/Wasabi/Node/MembershipManager.h
@@ -1,6 +1,6 @@
 /// \file
-/// Carries out what the membership decides: sends probes and news, asks others
-/// to probe, reads and feeds the platform's list, and publishes the view.
+/// Drives the failure detector: sends probes and updates, requests indirect
+/// probes, reads and updates the platform's list, and publishes the view.
 #ifndef WASABI_NODE_MEMBERSHIPMANAGER_H
 #define WASABI_NODE_MEMBERSHIPMANAGER_H
 
@@ -31,7 +31,7 @@
 class Client;
 } // namespace http
 
-/// Not thread-safe: use on the executor's thread, but for `view`.
+/// Not thread-safe except for `view`: use on the executor's thread.
 class MembershipManager
     : public std::enable_shared_from_this<MembershipManager> {
 public:
@@ -41,50 +41,51 @@
     std::vector<Address> Seeds;
     SwimSettings Swim;
     Millis ProbeTimeout{500};
-    /// Peers asked to probe a member that does not answer.
+    /// Number of peers that are asked to probe a member that does not answer.
     std::size_t IndirectProbePeers = 3;
-    /// Time between two readings of the platform's list.
+    /// Minimum time between two reads of the platform's list.
     Millis MinListReadInterval{3000};
-    /// What a reader of the list spends on it, however long the list is.
+    /// Bytes per second that a log reader spends on the list; other processes
+    /// spend a third of it.
     std::int64_t ListBytesPerSecond = 1000;
-    /// Time between two exchanges of digests with a random member, at most;
-    /// less while members are few.
+    /// Maximum time between two digest exchanges with a random member; shorter
+    /// while there are few members.
     Millis MaxDigestInterval{30000};
-    /// Bound of the back-off while the list does not answer.
+    /// Maximum back-off while the list is unreachable.
     Millis MaxListBackOff{10000};
-    /// A process that the list lacks for longer than its lag announces itself
-    /// again.
+    /// Time after an announcement before a process that is missing from the
+    /// list announces itself again.
     Millis ReannounceDelay{30000};
     std::uint64_t Seed = 1;
   };
   struct Hooks {
-    /// Fills in how far this process has folded the log.
+    /// Fills in this process' position in the log.
     std::function<void(Gossip &)> FillLogPosition;
-    /// Told how far a peer has folded it.
+    /// Called with a peer's position in the log.
     std::function<void(const InstanceName &, Offset, Millis)> OnPeerLogPosition;
   };
 
   static std::shared_ptr<MembershipManager>
   create(boost::asio::any_io_executor Executor, Settings Setup,
          std::shared_ptr<PeerLinks> Links, std::shared_ptr<http::Client> Client,
-         ControlCounters &Counters, Timeline &Events, Hooks Calls);
+         ControlCounters &Counters, Timeline &Events, Hooks Callbacks);
 
   void start();
   void stop();
 
-  /// The members. Thread-safe.
-  std::shared_ptr<const View> view() const { return Shown.get(); }
+  /// Returns the membership view. Thread-safe.
+  std::shared_ptr<const View> view() const { return PublishedView.get(); }
 
-  /// A probe from another; answers unless it means another process.
+  /// Applies a probe and answers it, unless it is addressed to another process.
   void receive(const PingMessage &Ping, const ControlServer::Reply &Answer);
-  /// Probes a member for another process, and answers.
-  void receive(const PingRequestMessage &Ask,
+  /// Probes a member on behalf of another process and answers with the result.
+  void receive(const PingRequestMessage &Request,
                const ControlServer::Reply &Answer);
 
   void setServers(std::vector<ServerStatus> Servers);
   /// A request to this member could not be delivered.
   void noteUnreachable(const InstanceName &Target);
-  /// Tells everyone that this process is leaving; returns once a member has
+  /// Announces that this process is leaving. Returns once a member has
   /// confirmed it, or after a bounded time.
   boost::asio::awaitable<void> leave();
 
@@ -92,7 +93,8 @@
   MembershipManager(boost::asio::any_io_executor Executor, Settings Setup,
                     std::shared_ptr<PeerLinks> Links,
                     std::shared_ptr<http::Client> Client,
-                    ControlCounters &Counters, Timeline &Events, Hooks Calls);
+                    ControlCounters &Counters, Timeline &Events,
+                    Hooks Callbacks);
 
   boost::asio::awaitable<void> probeLoop();
   boost::asio::awaitable<void> tickLoop();
@@ -101,7 +103,7 @@
   boost::asio::awaitable<void> join(Address Seed);
   boost::asio::awaitable<void> probe(InstanceName Target);
   boost::asio::awaitable<bool> ping(InstanceName Target, Millis Timeout);
-  /// Exchanges digests; gives how many news came back.
+  /// Exchanges digests with a peer. Returns the number of updates received.
   boost::asio::awaitable<std::size_t> exchange(Address Where,
                                                InstanceName Peer);
   boost::asio::awaitable<bool> readList();
@@ -112,11 +114,11 @@
   void broadcastUrgent(const std::vector<MemberUpdate> &Urgent);
   void publish();
   Gossip gossipTo(const InstanceName &Peer);
-  void hear(const std::string &From, const Gossip &Carried);
+  void applyGossip(const std::string &From, const Gossip &Received);
   Millis jittered(Millis Span);
   Millis digestInterval() const;
   Millis listReadInterval() const;
-  template <typename Body> void spawn(Body &&What);
+  template <typename Body> void spawn(Body &&Coroutine);
 
   boost::asio::any_io_executor Executor;
   const Settings Setup;
@@ -124,15 +126,15 @@
   std::shared_ptr<http::Client> Client;
   ControlCounters &Counters;
   Timeline &Events;
-  const Hooks Calls;
+  const Hooks Callbacks;
   SwimState Swim;
-  Published<View> Shown;
+  Published<View> PublishedView;
   std::mt19937_64 Random;
   std::set<InstanceName> Probing;
-  bool Dirty = false;
+  bool NeedsPublish = false;
   bool Announced = false;
   TimePoint AnnouncedAt;
-  /// Size of the list when it was read last.
+  /// Size of the list in bytes at the last read.
   std::size_t ListBytes = 0;
   bool Stopped = false;
 };
--- a/Wasabi/Node/PeerLinks.cpp
+++ b/Wasabi/Node/PeerLinks.cpp
@@ -22,15 +22,15 @@
 
 } // namespace
 
-/// One question that waits for its answer.
+/// A request that waits for its answer.
 struct PeerLinks::PendingRequest {
   explicit PendingRequest(const asio::any_io_executor &Executor)
       : Timer(Executor) {}
   BootTimer Timer;
   std::optional<Outcome<ControlMessage>> Answer;
 
-  void settle(Outcome<ControlMessage> With) {
-    Answer.emplace(std::move(With));
+  void complete(Outcome<ControlMessage> Result) {
+    Answer.emplace(std::move(Result));
     Timer.cancel();
   }
 };
@@ -38,8 +38,8 @@
 struct PeerLinks::Link {
   /// Null while the connection is being opened.
   std::shared_ptr<FrameSocket> Socket;
-  std::deque<FrameBytes> Waiting;
-  std::map<std::uint64_t, std::shared_ptr<PendingRequest>> Questions;
+  std::deque<FrameBytes> PendingFrames;
+  std::map<std::uint64_t, std::shared_ptr<PendingRequest>> PendingRequests;
   TimePoint LastUsed;
   bool Dropped = false;
 };
@@ -49,37 +49,37 @@
                                              ControlCounters &Counters) {
   std::shared_ptr<PeerLinks> made(
       new PeerLinks(std::move(Executor), Limits, Counters));
-  made->sweep();
+  made->closeIdleLinks();
   return made;
 }
 
 PeerLinks::PeerLinks(asio::any_io_executor Executor, Settings Limits,
                      ControlCounters &Counters)
     : Executor(std::move(Executor)), Limits(Limits), Counters(Counters),
-      SweepTimer(this->Executor) {}
+      IdleTimer(this->Executor) {}
 
 PeerLinks::~PeerLinks() = default;
 
 asio::awaitable<Outcome<ControlMessage>>
-PeerLinks::ask(Address Where, ControlMessage What, Millis Timeout) {
+PeerLinks::ask(Address Where, ControlMessage Message, Millis Timeout) {
   std::shared_ptr<PeerLinks> self = shared_from_this();
   if (Stopped)
     co_return Failure{Verdict::NotRun, FailureCode::Cancelled, toText(Where),
                       "this process is stopping", Millis(0)};
-  std::shared_ptr<Link> link = linkTo(Where);
-  std::uint64_t sequence = sequenceOf(What);
-  std::shared_ptr<PendingRequest> question =
+  std::shared_ptr<Link> link = findOrOpenLink(Where);
+  std::uint64_t sequence = sequenceOf(Message);
+  std::shared_ptr<PendingRequest> pending =
       std::make_shared<PendingRequest>(Executor);
-  link->Questions[sequence] = question;
-  put(*link, encodeControl(What));
-
-  // The answer, a lost connection or the timeout ends the wait.
-  question->Timer.expires_after(Timeout);
-  if (!question->Answer)
-    co_await question->Timer.async_wait(Awaited);
-  link->Questions.erase(sequence);
-  if (question->Answer)
-    co_return std::move(*question->Answer);
+  link->PendingRequests[sequence] = pending;
+  sendOrQueue(*link, encodeControl(Message));
+
+  // The wait ends with the answer, a lost connection or the timeout.
+  pending->Timer.expires_after(Timeout);
+  if (!pending->Answer)
+    co_await pending->Timer.async_wait(Awaited);
+  link->PendingRequests.erase(sequence);
+  if (pending->Answer)
+    co_return std::move(*pending->Answer);
   bool sent = link->Socket != nullptr;
   co_return Failure{sent ? Verdict::MayHaveRun : Verdict::NotRun,
                     FailureCode::TimedOut, toText(Where),
@@ -87,27 +87,28 @@
                     Millis(0)};
 }
 
-void PeerLinks::send(const Address &Where, const ControlMessage &What) {
+void PeerLinks::send(const Address &Where, const ControlMessage &Message) {
   if (!Stopped)
-    put(*linkTo(Where), encodeControl(What));
+    sendOrQueue(*findOrOpenLink(Where), encodeControl(Message));
 }
 
 void PeerLinks::stop() {
   Stopped = true;
-  SweepTimer.cancel();
+  IdleTimer.cancel();
   std::map<Address, std::shared_ptr<Link>> all = std::exchange(Links, {});
   Failure why{Verdict::MayHaveRun, FailureCode::Cancelled, "control links",
               "this process is stopping", Millis(0)};
   for (auto &[where, link] : all)
-    drop(where, link, why);
+    closeLink(where, link, why);
 }
 
-std::shared_ptr<PeerLinks::Link> PeerLinks::linkTo(const Address &Where) {
+std::shared_ptr<PeerLinks::Link>
+PeerLinks::findOrOpenLink(const Address &Where) {
   auto found = Links.find(Where);
   if (found != Links.end())
     return found->second;
 
-  makeRoom();
+  evictLeastRecentlyUsed();
   std::shared_ptr<Link> link = std::make_shared<Link>();
   link->LastUsed = monotonicNow();
   Links[Where] = link;
@@ -115,18 +116,18 @@
   asio::co_spawn(
       Executor,
       [self, Where, link]() -> asio::awaitable<void> {
-        return self->run(Where, link);
+        return self->runLink(Where, link);
       },
       asio::detached);
   return link;
 }
 
-void PeerLinks::makeRoom() {
+void PeerLinks::evictLeastRecentlyUsed() {
   if (Links.size() < Limits.MaxLinks)
     return;
   auto oldest = Links.end();
   for (auto it = Links.begin(); it != Links.end(); ++it) {
-    if (it->second->Questions.empty() &&
+    if (it->second->PendingRequests.empty() &&
         (oldest == Links.end() ||
          it->second->LastUsed < oldest->second->LastUsed))
       oldest = it;
@@ -136,43 +137,43 @@
   Failure why{Verdict::MayHaveRun, FailureCode::Cancelled,
               toText(oldest->first), "too many connections", Millis(0)};
   std::shared_ptr<Link> link = oldest->second;
-  drop(Address(oldest->first), link, why);
+  closeLink(Address(oldest->first), link, why);
 }
 
-void PeerLinks::sweep() {
+void PeerLinks::closeIdleLinks() {
   if (Stopped)
     return;
   TimePoint now = monotonicNow();
   std::vector<Address> idle;
   for (const auto &[where, link] : Links) {
-    if (link->Questions.empty() && now - link->LastUsed > Limits.MaxIdle)
+    if (link->PendingRequests.empty() && now - link->LastUsed > Limits.MaxIdle)
       idle.push_back(where);
   }
   Failure why{Verdict::MayHaveRun, FailureCode::Cancelled, "control link",
               "idle", Millis(0)};
   for (const Address &it : idle) {
     std::shared_ptr<Link> link = Links[it];
-    drop(it, link, why);
+    closeLink(it, link, why);
   }
 
   std::weak_ptr<PeerLinks> self = weak_from_this();
-  SweepTimer.expires_after(Limits.MaxIdle / 4);
-  SweepTimer.async_wait([self](boost::system::error_code Ec) {
+  IdleTimer.expires_after(Limits.MaxIdle / 4);
+  IdleTimer.async_wait([self](boost::system::error_code Ec) {
     std::shared_ptr<PeerLinks> held = self.lock();
     if (!Ec && held)
-      held->sweep();
+      held->closeIdleLinks();
   });
 }
 
-asio::awaitable<void> PeerLinks::run(Address Where,
-                                     std::shared_ptr<Link> Peer) {
+asio::awaitable<void> PeerLinks::runLink(Address Where,
+                                         std::shared_ptr<Link> Peer) {
   std::shared_ptr<PeerLinks> self = shared_from_this();
   FrameSocket::Settings limits;
   limits.ConnectTimeout = Limits.ConnectTimeout;
   Outcome<std::shared_ptr<FrameSocket>> opened =
       co_await FrameSocket::connect(Executor, Where, limits);
   if (!opened) {
-    drop(Where, Peer, opened.failure());
+    closeLink(Where, Peer, opened.failure());
     co_return;
   }
   std::shared_ptr<FrameSocket> socket = *opened;
@@ -181,37 +182,37 @@
     co_return;
   }
 
-  // What was waiting for the connection goes out first.
+  // Send the frames that were queued while the connection was opened.
   Peer->Socket = socket;
-  std::deque<FrameBytes> waiting = std::exchange(Peer->Waiting, {});
-  for (FrameBytes &it : waiting)
-    put(*Peer, std::move(it));
+  std::deque<FrameBytes> pendingFrames = std::exchange(Peer->PendingFrames, {});
+  for (FrameBytes &it : pendingFrames)
+    sendOrQueue(*Peer, std::move(it));
 
   while (!Peer->Dropped) {
     Outcome<FrameBytes> frame = co_await socket->receive();
     if (!frame) {
-      drop(Where, Peer, frame.failure());
+      closeLink(Where, Peer, frame.failure());
       co_return;
     }
     Counters.FramesIn.fetch_add(1);
     Counters.BytesIn.fetch_add(frame->size() + PrefixBytes);
     Outcome<ControlMessage> message = decodeControl(*frame);
     if (!message) {
-      drop(Where, Peer, message.failure());
+      closeLink(Where, Peer, message.failure());
       co_return;
     }
-    auto question = Peer->Questions.find(sequenceOf(*message));
-    if (question != Peer->Questions.end())
-      question->second->settle(std::move(*message));
+    auto pending = Peer->PendingRequests.find(sequenceOf(*message));
+    if (pending != Peer->PendingRequests.end())
+      pending->second->complete(std::move(*message));
   }
 }
 
-void PeerLinks::put(Link &Peer, FrameBytes Frame) {
+void PeerLinks::sendOrQueue(Link &Peer, FrameBytes Frame) {
   Peer.LastUsed = monotonicNow();
   if (Peer.Socket == nullptr) {
-    // A peer that does not come up must not hold our memory.
-    if (Peer.Waiting.size() < Limits.MaxWaitingFrames)
-      Peer.Waiting.push_back(std::move(Frame));
+    // Bounds the memory used for an unreachable peer.
+    if (Peer.PendingFrames.size() < Limits.MaxPendingFrames)
+      Peer.PendingFrames.push_back(std::move(Frame));
     return;
   }
   Counters.FramesOut.fetch_add(1);
@@ -219,8 +220,9 @@
   Peer.Socket->send(std::move(Frame));
 }
 
-void PeerLinks::drop(const Address &Where, const std::shared_ptr<Link> &Peer,
-                     const Failure &Why) {
+void PeerLinks::closeLink(const Address &Where,
+                          const std::shared_ptr<Link> &Peer,
+                          const Failure &Why) {
   if (Peer->Dropped)
     return;
   Peer->Dropped = true;
@@ -229,10 +231,10 @@
     Links.erase(found);
   if (Peer->Socket)
     Peer->Socket->close();
-  std::map<std::uint64_t, std::shared_ptr<PendingRequest>> questions =
-      std::exchange(Peer->Questions, {});
-  for (auto &[sequence, question] : questions)
-    question->settle(Why);
+  std::map<std::uint64_t, std::shared_ptr<PendingRequest>> pendingRequests =
+      std::exchange(Peer->PendingRequests, {});
+  for (auto &[sequence, pending] : pendingRequests)
+    pending->complete(Why);
 }
 
 } // namespace wasabi
--- a/Wasabi/Node/PeerLinks.h
+++ b/Wasabi/Node/PeerLinks.h
@@ -19,18 +19,19 @@
 
 namespace wasabi {
 
-/// One connection per peer, opened when first needed and closed when idle: with
-/// hundreds of peers most are spoken to once in minutes.
-/// Not thread-safe: use on the executor's thread.
+/// Maintains one connection per peer, opened on demand and closed when idle, as
+/// most peers are contacted rarely. Not thread-safe: use on the executor's
+/// thread.
 class PeerLinks : public std::enable_shared_from_this<PeerLinks> {
 public:
   struct Settings {
-    /// A connection unused for this long is closed.
+    /// Idle time after which a connection is closed.
     Millis MaxIdle{10000};
-    /// Connections at once; the least recently used one makes room.
+    /// Maximum number of connections; the least recently used one is evicted.
     std::size_t MaxLinks = 256;
-    /// Frames kept for a peer while its connection is being opened.
-    std::size_t MaxWaitingFrames = 64;
+    /// Maximum number of frames queued for a peer while its connection is being
+    /// opened.
+    std::size_t MaxPendingFrames = 64;
     Millis ConnectTimeout{2000};
   };
 
@@ -39,19 +40,20 @@
          ControlCounters &Counters);
   ~PeerLinks();
 
-  /// A number for the next question, unique in this process and never 0.
+  /// Returns a sequence number for the next request, unique in this process and
+  /// never 0.
   std::uint64_t nextSequence() { return ++LastSequence; }
 
-  /// Sends a question that has a sequence number and waits for its answer.
-  /// Failures: `Unreachable` with `NotRun` when there was no connection;
+  /// Sends a request that has a sequence number and waits for its answer.
+  /// Failures: `Unreachable` with `NotRun` if no connection could be opened;
   /// `ConnectionLost` or `TimedOut` with `MayHaveRun` after that.
   boost::asio::awaitable<Outcome<ControlMessage>>
-  ask(Address Where, ControlMessage What, Millis Timeout);
+  ask(Address Where, ControlMessage Message, Millis Timeout);
 
-  /// Sends a message that has no answer; it may get lost.
-  void send(const Address &Where, const ControlMessage &What);
+  /// Sends a message without waiting for an answer; it may be lost.
+  void send(const Address &Where, const ControlMessage &Message);
 
-  /// Closes everything; pending questions fail.
+  /// Closes all connections; pending requests fail.
   void stop();
 
 private:
@@ -60,18 +62,19 @@
 
   PeerLinks(boost::asio::any_io_executor Executor, Settings Limits,
             ControlCounters &Counters);
-  std::shared_ptr<Link> linkTo(const Address &Where);
-  void makeRoom();
-  void sweep();
-  boost::asio::awaitable<void> run(Address Where, std::shared_ptr<Link> Peer);
-  void put(Link &Peer, std::vector<std::uint8_t> Frame);
-  void drop(const Address &Where, const std::shared_ptr<Link> &Peer,
-            const Failure &Why);
+  std::shared_ptr<Link> findOrOpenLink(const Address &Where);
+  void evictLeastRecentlyUsed();
+  void closeIdleLinks();
+  boost::asio::awaitable<void> runLink(Address Where,
+                                       std::shared_ptr<Link> Peer);
+  void sendOrQueue(Link &Peer, std::vector<std::uint8_t> Frame);
+  void closeLink(const Address &Where, const std::shared_ptr<Link> &Peer,
+                 const Failure &Why);
 
   boost::asio::any_io_executor Executor;
   const Settings Limits;
   ControlCounters &Counters;
-  BootTimer SweepTimer;
+  BootTimer IdleTimer;
   std::map<Address, std::shared_ptr<Link>> Links;
   std::uint64_t LastSequence = 0;
   bool Stopped = false;
--- a/Wasabi/Node/RecordAppender.cpp
+++ b/Wasabi/Node/RecordAppender.cpp
@@ -14,8 +14,8 @@
 namespace asio = boost::asio;
 
 constexpr asio::as_tuple_t<asio::use_awaitable_t<>> Awaited;
-/// How long an idle appender sleeps; a new record wakes it.
-constexpr Millis IdlePeriod(60000);
+/// Wait of an idle appender; a new record ends it early.
+constexpr Millis IdleInterval(60000);
 
 Failure stopping(Verdict Run) {
   return Failure{Run, FailureCode::Cancelled, "append",
@@ -44,42 +44,44 @@
 void RecordAppender::start() {
   std::shared_ptr<RecordAppender> self = shared_from_this();
   asio::co_spawn(
-      Executor, [self]() -> asio::awaitable<void> { return self->run(); },
+      Executor,
+      [self]() -> asio::awaitable<void> { return self->appendLoop(); },
       asio::detached);
 }
 
 void RecordAppender::stop() {
   Stopped = true;
   Wake.cancel();
-  std::deque<Item> waiting = std::exchange(Queue, {});
+  std::deque<Item> pending = std::exchange(Queue, {});
   bool sent = InFlight;
-  for (Item &it : waiting) {
-    // Only the first can have been sent.
-    Verdict run = sent ? Verdict::MayHaveRun : Verdict::NotRun;
+  for (Item &it : pending) {
+    // Only the first record may have been sent.
+    Verdict appendLoop = sent ? Verdict::MayHaveRun : Verdict::NotRun;
     sent = false;
-    it.Then(stopping(run));
+    it.OnComplete(stopping(appendLoop));
   }
 }
 
-void RecordAppender::append(RecordBody Body, bool Urgent, Callback Then) {
+void RecordAppender::append(RecordBody Body, bool Urgent, Callback OnComplete) {
   if (Stopped) {
-    Then(stopping(Verdict::NotRun));
+    OnComplete(stopping(Verdict::NotRun));
     return;
   }
-  if (Queue.size() >= Setup.MaxWaiting) {
-    Then(Failure{Verdict::NotRun, FailureCode::Overloaded, "append",
-                 std::to_string(Queue.size()) + " records wait already",
-                 Setup.MaxBackOff});
+  if (Queue.size() >= Setup.MaxPendingRecords) {
+    OnComplete(
+        Failure{Verdict::NotRun, FailureCode::Overloaded, "append",
+                std::to_string(Queue.size()) + " records are already pending",
+                Setup.MaxBackOff});
     return;
   }
-  // The one in flight stays first.
+  // The record in flight stays first.
   auto at = Queue.end();
   if (Urgent) {
     auto begin = Queue.begin() + (InFlight && !Queue.empty() ? 1 : 0);
     at = std::find_if(begin, Queue.end(),
                       [](const Item &it) { return !it.Urgent; });
   }
-  Queue.insert(at, Item{std::move(Body), Urgent, std::move(Then)});
+  Queue.insert(at, Item{std::move(Body), Urgent, std::move(OnComplete)});
   if (!InFlight)
     Wake.cancel();
 }
@@ -89,98 +91,101 @@
   co_await Wake.async_wait(Awaited);
 }
 
-asio::awaitable<void> RecordAppender::run() {
+asio::awaitable<void> RecordAppender::appendLoop() {
   std::shared_ptr<RecordAppender> self = shared_from_this();
   while (!Stopped) {
     if (Queue.empty()) {
-      co_await pause(IdlePeriod);
+      co_await pause(IdleInterval);
       continue;
     }
     InFlight = true;
     ++Sequence;
-    Settled.reset();
+    Confirmed.reset();
     RecordId id{Setup.Instance.Text, Setup.Life, Sequence};
     std::string text = encodeRecord(Record{id, Queue.front().Body});
     FirstSent = monotonicNow();
-    co_await settle(std::move(text));
+    co_await appendAndConfirm(std::move(text));
     InFlight = false;
-    if (Stopped || !Settled)
+    if (Stopped || !Confirmed)
       continue;
     Item done = std::move(Queue.front());
     Queue.pop_front();
-    done.Then(*Settled);
+    done.OnComplete(*Confirmed);
   }
 }
 
-asio::awaitable<void> RecordAppender::settle(std::string Text) {
+asio::awaitable<void> RecordAppender::appendAndConfirm(std::string Text) {
   unsigned failures = 0;
-  while (!Stopped && !Settled) {
+  while (!Stopped && !Confirmed) {
     Counters.LogAppends.fetch_add(1);
     Counters.BytesOut.fetch_add(Text.size());
     std::string copy = Text;
     Outcome<Offset> at = co_await Log.Append(ControlStream, std::move(copy));
-    if (Stopped || Settled)
+    if (Stopped || Confirmed)
       break;
     if (!at) {
       if (at.failure().Code == FailureCode::BadInput) {
-        Settled.emplace(at.failure());
+        Confirmed.emplace(at.failure());
         break;
       }
-      // Not known whether it took effect: reading tells, or the next try does.
+      // It is unknown whether the append took effect; a read or the next
+      // attempt resolves it.
       Follower->requestRead();
       co_await pause(std::max(backOff(failures), at.failure().RetryAfter));
       ++failures;
       continue;
     }
     Follower->applyOwnRecord(*at, Text);
-    while (!Stopped && !Settled && Follower->next() <= *at) {
+    while (!Stopped && !Confirmed && Follower->next() <= *at) {
       co_await pause(Setup.ReadBackInterval);
-      if (!Settled)
+      if (!Confirmed)
         Follower->requestRead();
     }
-    // Read past without a mark: another life of this instance is at work.
-    if (!Settled && !Stopped)
-      Settled.emplace(Failure{Verdict::MayHaveRun, FailureCode::Conflict,
-                              "append at offset " + std::to_string(*at),
-                              "a newer process of this instance appends too",
-                              Millis(0)});
+    // The record was read but not attributed to this process: another
+    // incarnation of this instance is appending.
+    if (!Confirmed && !Stopped)
+      Confirmed.emplace(Failure{
+          Verdict::MayHaveRun, FailureCode::Conflict,
+          "append at offset " + std::to_string(*at),
+          "a newer incarnation of this instance is appending", Millis(0)});
   }
 }
 
 void RecordAppender::onApplied(Offset At, const FoldState &State,
-                               const ControlStateChange &Did) {
-  if (InFlight && !Settled)
-    settleFromState(State, &Did, At);
+                               const ControlStateChange &Change) {
+  if (InFlight && !Confirmed)
+    confirmFromState(State, &Change, At);
 }
 
 void RecordAppender::onStateReplaced(const FoldState &State) {
-  if (InFlight && !Settled)
-    settleFromState(State, nullptr, 0);
+  if (InFlight && !Confirmed)
+    confirmFromState(State, nullptr, 0);
 }
 
-void RecordAppender::settleFromState(const FoldState &State,
-                                     const ControlStateChange *Did, Offset At) {
-  auto mark = State.Authors.find(Setup.Instance.Text);
-  if (mark == State.Authors.end() || mark->second.Life != Setup.Life ||
-      mark->second.Sequence != Sequence)
+void RecordAppender::confirmFromState(const FoldState &State,
+                                      const ControlStateChange *Change,
+                                      Offset At) {
+  auto author = State.Authors.find(Setup.Instance.Text);
+  if (author == State.Authors.end() || author->second.Life != Setup.Life ||
+      author->second.Sequence != Sequence)
     return;
-  Appended done;
-  done.At = mark->second.At;
-  // The reason is known only where the record itself was applied here.
-  if (Did != nullptr && mark->second.At == At)
-    done.Did = *Did;
+  AppendedRecord done;
+  done.At = author->second.At;
+  // The complete change is known only if the record itself was applied here.
+  if (Change != nullptr && author->second.At == At)
+    done.Change = *Change;
   else
-    done.Did.ApplyStatus = mark->second.ApplyStatus;
-  Settled.emplace(std::move(done));
+    done.Change.ApplyStatus = author->second.ApplyStatus;
+  Confirmed.emplace(std::move(done));
   Wake.cancel();
 }
 
 Millis RecordAppender::backOff(unsigned Failures) {
-  std::int64_t most = Setup.MinBackOff.count()
-                      << std::min<unsigned>(Failures, 10);
-  most = std::min(most, Setup.MaxBackOff.count());
+  std::int64_t bound = Setup.MinBackOff.count()
+                       << std::min<unsigned>(Failures, 10);
+  bound = std::min(bound, Setup.MaxBackOff.count());
   std::int64_t drawn = static_cast<std::int64_t>(
-      Random() % static_cast<std::uint64_t>(most + 1));
+      Random() % static_cast<std::uint64_t>(bound + 1));
   return std::max(Setup.MinBackOff, Millis(drawn));
 }
 
--- a/Wasabi/Node/RecordAppender.h
+++ b/Wasabi/Node/RecordAppender.h
@@ -1,6 +1,6 @@
 /// \file
 /// Appends this process' records to the control stream, one at a time, and
-/// settles each by reading it back.
+/// confirms each by reading it back.
 #ifndef WASABI_NODE_RECORDAPPENDER_H
 #define WASABI_NODE_RECORDAPPENDER_H
 
@@ -27,68 +27,69 @@
 namespace wasabi {
 
 /// A record that was read back.
-struct Appended {
+struct AppendedRecord {
   Offset At = 0;
-  ControlStateChange Did;
+  ControlStateChange Change;
 };
 
-/// A lost answer is never guessed at: the record is sent again with the same id
-/// until it is read back, and the fold takes each id once.
-/// Not thread-safe: use on the executor's thread.
+/// If an answer is lost, the record is sent again with the same id until it is
+/// read back; the fold applies each id once. Not thread-safe: use on the
+/// executor's thread.
 class RecordAppender : public std::enable_shared_from_this<RecordAppender> {
 public:
   struct Settings {
     InstanceName Instance;
     Incarnation Life = 0;
-    /// Most records waiting; further ones are refused.
-    std::size_t MaxWaiting = 1024;
-    /// Bounds of the back-off between two tries.
+    /// Maximum number of pending records; further ones are refused.
+    std::size_t MaxPendingRecords = 1024;
+    /// Bounds of the back-off between two attempts.
     Millis MinBackOff{50};
     Millis MaxBackOff{2000};
-    /// How long a record that the log took may stay unread before the log is
-    /// read again.
+    /// Time between reads of the log while an accepted record has not been read
+    /// back.
     Millis ReadBackInterval{500};
     std::uint64_t Seed = 1;
   };
-  using Callback = std::function<void(Outcome<Appended>)>;
+  using Callback = std::function<void(Outcome<AppendedRecord>)>;
 
   static std::shared_ptr<RecordAppender>
   create(boost::asio::any_io_executor Executor, Settings Setup, LogPort Log,
          std::shared_ptr<LogFollower> Follower, ControlCounters &Counters);
 
   void start();
-  /// Fails all that wait; what was sent `MayHaveRun`.
+  /// Fails all pending records; a record that was sent fails with `MayHaveRun`.
   void stop();
 
-  /// Queues a record; an urgent one goes before all that are not. The callback
-  /// comes once the record's fate was read, or with `Overloaded` at once when
-  /// too many wait, or with `BadInput` when the log refuses it for good.
-  void append(RecordBody Body, bool Urgent, Callback Then);
+  /// Queues a record; urgent records precede all others. The callback is called
+  /// once the record is read back, or with `Overloaded` immediately if too many
+  /// records are pending, or with `BadInput` if the log rejects the record
+  /// permanently.
+  void append(RecordBody Body, bool Urgent, Callback OnComplete);
 
-  /// Just before the record in flight was sent first. Precondition: this
-  /// process' own record is being applied.
+  /// Returns the time just before the record in flight was first sent.
+  /// Precondition: this process' own record is being applied.
   TimePoint firstSent() const { return FirstSent; }
-  /// Takes note of the fold's progress.
+  /// Checks whether an applied record confirms the record in flight.
   void onApplied(Offset At, const FoldState &State,
-                 const ControlStateChange &Did);
+                 const ControlStateChange &Change);
   void onStateReplaced(const FoldState &State);
-  std::size_t waiting() const { return Queue.size(); }
+  std::size_t pendingCount() const { return Queue.size(); }
 
 private:
   struct Item {
     RecordBody Body;
     bool Urgent = false;
-    Callback Then;
+    Callback OnComplete;
   };
 
   RecordAppender(boost::asio::any_io_executor Executor, Settings Setup,
                  LogPort Log, std::shared_ptr<LogFollower> Follower,
                  ControlCounters &Counters);
-  boost::asio::awaitable<void> run();
-  boost::asio::awaitable<void> settle(std::string Text);
+  boost::asio::awaitable<void> appendLoop();
+  boost::asio::awaitable<void> appendAndConfirm(std::string Text);
   boost::asio::awaitable<void> pause(Millis Span);
-  void settleFromState(const FoldState &State, const ControlStateChange *Did,
-                       Offset At);
+  void confirmFromState(const FoldState &State,
+                        const ControlStateChange *Change, Offset At);
   Millis backOff(unsigned Failures);
 
   boost::asio::any_io_executor Executor;
@@ -102,7 +103,7 @@
   std::uint64_t Sequence = 0;
   TimePoint FirstSent;
   bool InFlight = false;
-  std::optional<Outcome<Appended>> Settled;
+  std::optional<Outcome<AppendedRecord>> Confirmed;
   bool Stopped = false;
 };
 
--- a/Wasabi/Node/SnapshotRule.h
+++ b/Wasabi/Node/SnapshotRule.h
@@ -1,5 +1,6 @@
 /// \file
-/// When the state is written onto the log again. A pure decision.
+/// Decides when a snapshot of the state is appended to the log. A pure
+/// function.
 #ifndef WASABI_NODE_SNAPSHOTRULE_H
 #define WASABI_NODE_SNAPSHOTRULE_H
 
@@ -9,38 +10,40 @@
 namespace wasabi {
 
 struct SnapshotSettings {
-  /// Records after which a snapshot is due.
+  /// Number of records after which a snapshot is due.
   Offset MaxRecordsBetween = 1000;
-  /// Time after which one is due, if any record came.
+  /// Time after which a snapshot is due, if there are new records.
   Millis MaxAge{600000};
-  /// Where the log has begun to drop records: this part of what it keeps.
+  /// Once the log has begun to drop records, a snapshot is due after the number
+  /// of retained records divided by this.
   Offset RetentionDivisor = 3;
   bool operator==(const SnapshotSettings &) const = default;
 };
 
 struct SnapshotDecisionInput {
-  /// The next offset here.
+  /// The next offset to fold.
   Offset Next = 0;
   /// Offset after the newest snapshot, 0 for none.
   Offset Last = 0;
-  /// The oldest offset that the log keeps, as read last.
+  /// The oldest offset that the log retained at the last read.
   Offset LogFirst = 0;
-  /// Since the newest snapshot was seen.
+  /// Time since the newest snapshot was applied.
   Millis Age{0};
   bool operator==(const SnapshotDecisionInput &) const = default;
 };
 
-/// Whether to write one now. Pure.
-inline bool snapshotDue(const SnapshotDecisionInput &Now,
+/// Returns true if a snapshot is due. Pure.
+inline bool snapshotDue(const SnapshotDecisionInput &Input,
                         const SnapshotSettings &Limits) {
-  Offset since = Now.Next > Now.Last ? Now.Next - Now.Last : 0;
+  Offset since = Input.Next > Input.Last ? Input.Next - Input.Last : 0;
   if (since == 0)
     return false;
-  if (since >= Limits.MaxRecordsBetween || Now.Age >= Limits.MaxAge)
+  if (since >= Limits.MaxRecordsBetween || Input.Age >= Limits.MaxAge)
     return true;
-  // Well before the last one expires.
-  bool drops = Now.LogFirst > 0 && Now.Next > Now.LogFirst;
-  return drops && since >= (Now.Next - Now.LogFirst) / Limits.RetentionDivisor;
+  // Take a snapshot well before the previous one expires.
+  bool drops = Input.LogFirst > 0 && Input.Next > Input.LogFirst;
+  return drops &&
+         since >= (Input.Next - Input.LogFirst) / Limits.RetentionDivisor;
 }
 
 } // namespace wasabi
