--- a/Wasabi/Membership/Swim.cpp
+++ b/Wasabi/Membership/Swim.cpp
@@ -34,7 +34,7 @@
   SwimState &State;
   TimePoint Now;
   SwimEffects Effects;
-  /// True if the updates come from a digest exchange.
+  /// True if the number of updates indicates a digest exchange.
   bool IsBulk = false;
 };
 
--- a/Wasabi/Node/LogFollower.h
+++ b/Wasabi/Node/LogFollower.h
@@ -107,8 +107,8 @@
   /// Applies records that a peer pushed.
   void receive(const LogPushMessage &Push);
   /// Records a peer's position and requests the records that are missing here.
-  void onPeerLogPosition(const InstanceName &Peer, Offset PeerNext,
-                         Millis PeerLogAge);
+  void onPeerLogPosition(const InstanceName &Peer, Offset Next,
+                         Millis CaughtUpAge);
   /// Applies a record of this process that the log accepted at `At`.
   void applyOwnRecord(Offset At, std::string Text);
   /// Requests a read of the log, also if this process is not a reader.
--- a/Wasabi/Node/MembershipManager.cpp
+++ b/Wasabi/Node/MembershipManager.cpp
@@ -36,11 +36,11 @@
 /// member.
 constexpr Millis MinDigestInterval(3000);
 constexpr Millis DigestIntervalPerMember(75);
-/// Processes that are not log readers spend this fraction of a reader's budget
+/// Processes that are not log readers spend a reader's budget divided by this
 /// on the list.
 constexpr std::int64_t NonReaderBudgetDivisor = 3;
-/// Digest exchanges continue at the probe interval while one returns updates on
-/// more than this fraction of the members.
+/// Digest exchanges continue at the probe interval while each returns updates
+/// about more than one in this many members.
 constexpr std::size_t CatchUpShareDivisor = 20;
 /// Time for which the same random peers receive urgent updates.
 constexpr Millis PeerSelectionInterval(30000);
--- a/Wasabi/Node/RecordAppender.cpp
+++ b/Wasabi/Node/RecordAppender.cpp
@@ -56,9 +56,9 @@
   bool sent = InFlight;
   for (Item &it : pending) {
     // Only the first record may have been sent.
-    Verdict appendLoop = sent ? Verdict::MayHaveRun : Verdict::NotRun;
+    Verdict verdict = sent ? Verdict::MayHaveRun : Verdict::NotRun;
     sent = false;
-    it.OnComplete(stopping(appendLoop));
+    it.OnComplete(stopping(verdict));
   }
 }
 
@@ -100,32 +100,32 @@
     }
     InFlight = true;
     ++Sequence;
-    Confirmed.reset();
+    Completion.reset();
     RecordId id{Setup.Instance.Text, Setup.Life, Sequence};
     std::string text = encodeRecord(Record{id, Queue.front().Body});
     FirstSent = monotonicNow();
     co_await appendAndConfirm(std::move(text));
     InFlight = false;
-    if (Stopped || !Confirmed)
+    if (Stopped || !Completion)
       continue;
     Item done = std::move(Queue.front());
     Queue.pop_front();
-    done.OnComplete(*Confirmed);
+    done.OnComplete(*Completion);
   }
 }
 
 asio::awaitable<void> RecordAppender::appendAndConfirm(std::string Text) {
   unsigned failures = 0;
-  while (!Stopped && !Confirmed) {
+  while (!Stopped && !Completion) {
     Counters.LogAppends.fetch_add(1);
     Counters.BytesOut.fetch_add(Text.size());
     std::string copy = Text;
     Outcome<Offset> at = co_await Log.Append(ControlStream, std::move(copy));
-    if (Stopped || Confirmed)
+    if (Stopped || Completion)
       break;
     if (!at) {
       if (at.failure().Code == FailureCode::BadInput) {
-        Confirmed.emplace(at.failure());
+        Completion.emplace(at.failure());
         break;
       }
       // It is unknown whether the append took effect; a read or the next
@@ -136,15 +136,15 @@
       continue;
     }
     Follower->applyOwnRecord(*at, Text);
-    while (!Stopped && !Confirmed && Follower->next() <= *at) {
+    while (!Stopped && !Completion && Follower->next() <= *at) {
       co_await pause(Setup.ReadBackInterval);
-      if (!Confirmed)
+      if (!Completion)
         Follower->requestRead();
     }
     // The record was read but not attributed to this process: another
     // incarnation of this instance is appending.
-    if (!Confirmed && !Stopped)
-      Confirmed.emplace(Failure{
+    if (!Completion && !Stopped)
+      Completion.emplace(Failure{
           Verdict::MayHaveRun, FailureCode::Conflict,
           "append at offset " + std::to_string(*at),
           "a newer incarnation of this instance is appending", Millis(0)});
@@ -153,12 +153,12 @@
 
 void RecordAppender::onApplied(Offset At, const FoldState &State,
                                const ControlStateChange &Change) {
-  if (InFlight && !Confirmed)
+  if (InFlight && !Completion)
     confirmFromState(State, &Change, At);
 }
 
 void RecordAppender::onStateReplaced(const FoldState &State) {
-  if (InFlight && !Confirmed)
+  if (InFlight && !Completion)
     confirmFromState(State, nullptr, 0);
 }
 
@@ -176,7 +176,7 @@
     done.Change = *Change;
   else
     done.Change.ApplyStatus = author->second.ApplyStatus;
-  Confirmed.emplace(std::move(done));
+  Completion.emplace(std::move(done));
   Wake.cancel();
 }
 
--- a/Wasabi/Node/RecordAppender.h
+++ b/Wasabi/Node/RecordAppender.h
@@ -103,7 +103,7 @@
   std::uint64_t Sequence = 0;
   TimePoint FirstSent;
   bool InFlight = false;
-  std::optional<Outcome<AppendedRecord>> Confirmed;
+  std::optional<Outcome<AppendedRecord>> Completion;
   bool Stopped = false;
 };
 
