--- a/Ctl/ChangeCommands.cpp
+++ b/Ctl/ChangeCommands.cpp
@@ -13,13 +13,13 @@
 
 namespace {
 
-/// A change ready to be sent, and the state that it was made against.
-struct Prepared {
+/// A change and the state that it was planned against.
+struct PreparedChange {
   FoldState State;
   ChangePlan Plan;
 };
 
-std::string idText(const RecordId &Id) {
+std::string formatId(const RecordId &Id) {
   return Id.Author + ":" + std::to_string(Id.Life) + ":" +
          std::to_string(Id.Sequence);
 }
@@ -35,26 +35,29 @@
   return out;
 }
 
-/// Reads AUTHOR:LIFE:SEQUENCE.
+/// Parses AUTHOR:LIFE:SEQUENCE.
 Result<RecordId> parseId(std::string_view Text) {
   const std::string place = "--resume";
-  std::size_t last = Text.rfind(':');
-  std::size_t middle = last == std::string_view::npos || last == 0
-                           ? std::string_view::npos
-                           : Text.rfind(':', last - 1);
-  if (middle == std::string_view::npos || middle == 0)
+  std::size_t lastColon = Text.rfind(':');
+  std::size_t firstColon = lastColon == std::string_view::npos || lastColon == 0
+                               ? std::string_view::npos
+                               : Text.rfind(':', lastColon - 1);
+  if (firstColon == std::string_view::npos || firstColon == 0)
     return badInput(place, "'" + std::string(Text) + "' is not an id");
   RecordId out;
-  out.Author = std::string(Text.substr(0, middle));
+  out.Author = std::string(Text.substr(0, firstColon));
   BOOST_LEAF_ASSIGN(
-      out.Life, parseNumber(Text.substr(middle + 1, last - middle - 1), place));
-  BOOST_LEAF_ASSIGN(out.Sequence, parseNumber(Text.substr(last + 1), place));
+      out.Life,
+      parseNumber(Text.substr(firstColon + 1, lastColon - firstColon - 1),
+                  place));
+  BOOST_LEAF_ASSIGN(out.Sequence,
+                    parseNumber(Text.substr(lastColon + 1), place));
   return out;
 }
 
-/// An author of its own for each run: two clients of one operator must not
-/// take each other's ids.
-RecordId newId(const std::string &Operator) {
+/// Returns an id with an author that is unique to this run, so that concurrent
+/// runs of one operator have different ids.
+RecordId makeId(const std::string &Operator) {
   std::random_device random;
   RecordId out;
   out.Life = wallMicros();
@@ -63,20 +66,20 @@
   return out;
 }
 
-CommitSettings commitSettings(const Session &With) {
+CommitSettings makeCommitSettings(const Session &CtlSession) {
   CommitSettings out;
-  out.Deadline = With.Given.Wait;
+  out.Deadline = CtlSession.Flags.Timeout;
   return out;
 }
 
-Result<FoldState> readState(Session &With,
-                            std::optional<Offset> Until = std::nullopt) {
-  BOOST_LEAF_AUTO(log, With.log());
-  BOOST_LEAF_AUTO(state, toResult(With.run(recoverFromLog(log, Until))));
+Result<FoldState> readState(Session &CtlSession,
+                            std::optional<Offset> End = std::nullopt) {
+  BOOST_LEAF_AUTO(log, CtlSession.log());
+  BOOST_LEAF_AUTO(state, toResult(CtlSession.run(recoverFromLog(log, End))));
   return state;
 }
 
-/// No new decision is made past a record that this program does not know.
+/// Fails if the log has a record that this version cannot read.
 Result<void> checkNotBlocked(const FoldState &State) {
   if (!State.BlockedOffset)
     return {};
@@ -88,26 +91,29 @@
               {}});
 }
 
-/// "lulea-1 (at offset 4), umea-2 (unreachable: …)".
-std::string describeMissing(const std::vector<InstanceStatus> &Of, Offset At) {
+/// Example: "lulea-1 (has applied up to offset 4), umea-2 (REASON)".
+std::string describeMissing(const std::vector<InstanceStatus> &Statuses,
+                            Offset At) {
   std::string out;
-  for (const InstanceStatus &it : Of) {
-    if (!it.Problem && it.Next > At)
+  for (const InstanceStatus &it : Statuses) {
+    if (!it.Problem && it.NextOffset > At)
       continue;
     out += out.empty() ? "" : ", ";
-    out += it.Who.Name + (it.Problem ? " (" + describe(*it.Problem) + ")"
-                                     : " (has applied up to offset " +
-                                           std::to_string(it.Next) + ")");
+    out += it.Instance.Name + (it.Problem
+                                   ? " (" + describe(*it.Problem) + ")"
+                                   : " (has applied up to offset " +
+                                         std::to_string(it.NextOffset) + ")");
   }
   return out;
 }
 
-/// Waits until the record at `At` is in force, and says where.
-Result<ExitCode> reportInForce(Session &With, Offset At) {
+/// Waits until the record at `At` is in force and prints the number of
+/// instances.
+Result<ExitCode> reportInForce(Session &CtlSession, Offset At) {
   const std::string accepted = "accepted at offset " + std::to_string(At);
   Outcome<std::vector<KnownInstance>> known =
       toOutcome<std::vector<KnownInstance>>(
-          [&] { return listInstances(With); });
+          [&] { return listInstances(CtlSession); });
   if (!known) {
     std::cout << accepted << ", in force on an unknown number of instances: "
               << known.failure().Place << " " << known.failure().Reason << "\n";
@@ -117,65 +123,68 @@
   for (KnownInstance &it : *known)
     if (!it.Leaving)
       staying.push_back(std::move(it));
-  std::vector<InstanceStatus> all = awaitApplied(With, staying, At);
+  std::vector<InstanceStatus> statuses = awaitApplied(CtlSession, staying, At);
   std::size_t reached = 0;
-  for (const InstanceStatus &it : all)
-    reached += !it.Problem && it.Next > At ? 1 : 0;
-  std::cout << accepted << ", in force on " << reached << " of " << all.size()
-            << " instances\n";
-  if (reached == all.size())
+  for (const InstanceStatus &it : statuses)
+    reached += !it.Problem && it.NextOffset > At ? 1 : 0;
+  std::cout << accepted << ", in force on " << reached << " of "
+            << statuses.size() << " instances\n";
+  if (reached == statuses.size())
     return ExitCode::Success;
-  std::cout << "not seen on: " << describeMissing(all, At) << "\n";
+  std::cout << "not seen on: " << describeMissing(statuses, At) << "\n";
   return NotAllInstances;
 }
 
-Result<ExitCode> reportEnd(Session &With, const RecordId &Id,
-                           const CommitResult &End) {
-  switch (End.Kind) {
+Result<ExitCode> reportCommit(Session &CtlSession, const RecordId &Id,
+                              const CommitResult &Commit) {
+  switch (Commit.Kind) {
   case CommitStatus::Accepted:
-    return reportInForce(With, End.At);
+    return reportInForce(CtlSession, Commit.At);
   case CommitStatus::Refused:
-    std::cout << "refused: " << End.Reason << "\n";
+    std::cout << "refused: " << Commit.Reason << "\n";
     return ExitCode::OutcomeNotMet;
   case CommitStatus::NotAppended:
-    std::cout << "not sent: " << End.Reason << "; nothing was changed\n";
+    std::cout << "not sent: " << Commit.Reason << "; nothing was changed\n";
     return ExitCode::Unavailable;
   case CommitStatus::Unknown:
     break;
   }
-  std::cout << "unknown: id " << idText(Id) << ": " << End.Reason
-            << "; settle it with wasabictl apply --resume " << idText(Id)
+  std::cout << "unknown: id " << formatId(Id) << ": " << Commit.Reason
+            << "; settle it with wasabictl apply --resume " << formatId(Id)
             << "\n";
   return UnknownOutcome;
 }
 
-/// Sends a prepared change.
-Result<ExitCode> commit(Session &With, Prepared What) {
-  std::cout << describePlan(What.Plan);
-  if (What.Plan.Writes.empty())
+/// Commits a change and prints the result.
+Result<ExitCode> commitChange(Session &CtlSession, PreparedChange Change) {
+  std::cout << describePlan(Change.Plan);
+  if (Change.Plan.Writes.empty())
     return ExitCode::Success;
-  if (With.Given.Operator.empty())
-    return badInput("--operator", "is needed: who makes the change");
-  BOOST_LEAF_CHECK(checkNotBlocked(What.State));
-  BOOST_LEAF_CHECK(checkPlan(What.State, What.Plan));
-  BOOST_LEAF_AUTO(log, With.log());
-
-  Record record{newId(With.Given.Operator),
-                makeChange(What.Plan, With.Given.Operator, With.Given.Message)};
-  // What the fold would not read is refused here: it could not be read back.
+  if (CtlSession.Flags.Operator.empty())
+    return badInput("--operator", "is required: the name of the operator");
+  BOOST_LEAF_CHECK(checkNotBlocked(Change.State));
+  BOOST_LEAF_CHECK(checkPlan(Change.State, Change.Plan));
+  BOOST_LEAF_AUTO(log, CtlSession.log());
+
+  Record record{makeId(CtlSession.Flags.Operator),
+                makeChange(Change.Plan, CtlSession.Flags.Operator,
+                           CtlSession.Flags.Message)};
+  // Rejects a record that could not be decoded from the log.
   BOOST_LEAF_CHECK(decodeRecord(encodeRecord(record)));
-  // Said before it is sent: whoever ends this program can still settle it.
-  std::cerr << "id " << idText(record.Id) << std::endl;
-  CommitResult end =
-      With.run(commitRecord(log, What.State, record, commitSettings(With)));
-  return reportEnd(With, record.Id, end);
+  // Printed before the record is sent, so that an interrupted run can be
+  // resumed.
+  std::cerr << "id " << formatId(record.Id) << std::endl;
+  CommitResult committed = CtlSession.run(
+      commitRecord(log, Change.State, record, makeCommitSettings(CtlSession)));
+  return reportCommit(CtlSession, record.Id, committed);
 }
 
-Result<Prepared> prepareFolder(Session &With, const std::string &Folder) {
+Result<PreparedChange> prepareFolder(Session &CtlSession,
+                                     const std::string &Folder) {
   BOOST_LEAF_AUTO(wanted, readFolder(Folder));
-  Prepared out;
-  BOOST_LEAF_ASSIGN(out.State, readState(With));
-  out.Plan = planApply(out.State, wanted, With.Given.Prune);
+  PreparedChange out;
+  BOOST_LEAF_ASSIGN(out.State, readState(CtlSession));
+  out.Plan = planApply(out.State, wanted, CtlSession.Flags.Prune);
   return out;
 }
 
@@ -188,8 +197,8 @@
   return ExitCode::Success;
 }
 
-Result<ExitCode> plan(Session &With, const std::string &Folder) {
-  BOOST_LEAF_AUTO(prepared, prepareFolder(With, Folder));
+Result<ExitCode> plan(Session &CtlSession, const std::string &Folder) {
+  BOOST_LEAF_AUTO(prepared, prepareFolder(CtlSession, Folder));
   std::cout << describePlan(prepared.Plan);
   for (const std::string &key : prepared.Plan.UnmanagedKeys)
     std::cout << "  " << key << " is not in the folder and stays\n";
@@ -198,37 +207,37 @@
   return ExitCode::Success;
 }
 
-Result<ExitCode> applyFolder(Session &With, const std::string &Folder) {
-  BOOST_LEAF_AUTO(prepared, prepareFolder(With, Folder));
-  return commit(With, std::move(prepared));
+Result<ExitCode> applyFolder(Session &CtlSession, const std::string &Folder) {
+  BOOST_LEAF_AUTO(prepared, prepareFolder(CtlSession, Folder));
+  return commitChange(CtlSession, std::move(prepared));
 }
 
-Result<ExitCode> resume(Session &With) {
-  BOOST_LEAF_AUTO(id, parseId(With.Given.Resume));
-  BOOST_LEAF_AUTO(log, With.log());
-  BOOST_LEAF_AUTO(state, readState(With));
-  CommitResult end =
-      With.run(settleRecord(log, state, id, commitSettings(With)));
-  return reportEnd(With, id, end);
+Result<ExitCode> resume(Session &CtlSession) {
+  BOOST_LEAF_AUTO(id, parseId(CtlSession.Flags.ResumeId));
+  BOOST_LEAF_AUTO(log, CtlSession.log());
+  BOOST_LEAF_AUTO(state, readState(CtlSession));
+  CommitResult committed = CtlSession.run(
+      settleRecord(log, state, id, makeCommitSettings(CtlSession)));
+  return reportCommit(CtlSession, id, committed);
 }
 
-Result<ExitCode> preset(Session &With, const std::string &Name) {
-  Prepared prepared;
-  BOOST_LEAF_ASSIGN(prepared.State, readState(With));
+Result<ExitCode> preset(Session &CtlSession, const std::string &Name) {
+  PreparedChange prepared;
+  BOOST_LEAF_ASSIGN(prepared.State, readState(CtlSession));
   BOOST_LEAF_ASSIGN(prepared.Plan,
                     planPreset(prepared.State, PresetName(Name)));
-  return commit(With, std::move(prepared));
+  return commitChange(CtlSession, std::move(prepared));
 }
 
-Result<ExitCode> rollback(Session &With, const std::string &At) {
+Result<ExitCode> rollback(Session &CtlSession, const std::string &At) {
   BOOST_LEAF_AUTO(offset, parseNumber(At, "OFFSET"));
-  Prepared prepared;
-  BOOST_LEAF_ASSIGN(prepared.State, readState(With));
+  PreparedChange prepared;
+  BOOST_LEAF_ASSIGN(prepared.State, readState(CtlSession));
   if (offset >= prepared.State.Next)
     return badInput("OFFSET", "the log ends before " + At);
-  BOOST_LEAF_AUTO(then, readState(With, offset + 1));
-  prepared.Plan = planRestore(prepared.State, then);
-  return commit(With, std::move(prepared));
+  BOOST_LEAF_AUTO(earlier, readState(CtlSession, offset + 1));
+  prepared.Plan = planRestore(prepared.State, earlier);
+  return commitChange(CtlSession, std::move(prepared));
 }
 
 } // namespace wasabi::ctl
--- a/Ctl/Commands.h
+++ b/Ctl/Commands.h
@@ -1,6 +1,6 @@
 /// \file
-/// The commands of wasabictl. Each prints on stdout and gives the exit code;
-/// failures are reported by the caller.
+/// The commands of wasabictl. Each prints its result on stdout and returns the
+/// exit code; the caller prints failures.
 #ifndef WASABI_CTL_COMMANDS_H
 #define WASABI_CTL_COMMANDS_H
 
@@ -10,30 +10,31 @@
 
 namespace wasabi::ctl {
 
-/// Checks a folder by itself; asks nobody.
+/// Checks the declarations in a folder without calling any process.
 Result<ExitCode> validate(const std::string &Folder);
-/// Shows what `apply` would change; writes nothing.
-Result<ExitCode> plan(Session &With, const std::string &Folder);
+/// Prints the changes that `apply` would make; writes nothing.
+Result<ExitCode> plan(Session &CtlSession, const std::string &Folder);
 /// Publishes a folder and waits until it is in force.
-Result<ExitCode> applyFolder(Session &With, const std::string &Folder);
-/// Settles a change whose fate is unknown.
-Result<ExitCode> resume(Session &With);
-/// Puts a preset into force.
-Result<ExitCode> preset(Session &With, const std::string &Name);
-/// A new change that brings the objects back as they were after an offset.
-Result<ExitCode> rollback(Session &With, const std::string &At);
+Result<ExitCode> applyFolder(Session &CtlSession, const std::string &Folder);
+/// Settles a change whose outcome is unknown.
+Result<ExitCode> resume(Session &CtlSession);
+/// Activates a preset.
+Result<ExitCode> preset(Session &CtlSession, const std::string &Name);
+/// Commits a new change that restores the objects as they were after an offset.
+Result<ExitCode> rollback(Session &CtlSession, const std::string &At);
 
-/// What is agreed, and how far each instance is.
-Result<ExitCode> status(Session &With);
-/// Changes with operator, message, fate and reason.
-Result<ExitCode> history(Session &With);
-/// The merged time line of all instances.
-Result<ExitCode> timeline(Session &With);
-/// Who reports customers' usage, and which windows are told, by the store of
-/// the users' platform.
-Result<ExitCode> usage(Session &With);
-/// Whether no request is in flight anywhere and none is admitted.
-Result<ExitCode> checkDrained(Session &With);
+/// Prints the state in the log and the progress of each instance.
+Result<ExitCode> status(Session &CtlSession);
+/// Prints all changes with operator, message, result and reason.
+Result<ExitCode> history(Session &CtlSession);
+/// Prints the merged timeline of all instances.
+Result<ExitCode> timeline(Session &CtlSession);
+/// Prints the process that reports the customers' usage, and the windows that
+/// it has reported, from the store of the users' platform.
+Result<ExitCode> usage(Session &CtlSession);
+/// Checks that no instance has a request in flight and that the preset admits
+/// none.
+Result<ExitCode> checkDrained(Session &CtlSession);
 
 } // namespace wasabi::ctl
 
--- a/Ctl/Fleet.cpp
+++ b/Ctl/Fleet.cpp
@@ -18,27 +18,28 @@
 
 namespace asio = boost::asio;
 
-/// How long one process may take to answer.
-constexpr Millis AnswerTimeout{2000};
-/// Time between two questions to a process that lags.
-constexpr Millis PollPeriod{50};
+/// Time limit of one call to a process.
+constexpr Millis CallTimeout{2000};
+/// Pause between two calls to a process that is behind.
+constexpr Millis PollInterval{50};
 
-/// Known processes by admin address: one process has one.
-using ByAddress = std::map<Address, KnownInstance>;
+/// Known processes by admin address, which is unique per process.
+using InstancesByAddress = std::map<Address, KnownInstance>;
 
-void addListed(ByAddress &Into, const std::vector<ListedInstance> &From) {
-  for (const ListedInstance &it : From)
+void addListed(InstancesByAddress &Known,
+               const std::vector<ListedInstance> &Listed) {
+  for (const ListedInstance &it : Listed)
     if (!it.AdminAddress.empty())
-      Into[it.AdminAddress] = {it.Instance.Text, it.AdminAddress, it.Leaving};
+      Known[it.AdminAddress] = {it.Instance.Text, it.AdminAddress, it.Leaving};
 }
 
-/// Adds the living members that a process' status shows.
-void addMembers(ByAddress &Into, const std::string &StatusText) {
+/// Adds the members in a status that are not dead.
+void addMembers(InstancesByAddress &Known, const std::string &StatusText) {
   boost::system::error_code ec;
-  boost::json::value whole = boost::json::parse(StatusText, ec);
-  if (ec || !whole.is_object())
+  boost::json::value root = boost::json::parse(StatusText, ec);
+  if (ec || !root.is_object())
     return;
-  const boost::json::value *members = whole.get_object().if_contains("members");
+  const boost::json::value *members = root.get_object().if_contains("members");
   if (!members || !members->is_array())
     return;
   for (const boost::json::value &it : members->get_array()) {
@@ -46,21 +47,21 @@
     std::string state = reader.text("state", "");
     std::string name = reader.text("instance", "");
     std::string admin = reader.text("admin", "");
-    Outcome<Address> where =
+    Outcome<Address> endpoint =
         toOutcome<Address>([&] { return parseAddress(admin, "admin"); });
-    if (!where || state == "dead")
+    if (!endpoint || state == "dead")
       continue;
-    auto [known, fresh] = Into.try_emplace(*where);
-    if (fresh || known->second.Name == toText(*where))
-      known->second = {name, *where, state == "leaving"};
+    auto [known, isNew] = Known.try_emplace(*endpoint);
+    if (isNew || known->second.Name == toText(*endpoint))
+      known->second = {name, *endpoint, state == "leaving"};
   }
 }
 
-/// Widens what is known by the view of the first process that answers.
-void addView(Session &With, ByAddress &Known) {
-  for (const auto &[address, who] : ByAddress(Known)) {
+/// Adds the members known to the first process that answers.
+void addMembersOfFirst(Session &CtlSession, InstancesByAddress &Known) {
+  for (const auto &[address, instance] : InstancesByAddress(Known)) {
     Outcome<std::string> status =
-        With.run(fetchFromAdmin(With, address, "/status"));
+        CtlSession.run(fetchFromAdmin(CtlSession, address, "/status"));
     if (!status)
       continue;
     addMembers(Known, *status);
@@ -68,48 +69,49 @@
   }
 }
 
-asio::awaitable<void> askOne(Session &With, InstanceStatus &Of) {
-  Outcome<std::string> text =
-      co_await fetchFromAdmin(With, Of.Who.Admin, "/status?brief=1");
+asio::awaitable<void> fetchStatus(Session &CtlSession, InstanceStatus &Status) {
+  Outcome<std::string> text = co_await fetchFromAdmin(
+      CtlSession, Status.Instance.Admin, "/status?brief=1");
   if (!text) {
-    Of.Problem = text.failure();
+    Status.Problem = text.failure();
     co_return;
   }
-  const std::string place = Of.Who.Name + " /status";
+  const std::string place = Status.Instance.Name + " /status";
   Outcome<Done> read = toOutcome<Done>([&]() -> Result<Done> {
     BOOST_LEAF_AUTO(value, parseJson(*text, place));
     JsonReader reader(value, place);
     reader.allowUnknown();
-    Of.Next = reader.number("next");
-    Of.ConfigRevision = reader.number("config_revision");
-    Of.InFlight = reader.has("in_flight") ? reader.number("in_flight") : 0;
+    Status.NextOffset = reader.number("next");
+    Status.ConfigRevision = reader.number("config_revision");
+    Status.InFlight = reader.has("in_flight") ? reader.number("in_flight") : 0;
     BOOST_LEAF_CHECK(reader.finish());
     return Done{};
   });
-  Of.Problem = read ? std::nullopt : std::optional<Failure>(read.failure());
+  Status.Problem = read ? std::nullopt : std::optional<Failure>(read.failure());
 }
 
-asio::awaitable<void> askUntil(Session &With, InstanceStatus &Of, Offset At,
-                               TimePoint Until) {
+asio::awaitable<void> pollUntilApplied(Session &CtlSession,
+                                       InstanceStatus &Status, Offset At,
+                                       TimePoint Deadline) {
   while (true) {
-    co_await askOne(With, Of);
-    if (!Of.Problem && Of.Next > At)
+    co_await fetchStatus(CtlSession, Status);
+    if (!Status.Problem && Status.NextOffset > At)
       co_return;
-    if (monotonicNow() >= Until)
+    if (monotonicNow() >= Deadline)
       co_return;
     BootTimer pause(co_await asio::this_coro::executor);
-    pause.expires_after(PollPeriod);
+    pause.expires_after(PollInterval);
     co_await pause.async_wait(asio::use_awaitable);
   }
 }
 
 std::vector<InstanceStatus>
-emptyStatuses(const std::vector<KnownInstance> &Of) {
+makeStatuses(const std::vector<KnownInstance> &Instances) {
   std::vector<InstanceStatus> out;
-  for (const KnownInstance &who : Of) {
-    InstanceStatus one;
-    one.Who = who;
-    out.push_back(std::move(one));
+  for (const KnownInstance &instance : Instances) {
+    InstanceStatus status;
+    status.Instance = instance;
+    out.push_back(std::move(status));
   }
   return out;
 }
@@ -117,35 +119,35 @@
 } // namespace
 
 asio::awaitable<Outcome<std::string>>
-fetchFromAdmin(Session &With, Address Where, std::string Target) {
-  http::Request ask;
-  ask.Method = "GET";
-  ask.Target = std::move(Target);
-  Outcome<http::Response> answer =
-      co_await With.client().call(Where, std::move(ask), AnswerTimeout);
+fetchFromAdmin(Session &CtlSession, Address Endpoint, std::string Target) {
+  http::Request request;
+  request.Method = "GET";
+  request.Target = std::move(Target);
+  Outcome<http::Response> answer = co_await CtlSession.client().call(
+      Endpoint, std::move(request), CallTimeout);
   if (!answer)
     co_return answer.failure();
   if (answer->Status != 200) {
-    Failure why{Verdict::NotRun,
-                FailureCode::Unavailable,
-                toText(Where),
-                "status " + std::to_string(answer->Status),
-                {}};
-    co_return why;
+    Failure problem{Verdict::NotRun,
+                    FailureCode::Unavailable,
+                    toText(Endpoint),
+                    "status " + std::to_string(answer->Status),
+                    {}};
+    co_return problem;
   }
   co_return std::move(answer->Body);
 }
 
-Result<std::vector<KnownInstance>> listInstances(Session &With) {
-  const Settings &given = With.Given;
-  if (given.Instances.empty() && given.Peers.empty())
-    return badInput("--instances or --peers", "is needed");
-  ByAddress known;
-  for (const Address &peer : given.Peers)
+Result<std::vector<KnownInstance>> listInstances(Session &CtlSession) {
+  const Settings &flags = CtlSession.Flags;
+  if (flags.Instances.empty() && flags.Peers.empty())
+    return badInput("--instances or --peers", "is required");
+  InstancesByAddress known;
+  for (const Address &peer : flags.Peers)
     known[peer] = {toText(peer), peer, false};
-  if (!given.Instances.empty()) {
-    Outcome<std::vector<ListedInstance>> listed = With.run(
-        readInstanceList(With.client(), given.Instances, AnswerTimeout));
+  if (!flags.Instances.empty()) {
+    Outcome<std::vector<ListedInstance>> listed = CtlSession.run(
+        readInstanceList(CtlSession.client(), flags.Instances, CallTimeout));
     if (listed)
       addListed(known, *listed);
     else if (known.empty())
@@ -154,10 +156,10 @@
       std::cerr << "wasabictl: the platform's list cannot be read ("
                 << describe(listed.failure()) << "); going by --peers\n";
   }
-  addView(With, known);
+  addMembersOfFirst(CtlSession, known);
   std::vector<KnownInstance> out;
-  for (auto &[address, who] : known)
-    out.push_back(std::move(who));
+  for (auto &[address, instance] : known)
+    out.push_back(std::move(instance));
   std::sort(out.begin(), out.end(),
             [](const KnownInstance &Left, const KnownInstance &Right) {
               return Left.Name < Right.Name;
@@ -166,19 +168,22 @@
 }
 
 std::vector<InstanceStatus>
-fetchStatuses(Session &With, const std::vector<KnownInstance> &Of) {
-  std::vector<InstanceStatus> out = emptyStatuses(Of);
-  With.runConcurrently(
-      out.size(), [&](std::size_t Index) { return askOne(With, out[Index]); });
+fetchStatuses(Session &CtlSession,
+              const std::vector<KnownInstance> &Instances) {
+  std::vector<InstanceStatus> out = makeStatuses(Instances);
+  CtlSession.runConcurrently(out.size(), [&](std::size_t Index) {
+    return fetchStatus(CtlSession, out[Index]);
+  });
   return out;
 }
 
 std::vector<InstanceStatus>
-awaitApplied(Session &With, const std::vector<KnownInstance> &Of, Offset At) {
-  std::vector<InstanceStatus> out = emptyStatuses(Of);
-  const TimePoint until = monotonicNow() + With.Given.Wait;
-  With.runConcurrently(out.size(), [&](std::size_t Index) {
-    return askUntil(With, out[Index], At, until);
+awaitApplied(Session &CtlSession, const std::vector<KnownInstance> &Instances,
+             Offset At) {
+  std::vector<InstanceStatus> out = makeStatuses(Instances);
+  const TimePoint deadline = monotonicNow() + CtlSession.Flags.Timeout;
+  CtlSession.runConcurrently(out.size(), [&](std::size_t Index) {
+    return pollUntilApplied(CtlSession, out[Index], At, deadline);
   });
   return out;
 }
--- a/Ctl/Fleet.h
+++ b/Ctl/Fleet.h
@@ -1,5 +1,5 @@
 /// \file
-/// The processes of the system as an operator's client can see them.
+/// Finds the processes of the system and reads their status.
 #ifndef WASABI_CTL_FLEET_H
 #define WASABI_CTL_FLEET_H
 
@@ -11,40 +11,43 @@
 
 namespace wasabi::ctl {
 
-/// One process that is known of.
+/// A process and its admin address.
 struct KnownInstance {
   std::string Name;
   Address Admin;
   bool Leaving = false;
 };
 
-/// What one process says of itself, or why it says nothing.
+/// The status of a process, or the failure that prevented reading it.
 struct InstanceStatus {
-  KnownInstance Who;
+  KnownInstance Instance;
   std::optional<Failure> Problem;
-  /// Records applied, and what is in force.
-  Offset Next = 0;
+  /// Offset after the last applied record.
+  Offset NextOffset = 0;
   Offset ConfigRevision = 0;
-  /// Requests that it carries now.
+  /// Number of requests in flight.
   std::uint64_t InFlight = 0;
 };
 
-/// All processes in the platform's list, in `--peers`, and in the view of one
-/// of them: the list lags. Errors: `BadInput` when neither flag is given,
-/// `Unavailable` when nobody answers.
-Result<std::vector<KnownInstance>> listInstances(Session &With);
+/// Returns all processes in the platform's list, in `--peers`, and in the
+/// member view of the first process that answers, because the list lags.
+/// Errors: `BadInput` when neither flag is given, `Unavailable` when no source
+/// can be read.
+Result<std::vector<KnownInstance>> listInstances(Session &CtlSession);
 
-/// Asks all for `/status` at once.
-std::vector<InstanceStatus> fetchStatuses(Session &With,
-                                          const std::vector<KnownInstance> &Of);
+/// Reads the status of all instances concurrently.
+std::vector<InstanceStatus>
+fetchStatuses(Session &CtlSession, const std::vector<KnownInstance> &Instances);
 
-/// Asks all until each has applied the record at `At`, or the wait is over.
+/// Polls all instances until each has applied the record at `At` or the timeout
+/// has expired.
 std::vector<InstanceStatus>
-awaitApplied(Session &With, const std::vector<KnownInstance> &Of, Offset At);
+awaitApplied(Session &CtlSession, const std::vector<KnownInstance> &Instances,
+             Offset At);
 
-/// A GET on a process' admin address; any status but 200 is a failure.
+/// Sends a GET request to an admin address; any status but 200 is a failure.
 boost::asio::awaitable<Outcome<std::string>>
-fetchFromAdmin(Session &With, Address Where, std::string Target);
+fetchFromAdmin(Session &CtlSession, Address Endpoint, std::string Target);
 
 } // namespace wasabi::ctl
 
--- a/Ctl/Folder.cpp
+++ b/Ctl/Folder.cpp
@@ -21,7 +21,7 @@
   return text.str();
 }
 
-/// The JSON files, sorted so that errors come in the same order.
+/// Returns the JSON files, sorted so that errors are reported in a fixed order.
 Result<std::vector<fs::path>> listFiles(const std::string &Folder) {
   std::error_code ec;
   std::vector<fs::path> out;
@@ -34,7 +34,7 @@
   if (ec)
     return badInput(Folder, ec.message());
   if (out.empty())
-    return badInput(Folder, "holds no .json file");
+    return badInput(Folder, "contains no .json file");
   std::sort(out.begin(), out.end());
   return out;
 }
@@ -49,8 +49,8 @@
     BOOST_LEAF_AUTO(text, readFile(file));
     BOOST_LEAF_AUTO(objects, parseDeclarations(file.string(), text));
     for (auto &[key, object] : objects) {
-      auto [it, fresh] = declaredIn.try_emplace(key, file.string());
-      if (!fresh)
+      auto [it, isNew] = declaredIn.try_emplace(key, file.string());
+      if (!isNew)
         return badInput(file.string(),
                         key + " is already declared in " + it->second);
       out.emplace(key, std::move(object));
--- a/Ctl/Folder.h
+++ b/Ctl/Folder.h
@@ -1,5 +1,5 @@
 /// \file
-/// Declarations from a folder under version control.
+/// Reads the declarations in a folder.
 #ifndef WASABI_CTL_FOLDER_H
 #define WASABI_CTL_FOLDER_H
 
@@ -9,8 +9,9 @@
 
 namespace wasabi::ctl {
 
-/// The objects of all `*.json` files below `Folder`. Errors: `BadInput`, place
-/// `file: /json/path`, also for an object that two files declare.
+/// Returns the objects in all `*.json` files below `Folder`. Errors: `BadInput`
+/// with the place `file: /json/path`, also for an object that is declared
+/// twice.
 Result<ObjectTexts> readFolder(const std::string &Folder);
 
 } // namespace wasabi::ctl
--- a/Ctl/Main.cpp
+++ b/Ctl/Main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// wasabictl: how operators publish configuration and see what the system does.
+/// wasabictl: publishes configuration and shows the state of the system.
 #include "Ctl/Commands.h"
 #include "Wasabi/Core/SettingChecks.h"
 
@@ -9,12 +9,13 @@
 DEFINE_string(store, "", "IP:PORT of the users' platform's store.");
 DEFINE_string(instances, "", "IP:PORT of the platform's list of instances.");
 DEFINE_string(peers, "", "Admin addresses IP:PORT,... of processes to ask.");
-DEFINE_string(operator, "", "Who makes the change, for the history.");
-DEFINE_string(message, "", "Why, for the history.");
-DEFINE_bool(prune, false, "Remove objects that the folder lacks.");
+DEFINE_string(operator, "", "Name of the operator, for the history.");
+DEFINE_string(message, "", "Reason for the change, for the history.");
+DEFINE_bool(prune, false, "Remove objects that are not in the folder.");
 DEFINE_string(resume, "", "With apply: the id of a change to settle.");
-DEFINE_int32(wait_ms, 10000, "How long to commit, and to wait until in force.");
-DEFINE_string(format, "text", "Of the time line: text, json or chrome.");
+DEFINE_int32(wait_ms, 10000,
+             "Milliseconds to commit, and to wait until in force.");
+DEFINE_string(format, "text", "Format of the timeline: text, json or chrome.");
 DEFINE_string(request, "", "Only events of this request.");
 DEFINE_string(trainer, "", "Only events of this trainer.");
 DEFINE_string(slot, "", "Only events of this slot.");
@@ -38,17 +39,18 @@
     "  validate DIR     check the declarations of a folder\n"
     "  plan DIR         show what apply would change; writes nothing\n"
     "  apply DIR        publish it and wait until in force (--prune)\n"
-    "  apply --resume ID  settle a change whose fate is unknown\n"
-    "  preset NAME      put a preset into force\n"
-    "  rollback OFFSET  a new change that restores what was after OFFSET\n"
-    "  status           what is agreed, and how far each instance is\n"
-    "  history          changes with operator, fate and reason\n"
-    "  timeline         the merged time line of all instances\n"
-    "  usage            who reports customers' usage, which windows are told "
-    "(--store)\n"
-    "  drain-check      whether nothing is in flight or admitted\n"
-    "Exit codes besides those below: 1 also for a change that was refused,\n"
-    "5 accepted, but not seen in force everywhere, 6 unknown: settle it."};
+    "  apply --resume ID  settle a change whose outcome is unknown\n"
+    "  preset NAME      activate a preset\n"
+    "  rollback OFFSET  commit a change that restores the state after OFFSET\n"
+    "  status           the state in the log and the progress of each "
+    "instance\n"
+    "  history          all changes with operator, result and reason\n"
+    "  timeline         the merged timeline of all instances\n"
+    "  usage            the usage reporter and the reported windows (--store)\n"
+    "  drain-check      check that no request is in flight or admitted\n"
+    "Exit codes besides those below: 1 also for a refused change,\n"
+    "5 accepted, but not confirmed in force on all instances, 6 unknown "
+    "outcome."};
 
 Result<Address> optionalAddress(const char *Flag, const std::string &Text) {
   if (Text.empty())
@@ -63,13 +65,13 @@
   BOOST_LEAF_ASSIGN(out.Instances,
                     optionalAddress("--instances", FLAGS_instances));
   BOOST_LEAF_ASSIGN(out.Peers, wasabi::checkAddresses("--peers", FLAGS_peers));
-  BOOST_LEAF_AUTO(wait,
+  BOOST_LEAF_AUTO(timeout,
                   wasabi::checkRange("--wait_ms", FLAGS_wait_ms, 1, MaxWaitMs));
-  out.Wait = wasabi::Millis(wait);
+  out.Timeout = wasabi::Millis(timeout);
   out.Operator = FLAGS_operator;
   out.Message = FLAGS_message;
   out.Prune = FLAGS_prune;
-  out.Resume = FLAGS_resume;
+  out.ResumeId = FLAGS_resume;
   out.Format = FLAGS_format;
   out.Request = FLAGS_request;
   out.Trainer = FLAGS_trainer;
@@ -117,7 +119,8 @@
   BOOST_LEAF_AUTO(settings, readSettings());
   Session session(std::move(settings));
   const std::string &name = Arguments.front();
-  if (name == "apply" && Arguments.size() == 1 && !session.Given.Resume.empty())
+  if (name == "apply" && Arguments.size() == 1 &&
+      !session.Flags.ResumeId.empty())
     return wasabi::ctl::resume(session);
   for (const NamedArgumentCommand &it : ArgumentCommands) {
     if (it.Name != name)
--- a/Ctl/ReportCommands.cpp
+++ b/Ctl/ReportCommands.cpp
@@ -12,9 +12,10 @@
 
 namespace asio = boost::asio;
 
-Result<FoldState> readState(Session &With) {
-  BOOST_LEAF_AUTO(log, With.log());
-  BOOST_LEAF_AUTO(state, toResult(With.run(recoverFromLog(log, std::nullopt))));
+Result<FoldState> readState(Session &CtlSession) {
+  BOOST_LEAF_AUTO(log, CtlSession.log());
+  BOOST_LEAF_AUTO(state,
+                  toResult(CtlSession.run(recoverFromLog(log, std::nullopt))));
   return state;
 }
 
@@ -34,73 +35,75 @@
               << claim.Holder.Text << ", token " << claim.Token << "\n";
 }
 
-void printInstance(const InstanceStatus &It) {
-  std::cout << "instance: " << It.Who.Name << " " << toText(It.Who.Admin);
-  if (It.Who.Leaving)
+void printInstance(const InstanceStatus &Status) {
+  std::cout << "instance: " << Status.Instance.Name << " "
+            << toText(Status.Instance.Admin);
+  if (Status.Instance.Leaving)
     std::cout << " leaving";
-  if (It.Problem)
-    std::cout << " not seen: " << describe(*It.Problem) << "\n";
+  if (Status.Problem)
+    std::cout << " not seen: " << describe(*Status.Problem) << "\n";
   else
-    std::cout << " next " << It.Next << " configuration " << It.ConfigRevision
-              << " in flight " << It.InFlight << "\n";
+    std::cout << " next " << Status.NextOffset << " configuration "
+              << Status.ConfigRevision << " in flight " << Status.InFlight
+              << "\n";
 }
 
-bool hasValue(const TimelineEvent &What, std::string_view Key,
-              const std::string &Wanted) {
-  return Wanted.empty() || What.field(Key) == Wanted;
+bool matchesField(const TimelineEvent &Event, std::string_view Key,
+                  const std::string &Value) {
+  return Value.empty() || Event.field(Key) == Value;
 }
 
-bool isWanted(const TimelineEvent &What, const Settings &Given) {
-  return hasValue(What, "request", Given.Request) &&
-         hasValue(What, "trainer", Given.Trainer) &&
-         hasValue(What, "slot", Given.Slot) &&
-         hasValue(What, "offset", Given.Offset) &&
-         (Given.Instance.empty() || What.Instance == Given.Instance ||
-          What.field("instance") == Given.Instance);
+bool matchesFilter(const TimelineEvent &Event, const Settings &Flags) {
+  return matchesField(Event, "request", Flags.Request) &&
+         matchesField(Event, "trainer", Flags.Trainer) &&
+         matchesField(Event, "slot", Flags.Slot) &&
+         matchesField(Event, "offset", Flags.Offset) &&
+         (Flags.Instance.empty() || Event.Instance == Flags.Instance ||
+          Event.field("instance") == Flags.Instance);
 }
 
-/// A process' page, or why there is none.
+/// The timeline page of a process, or the failure that prevented reading it.
 using Page = Outcome<TimelinePage>;
 
-asio::awaitable<void> askPage(Session &With, const KnownInstance &Who,
-                              Page &Into) {
+asio::awaitable<void> fetchPage(Session &CtlSession,
+                                const KnownInstance &Instance, Page &Result) {
   Outcome<std::string> text =
-      co_await fetchFromAdmin(With, Who.Admin, "/timeline?from=0");
+      co_await fetchFromAdmin(CtlSession, Instance.Admin, "/timeline?from=0");
   if (!text) {
-    Into = text.failure();
+    Result = text.failure();
     co_return;
   }
-  Into = toOutcome<TimelinePage>(
-      [&] { return decodeTimelinePage(*text, Who.Name); });
+  Result = toOutcome<TimelinePage>(
+      [&] { return decodeTimelinePage(*text, Instance.Name); });
 }
 
-/// The pages of all, in their order.
-std::vector<Page> askPages(Session &With,
-                           const std::vector<KnownInstance> &All) {
-  std::vector<Page> out(All.size(), Page(TimelinePage()));
-  With.runConcurrently(All.size(), [&](std::size_t Index) {
-    return askPage(With, All[Index], out[Index]);
+/// Returns the pages of all instances, in the order of `Instances`.
+std::vector<Page> fetchPages(Session &CtlSession,
+                             const std::vector<KnownInstance> &Instances) {
+  std::vector<Page> out(Instances.size(), Page(TimelinePage()));
+  CtlSession.runConcurrently(Instances.size(), [&](std::size_t Index) {
+    return fetchPage(CtlSession, Instances[Index], out[Index]);
   });
   return out;
 }
 
-/// Merges the pages; says on stderr what is missing.
-std::vector<TimelineEvent> mergePages(const std::vector<KnownInstance> &All,
-                                      const std::vector<Page> &Pages,
-                                      const Settings &Given) {
+/// Merges the pages and prints missing pages and events on stderr.
+std::vector<TimelineEvent>
+mergePages(const std::vector<KnownInstance> &Instances,
+           const std::vector<Page> &Pages, const Settings &Flags) {
   std::vector<TimelineEvent> out;
-  for (std::size_t i = 0; i < All.size(); ++i) {
+  for (std::size_t i = 0; i < Instances.size(); ++i) {
     const Page &page = Pages[i];
     if (!page) {
-      std::cerr << All[i].Name << ": not seen: " << describe(page.failure())
-                << "\n";
+      std::cerr << Instances[i].Name
+                << ": not seen: " << describe(page.failure()) << "\n";
       continue;
     }
     if (page->Dropped > 0)
-      std::cerr << All[i].Name << ": " << page->Dropped
+      std::cerr << Instances[i].Name << ": " << page->Dropped
                 << " older events were dropped\n";
     for (const TimelineEvent &it : page->Events)
-      if (isWanted(it, Given))
+      if (matchesFilter(it, Flags))
         out.push_back(it);
   }
   return replay::makeTrace(std::move(out)).Events;
@@ -120,16 +123,16 @@
 
 } // namespace
 
-Result<ExitCode> status(Session &With) {
+Result<ExitCode> status(Session &CtlSession) {
   Outcome<FoldState> state =
-      toOutcome<FoldState>([&] { return readState(With); });
+      toOutcome<FoldState>([&] { return readState(CtlSession); });
   if (state)
     printState(*state);
   else
     std::cout << "log: " << describe(state.failure()) << "\n";
-  BOOST_LEAF_AUTO(known, listInstances(With));
+  BOOST_LEAF_AUTO(known, listInstances(CtlSession));
   bool all = true;
-  for (const InstanceStatus &it : fetchStatuses(With, known)) {
+  for (const InstanceStatus &it : fetchStatuses(CtlSession, known)) {
     printInstance(it);
     all = all && !it.Problem;
   }
@@ -138,8 +141,8 @@
   return all ? ExitCode::Success : NotAllInstances;
 }
 
-Result<ExitCode> history(Session &With) {
-  BOOST_LEAF_AUTO(state, readState(With));
+Result<ExitCode> history(Session &CtlSession) {
+  BOOST_LEAF_AUTO(state, readState(CtlSession));
   for (const HistoryEntry &it : state.History) {
     std::cout << "offset " << it.At << " " << toText(it.ApplyStatus) << " by "
               << it.Operator;
@@ -154,21 +157,21 @@
   return ExitCode::Success;
 }
 
-Result<ExitCode> timeline(Session &With) {
-  const std::string &format = With.Given.Format;
+Result<ExitCode> timeline(Session &CtlSession) {
+  const std::string &format = CtlSession.Flags.Format;
   if (format != "text" && format != "json" && format != "chrome")
     return badInput("--format", "must be text, json or chrome");
-  BOOST_LEAF_AUTO(all, listInstances(With));
-  std::vector<Page> pages = askPages(With, all);
-  printEvents(mergePages(all, pages, With.Given), format);
+  BOOST_LEAF_AUTO(all, listInstances(CtlSession));
+  std::vector<Page> pages = fetchPages(CtlSession, all);
+  printEvents(mergePages(all, pages, CtlSession.Flags), format);
   for (const Page &it : pages)
     if (!it)
       return NotAllInstances;
   return ExitCode::Success;
 }
 
-Result<ExitCode> checkDrained(Session &With) {
-  BOOST_LEAF_AUTO(state, readState(With));
+Result<ExitCode> checkDrained(Session &CtlSession) {
+  BOOST_LEAF_AUTO(state, readState(CtlSession));
   const PresetDeclaration &preset = state.Config->preset();
   const std::string name = "preset " + preset.Name.Text;
   if (preset.AdmitCallers)
@@ -176,10 +179,11 @@
   if (preset.AdmitRollouts)
     std::cout << name << " admits rollouts\n";
   bool drained = !preset.AdmitCallers && !preset.AdmitRollouts;
-  BOOST_LEAF_AUTO(known, listInstances(With));
-  for (const InstanceStatus &it : fetchStatuses(With, known)) {
+  BOOST_LEAF_AUTO(known, listInstances(CtlSession));
+  for (const InstanceStatus &it : fetchStatuses(CtlSession, known)) {
     bool idle = !it.Problem && it.InFlight == 0;
-    // An instance that lags may still admit what the preset refuses.
+    // An instance that is behind may still admit requests that the preset
+    // refuses.
     bool current = !it.Problem && it.ConfigRevision >= state.ConfigRevision;
     if (!idle || !current)
       printInstance(it);
--- a/Ctl/Session.cpp
+++ b/Ctl/Session.cpp
@@ -11,13 +11,13 @@
 
 namespace asio = boost::asio;
 
-/// Most instances asked at once.
+/// Maximum number of concurrent calls.
 constexpr std::size_t MaxParallel = 64;
 
-/// Takes the next index until there is none.
+/// Runs `Body` for the next index until none is left.
 asio::awaitable<void>
-work(std::size_t &Next, std::size_t Count,
-     const std::function<asio::awaitable<void>(std::size_t)> &Body) {
+workerLoop(std::size_t &Next, std::size_t Count,
+           const std::function<asio::awaitable<void>(std::size_t)> &Body) {
   while (Next < Count) {
     std::size_t index = Next++;
     co_await Body(index);
@@ -26,20 +26,20 @@
 
 } // namespace
 
-Session::Session(Settings Given)
-    : Given(std::move(Given)),
+Session::Session(Settings Flags)
+    : Flags(std::move(Flags)),
       Client(http::Client::create(Context.get_executor(), {})) {}
 
 Result<LogPort> Session::log() {
-  if (Given.Log.empty())
-    return badInput("--log", "is needed: IP:PORT of the platform's log");
-  return makeHttpLog(Client, Given.Log);
+  if (Flags.Log.empty())
+    return badInput("--log", "is required: IP:PORT of the platform's log");
+  return makeHttpLog(Client, Flags.Log);
 }
 
 Result<RecordStore> Session::store() {
-  if (Given.Store.empty())
-    return badInput("--store", "is needed: IP:PORT of the platform's store");
-  return platform::makeRecordStore(Context.get_executor(), Given.Store);
+  if (Flags.Store.empty())
+    return badInput("--store", "is required: IP:PORT of the platform's store");
+  return platform::makeRecordStore(Context.get_executor(), Flags.Store);
 }
 
 void Session::runConcurrently(
@@ -51,7 +51,7 @@
     return;
   Context.restart();
   for (std::size_t i = running; i > 0; --i)
-    asio::co_spawn(Context, work(next, Count, Body),
+    asio::co_spawn(Context, workerLoop(next, Count, Body),
                    [&](const std::exception_ptr &Problem) {
                      if (--running == 0)
                        Context.stop();
--- a/Ctl/Session.h
+++ b/Ctl/Session.h
@@ -1,6 +1,6 @@
 /// \file
-/// What every command of wasabictl works with: settings, a context and the
-/// ports. One thread; a command asks and waits.
+/// The settings, the executor and the ports that the commands of wasabictl
+/// share. Single-threaded: a command blocks until its calls have completed.
 #ifndef WASABI_CTL_SESSION_H
 #define WASABI_CTL_SESSION_H
 
@@ -21,26 +21,26 @@
 
 namespace wasabi::ctl {
 
-/// Exit codes beyond the common ones.
+/// Exit codes that only wasabictl uses.
 inline constexpr ExitCode NotAllInstances = static_cast<ExitCode>(5);
 inline constexpr ExitCode UnknownOutcome = static_cast<ExitCode>(6);
 
 /// The flags of all commands. An immutable value.
 struct Settings {
   Address Log;
-  /// Of the users' platform.
+  /// Address of the store of the users' platform.
   Address Store;
   Address Instances;
-  /// Admin addresses of processes, besides the platform's list.
+  /// Admin addresses of processes, in addition to the platform's list.
   std::vector<Address> Peers;
   std::string Operator;
   std::string Message;
   bool Prune = false;
-  /// Id of a change whose fate is unknown.
-  std::string Resume;
-  /// How long to try to commit, and to wait until in force.
-  Millis Wait{10000};
-  /// Of the time line.
+  /// Id of a change whose outcome is unknown.
+  std::string ResumeId;
+  /// Time limit for committing a change, and for waiting until it is in force.
+  Millis Timeout{10000};
+  /// Format of the timeline; the fields below filter its events.
   std::string Format;
   std::string Request;
   std::string Trainer;
@@ -49,26 +49,26 @@
   std::string Offset;
 };
 
-/// Not thread-safe.
+/// Runs the calls of one command. Not thread-safe.
 class Session {
 public:
-  explicit Session(Settings Given);
+  explicit Session(Settings Flags);
 
-  const Settings Given;
+  const Settings Flags;
 
-  /// The client of all calls.
+  /// Returns the HTTP client of all calls.
   http::Client &client() { return *Client; }
-  /// The log. Errors: `BadInput` when `--log` is missing.
+  /// Returns a port to the log. Errors: `BadInput` when `--log` is missing.
   Result<LogPort> log();
-  /// The store of the users' platform. Errors: `BadInput` when `--store` is
-  /// missing.
+  /// Returns a port to the store of the users' platform. Errors: `BadInput`
+  /// when `--store` is missing.
   Result<RecordStore> store();
 
-  /// Runs a coroutine to its end.
+  /// Runs a coroutine to completion and returns its value.
   template <typename T> T run(boost::asio::awaitable<T> Body) {
     std::optional<T> out;
     Context.restart();
-    boost::asio::co_spawn(Context, keep(out, std::move(Body)),
+    boost::asio::co_spawn(Context, storeResult(out, std::move(Body)),
                           [this](const std::exception_ptr &Problem) {
                             Context.stop();
                             if (Problem)
@@ -78,7 +78,7 @@
     return std::move(*out);
   }
 
-  /// Runs `Body` for 0 to below `Count`, a bounded number at once.
+  /// Runs `Body` for each index below `Count`, with a bounded number at once.
   void runConcurrently(
       std::size_t Count,
       const std::function<boost::asio::awaitable<void>(std::size_t)> &Body);
@@ -88,17 +88,17 @@
   std::shared_ptr<http::Client> Client;
 
   template <typename T>
-  static boost::asio::awaitable<void> keep(std::optional<T> &Out,
-                                           boost::asio::awaitable<T> Body) {
+  static boost::asio::awaitable<void>
+  storeResult(std::optional<T> &Out, boost::asio::awaitable<T> Body) {
     Out = co_await std::move(Body);
   }
 };
 
-/// The value, or the failure as a LEAF error.
-template <typename T> Result<T> toResult(Outcome<T> What) {
-  if (!What)
-    return boost::leaf::new_error(What.failure());
-  return std::move(*What);
+/// Returns the value, or the failure as a LEAF error.
+template <typename T> Result<T> toResult(Outcome<T> Value) {
+  if (!Value)
+    return boost::leaf::new_error(Value.failure());
+  return std::move(*Value);
 }
 
 } // namespace wasabi::ctl
--- a/Ctl/UsageCommand.cpp
+++ b/Ctl/UsageCommand.cpp
@@ -13,31 +13,31 @@
 
 namespace asio = boost::asio;
 
-/// Takes a record of a topic; unreadable ones are counted by the reader.
-using TakeRecord = std::function<bool(const LogEntry &)>;
+/// Applies a record of a topic; returns false if it cannot be decoded.
+using ApplyRecord = std::function<bool(const LogEntry &)>;
 
-/// What was read of a topic.
-struct TopicRead {
+/// The result of reading a topic.
+struct TopicReadResult {
   Offset Next = 0;
   std::uint64_t Unreadable = 0;
 };
 
-/// Reads a topic from the oldest record that is kept to its end as of now.
-asio::awaitable<Outcome<TopicRead>>
-readTopic(RecordStore From, std::string Topic, TakeRecord Take) {
-  constexpr std::size_t ReadBytes = 1u << 20;
-  TopicRead read;
+/// Reads a topic from its oldest record to its current end.
+asio::awaitable<Outcome<TopicReadResult>>
+readTopic(RecordStore Store, std::string Topic, ApplyRecord Apply) {
+  constexpr std::size_t MaxReadBytes = 1u << 20;
+  TopicReadResult read;
   for (;;) {
-    Outcome<LogRange> got =
-        co_await From.Read(Topic, read.Next, Millis(0), ReadBytes);
-    if (!got)
-      co_return got.failure();
-    read.Next = std::max(read.Next, got->First);
-    for (const LogEntry &it : got->Entries) {
-      read.Unreadable += Take(it) ? 0 : 1;
+    Outcome<LogRange> range =
+        co_await Store.Read(Topic, read.Next, Millis(0), MaxReadBytes);
+    if (!range)
+      co_return range.failure();
+    read.Next = std::max(read.Next, range->First);
+    for (const LogEntry &it : range->Entries) {
+      read.Unreadable += Apply(it) ? 0 : 1;
       read.Next = it.At + 1;
     }
-    if (read.Next >= got->End)
+    if (read.Next >= range->End)
       co_return read;
   }
 }
@@ -79,29 +79,29 @@
 
 } // namespace
 
-Result<ExitCode> usage(Session &With) {
-  BOOST_LEAF_AUTO(store, With.store());
+Result<ExitCode> usage(Session &CtlSession) {
+  BOOST_LEAF_AUTO(store, CtlSession.store());
   BatchState rollout;
-  TakeRecord takeRollout = [&rollout](const LogEntry &It) {
+  ApplyRecord applyRollout = [&rollout](const LogEntry &Entry) {
     Outcome<BatchRecord> record = toOutcome<BatchRecord>(
-        [&] { return decodeRecord(It.Text, "rollout"); });
+        [&] { return decodeRecord(Entry.Text, "rollout"); });
     if (record)
-      apply(rollout, It.At, *record, monotonicNow());
+      apply(rollout, Entry.At, *record, monotonicNow());
     return bool(record);
   };
   UsageState fold;
-  TakeRecord takeUsage = [&fold](const LogEntry &It) {
+  ApplyRecord applyUsage = [&fold](const LogEntry &Entry) {
     Outcome<UsageRecord> record = toOutcome<UsageRecord>(
-        [&] { return decodeUsage(It.Text, UsageTopic); });
+        [&] { return decodeUsage(Entry.Text, UsageTopic); });
     if (record)
-      apply(fold, It.At, *record, {monotonicNow(), WallTime(), Millis::max()},
-            UsageSettings());
+      apply(fold, Entry.At, *record,
+            {monotonicNow(), WallTime(), Millis::max()}, UsageSettings());
     return bool(record);
   };
-  BOOST_LEAF_AUTO(lease,
-                  toResult(With.run(readTopic(store, "rollout", takeRollout))));
-  BOOST_LEAF_AUTO(read,
-                  toResult(With.run(readTopic(store, UsageTopic, takeUsage))));
+  BOOST_LEAF_AUTO(lease, toResult(CtlSession.run(
+                             readTopic(store, "rollout", applyRollout))));
+  BOOST_LEAF_AUTO(
+      read, toResult(CtlSession.run(readTopic(store, UsageTopic, applyUsage))));
   printLease(rollout.Lease);
   printWindows(fold);
   printSources(fold);
--- a/UnitTests/Platform/DecodingMutationTest.cpp
+++ b/UnitTests/Platform/DecodingMutationTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Damaged registrations and reports: each is either read as a server that
-/// could be, or refused with a place and a reason; none harms the process.
+/// Guards against damaged registrations and reports that crash the process or
+/// are accepted with values that no server can have.
 #include "UnitTests/Fuzz/Mutation.h"
 #include "platform/Decoding.h"
 
@@ -23,20 +23,20 @@
     R"("busy":false,"sequence":2,"num_waiting":1,"num_running":12,)"
     R"("born":1764000000123})";
 
-void checkRefusal(const Failure &Why) {
-  CHECK(Why.Run == Verdict::NotRun);
-  CHECK_FALSE(Why.Place.empty());
-  CHECK_FALSE(Why.Reason.empty());
+void checkRefusal(const Failure &Problem) {
+  CHECK(Problem.Run == Verdict::NotRun);
+  CHECK_FALSE(Problem.Place.empty());
+  CHECK_FALSE(Problem.Reason.empty());
 }
 
 } // namespace
 
 TEST_CASE("Damaged registrations are read or refused", "[platform]") {
-  std::mt19937_64 engine(Seed);
+  std::mt19937_64 random(Seed);
   int refused = 0;
   for (int n = 0; n < Rounds; ++n) {
-    const std::string text = fuzz::mutate(Registration, engine);
-    const std::string id = n % 4 == 0 ? fuzz::mutate("i-7f3a91c2", engine)
+    const std::string text = fuzz::mutate(Registration, random);
+    const std::string id = n % 4 == 0 ? fuzz::mutate("i-7f3a91c2", random)
                                       : std::string("i-7f3a91c2");
     Outcome<UpstreamRegistration> got = toOutcome<UpstreamRegistration>(
         [&] { return decodeRegistration(id, text, "registration"); });
@@ -49,20 +49,20 @@
     CHECK(got->Slots > 0);
     CHECK_FALSE(got->Service.empty());
     CHECK_FALSE(got->Endpoint.Host.empty());
-    // The id stands in headers.
+    // The id is sent in headers.
     for (char it : got->Id.Text)
       CHECK((it > ' ' && it <= '~'));
   }
-  // Most damage is seen, and what is harmless passes.
+  // Some damage is harmless.
   CHECK(refused > Rounds / 4);
   CHECK(refused < Rounds);
 }
 
 TEST_CASE("Damaged reports are read or refused", "[platform]") {
-  std::mt19937_64 engine(Seed);
+  std::mt19937_64 random(Seed);
   for (int n = 0; n < Rounds; ++n) {
     Outcome<EngineReport> got = toOutcome<EngineReport>([&] {
-      return decodeEngineReport(fuzz::mutate(Report, engine), "report");
+      return decodeEngineReport(fuzz::mutate(Report, random), "report");
     });
     if (!got)
       checkRefusal(got.failure());
--- a/UnitTests/Platform/FrontendTest.cpp
+++ b/UnitTests/Platform/FrontendTest.cpp
@@ -4,11 +4,10 @@
 
 namespace wasabi::platform {
 
-TEST_CASE("A process that has just started tells when it will know its routes",
+TEST_CASE("A process without a configuration refuses with a retry delay",
           "[platform]") {
-  // All processes of a deployment start at once after a power loss: a caller
-  // who comes back sooner than they read their configuration is refused for
-  // good.
+  // Guards against a caller that retries before the processes of a new
+  // deployment have read their configuration.
   http::HttpFixture fixture;
   FleetView view;
   AccessSettings access;
@@ -17,12 +16,12 @@
       {view, nullptr, nullptr, [] { return false; },
        KeyDigester::create().value(), access, nullptr, counts}));
   fixture.run([&]() -> boost::asio::awaitable<void> {
-    http::Request ask;
-    ask.Method = "GET";
-    ask.Target = "/any/";
-    ask.Headers.push_back({"Host", "host.example"});
+    http::Request request;
+    request.Method = "GET";
+    request.Target = "/any/";
+    request.Headers.push_back({"Host", "host.example"});
     Outcome<http::Response> got = co_await fixture.TestClient->call(
-        fixture.Serving->address(), std::move(ask), Millis(5000));
+        fixture.Serving->address(), std::move(request), Millis(5000));
     REQUIRE(got);
     CHECK(got->Status == 503);
     CHECK(got->header("Retry-After") == "0.300");
--- a/UnitTests/Platform/TranslationTest.cpp
+++ b/UnitTests/Platform/TranslationTest.cpp
@@ -41,33 +41,33 @@
   "path":"/s","body":"3q0="}},{"id":"i2","path":"/p/4",
   "headers":{"Wasabisail-Length-Hint":"25.5"},"body":"","group":"g1"}]})";
 
-template <typename T, typename Body> Outcome<T> outcomeOf(const Body &Of) {
-  return toOutcome<T>([&] { return Of(); });
+template <typename T, typename Body> Outcome<T> outcomeOf(const Body &Decode) {
+  return toOutcome<T>([&] { return Decode(); });
 }
 
-const KeyDigester &keys() {
+const KeyDigester &digester() {
   static const KeyDigester Keys = KeyDigester::create().value();
   return Keys;
 }
 
-http::Request submission(std::string Body) {
-  http::Request ask;
-  ask.Method = "POST";
-  ask.Target = "/b/1";
-  ask.Headers = {{"Host", "h"}, {"Wasabisail-Request-Id", "job-1"}};
-  ask.Body = std::move(Body);
-  return ask;
+http::Request makeSubmission(std::string Body) {
+  http::Request request;
+  request.Method = "POST";
+  request.Target = "/b/1";
+  request.Headers = {{"Host", "h"}, {"Wasabisail-Request-Id", "job-1"}};
+  request.Body = std::move(Body);
+  return request;
 }
 
-/// All events of some pieces of a stream.
+/// Returns all events in the chunks of a stream.
 Outcome<std::vector<EngineEvent>>
-eventsOf(const std::vector<std::string> &Pieces) {
+readEvents(const std::vector<std::string> &Chunks) {
   std::vector<EngineEvent> events;
   EventBuffer buffer;
-  for (const std::string &piece : Pieces) {
-    buffer.Rest += piece;
+  for (const std::string &chunk : Chunks) {
+    buffer.Unparsed += chunk;
     for (;;) {
-      Outcome<std::optional<EngineEvent>> event = takeEvent(buffer);
+      Outcome<std::optional<EngineEvent>> event = extractEvent(buffer);
       if (!event)
         return event.failure();
       if (!*event)
@@ -80,21 +80,22 @@
 
 } // namespace
 
-TEST_CASE("The platform's settings are read, and unknown ones passed over",
+TEST_CASE("The settings are parsed and unknown members are ignored",
           "[platform]") {
   Outcome<BootSettings> got = outcomeOf<BootSettings>(
       [] { return parseBootSettings(Settings, "local.json"); });
   REQUIRE(got);
   CHECK(got->Instance.Text == "edge-1");
   CHECK(got->Domain.Text == "hall");
-  CHECK(got->Callers == Address{"10.1.0.35", 8144});
-  CHECK(got->Store == Address{"10.200.1.7", 8142});
-  CHECK(got->RecordBytes == 4096);
+  CHECK(got->CallerEndpoint == Address{"10.1.0.35", 8144});
+  CHECK(got->StoreEndpoint == Address{"10.200.1.7", 8142});
+  CHECK(got->MaxRecordBytes == 4096);
   CHECK(got->StopGracePeriod == Millis(6000));
-  CHECK_FALSE(got->Engine.has_value());
+  CHECK_FALSE(got->EngineEndpoint.has_value());
 }
 
-TEST_CASE("Settings say what is reported to the platform", "[platform]") {
+TEST_CASE("The report settings are parsed and their errors name the file",
+          "[platform]") {
   CHECK_FALSE(outcomeOf<BootSettings>([] {
                 return parseBootSettings(Settings, "local.json");
               })->Reports);
@@ -102,8 +103,8 @@
   text.insert(text.rfind('}'),
               R"(,"cloud_api":{"address":"10.200.0.177:8147","rate_per_s":50.0,
       "duties":["usage_report","autoscale"],"duty_per_s":25.5})");
-  std::string bounds = R"("lease_ms": 3000)";
-  text.replace(text.find(bounds), bounds.size(),
+  std::string lease = R"("lease_ms": 3000)";
+  text.replace(text.find(lease), lease.size(),
                R"("lease_ms": 2500, "report_window_s": 7, "usage_late_s": 9,
       "usage_tolerance": 0.02, "strict_revoke": true, "revoke_ms": 4000)");
   Outcome<BootSettings> got = outcomeOf<BootSettings>(
@@ -129,15 +130,14 @@
 }
 
 TEST_CASE("Equal reports have equal bytes", "[platform]") {
-  UsageDecision what{353445120,
-                     {{CustomerName("seje681"), 3}, {CustomerName("cuka"), 1}}};
-  CHECK(encodeUsageReport(what) ==
+  UsageDecision decision{
+      353445120, {{CustomerName("seje681"), 3}, {CustomerName("cuka"), 1}}};
+  CHECK(encodeUsageReport(decision) ==
         R"({"window":353445120,"counts":{"cuka":1,"seje681":3}})");
   CHECK(encodeUsageReport({7, {}}) == R"({"window":7,"counts":{}})");
 }
 
-TEST_CASE("A settings file that is wrong is named with its member",
-          "[platform]") {
+TEST_CASE("An invalid settings file is rejected by name", "[platform]") {
   std::string text = Settings;
   std::string broken = text;
   broken.replace(broken.find("10.200.1.7:8142"), 15, "store.example:1");
@@ -150,10 +150,10 @@
   }
 }
 
-TEST_CASE("The operator's configuration becomes the route table",
+TEST_CASE("The operator's configuration is decoded into a route table",
           "[platform]") {
   Outcome<RouteTable> got = outcomeOf<RouteTable>(
-      [] { return decodeRoutes(Routes, "config", keys()); });
+      [] { return decodeRoutes(Routes, "config", digester()); });
   REQUIRE(got);
   CHECK(got->Version == 7);
   REQUIRE(got->Routes.size() == 2);
@@ -169,31 +169,30 @@
   CHECK(got->Limits.IdleTimeout == Millis(15000));
 }
 
-TEST_CASE("A configuration's customers are held by digests of their keys",
-          "[platform]") {
+TEST_CASE("Customers are found by the digests of their keys", "[platform]") {
   std::string text = Routes;
   text.insert(text.rfind('}'), R"(,"tenants":[
     {"name":"anna","api_keys":["k1","k2"],"priority":4},
     {"name":"bert","api_keys":[]},{"name":"carl"}])");
-  std::string open = R"("max_attempts":4)";
-  text.insert(text.find(open) + open.size(), R"(,"public":true)");
+  std::string lastMember = R"("max_attempts":4)";
+  text.insert(text.find(lastMember) + lastMember.size(), R"(,"public":true)");
   Outcome<RouteTable> got = outcomeOf<RouteTable>(
-      [&] { return decodeRoutes(text, "config", keys()); });
+      [&] { return decodeRoutes(text, "config", digester()); });
   REQUIRE(got);
   CHECK(got->Routes[0].Public);
   CHECK_FALSE(got->Routes[1].Public);
   REQUIRE(got->Customers);
   CHECK(got->Customers->customers() == 3);
-  const Customer *anna = got->Customers->holderOf(keys().digest("k2"));
+  const Customer *anna = got->Customers->holderOf(digester().digest("k2"));
   REQUIRE(anna != nullptr);
   CHECK(*anna == Customer{CustomerName("anna"), 4});
-  // Without the member nobody is asked for a key.
+  // Without the member, no request needs a key.
   Outcome<RouteTable> plain = outcomeOf<RouteTable>(
-      [] { return decodeRoutes(Routes, "config", keys()); });
+      [] { return decodeRoutes(Routes, "config", digester()); });
   CHECK_FALSE(plain->Customers);
 }
 
-TEST_CASE("A configuration's faults name no key", "[platform]") {
+TEST_CASE("Errors in a configuration do not contain keys", "[platform]") {
   for (const char *member :
        {R"("api_keys":["secret",7])", R"("api_keys":"secret")",
         R"("api_keys":["secret"],"priority":"secret")"}) {
@@ -201,35 +200,37 @@
     text.insert(text.rfind('}'),
                 R"(,"tenants":[{"name":"anna",)" + std::string(member) + "}]");
     Outcome<RouteTable> got = outcomeOf<RouteTable>(
-        [&] { return decodeRoutes(text, "config", keys()); });
+        [&] { return decodeRoutes(text, "config", digester()); });
     REQUIRE_FALSE(got);
     CHECK(describe(got.failure()).find("secret") == std::string::npos);
-    // Nor does a text that is cut off after a key.
+    // The error for a text that ends after a key does not contain the key
+    // either.
     std::string cut = text.substr(0, text.find("secret") + 6);
     Outcome<RouteTable> broken = outcomeOf<RouteTable>(
-        [&] { return decodeRoutes(cut, "config", keys()); });
+        [&] { return decodeRoutes(cut, "config", digester()); });
     REQUIRE_FALSE(broken);
     CHECK(describe(broken.failure()).find("secret") == std::string::npos);
   }
 }
 
-TEST_CASE("A configuration that is wrong is refused as a whole", "[platform]") {
+TEST_CASE("An invalid configuration is rejected as a whole", "[platform]") {
   for (const char *word :
        {"\"rollout\"", "\"host\"", "\"version\":7", "7500"}) {
     std::string text = Routes;
     text.replace(text.find(word), std::string(word).size(), "\"?\"");
     CHECK_FALSE(outcomeOf<RouteTable>(
-        [&] { return decodeRoutes(text, "config", keys()); }));
+        [&] { return decodeRoutes(text, "config", digester()); }));
   }
 }
 
-TEST_CASE("What an item says of its customer and of keys is dropped",
+TEST_CASE("Customer and key headers of a batch item are dropped",
           "[platform]") {
   std::string text = Job;
   text.replace(text.find(R"("X":"y")"), 7,
                R"("X":"y","wasabisail-key":"k","WASABISAIL-TENANT":"bert")");
-  Outcome<BatchJob> got = outcomeOf<BatchJob>(
-      [&] { return decodeBatchJob(submission(text), CustomerName("anna")); });
+  Outcome<BatchJob> got = outcomeOf<BatchJob>([&] {
+    return decodeBatchJob(makeSubmission(text), CustomerName("anna"));
+  });
   REQUIRE(got);
   CHECK(got->Id == JobId("job-1", CustomerName("anna")));
   CHECK(got->Items[0].Headers.size() == 2);
@@ -252,30 +253,31 @@
 
 namespace {
 
-/// A registration with one member in other words; all as they are by default.
-std::string registration(const std::string &Member = "",
-                         const std::string &Now = "") {
+/// Returns a valid registration in which `Member` is replaced.
+std::string makeRegistration(const std::string &Member = "",
+                             const std::string &Replacement = "") {
   std::string text =
       R"({"service":"s","address":"10.128.0.9:8080","zone":"z",)"
       R"("version":"v1","slots":8,"state":"ready","cold_remaining_ms":0,)"
       R"("models":[{"name":"m0","version":3,"adapters":[]}],"sequence":4,)"
       R"("born":1764000000123})";
   if (!Member.empty())
-    text.replace(text.find(Member), Member.size(), Now);
+    text.replace(text.find(Member), Member.size(), Replacement);
   return text;
 }
 
-Outcome<UpstreamRegistration> decoded(const std::string &Id,
-                                      const std::string &Text) {
+Outcome<UpstreamRegistration> decode(const std::string &Id,
+                                     const std::string &Text) {
   return outcomeOf<UpstreamRegistration>(
       [&] { return decodeRegistration(Id, Text, "registration"); });
 }
 
 } // namespace
 
-TEST_CASE("A server says when it started, in what it registers and reports",
-          "[platform]") {
-  Outcome<UpstreamRegistration> entry = decoded("i-1", registration());
+TEST_CASE(
+    "The start time of a server is decoded from registrations and reports",
+    "[platform]") {
+  Outcome<UpstreamRegistration> entry = decode("i-1", makeRegistration());
   REQUIRE(entry);
   CHECK(entry->incarnation() ==
         ServerIncarnation{ServerName("i-1"), 1764000000123});
@@ -286,15 +288,15 @@
   REQUIRE(report);
   CHECK(report->Start == 1764000000123);
   Outcome<UpstreamRegistration> without =
-      decoded("i-1", registration(R"(,"born":1764000000123)", ""));
+      decode("i-1", makeRegistration(R"(,"born":1764000000123)", ""));
   REQUIRE(without);
   CHECK(without->Start == 0);
 }
 
-TEST_CASE("An entry of another writer names no server", "[platform]") {
+TEST_CASE("Malformed registrations are rejected", "[platform]") {
   struct Change {
     const char *Member;
-    const char *Now;
+    const char *Replacement;
   };
   constexpr Change Changes[] = {
       {R"("service":"s",)", ""},
@@ -330,22 +332,22 @@
       {"{", "\xff\xfe{"},
   };
   for (const Change &it : Changes) {
-    INFO(it.Member << " -> " << it.Now);
-    CHECK_FALSE(decoded("i-1", registration(it.Member, it.Now)));
+    INFO(it.Member << " -> " << it.Replacement);
+    CHECK_FALSE(decode("i-1", makeRegistration(it.Member, it.Replacement)));
   }
-  CHECK_FALSE(decoded("i-1", ""));
-  CHECK_FALSE(decoded("i-1", "[]"));
-  CHECK_FALSE(decoded("i-1", std::string(100000, '[')));
-  CHECK_FALSE(decoded("i-1", std::string(300000, '\0')));
-  // The id stands in headers.
+  CHECK_FALSE(decode("i-1", ""));
+  CHECK_FALSE(decode("i-1", "[]"));
+  CHECK_FALSE(decode("i-1", std::string(100000, '[')));
+  CHECK_FALSE(decode("i-1", std::string(300000, '\0')));
+  // The id is sent in headers.
   for (const char *id : {"", "two words", "line\r\nbreak", "\xff"})
-    CHECK_FALSE(decoded(id, registration()));
-  REQUIRE(decoded("i-1", registration()));
+    CHECK_FALSE(decode(id, makeRegistration()));
+  REQUIRE(decode("i-1", makeRegistration()));
 }
 
-TEST_CASE("A batch job is decoded with its expected lengths", "[platform]") {
+TEST_CASE("A batch job is decoded with its expected tokens", "[platform]") {
   Outcome<BatchJob> got = outcomeOf<BatchJob>(
-      [] { return decodeBatchJob(submission(Job), CustomerName()); });
+      [] { return decodeBatchJob(makeSubmission(Job), CustomerName()); });
   REQUIRE(got);
   CHECK(got->Id.Text == "job-1");
   CHECK(got->MinVersion == 6);
@@ -358,18 +360,18 @@
   CHECK_FALSE(got->Items[1].Score.has_value());
 }
 
-TEST_CASE("A batch job that is wrong is refused with its place", "[platform]") {
+TEST_CASE("An invalid batch job is rejected", "[platform]") {
   std::string broken = Job;
   broken.replace(broken.find("q83v"), 4, "q*3v");
   for (const std::string &it : {std::string("{"), std::string("{}"), broken}) {
     Outcome<BatchJob> got = outcomeOf<BatchJob>(
-        [&] { return decodeBatchJob(submission(it), CustomerName()); });
+        [&] { return decodeBatchJob(makeSubmission(it), CustomerName()); });
     REQUIRE_FALSE(got);
     CHECK(got.failure().Run == Verdict::NotRun);
   }
 }
 
-TEST_CASE("A page of results is encoded as trainers read it", "[platform]") {
+TEST_CASE("A page of results is encoded as JSON", "[platform]") {
   ResultPage page;
   page.Total = 3;
   page.Next = 2;
@@ -387,13 +389,14 @@
   CHECK(results[1].as_object().if_contains("score") == nullptr);
 }
 
-TEST_CASE("Events are read from pieces that end anywhere", "[platform]") {
+TEST_CASE("Events are parsed from chunks that are split anywhere",
+          "[platform]") {
   std::string text = "id: 1\ndata: one\n\nwasabisail-weight-versions: 8\n"
                      "id: 2\ndata: two\ndata: more\n\n: note\n\n"
                      "id: 3\r\ndata:\n\n";
   for (std::size_t cut = 0; cut <= text.size(); ++cut) {
     Outcome<std::vector<EngineEvent>> got =
-        eventsOf({text.substr(0, cut), text.substr(cut)});
+        readEvents({text.substr(0, cut), text.substr(cut)});
     REQUIRE(got);
     REQUIRE(got->size() == 3);
     CHECK((*got)[0].Data == "one");
@@ -405,27 +408,32 @@
   }
 }
 
-TEST_CASE("An event without a number is a fault", "[platform]") {
-  CHECK_FALSE(eventsOf({"data: x\n\n"}));
-  CHECK_FALSE(eventsOf({"id: x\ndata: y\n\n"}));
+TEST_CASE("An event without a numeric id is rejected", "[platform]") {
+  CHECK_FALSE(readEvents({"data: x\n\n"}));
+  CHECK_FALSE(readEvents({"id: x\ndata: y\n\n"}));
 }
 
-TEST_CASE("An answer proves only what it says", "[platform]") {
-  auto answer = [](unsigned Status, std::vector<http::Header> Headers) {
+TEST_CASE("The proof of a response follows from its headers and status",
+          "[platform]") {
+  auto makeResponse = [](unsigned Status, std::vector<http::Header> Headers) {
     return http::Response{Status, std::move(Headers), ""};
   };
   http::Header id{"Wasabisail-Request-Id", "r1"};
-  http::Header stamp{"Wasabisail-Server-Stamp", "sig"};
-  http::Header unrun{"Wasabisail-Not-Executed", "1"};
-  CHECK(computeAnswerProof(answer(200, {id, stamp}), "r1") == AnswerProof::Ran);
-  CHECK(computeAnswerProof(answer(200, {id}), "r1") == AnswerProof::Unknown);
-  CHECK(computeAnswerProof(answer(200, {id, stamp}), "r2") ==
+  http::Header signature{"Wasabisail-Server-Stamp", "sig"};
+  http::Header notRun{"Wasabisail-Not-Executed", "1"};
+  CHECK(computeAnswerProof(makeResponse(200, {id, signature}), "r1") ==
+        AnswerProof::Ran);
+  CHECK(computeAnswerProof(makeResponse(200, {id}), "r1") ==
         AnswerProof::Unknown);
-  CHECK(computeAnswerProof(answer(503, {id, unrun}), "r1") ==
+  CHECK(computeAnswerProof(makeResponse(200, {id, signature}), "r2") ==
+        AnswerProof::Unknown);
+  CHECK(computeAnswerProof(makeResponse(503, {id, notRun}), "r1") ==
+        AnswerProof::NotRun);
+  CHECK(computeAnswerProof(makeResponse(503, {id}), "r1") == AnswerProof::Ran);
+  CHECK(computeAnswerProof(makeResponse(421, {id}), "r1") ==
         AnswerProof::NotRun);
-  CHECK(computeAnswerProof(answer(503, {id}), "r1") == AnswerProof::Ran);
-  CHECK(computeAnswerProof(answer(421, {id}), "r1") == AnswerProof::NotRun);
-  CHECK(computeAnswerProof(answer(500, {id, stamp}), "r1") == AnswerProof::Ran);
+  CHECK(computeAnswerProof(makeResponse(500, {id, signature}), "r1") ==
+        AnswerProof::Ran);
 }
 
 } // namespace wasabi::platform
