--- a/Ctl/ReportCommands.cpp
+++ b/Ctl/ReportCommands.cpp
@@ -66,14 +66,14 @@
 using Page = Outcome<TimelinePage>;
 
 asio::awaitable<void> fetchPage(Session &CtlSession,
-                                const KnownInstance &Instance, Page &Result) {
+                                const KnownInstance &Instance, Page &Fetched) {
   Outcome<std::string> text =
       co_await fetchFromAdmin(CtlSession, Instance.Admin, "/timeline?from=0");
   if (!text) {
-    Result = text.failure();
+    Fetched = text.failure();
     co_return;
   }
-  Result = toOutcome<TimelinePage>(
+  Fetched = toOutcome<TimelinePage>(
       [&] { return decodeTimelinePage(*text, Instance.Name); });
 }
 
--- a/UnitTests/Platform/TranslationTest.cpp
+++ b/UnitTests/Platform/TranslationTest.cpp
@@ -137,7 +137,8 @@
   CHECK(encodeUsageReport({7, {}}) == R"({"window":7,"counts":{}})");
 }
 
-TEST_CASE("An invalid settings file is rejected by name", "[platform]") {
+TEST_CASE("The error of an invalid settings file names the file",
+          "[platform]") {
   std::string text = Settings;
   std::string broken = text;
   broken.replace(broken.find("10.200.1.7:8142"), 15, "store.example:1");
