--- a/Wasabi/State/Record.cpp
+++ b/Wasabi/State/Record.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-/// The kinds of records in the order of `RecordBody`.
-constexpr std::string_view KindWords[] = {
+/// Kinds of records, in the order of `RecordBody`.
+constexpr std::string_view KindNames[] = {
     "config_change", "claim_take", "claim_renew", "claim_release", "snapshot"};
 
 constexpr std::uint64_t MaxTermMs = 3600000;
-constexpr std::size_t MaxAuthor = 256;
+constexpr std::size_t MaxAuthorBytes = 256;
 constexpr std::size_t HashDigits = 32;
-constexpr char WholeRecord[] = "record";
+constexpr char RecordPlace[] = "record";
 
 std::string member(std::string_view Key, std::string_view Text) {
   return quoted(Key) + ":" + quoted(Text);
@@ -27,54 +27,56 @@
   return quoted(Key) + ":" + std::to_string(Number);
 }
 
-std::string encodeWrite(const ObjectWrite &What) {
-  std::string out = "{" + member("key", What.Key);
-  if (What.Text)
-    out += "," + member("text", *What.Text);
+std::string encodeWrite(const ObjectWrite &Value) {
+  std::string out = "{" + member("key", Value.Key);
+  if (Value.Text)
+    out += "," + member("text", *Value.Text);
   return out + "}";
 }
 
-std::string encodeBody(const ConfigChange &What) {
+std::string encodeBody(const ConfigChange &Value) {
   std::string reads;
-  for (const std::string &key : What.Reads)
+  for (const std::string &key : Value.Reads)
     reads += (reads.empty() ? "" : ",") + quoted(key);
   std::string writes;
-  for (const ObjectWrite &write : What.Writes)
+  for (const ObjectWrite &write : Value.Writes)
     writes += (writes.empty() ? "" : ",") + encodeWrite(write);
-  return member("base", What.Base) + ",\"reads\":[" + reads + "],\"writes\":[" +
-         writes + "]," + member("operator", What.Operator) + "," +
-         member("message", What.Message);
+  return member("base", Value.Base) + ",\"reads\":[" + reads +
+         "],\"writes\":[" + writes + "]," + member("operator", Value.Operator) +
+         "," + member("message", Value.Message);
 }
 
-std::string encodeBody(const ClaimAcquire &What) {
-  return member("resource", What.Resource) + "," +
-         member("replaces", What.ReplacedToken) + "," +
-         member("term_ms", static_cast<std::uint64_t>(What.Term.count())) +
-         "," + member("seen", What.Seen);
+std::string encodeBody(const ClaimAcquire &Value) {
+  return member("resource", Value.Resource) + "," +
+         member("replaces", Value.ReplacedToken) + "," +
+         member("term_ms", static_cast<std::uint64_t>(Value.Term.count())) +
+         "," + member("seen", Value.SeenRenewalOffset);
 }
 
-std::string encodeBody(const ClaimRenew &What) {
-  return member("resource", What.Resource) + "," + member("token", What.Token);
+std::string encodeBody(const ClaimRenew &Value) {
+  return member("resource", Value.Resource) + "," +
+         member("token", Value.Token);
 }
 
-std::string encodeBody(const ClaimRelease &What) {
-  return member("resource", What.Resource) + "," + member("token", What.Token);
+std::string encodeBody(const ClaimRelease &Value) {
+  return member("resource", Value.Resource) + "," +
+         member("token", Value.Token);
 }
 
-std::string encodeBody(const SnapshotRecord &What) {
-  return member("before", What.Before) + "," + member("hash", What.Hash) + "," +
-         member("chain", What.ChainHash) + "," + member("state", What.State) +
-         "," + member("token", What.Token);
+std::string encodeBody(const SnapshotRecord &Value) {
+  return member("before", Value.Before) + "," + member("hash", Value.Hash) +
+         "," + member("chain", Value.ChainHash) + "," +
+         member("state", Value.State) + "," + member("token", Value.Token);
 }
 
-RecordId readId(JsonReader Reader, JsonReader &Whole) {
+RecordId readId(JsonReader Reader, JsonReader &Parent) {
   RecordId out;
   out.Author = Reader.text("author");
   out.Life = Reader.number("life");
   out.Sequence = Reader.number("sequence");
-  if (out.Author.empty() || out.Author.size() > MaxAuthor)
+  if (out.Author.empty() || out.Author.size() > MaxAuthorBytes)
     Reader.fail("author", "must be 1 to 256 bytes");
-  Whole.mergeError(Reader);
+  Parent.mergeError(Reader);
   return out;
 }
 
@@ -106,22 +108,24 @@
   return out;
 }
 
-/// A resource that may be claimed: `snapshots`, or a duty with a name.
+/// Reads the resource of a claim: `snapshots`, `trainer/NAME` or
+/// `weights/MODEL`.
 std::string readResource(JsonReader &Reader) {
   std::string out = Reader.text("resource");
   bool named = (out.starts_with("trainer/") || out.starts_with("weights/")) &&
-               out.size() > sizeof("trainer/") - 1 && out.size() <= MaxAuthor;
+               out.size() > sizeof("trainer/") - 1 &&
+               out.size() <= MaxAuthorBytes;
   if (out != "snapshots" && !named)
     Reader.fail("resource", "must be trainer/NAME, weights/MODEL or snapshots");
   return out;
 }
 
-ClaimAcquire readClaimTake(JsonReader &Reader) {
+ClaimAcquire readClaimAcquire(JsonReader &Reader) {
   ClaimAcquire out;
   out.Resource = readResource(Reader);
   out.ReplacedToken = Reader.number("replaces");
   out.Term = Millis(Reader.number("term_ms", 1, MaxTermMs));
-  out.Seen = Reader.number("seen");
+  out.SeenRenewalOffset = Reader.number("seen");
   return out;
 }
 
@@ -156,7 +160,7 @@
   case 0:
     return readConfigChange(Reader);
   case 1:
-    return readClaimTake(Reader);
+    return readClaimAcquire(Reader);
   case 2:
     return readClaimRenew(Reader);
   case 3:
@@ -166,15 +170,15 @@
   }
 }
 
-/// The index of a kind's word; none for a word of a newer program.
-std::optional<std::size_t> kindIndex(std::string_view Word) {
-  for (std::size_t i = 0; i < std::size(KindWords); ++i)
-    if (KindWords[i] == Word)
+/// Returns the index of a kind; empty for a kind of a newer program.
+std::optional<std::size_t> findKindIndex(std::string_view KindName) {
+  for (std::size_t i = 0; i < std::size(KindNames); ++i)
+    if (KindNames[i] == KindName)
       return i;
   return std::nullopt;
 }
 
-boost::leaf::error_id newer(std::string Place, std::string Reason) {
+boost::leaf::error_id newerSchemaError(std::string Place, std::string Reason) {
   return boost::leaf::new_error(Failure{Verdict::NotRun,
                                         FailureCode::NewerSchema,
                                         std::move(Place),
@@ -184,31 +188,34 @@
 
 } // namespace
 
-std::string encodeRecord(const Record &What) {
+std::string encodeRecord(const Record &Value) {
   std::string body =
-      std::visit([](const auto &Body) { return encodeBody(Body); }, What.Body);
+      std::visit([](const auto &Body) { return encodeBody(Body); }, Value.Body);
   return "{" + member("schema", RecordSchema) + "," +
-         member("kind", KindWords[What.Body.index()]) + ",\"id\":{" +
-         member("author", What.Id.Author) + "," + member("life", What.Id.Life) +
-         "," + member("sequence", What.Id.Sequence) + "},\"body\":{" + body +
-         "}}";
+         member("kind", KindNames[Value.Body.index()]) + ",\"id\":{" +
+         member("author", Value.Id.Author) + "," +
+         member("life", Value.Id.Life) + "," +
+         member("sequence", Value.Id.Sequence) + "},\"body\":{" + body + "}}";
 }
 
 Result<Record> decodeRecord(std::string_view Text) {
-  BOOST_LEAF_AUTO(value, parseJson(Text, WholeRecord));
-  JsonReader reader(value, WholeRecord);
+  BOOST_LEAF_AUTO(value, parseJson(Text, RecordPlace));
+  JsonReader reader(value, RecordPlace);
   std::uint64_t schema = reader.number("schema", 1);
-  // What a newer schema holds besides is not for this program to judge.
+  // Other members of a newer schema are unknown to this program and not
+  // checked.
   if (schema > RecordSchema)
-    return newer("record: /schema", "schema " + std::to_string(schema) +
-                                        " is newer than " +
-                                        std::to_string(RecordSchema));
-  std::string word = reader.text("kind");
-  std::optional<std::size_t> kind = kindIndex(word);
-  bool envelope = value.is_object() && reader.has("schema") &&
-                  reader.has("id") && reader.has("body");
-  if (!kind && envelope && !word.empty())
-    return newer("record: /kind", "'" + word + "' is not known here");
+    return newerSchemaError("record: /schema",
+                            "schema " + std::to_string(schema) +
+                                " is newer than " +
+                                std::to_string(RecordSchema));
+  std::string kindName = reader.text("kind");
+  std::optional<std::size_t> kind = findKindIndex(kindName);
+  bool hasEnvelope = value.is_object() && reader.has("schema") &&
+                     reader.has("id") && reader.has("body");
+  if (!kind && hasEnvelope && !kindName.empty())
+    return newerSchemaError("record: /kind",
+                            "'" + kindName + "' is not known here");
 
   Record out;
   out.Id = readId(reader.object("id"), reader);
--- a/Wasabi/State/Record.h
+++ b/Wasabi/State/Record.h
@@ -1,6 +1,6 @@
 /// \file
-/// The records of the control stream: what is agreed upon. JSON on the log, so
-/// that operators can read it.
+/// Records of the control stream. They are JSON, so that operators can read the
+/// log.
 #ifndef WASABI_STATE_RECORD_H
 #define WASABI_STATE_RECORD_H
 
@@ -16,23 +16,23 @@
 
 namespace wasabi {
 
-/// The stream that configuration and claims are on.
+/// Stream of configuration changes, claims and snapshots.
 inline constexpr char ControlStream[] = "control";
-/// The newest record schema this program understands. What the fold accepts,
-/// and the reasons it gives, are part of the schema: they enter the state.
+/// Latest record schema that this program understands. The rules and reasons of
+/// the fold are part of the schema, because they enter the state.
 inline constexpr std::uint32_t RecordSchema = 1;
 
-/// Identifies a record through lost answers and repeats. The fold takes each
-/// id once; an author has one append in flight.
+/// Identifies a record across retries. The fold applies each id once; an author
+/// has at most one append in flight.
 struct RecordId {
-  /// The instance, or the operator's client.
+  /// The instance or the operator's client.
   std::string Author;
   Incarnation Life = 0;
   std::uint64_t Sequence = 0;
   auto operator<=>(const RecordId &) const = default;
 };
 
-/// One object written, or removed when there is no text.
+/// One object to write, or to remove if there is no text.
 struct ObjectWrite {
   /// `kind/name`.
   std::string Key;
@@ -40,57 +40,57 @@
   bool operator==(const ObjectWrite &) const = default;
 };
 
-/// A change of configuration, committed optimistically.
+/// A configuration change with optimistic concurrency control.
 struct ConfigChange {
   /// The author had folded all records before this offset.
   Offset Base = 0;
-  /// Keys the author's decision depended on, beyond those written.
+  /// Keys that the author's decision depends on in addition to those written.
   std::vector<std::string> Reads;
   std::vector<ObjectWrite> Writes;
-  /// Who, and why, for the history.
+  /// Operator and reason, for the history.
   std::string Operator;
   std::string Message;
   bool operator==(const ConfigChange &) const = default;
 };
 
-/// Takes a claim on a resource; first in the log wins.
+/// Acquires a claim on a resource; the first record in the log wins.
 struct ClaimAcquire {
   /// `trainer/NAME`, `weights/MODEL`, `snapshots`.
   std::string Resource;
-  /// Token of the claim it replaces; 0 when there was none.
+  /// Token of the claim that it replaces; 0 if there is none.
   FencingToken ReplacedToken = 0;
-  /// How long the claim binds after a renewal.
+  /// Time for which the claim remains valid after a renewal.
   Millis Term{10000};
-  /// `RenewalOffset` of the claim it replaces, as the author waited it out; 0
-  /// when there was none. A renewal that the author has not read refuses the
-  /// take, since the holder counts on it. Not looked at after a release.
-  Offset Seen = 0;
+  /// `RenewalOffset` of the replaced claim whose term the author has waited
+  /// for; 0 if there is none. The acquisition is refused if the claim was
+  /// renewed later. Ignored if the claim was released.
+  Offset SeenRenewalOffset = 0;
   bool operator==(const ClaimAcquire &) const = default;
 };
 
-/// Renews a claim its author holds.
+/// Renews a claim that the author holds.
 struct ClaimRenew {
   std::string Resource;
   FencingToken Token = 0;
   bool operator==(const ClaimRenew &) const = default;
 };
 
-/// Gives a claim up, so that a successor need not wait.
+/// Releases a claim, so that a successor need not wait for its expiry.
 struct ClaimRelease {
   std::string Resource;
   FencingToken Token = 0;
   bool operator==(const ClaimRelease &) const = default;
 };
 
-/// The fold's whole state up to `Before`.
+/// Snapshot of the fold's state.
 struct SnapshotRecord {
-  /// State after every record below this offset.
+  /// The state includes all records below this offset.
   Offset Before = 0;
   /// XXH3-128 of `State`, 32 hex digits.
   std::string Hash;
-  /// `Chain` of that state, compared by every process with its own.
+  /// `ChainHash` of that state. Every process compares it with its own.
   std::uint64_t ChainHash = 0;
-  /// The state's canonical text.
+  /// Canonical text of the state.
   std::string State;
   FencingToken Token = 0;
   bool operator==(const SnapshotRecord &) const = default;
@@ -106,19 +106,19 @@
   bool operator==(const Record &) const = default;
 };
 
-/// The record's JSON text. Pure.
-std::string encodeRecord(const Record &What);
+/// Returns the JSON text of a record. Pure.
+std::string encodeRecord(const Record &Value);
 
-/// Longest operator's name and message, in bytes.
+/// Maximum size of an operator's name and of a message, in bytes.
 inline constexpr std::size_t MaxOperatorBytes = 128;
 inline constexpr std::size_t MaxMessageBytes = 1024;
-/// Most keys that one change may write or read.
+/// Maximum number of keys that one change may write, and that it may read.
 inline constexpr std::size_t MaxChangeKeys = 2000;
 
-/// Reads a record. A schema's members are closed: an unknown one is malformed,
-/// so that programs of all ages agree on it. Errors: `BadInput` with the JSON
-/// path for what is malformed or cut short; `NewerSchema` for a schema or kind
-/// beyond this program's.
+/// Decodes a record. A schema has a fixed set of members: a record with an
+/// unknown one is malformed, so that programs of all versions treat it alike.
+/// Errors: `BadInput` with the JSON path for a malformed or truncated record;
+/// `NewerSchema` for a schema or kind that is newer than this program.
 Result<Record> decodeRecord(std::string_view Text);
 
 } // namespace wasabi
--- a/Wasabi/State/Recovery.cpp
+++ b/Wasabi/State/Recovery.cpp
@@ -6,60 +6,64 @@
 
 namespace {
 
-/// What `encodeRecord` writes for a snapshot; spares decoding the others.
-constexpr std::string_view SnapshotMark = "\"kind\":\"snapshot\"";
+/// Text that `encodeRecord` writes for a snapshot. Used to skip decoding other
+/// records.
+constexpr std::string_view SnapshotMarker = "\"kind\":\"snapshot\"";
 
-/// Folds the records at `State.Next` and after.
-void foldRest(FoldState &State, const std::vector<LogEntry> &Kept) {
-  for (const LogEntry &entry : Kept)
+/// Applies the records from `State.Next` on.
+void applyRemaining(FoldState &State, const std::vector<LogEntry> &Records) {
+  for (const LogEntry &entry : Records)
     if (entry.At == State.Next && !State.BlockedOffset)
       apply(State, entry.At, entry.Text);
 }
 
-/// The state that the snapshot at `Index` gives; a failure if it is unsound.
-Result<FoldState> recoverFrom(const std::vector<LogEntry> &Kept,
-                              std::size_t Index) {
-  const LogEntry &entry = Kept[Index];
+/// Recovers the state from the snapshot at `Index`; fails if the snapshot is
+/// invalid.
+Result<FoldState> recoverFromSnapshot(const std::vector<LogEntry> &Records,
+                                      std::size_t Index) {
+  const LogEntry &entry = Records[Index];
   BOOST_LEAF_AUTO(record, decodeRecord(entry.Text));
   const SnapshotRecord *snapshot = std::get_if<SnapshotRecord>(&record.Body);
   if (!snapshot || hashText(snapshot->State) != snapshot->Hash)
-    return badInput("snapshot", "its hash is not that of its state");
+    return badInput("snapshot", "the hash does not match the state");
   BOOST_LEAF_AUTO(state, decodeState(snapshot->State));
   if (state.Next != snapshot->Before || state.ChainHash != snapshot->ChainHash)
-    return badInput("snapshot", "its state is of another offset");
-  if (state.Next < Kept.front().At || state.Next > entry.At)
-    return badInput("snapshot", "the records after it are not at hand");
+    return badInput("snapshot",
+                    "its state does not match its offset and chain hash");
+  if (state.Next < Records.front().At || state.Next > entry.At)
+    return badInput("snapshot", "the records after its state are not retained");
 
-  std::vector<LogEntry> until(
-      Kept.begin() + static_cast<std::ptrdiff_t>(state.Next - Kept.front().At),
-      Kept.begin() + static_cast<std::ptrdiff_t>(Index) + 1);
-  foldRest(state, until);
+  std::vector<LogEntry> throughSnapshot(
+      Records.begin() +
+          static_cast<std::ptrdiff_t>(state.Next - Records.front().At),
+      Records.begin() + static_cast<std::ptrdiff_t>(Index) + 1);
+  applyRemaining(state, throughSnapshot);
   if (state.SnapshotRevision != entry.At + 1)
-    return badInput("snapshot", "its record is not accepted");
-  foldRest(state, Kept);
+    return badInput("snapshot", "the fold refused the record");
+  applyRemaining(state, Records);
   return state;
 }
 
 } // namespace
 
-Result<FoldState> recoverState(const std::vector<LogEntry> &Kept) {
-  for (std::size_t i = Kept.size(); i-- > 0;) {
-    if (Kept[i].Text.find(SnapshotMark) == std::string::npos)
+Result<FoldState> recoverState(const std::vector<LogEntry> &Records) {
+  for (std::size_t i = Records.size(); i-- > 0;) {
+    if (Records[i].Text.find(SnapshotMarker) == std::string::npos)
       continue;
     Outcome<FoldState> state =
-        toOutcome<FoldState>([&] { return recoverFrom(Kept, i); });
+        toOutcome<FoldState>([&] { return recoverFromSnapshot(Records, i); });
     if (state)
       return std::move(*state);
   }
-  if (!Kept.empty() && Kept.front().At != 0)
-    return boost::leaf::new_error(Failure{Verdict::NotRun,
-                                          FailureCode::Unavailable,
-                                          "control stream",
-                                          "no sound snapshot since offset " +
-                                              std::to_string(Kept.front().At),
-                                          {}});
+  if (!Records.empty() && Records.front().At != 0)
+    return boost::leaf::new_error(Failure{
+        Verdict::NotRun,
+        FailureCode::Unavailable,
+        "control stream",
+        "no valid snapshot since offset " + std::to_string(Records.front().At),
+        {}});
   FoldState state;
-  foldRest(state, Kept);
+  applyRemaining(state, Records);
   return state;
 }
 
--- a/Wasabi/State/Recovery.h
+++ b/Wasabi/State/Recovery.h
@@ -1,6 +1,6 @@
 /// \file
-/// A state out of what the log still keeps: the newest sound snapshot and the
-/// records after it, or all records if none has expired.
+/// Recovers the state from the retained log: from the latest valid snapshot and
+/// the records after it, or from all records if none has expired.
 #ifndef WASABI_STATE_RECOVERY_H
 #define WASABI_STATE_RECOVERY_H
 
@@ -11,13 +11,13 @@
 
 namespace wasabi {
 
-/// The state after the last of `Kept`, which are contiguous records of the
-/// control stream up to its end. A snapshot counts if its hash is that of its
-/// text, its record is accepted by the fold of the records that follow its
-/// state, and they are all in `Kept`. Errors: `Unavailable` when there is no
-/// such snapshot and `Kept` does not begin at offset 0: read further back, or
-/// ask a peer. Pure, thread-safe.
-Result<FoldState> recoverState(const std::vector<LogEntry> &Kept);
+/// Returns the state after the last of `Records`, which are contiguous and end
+/// at the end of the control stream. A snapshot is valid if its hash matches
+/// its text, all records after its state are in `Records`, and the fold of
+/// these accepts the snapshot record. Errors: `Unavailable` if there is no
+/// valid snapshot and `Records` does not begin at offset 0; the caller can read
+/// further back or ask a peer. Pure, thread-safe.
+Result<FoldState> recoverState(const std::vector<LogEntry> &Records);
 
 } // namespace wasabi
 
--- a/Wasabi/State/StateText.h
+++ b/Wasabi/State/StateText.h
@@ -1,6 +1,6 @@
 /// \file
-/// The texts of a state's entries: for the canonical text of the whole, and for
-/// the chain, which digests each entry that a record changes.
+/// JSON texts of a state's entries, used for the canonical text of the state
+/// and for the chain hash of the entries that a record changes.
 #ifndef WASABI_STATE_STATETEXT_H
 #define WASABI_STATE_STATETEXT_H
 
@@ -10,14 +10,14 @@
 
 namespace wasabi {
 
-/// Each is one JSON object. Pure, thread-safe.
-std::string encodeClaim(const std::string &Resource, const Claim &What);
+/// Each function returns one JSON object. Pure, thread-safe.
+std::string encodeClaim(const std::string &Resource, const Claim &Value);
 std::string encodeAuthor(const std::string &Author,
-                         const AuthorLogProgress &Mark);
-std::string encodeRemoved(const std::string &Key, const RemovedObject &What);
-/// Precondition: the object's text is canonical JSON; it stands as it is.
-std::string encodeObject(const std::string &Key, const StoredObject &What);
-std::string encodeHistoryEntry(const HistoryEntry &Line);
+                         const AuthorLogProgress &Progress);
+std::string encodeRemoved(const std::string &Key, const RemovedObject &Value);
+/// Precondition: the object's text is canonical JSON; it is inserted unchanged.
+std::string encodeObject(const std::string &Key, const StoredObject &Value);
+std::string encodeHistoryEntry(const HistoryEntry &Entry);
 
 } // namespace wasabi
 
