--- a/UnitTests/Config/ConfigurationTests.cpp
+++ b/UnitTests/Config/ConfigurationTests.cpp
@@ -48,10 +48,10 @@
 } // namespace
 
 TEST_CASE("A declaration is read with its defaults and its routes") {
-  Outcome<Configuration> whole = build(list({Service, Trainer, Attached}));
-  REQUIRE(whole);
+  Outcome<Configuration> config = build(list({Service, Trainer, Attached}));
+  REQUIRE(config);
   const wasabi::ServiceDeclaration &service =
-      whole->Services.at(wasabi::ServiceName("s"));
+      config->Services.at(wasabi::ServiceName("s"));
   CHECK(service.Placements.at(0).Servers == 3);
   CHECK(service.DefaultDeadline == wasabi::Millis(60000));
   CHECK(service.ChecksFences);
@@ -59,9 +59,9 @@
   CHECK_FALSE(wasabi::isIdempotent(service, "GET", "/other"));
   CHECK(wasabi::isIdempotent({}, "GET", "/other"));
   CHECK_FALSE(wasabi::isIdempotent({}, "POST", "/other"));
-  CHECK(whole->Trainers.at(wasabi::TrainerName("t")).Endpoint ==
+  CHECK(config->Trainers.at(wasabi::TrainerName("t")).Endpoint ==
         wasabi::Address{"10.0.0.1", 7});
-  CHECK(whole->preset() == wasabi::PresetDeclaration());
+  CHECK(config->preset() == wasabi::PresetDeclaration());
 }
 
 TEST_CASE(
@@ -141,10 +141,10 @@
   };
   for (const BadText &it : bad) {
     INFO(it.Text);
-    Outcome<Configuration> whole = build(it.Text);
-    REQUIRE_FALSE(whole);
-    CHECK(whole.failure().Place == it.Place);
-    CHECK_THAT(whole.failure().Reason, Catch::Contains(it.Reason));
+    Outcome<Configuration> config = build(it.Text);
+    REQUIRE_FALSE(config);
+    CHECK(config.failure().Place == it.Place);
+    CHECK_THAT(config.failure().Reason, Catch::Contains(it.Reason));
   }
 }
 
--- a/UnitTests/State/RecordTests.cpp
+++ b/UnitTests/State/RecordTests.cpp
@@ -15,7 +15,7 @@
 }
 
 const std::vector<Record> &samples() {
-  static const std::vector<Record> All = {
+  static const std::vector<Record> Samples = {
       {{"ctl\"1", 1764690000000000, 1},
        wasabi::ConfigChange{
            7,
@@ -29,7 +29,7 @@
       {{"d1", 2, 5}, wasabi::ClaimRelease{"snapshots", 6}},
       {{"d1", 2, 6},
        wasabi::SnapshotRecord{8, std::string(32, 'a'), 9, "{}", 6}}};
-  return All;
+  return Samples;
 }
 
 } // namespace
--- a/Wasabi/Config/Configuration.h
+++ b/Wasabi/Config/Configuration.h
@@ -1,7 +1,7 @@
 /// \file
-/// What operators declare, as typed values. Declarations are JSON objects with
-/// a `kind` and a `name`; together they are one `Configuration`, which is valid
-/// as a whole or not at all. Names are 1 to 128 of `A-Z a-z 0-9 . _ -`.
+/// The declarations of operators as typed values. Declarations are JSON objects
+/// with a `kind` and a `name`; together they are one `Configuration`, which is
+/// valid as a whole or not at all. Names are 1 to 128 of `A-Z a-z 0-9 . _ -`.
 ///
 ///     {"kind":"service","name":"drafting-llm","type":"engines","model":"draft",
 ///      "placements":[{"domain":"lulea-hall","servers":3}],
--- a/Wasabi/Core/Verdict.h
+++ b/Wasabi/Core/Verdict.h
@@ -18,11 +18,12 @@
 
 /// Whether a failed request took effect on its upstream.
 enum class Verdict : std::uint8_t {
-  /// No upstream started the request. It is safe to retry on any server.
+  /// Proven that no upstream started the request; it may be retried on any
+  /// server.
   NotRun,
-  /// Unknown. Only idempotent requests may be retried.
+  /// Neither is proven. Only idempotent requests may be retried.
   MayHaveRun,
-  /// The upstream ran the request.
+  /// The upstream is known to have run the request.
   Ran,
 };
 
--- a/Wasabi/State/Fold.h
+++ b/Wasabi/State/Fold.h
@@ -133,8 +133,8 @@
   std::string ChangedClaimResource;
 };
 
-/// Number of offsets after which author entries, removed keys and released
-/// claims are evicted. A change whose `Base` is older is refused.
+/// Age in offsets from which author entries, removed keys and released claims
+/// are evicted. A change whose `Base` is older is refused.
 inline constexpr Offset RetentionWindow = 100000;
 /// Interval between evictions, in offsets.
 inline constexpr Offset EvictionInterval = 1024;
--- a/Wasabi/State/Record.h
+++ b/Wasabi/State/Record.h
@@ -61,9 +61,10 @@
   FencingToken ReplacedToken = 0;
   /// Time for which the claim remains valid after a renewal.
   Millis Term{10000};
-  /// `RenewalOffset` of the replaced claim whose term the author has waited
-  /// for; 0 if there is none. The acquisition is refused if the claim was
-  /// renewed later. Ignored if the claim was released.
+  /// `RenewalOffset` of the replaced claim, as read by the author before it
+  /// waited for the claim's term; 0 if there is none. The acquisition is
+  /// refused if the claim was renewed after that. Ignored if the claim was
+  /// released.
   Offset SeenRenewalOffset = 0;
   bool operator==(const ClaimAcquire &) const = default;
 };
