--- a/UnitTests/Rollout/DeathTableTest.cpp
+++ b/UnitTests/Rollout/DeathTableTest.cpp
@@ -1,8 +1,7 @@
 /// \file
-/// The table of docs/design/delivery.md: a death between any two steps of a
-/// sample's way, one row each, for both kinds of trainer. Whatever dies, the
-/// step becomes whole with each sample taken once, fresh and truthfully
-/// labelled.
+/// Covers docs/design/delivery.md: an owner crash at each stage of a sample's
+/// life cycle, for both kinds of trainer, must neither lose, repeat nor
+/// mislabel samples, nor deliver stale ones.
 #include "UnitTests/Rollout/OwnerSimulation.h"
 
 #include <catch2/catch.hpp>
@@ -14,182 +13,218 @@
 
 namespace {
 
-constexpr std::uint32_t MostSteps = 20000;
-constexpr std::uint64_t Seeds = 20;
+constexpr std::uint32_t MaxSteps = 20000;
+constexpr std::uint64_t SeedCount = 20;
 
-/// No fault but those that a row brings about.
+/// Disables all random faults.
 constexpr Faults NoFaults{0, 0, 0, 0, 0, 0, 0, 0};
 
-/// Which trainers a row concerns.
-enum class Kind : std::uint8_t { Both, Checking, Plain };
+/// Kinds of trainers that a crash point applies to: those that check fencing
+/// tokens, those that do not, or both.
+enum class TrainerKind : std::uint8_t { Both, Checking, Plain };
 
-/// One row of the table.
-struct Row {
+/// A point at which the owner crashes.
+struct CrashPoint {
   const char *Name;
-  Kind Of = Kind::Both;
-  /// Faults that lead there.
-  Faults Before = NoFaults;
-  /// Whether the owner dies now.
-  bool (*IsThere)(const World &Of) = nullptr;
+  TrainerKind Trainers = TrainerKind::Both;
+  /// Fault rates until the crash.
+  Faults FaultRates = NoFaults;
+  /// Returns true once the crash point is reached.
+  bool (*IsReached)(const OwnerSimulation &Simulation) = nullptr;
 };
 
-const StepState &state(const World &Of) { return Of.Owners.back()->State; }
+const StepState &lastOwnerState(const OwnerSimulation &Simulation) {
+  return Simulation.Owners.back()->State;
+}
 
-bool anySlot(const World &Of, bool (*Is)(const SlotState &)) {
-  return std::any_of(state(Of).Slots.begin(), state(Of).Slots.end(),
-                     [Is](const auto &it) { return Is(it.second); });
+bool anySlot(const OwnerSimulation &Simulation,
+             bool (*Predicate)(const SlotState &)) {
+  return std::any_of(
+      lastOwnerState(Simulation).Slots.begin(),
+      lastOwnerState(Simulation).Slots.end(),
+      [Predicate](const auto &it) { return Predicate(it.second); });
 }
 
-template <typename T> bool wants(const World &Of) {
-  const std::deque<StepEffect> &effects = Of.Owners.back()->Effects;
+template <typename T> bool hasPendingEffect(const OwnerSimulation &Simulation) {
+  const std::deque<StepEffect> &effects = Simulation.Owners.back()->Effects;
   return std::any_of(effects.begin(), effects.end(), [](const StepEffect &it) {
     return std::holds_alternative<T>(it);
   });
 }
 
-bool logHolds(const World &Of, const char *RecordKind) {
+bool logHolds(const OwnerSimulation &Simulation, const char *RecordKind) {
   std::string member = std::string("\"kind\":\"") + RecordKind + "\"";
-  return std::any_of(Of.Log.begin(), Of.Log.end(), [&](const std::string &it) {
-    return it.find(member) != std::string::npos;
-  });
+  return std::any_of(Simulation.Log.begin(), Simulation.Log.end(),
+                     [&](const std::string &it) {
+                       return it.find(member) != std::string::npos;
+                     });
 }
 
-const Row Rows[] = {
-    {"the claim is taken, nothing is in the log", Kind::Both, NoFaults,
-     [](const World &) { return true; }},
-    {"an attempt was decided on and not sent", Kind::Both, NoFaults,
-     [](const World &of) { return wants<DispatchAttempt>(of); }},
-    {"an attempt is amid its stream", Kind::Both, NoFaults,
-     [](const World &of) {
+const CrashPoint CrashPoints[] = {
+    {"the claim is held, the log is empty", TrainerKind::Both, NoFaults,
+     [](const OwnerSimulation &) { return true; }},
+    {"an attempt is not sent yet", TrainerKind::Both, NoFaults,
+     [](const OwnerSimulation &simulation) {
+       return hasPendingEffect<DispatchAttempt>(simulation);
+     }},
+    {"an attempt is streaming", TrainerKind::Both, NoFaults,
+     [](const OwnerSimulation &simulation) {
        return std::any_of(
-           state(of).Attempts.begin(), state(of).Attempts.end(),
-           [](const auto &it) { return it.second.SoFar.Tokens > 0; });
+           lastOwnerState(simulation).Attempts.begin(),
+           lastOwnerState(simulation).Attempts.end(),
+           [](const auto &it) { return it.second.GeneratedDraft.Tokens > 0; });
      }},
-    {"a stream has ended, its score was not asked for", Kind::Both, NoFaults,
-     [](const World &of) { return wants<ScoreSample>(of); }},
-    {"a score's answer is lost",
-     Kind::Both,
+    {"a stream has ended, its score is not requested", TrainerKind::Both,
+     NoFaults,
+     [](const OwnerSimulation &simulation) {
+       return hasPendingEffect<ScoreSample>(simulation);
+     }},
+    {"the response of a score is lost",
+     TrainerKind::Both,
      {0, 0, 0, 0, 0, 0, 0, 100},
-     [](const World &of) {
-       return anySlot(of, [](const SlotState &it) {
+     [](const OwnerSimulation &simulation) {
+       return anySlot(simulation, [](const SlotState &it) {
          return it.Phase == SlotPhase::Scoring && !it.ScoreRequested;
        });
      }},
-    {"a sample is scored, its commit was not appended", Kind::Plain, NoFaults,
-     [](const World &of) {
-       return state(of).Committing && !logHolds(of, "sample_commit");
+    {"a sample is scored, its commit is not appended", TrainerKind::Plain,
+     NoFaults,
+     [](const OwnerSimulation &simulation) {
+       return lastOwnerState(simulation).Committing &&
+              !logHolds(simulation, "sample_commit");
      }},
-    {"a commit is in the log, its answer is lost",
-     Kind::Plain,
+    {"a commit is in the log, the response is lost",
+     TrainerKind::Plain,
      {0, 0, 0, 50, 0, 0, 0, 0},
-     [](const World &of) {
-       return logHolds(of, "sample_commit") && state(of).Committing;
+     [](const OwnerSimulation &simulation) {
+       return logHolds(simulation, "sample_commit") &&
+              lastOwnerState(simulation).Committing;
+     }},
+    {"a commit is read back, nothing is delivered", TrainerKind::Plain,
+     NoFaults,
+     [](const OwnerSimulation &simulation) {
+       return anySlot(simulation,
+                      [](const SlotState &it) { return it.Committed; }) &&
+              simulation.Trainer.HeldSamples.empty();
      }},
-    {"a commit was read back, nothing is delivered", Kind::Plain, NoFaults,
-     [](const World &of) {
-       return anySlot(of, [](const SlotState &it) { return it.Committed; }) &&
-              of.Trainer.Have.empty();
+    {"a delivery is not sent yet", TrainerKind::Both, NoFaults,
+     [](const OwnerSimulation &simulation) {
+       return hasPendingEffect<DeliverSamples>(simulation);
      }},
-    {"a delivery was decided on and not sent", Kind::Both, NoFaults,
-     [](const World &of) { return wants<DeliverSamples>(of); }},
-    {"a delivery was taken, its answer is lost",
-     Kind::Both,
+    {"a delivery is accepted, the response is lost",
+     TrainerKind::Both,
      {0, 100, 0, 0, 0, 0, 0, 0},
-     [](const World &of) { return !of.Trainer.Have.empty(); }},
-    {"a delivery's request is lost",
-     Kind::Both,
+     [](const OwnerSimulation &simulation) {
+       return !simulation.Trainer.HeldSamples.empty();
+     }},
+    {"the request of a delivery is lost",
+     TrainerKind::Both,
      {0, 0, 100, 0, 0, 0, 0, 0},
-     [](const World &of) {
-       return state(of).DeliveryCount > 0 && !state(of).Delivering;
+     [](const OwnerSimulation &simulation) {
+       return lastOwnerState(simulation).DeliveryCount > 0 &&
+              !lastOwnerState(simulation).Delivering;
+     }},
+    {"a delivery is accepted, but not in the log", TrainerKind::Both, NoFaults,
+     [](const OwnerSimulation &simulation) {
+       return lastOwnerState(simulation).DeliveredCount > 0 &&
+              !logHolds(simulation, "samples_delivered");
      }},
-    {"a delivery is answered, the log was not told", Kind::Both, NoFaults,
-     [](const World &of) {
-       return state(of).DeliveredCount > 0 &&
-              !logHolds(of, "samples_delivered");
+    {"a delivery is in the log, the step is incomplete", TrainerKind::Both,
+     NoFaults,
+     [](const OwnerSimulation &simulation) {
+       return logHolds(simulation, "samples_delivered");
      }},
-    {"the log was told, the step is not whole", Kind::Both, NoFaults,
-     [](const World &of) { return logHolds(of, "samples_delivered"); }},
-    {"the step is whole, the log was not told", Kind::Both, NoFaults,
-     [](const World &of) {
-       return of.Trainer.StepsDone > 0 && !logHolds(of, "step_closed");
+    {"the step is complete, but open in the log", TrainerKind::Both, NoFaults,
+     [](const OwnerSimulation &simulation) {
+       return simulation.Trainer.StepsDone > 0 &&
+              !logHolds(simulation, "step_closed");
+     }},
+    {"the step is closed in the log", TrainerKind::Both, NoFaults,
+     [](const OwnerSimulation &simulation) {
+       return logHolds(simulation, "step_closed");
      }},
-    {"the step is closed in the log", Kind::Both, NoFaults,
-     [](const World &of) { return logHolds(of, "step_closed"); }},
 };
 
-bool concerns(const Row &Which, bool Checks) {
-  return Which.Of == Kind::Both || (Which.Of == Kind::Checking) == Checks;
+bool appliesTo(const CrashPoint &Point, bool Checks) {
+  return Point.Trainers == TrainerKind::Both ||
+         (Point.Trainers == TrainerKind::Checking) == Checks;
 }
 
-/// Runs up to the row's moment; false when it never comes.
-bool reach(World &Of, const Row &Which) {
-  Of.Rates = Which.Before;
-  for (std::uint32_t i = 0; i < MostSteps; ++i) {
-    if (Which.IsThere(Of))
+/// Runs the simulation until the crash point. Returns false if it is not
+/// reached within `MaxSteps`.
+bool runUntil(OwnerSimulation &Simulation, const CrashPoint &Point) {
+  Simulation.Rates = Point.FaultRates;
+  for (std::uint32_t i = 0; i < MaxSteps; ++i) {
+    if (Point.IsReached(Simulation))
       return true;
-    Of.step();
+    Simulation.step();
   }
   return false;
 }
 
-void checkWhole(World &Of) {
-  CHECK(Of.finish(MostSteps));
-  CHECK(Of.Trainer.Duplicates == 0);
-  CHECK(Of.Trainer.Stale == 0);
-  CHECK(Of.Trainer.Mislabelled == 0);
+void checkCompletion(OwnerSimulation &Simulation) {
+  CHECK(Simulation.finish(MaxSteps));
+  CHECK(Simulation.Trainer.Duplicates == 0);
+  CHECK(Simulation.Trainer.Stale == 0);
+  CHECK(Simulation.Trainer.Mislabelled == 0);
 }
 
 } // namespace
 
-TEST_CASE("a death between any two steps loses and repeats nothing",
+TEST_CASE("an owner crash at any stage loses and repeats no sample",
           "[rollout]") {
-  for (const Row &row : Rows) {
+  for (const CrashPoint &point : CrashPoints) {
     for (bool checks : {true, false}) {
-      if (!concerns(row, checks))
+      if (!appliesTo(point, checks))
         continue;
-      DYNAMIC_SECTION(row.Name
-                      << (checks ? ", tokens checked" : ", nothing checked")) {
-        for (std::uint64_t seed = 0; seed < Seeds; ++seed) {
-          World world(seed, checks, VersionChange::Resume, NoFaults);
-          REQUIRE(reach(world, row));
-          world.takeOver();
-          checkWhole(world);
+      DYNAMIC_SECTION(point.Name << (checks ? ", tokens checked"
+                                            : ", tokens not checked")) {
+        for (std::uint64_t seed = 0; seed < SeedCount; ++seed) {
+          OwnerSimulation simulation(seed, checks, VersionChange::Resume,
+                                     NoFaults);
+          REQUIRE(runUntil(simulation, point));
+          simulation.takeOver();
+          checkCompletion(simulation);
         }
       }
     }
   }
 }
 
-TEST_CASE("two deaths in a row lose and repeat nothing", "[rollout]") {
-  for (const Row &row : Rows) {
+TEST_CASE("two successive owner crashes lose and repeat no sample",
+          "[rollout]") {
+  for (const CrashPoint &point : CrashPoints) {
     for (bool checks : {true, false}) {
-      if (!concerns(row, checks))
+      if (!appliesTo(point, checks))
         continue;
-      DYNAMIC_SECTION(row.Name
-                      << (checks ? ", tokens checked" : ", nothing checked")) {
-        for (std::uint64_t seed = 0; seed < Seeds; ++seed) {
-          World world(seed, checks, VersionChange::Resume, NoFaults);
-          REQUIRE(reach(world, row));
-          world.takeOver();
-          world.takeOver();
-          checkWhole(world);
+      DYNAMIC_SECTION(point.Name << (checks ? ", tokens checked"
+                                            : ", tokens not checked")) {
+        for (std::uint64_t seed = 0; seed < SeedCount; ++seed) {
+          OwnerSimulation simulation(seed, checks, VersionChange::Resume,
+                                     NoFaults);
+          REQUIRE(runUntil(simulation, point));
+          simulation.takeOver();
+          simulation.takeOver();
+          checkCompletion(simulation);
         }
       }
     }
   }
 }
 
-TEST_CASE("what a dead owner committed is delivered, not generated again",
+TEST_CASE("samples of a crashed owner are delivered, not generated again",
           "[rollout]") {
-  World world(7, false, VersionChange::Resume, NoFaults);
-  auto committed = [](const World &of) {
-    return !of.Owners.back()->Fold.Committed.empty() && of.Trainer.Have.empty();
+  OwnerSimulation simulation(7, false, VersionChange::Resume, NoFaults);
+  auto committed = [](const OwnerSimulation &simulation) {
+    return !simulation.Owners.back()->Fold.Committed.empty() &&
+           simulation.Trainer.HeldSamples.empty();
   };
-  REQUIRE(reach(world, Row{"", Kind::Plain, NoFaults, committed}));
-  Slot slot = world.Owners.back()->Fold.Committed.begin()->first;
-  world.takeOver();
-  CHECK(state(world).Slots.at(slot).Phase == SlotPhase::Scored);
-  CHECK(state(world).Slots.at(slot).Attempts == 0);
+  REQUIRE(runUntil(simulation,
+                   CrashPoint{"", TrainerKind::Plain, NoFaults, committed}));
+  Slot slot = simulation.Owners.back()->Fold.Committed.begin()->first;
+  simulation.takeOver();
+  CHECK(lastOwnerState(simulation).Slots.at(slot).Phase == SlotPhase::Scored);
+  CHECK(lastOwnerState(simulation).Slots.at(slot).Attempts == 0);
 }
 
 } // namespace wasabi::test
--- a/UnitTests/Rollout/DeliveryTest.cpp
+++ b/UnitTests/Rollout/DeliveryTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Exactly once, fresh and truthfully labelled, whatever dies between two
-/// steps.
+/// Guards against lost, repeated, stale and mislabelled samples under random
+/// faults and owner crashes.
 #include "UnitTests/Rollout/OwnerSimulation.h"
 
 #include <catch2/catch.hpp>
@@ -11,42 +11,45 @@
 namespace {
 
 constexpr std::uint32_t FaultySteps = 400;
-constexpr std::uint32_t MostSteps = 60000;
+constexpr std::uint32_t MaxSteps = 60000;
 
-VersionChange policyOf(std::uint8_t N) {
-  constexpr VersionChange All[] = {VersionChange::Resume, VersionChange::Finish,
-                                   VersionChange::Restart};
-  return All[N % 3];
+VersionChange makeVersionChange(std::uint8_t Index) {
+  constexpr VersionChange Policies[] = {
+      VersionChange::Resume, VersionChange::Finish, VersionChange::Restart};
+  return Policies[Index % 3];
 }
 
-void checkTrainer(const FakeTrainer &Of) {
-  RC_ASSERT(Of.Duplicates == 0U);
-  RC_ASSERT(Of.Stale == 0U);
-  RC_ASSERT(Of.Mislabelled == 0U);
+void checkTrainer(const FakeTrainer &Trainer) {
+  RC_ASSERT(Trainer.Duplicates == 0U);
+  RC_ASSERT(Trainer.Stale == 0U);
+  RC_ASSERT(Trainer.Mislabelled == 0U);
 }
 
 } // namespace
 
-TEST_CASE("a trainer that checks tokens gets each sample once", "[rollout]") {
-  bool held = rc::check([](std::uint64_t seed, std::uint8_t policy) {
-    World world(seed, true, policyOf(policy), Faults());
+TEST_CASE("a trainer that checks tokens receives each sample once",
+          "[rollout]") {
+  bool passed = rc::check([](std::uint64_t seed, std::uint8_t policy) {
+    OwnerSimulation simulation(seed, true, makeVersionChange(policy), Faults());
     for (std::uint32_t i = 0; i < FaultySteps; ++i)
-      world.step();
-    RC_ASSERT(world.finish(MostSteps));
-    checkTrainer(world.Trainer);
+      simulation.step();
+    RC_ASSERT(simulation.finish(MaxSteps));
+    checkTrainer(simulation.Trainer);
   });
-  CHECK(held);
+  CHECK(passed);
 }
 
-TEST_CASE("a trainer that checks nothing gets each sample once", "[rollout]") {
-  bool held = rc::check([](std::uint64_t seed, std::uint8_t policy) {
-    World world(seed, false, policyOf(policy), Faults());
+TEST_CASE("a trainer that checks no tokens receives each sample once",
+          "[rollout]") {
+  bool passed = rc::check([](std::uint64_t seed, std::uint8_t policy) {
+    OwnerSimulation simulation(seed, false, makeVersionChange(policy),
+                               Faults());
     for (std::uint32_t i = 0; i < FaultySteps; ++i)
-      world.step();
-    RC_ASSERT(world.finish(MostSteps));
-    checkTrainer(world.Trainer);
+      simulation.step();
+    RC_ASSERT(simulation.finish(MaxSteps));
+    checkTrainer(simulation.Trainer);
   });
-  CHECK(held);
+  CHECK(passed);
 }
 
 } // namespace wasabi::test
--- a/UnitTests/Rollout/LabelTest.cpp
+++ b/UnitTests/Rollout/LabelTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Labels: what is attested, and nothing else.
+/// Tests drafts, labels, slot names and the parser of engine streams.
 #include "Wasabi/Rollout/Label.h"
 #include "Wasabi/Rollout/Slot.h"
 #include "Wasabi/Rollout/StreamParser.h"
@@ -8,11 +8,11 @@
 
 namespace wasabi {
 
-TEST_CASE("chunks of one version join into one span", "[label]") {
+TEST_CASE("chunks of one version form one span", "[label]") {
   Draft draft;
-  CHECK(append(draft, Chunk{0, 2, "ab", 3}) == ChunkStatus::Taken);
-  CHECK(append(draft, Chunk{2, 1, "c", 3}) == ChunkStatus::Taken);
-  CHECK(append(draft, Chunk{3, 2, "de", 4}) == ChunkStatus::Taken);
+  CHECK(append(draft, Chunk{0, 2, "ab", 3}) == ChunkStatus::Appended);
+  CHECK(append(draft, Chunk{2, 1, "c", 3}) == ChunkStatus::Appended);
+  CHECK(append(draft, Chunk{3, 2, "de", 4}) == ChunkStatus::Appended);
   CHECK(draft.Text == "abcde");
   CHECK(toText(draft.Spans) == "0-3@3,3-5@4");
   CHECK(covers(draft.Spans, 5));
@@ -20,10 +20,9 @@
   CHECK(oldestVersion(draft.Spans) == WeightVersion(3));
 }
 
-TEST_CASE("a chunk out of place or without a version changes nothing",
-          "[label]") {
+TEST_CASE("a misplaced or unversioned chunk is rejected", "[label]") {
   Draft draft;
-  CHECK(append(draft, Chunk{0, 2, "ab", 3}) == ChunkStatus::Taken);
+  CHECK(append(draft, Chunk{0, 2, "ab", 3}) == ChunkStatus::Appended);
   Draft before = draft;
   CHECK(append(draft, Chunk{3, 1, "x", 3}) == ChunkStatus::UnexpectedPosition);
   CHECK(append(draft, Chunk{1, 1, "x", 3}) == ChunkStatus::UnexpectedPosition);
@@ -39,14 +38,14 @@
   CHECK_FALSE(covers({{0, 0, 1}}, 0));
 }
 
-TEST_CASE("slots read back as written, and nothing else is one", "[label]") {
+TEST_CASE("slots are parsed as formatted, other texts are refused", "[label]") {
   Slot slot{7, 2, 11};
   CHECK(slotFromText(toText(slot)) == slot);
   for (const char *bad : {"", "1", "1/2", "1/2/", "1/2/3/4", "a/2/3", "-1/2/3"})
     CHECK_FALSE(slotFromText(bad));
 }
 
-TEST_CASE("an engine's stream is parsed across any cut", "[label]") {
+TEST_CASE("an engine's stream is parsed however it is split", "[label]") {
   const std::string text =
       "data: {\"position\":0,\"tokens\":2,\"text\":\" a b\","
       "\"weights_version\":5}\n\n"
@@ -69,7 +68,7 @@
   }
 }
 
-TEST_CASE("a malformed event is a failure that names its member", "[label]") {
+TEST_CASE("the failure of a malformed event names its member", "[label]") {
   StreamParser parser;
   Outcome<std::vector<StreamItem>> got =
       parse(parser, "data: {\"position\":0,\"tokens\":-1,\"text\":\"\"}\n\n");
--- a/UnitTests/Rollout/OwnerSimulation.cpp
+++ b/UnitTests/Rollout/OwnerSimulation.cpp
@@ -9,14 +9,17 @@
 constexpr std::uint32_t MaxTokens = 12;
 constexpr std::uint32_t EngineCount = 3;
 
-Failure failure(Verdict Run, FailureCode Code = FailureCode::ConnectionLost) {
+Failure makeFailure(Verdict Run,
+                    FailureCode Code = FailureCode::ConnectionLost) {
   Failure why;
   why.Run = Run;
   why.Code = Code;
   return why;
 }
 
-std::uint32_t lengthOf(std::uint64_t Seed) { return 1 + Seed * 7 % MaxTokens; }
+std::uint32_t sampleLength(std::uint64_t Seed) {
+  return 1 + Seed * 7 % MaxTokens;
+}
 
 } // namespace
 
@@ -26,7 +29,7 @@
          std::to_string(Version);
 }
 
-std::string textOf(std::uint64_t Seed, const Label &Spans) {
+std::string textForLabel(std::uint64_t Seed, const Label &Spans) {
   std::string text;
   for (const VersionSpan &it : Spans) {
     for (std::uint32_t at = it.From; at < it.To; ++at)
@@ -42,45 +45,46 @@
     Wanted.Groups.push_back(WantedGroup{g, "p" + std::to_string(g),
                                         std::uint32_t(GroupSize), MaxTokens,
                                         Step * 100 + std::uint64_t(g) * 10});
-  Have.clear();
+  HeldSamples.clear();
 }
 
 WantedStep FakeTrainer::wanted() const {
-  WantedStep now = Wanted;
-  now.Newest = Newest;
-  now.Fence = Fence;
-  for (const auto &it : Have)
-    now.HeldSlots.push_back(it.first);
-  return now;
+  WantedStep current = Wanted;
+  current.Newest = Newest;
+  current.Fence = Fence;
+  for (const auto &it : HeldSamples)
+    current.HeldSlots.push_back(it.first);
+  return current;
 }
 
-std::optional<DeliveryResponse> FakeTrainer::take(const Delivery &What) {
-  if (Checks && What.Fence < Fence)
+std::optional<DeliveryResponse>
+FakeTrainer::acceptDelivery(const Delivery &Batch) {
+  if (Checks && Batch.Fence < Fence)
     return std::nullopt;
-  Fence = std::max(Fence, What.Fence);
+  Fence = std::max(Fence, Batch.Fence);
   DeliveryResponse answer;
-  for (const Sample &it : What.Samples) {
+  for (const Sample &it : Batch.Samples) {
     if (it.Place.Step != Wanted.Step) {
       answer.Refused.push_back({it.Place, RefusalReason::Unknown});
       continue;
     }
     bool fresh = isFresh(Freshness{Newest, Bound}, it.Spans);
-    bool again = Have.contains(it.Place);
-    if (Checks && (again || !fresh)) {
-      answer.Refused.push_back(
-          {it.Place, again ? RefusalReason::Duplicate : RefusalReason::Stale});
+    bool duplicate = HeldSamples.contains(it.Place);
+    if (Checks && (duplicate || !fresh)) {
+      answer.Refused.push_back({it.Place, duplicate ? RefusalReason::Duplicate
+                                                    : RefusalReason::Stale});
       continue;
     }
-    Duplicates += again ? 1 : 0;
+    Duplicates += duplicate ? 1 : 0;
     Stale += fresh ? 0 : 1;
-    bool truthful = covers(it.Spans, it.Tokens) &&
-                    textOf(it.Seed, it.Spans) == it.Text &&
-                    it.Tokens == lengthOf(it.Seed);
-    Mislabelled += truthful ? 0 : 1;
-    Have.emplace(it.Place, it);
+    bool labelled = covers(it.Spans, it.Tokens) &&
+                    textForLabel(it.Seed, it.Spans) == it.Text &&
+                    it.Tokens == sampleLength(it.Seed);
+    Mislabelled += labelled ? 0 : 1;
+    HeldSamples.emplace(it.Place, it);
     answer.AcceptedSlots.push_back(it.Place);
   }
-  if (Have.size() == Groups * GroupSize) {
+  if (HeldSamples.size() == Groups * GroupSize) {
     answer.StepComplete = true;
     ++StepsDone;
     ++Newest;
@@ -90,9 +94,9 @@
   return answer;
 }
 
-World::World(std::uint64_t Seed, bool Checks, VersionChange Change,
-             Faults Often)
-    : Random(Seed), Rates(Often), Policy(Change) {
+OwnerSimulation::OwnerSimulation(std::uint64_t Seed, bool Checks,
+                                 VersionChange Change, Faults FaultRates)
+    : Random(Seed), Rates(FaultRates), Policy(Change) {
   Trainer.Checks = Checks;
   Trainer.openStep(1);
   for (std::uint32_t i = 0; i < EngineCount; ++i)
@@ -100,25 +104,27 @@
   takeOver();
 }
 
-bool World::chance(std::uint32_t Percent) { return Random() % 100 < Percent; }
+bool OwnerSimulation::chance(std::uint32_t Percent) {
+  return Random() % 100 < Percent;
+}
 
-void World::feed(FakeOwner &Who, const StepEvent &Event) {
-  for (StepEffect &it : decide(Who.State, Event, Now)) {
+void OwnerSimulation::handleEvent(FakeOwner &Owner, const StepEvent &Event) {
+  for (StepEffect &it : decide(Owner.State, Event, Now)) {
     if (const auto *record = std::get_if<AppendRecord>(&it)) {
-      TrainerRecord whole{RecordId{Who.Name, 1, ++Who.Sequence},
-                          Who.State.Setup.Fence, record->Body};
-      Who.Appends.push_back(encodeTrainerRecord(whole));
+      TrainerRecord complete{RecordId{Owner.Name, 1, ++Owner.Sequence},
+                             Owner.State.Setup.Fence, record->Body};
+      Owner.Appends.push_back(encodeTrainerRecord(complete));
     } else if (std::holds_alternative<StopOwning>(it)) {
-      Who.Stopped = true;
+      Owner.Stopped = true;
     } else if (const auto *gone = std::get_if<CancelAttempt>(&it)) {
-      Who.Streams.erase(gone->Attempt);
-    } else if (!std::holds_alternative<Note>(it)) {
-      Who.Effects.push_back(std::move(it));
+      Owner.Streams.erase(gone->Attempt);
+    } else if (!std::holds_alternative<TimelineNote>(it)) {
+      Owner.Effects.push_back(std::move(it));
     }
   }
 }
 
-void World::showEngines(FakeOwner &Who) {
+void OwnerSimulation::reportEngines(FakeOwner &Owner) {
   EnginesUpdated seen;
   for (const auto &it : EngineVersions) {
     ReportedEngine one;
@@ -127,13 +133,14 @@
     one.Slots = 2;
     seen.All.push_back(one);
   }
-  feed(Who, seen);
+  handleEvent(Owner, seen);
 }
 
-void World::takeOver() {
+void OwnerSimulation::takeOver() {
   if (!Owners.empty()) {
-    ++Deaths;
-    // Without tokens to check, the term of the claim has stopped the old one.
+    ++OwnerCrashes;
+    // If the trainer checks no tokens, the previous owner has stopped at the
+    // end of its claim's term.
     if (!Trainer.Checks)
       Owners.clear();
   }
@@ -146,100 +153,104 @@
   policy.ChecksFences = Trainer.Checks;
   policy.StalenessBound = Trainer.Bound;
   policy.OnVersionChange = Policy;
-  feed(*owner, PolicyChanged{policy});
+  handleEvent(*owner, PolicyChanged{policy});
   Log.push_back(encodeTrainerRecord(TrainerRecord{
       RecordId{owner->Name, 1, ++owner->Sequence}, fence, OwnerStart{1}}));
   readLog(*owner);
-  feed(*owner, LogRecovered{owner->Fold});
-  feed(*owner, StepReceived{Trainer.wanted(), true});
-  showEngines(*owner);
+  handleEvent(*owner, LogRecovered{owner->Fold});
+  handleEvent(*owner, StepReceived{Trainer.wanted(), true});
+  reportEngines(*owner);
   Owners.push_back(std::move(owner));
 }
 
-void World::readLog(FakeOwner &Who) {
-  while (Who.Fold.Next < Log.size()) {
-    Offset at = Who.Fold.Next;
+void OwnerSimulation::readLog(FakeOwner &Owner) {
+  while (Owner.Fold.Next < Log.size()) {
+    Offset at = Owner.Fold.Next;
     const std::string &text = Log[at];
-    TrainerApplyResult did = apply(Who.Fold, at, text);
+    TrainerApplyResult result = apply(Owner.Fold, at, text);
     Outcome<TrainerRecord> record =
         toOutcome<TrainerRecord>([&] { return decodeTrainerRecord(text); });
-    bool own = record && record->Id.Author == Who.Name &&
+    bool own = record && record->Id.Author == Owner.Name &&
                std::holds_alternative<SampleCommit>(record->Body);
-    if (own && did.ApplyStatus == RecordStatus::Accepted)
-      feed(Who, CommitConfirmed{at, did.Filled, did.Dropped});
+    if (own && result.ApplyStatus == RecordStatus::Accepted)
+      handleEvent(Owner, CommitConfirmed{at, result.Filled, result.Dropped});
   }
 }
 
-void World::append(FakeOwner &Who) {
-  if (Who.Appends.empty())
+void OwnerSimulation::append(FakeOwner &Owner) {
+  if (Owner.Appends.empty())
     return;
-  Log.push_back(Who.Appends.front());
-  // A lost answer: the record is there, and comes again with the same id.
+  Log.push_back(Owner.Appends.front());
+  // Simulates a lost response: the record is appended and will be appended
+  // again under the same id.
   if (chance(Rates.RepeatedAppend))
     return;
-  Who.Appends.pop_front();
-  if (&Who == Owners.back().get())
-    readLog(Who);
+  Owner.Appends.pop_front();
+  if (&Owner == Owners.back().get())
+    readLog(Owner);
 }
 
-void World::deliver(FakeOwner &Who, const Delivery &What) {
+void OwnerSimulation::deliver(FakeOwner &Owner, const Delivery &Batch) {
   if (chance(Rates.LostRequest)) {
-    feed(Who, DeliveryFailed{What.Id, failure(Verdict::NotRun)});
+    handleEvent(Owner, DeliveryFailed{Batch.Id, makeFailure(Verdict::NotRun)});
     return;
   }
-  std::optional<DeliveryResponse> answer = Trainer.take(What);
+  std::optional<DeliveryResponse> answer = Trainer.acceptDelivery(Batch);
   if (!answer) {
-    feed(Who, DeliveryFailed{
-                  What.Id, failure(Verdict::NotRun, FailureCode::StaleFence)});
+    handleEvent(Owner,
+                DeliveryFailed{Batch.Id, makeFailure(Verdict::NotRun,
+                                                     FailureCode::StaleFence)});
     return;
   }
   if (chance(Rates.LostAnswer)) {
-    feed(Who, DeliveryFailed{What.Id, failure(Verdict::MayHaveRun)});
+    handleEvent(Owner,
+                DeliveryFailed{Batch.Id, makeFailure(Verdict::MayHaveRun)});
     return;
   }
-  feed(Who, DeliveryAnswered{What.Id, *answer});
+  handleEvent(Owner, DeliveryAnswered{Batch.Id, *answer});
   if (answer->StepComplete)
-    feed(Who, StepReceived{Trainer.wanted(), false});
+    handleEvent(Owner, StepReceived{Trainer.wanted(), false});
 }
 
-void World::perform(FakeOwner &Who) {
-  if (Who.Effects.empty())
+void OwnerSimulation::perform(FakeOwner &Owner) {
+  if (Owner.Effects.empty())
     return;
-  // Any order: answers are late as they like.
-  std::size_t at = Random() % Who.Effects.size();
-  StepEffect effect = std::move(Who.Effects[at]);
-  Who.Effects.erase(Who.Effects.begin() + static_cast<std::ptrdiff_t>(at));
+  // Effects complete in any order.
+  std::size_t at = Random() % Owner.Effects.size();
+  StepEffect effect = std::move(Owner.Effects[at]);
+  Owner.Effects.erase(Owner.Effects.begin() + static_cast<std::ptrdiff_t>(at));
   if (const auto *begin = std::get_if<DispatchAttempt>(&effect)) {
-    Who.Streams[begin->Attempt] =
+    Owner.Streams[begin->Attempt] =
         FakeOwner::Stream{begin->Place, begin->On.Name, begin->Seed,
-                          begin->From.Tokens, lengthOf(begin->Seed)};
+                          begin->From.Tokens, sampleLength(begin->Seed)};
   } else if (const auto *score = std::get_if<ScoreSample>(&effect)) {
     if (chance(Rates.ScoreFailure))
-      feed(Who, ScoreFailed{score->Place, Failure{}});
+      handleEvent(Owner, ScoreFailed{score->Place, Failure{}});
     else
-      feed(Who, SampleScored{score->Place, 0.5});
+      handleEvent(Owner, SampleScored{score->Place, 0.5});
   } else if (const auto *delivery = std::get_if<DeliverSamples>(&effect)) {
-    deliver(Who, delivery->What);
+    deliver(Owner, delivery->Batch);
   } else if (std::holds_alternative<QueryTrainer>(effect)) {
-    feed(Who, StepReceived{Trainer.wanted(), true});
+    handleEvent(Owner, StepReceived{Trainer.wanted(), true});
   }
 }
 
-void World::advanceStream(FakeOwner &Who) {
-  if (Who.Streams.empty())
+void OwnerSimulation::advanceStream(FakeOwner &Owner) {
+  if (Owner.Streams.empty())
     return;
-  auto it = Who.Streams.begin();
-  std::advance(it, static_cast<std::ptrdiff_t>(Random() % Who.Streams.size()));
+  auto it = Owner.Streams.begin();
+  std::advance(it,
+               static_cast<std::ptrdiff_t>(Random() % Owner.Streams.size()));
   AttemptId id = it->first;
   FakeOwner::Stream &stream = it->second;
   if (chance(Rates.StreamFailure)) {
-    Who.Streams.erase(it);
-    feed(Who, AttemptFailed{id, Failure{}});
+    Owner.Streams.erase(it);
+    handleEvent(Owner, AttemptFailed{id, Failure{}});
     return;
   }
   if (stream.At == stream.Length) {
-    Who.Streams.erase(it);
-    feed(Who, AttemptEnded{id, lengthOf(stream.Seed)});
+    Owner.Streams.erase(it);
+    handleEvent(Owner, AttemptEnded{id, sampleLength(stream.Seed)});
     return;
   }
   WeightVersion version = EngineVersions[stream.On];
@@ -248,21 +259,21 @@
   ++stream.At;
   if (chance(Rates.UnversionedChunk))
     chunk.Version.reset();
-  feed(Who, ChunkReceived{id, chunk});
+  handleEvent(Owner, ChunkReceived{id, chunk});
 }
 
-void World::step() {
+void OwnerSimulation::step() {
   Now += Millis(10 + Random() % 50);
-  // A paused owner wakes with what it had in hand.
-  FakeOwner &who =
+  // A paused owner may resume with its pending effects.
+  FakeOwner &active =
       *Owners[Owners.size() == 1 || chance(90) ? Owners.size() - 1
                                                : Random() % Owners.size()];
   if (chance(Rates.OwnerCrash)) {
     takeOver();
     return;
   }
-  // Nobody can know of a publication that a delivery meets on its way: a
-  // trainer that takes anything must not publish while its step is open.
+  // A trainer that does not check deliveries must not publish while its step is
+  // open: a publication could make a delivery in flight stale.
   if (Trainer.Checks && chance(Rates.Publication))
     ++Trainer.Newest;
   if (chance(10)) {
@@ -270,31 +281,31 @@
     std::advance(engine, static_cast<std::ptrdiff_t>(Random() % EngineCount));
     engine->second = Trainer.Newest;
   }
-  if (who.Stopped)
+  if (active.Stopped)
     return;
   switch (Random() % 6) {
   case 0:
-    append(who);
+    append(active);
     break;
   case 1:
-    feed(who, Tick());
-    showEngines(who);
+    handleEvent(active, Tick());
+    reportEngines(active);
     break;
   case 2:
-    // A poll; only the newest owner is awake enough for one.
-    if (&who == Owners.back().get())
-      feed(who, StepReceived{Trainer.wanted(), false});
+    // Polls the trainer; paused owners do not poll.
+    if (&active == Owners.back().get())
+      handleEvent(active, StepReceived{Trainer.wanted(), false});
     break;
   case 3:
-    perform(who);
+    perform(active);
     break;
   default:
-    advanceStream(who);
+    advanceStream(active);
     break;
   }
 }
 
-bool World::finish(std::uint32_t Most) {
+bool OwnerSimulation::finish(std::uint32_t Most) {
   Rates = Faults{0, 0, 0, 0, 0, 0, 0, 0};
   std::uint32_t goal = Trainer.StepsDone + 1;
   for (std::uint32_t i = 0; i < Most && Trainer.StepsDone < goal; ++i)
--- a/UnitTests/Rollout/OwnerSimulation.h
+++ b/UnitTests/Rollout/OwnerSimulation.h
@@ -1,6 +1,6 @@
 /// \file
-/// A trainer, a log, engines and a row of owners in one thread, with faults at
-/// every step between them: what the properties of delivery are checked on.
+/// Simulates a trainer, a log, engines and successive owners in one thread,
+/// with random faults at every step. The delivery tests run on it.
 #ifndef WASABI_UNITTESTS_ROLLOUT_OWNERSIMULATION_H
 #define WASABI_UNITTESTS_ROLLOUT_OWNERSIMULATION_H
 
@@ -16,14 +16,15 @@
 
 namespace wasabi::test {
 
-/// A trainer's memory, with what it saw go wrong.
+/// A trainer that counts the duplicate, stale and mislabelled samples that it
+/// accepts.
 struct FakeTrainer {
   bool Checks = true;
   std::uint32_t Bound = 1;
   WeightVersion Newest = 1;
   FencingToken Fence = 0;
   WantedStep Wanted;
-  std::map<Slot, Sample> Have;
+  std::map<Slot, Sample> HeldSamples;
   std::uint32_t Duplicates = 0;
   std::uint32_t Stale = 0;
   std::uint32_t Mislabelled = 0;
@@ -31,17 +32,18 @@
 
   void openStep(std::uint64_t Step);
   WantedStep wanted() const;
-  /// Takes a delivery; empty when its token is too old.
-  std::optional<DeliveryResponse> take(const Delivery &What);
+  /// Handles a delivery. Returns nothing if its fencing token is too old.
+  std::optional<DeliveryResponse> acceptDelivery(const Delivery &Batch);
 };
 
-/// The text of one token, so that labels can be checked against texts.
+/// Returns the text of one token. It contains the version, so that labels can
+/// be verified.
 std::string tokenText(std::uint64_t Seed, std::uint32_t At,
                       WeightVersion Version);
-/// The text that a label claims.
-std::string textOf(std::uint64_t Seed, const Label &Spans);
+/// Returns the text that matches a label.
+std::string textForLabel(std::uint64_t Seed, const Label &Spans);
 
-/// One owner with the effects it has asked for and that did not happen yet.
+/// An owner with its pending effects and records.
 struct FakeOwner {
   struct Stream {
     Slot Place;
@@ -60,7 +62,7 @@
   bool Stopped = false;
 };
 
-/// How often things go wrong, in percent of the steps.
+/// Fault rates in percent.
 struct Faults {
   std::uint32_t OwnerCrash = 2;
   std::uint32_t LostAnswer = 10;
@@ -72,22 +74,23 @@
   std::uint32_t ScoreFailure = 5;
 };
 
-struct World {
-  World(std::uint64_t Seed, bool Checks, VersionChange Policy, Faults Rates);
+struct OwnerSimulation {
+  OwnerSimulation(std::uint64_t Seed, bool Checks, VersionChange Policy,
+                  Faults Rates);
 
-  /// One random step of somebody.
+  /// Performs one random action of a random owner.
   void step();
-  /// Steps without faults until the open step is whole; false when it does not
-  /// become so within `Most` steps.
+  /// Runs without faults until the open step is complete. Returns false if it
+  /// is not complete within `Most` steps.
   bool finish(std::uint32_t Most);
-  /// A new owner takes over; the old one lives on paused if the trainer checks
-  /// tokens, and may wake at any time.
+  /// Starts a new owner. If the trainer checks tokens, the previous owner stays
+  /// paused and may resume at any time.
   void takeOver();
-  /// Performs the next effect of the owner, of any kind.
-  void perform(FakeOwner &Who);
-  void advanceStream(FakeOwner &Who);
-  void append(FakeOwner &Who);
-  void feed(FakeOwner &Who, const StepEvent &Event);
+  /// Performs a random pending effect of the owner.
+  void perform(FakeOwner &Owner);
+  void advanceStream(FakeOwner &Owner);
+  void append(FakeOwner &Owner);
+  void handleEvent(FakeOwner &Owner, const StepEvent &Event);
 
   std::mt19937_64 Random;
   Faults Rates;
@@ -98,13 +101,13 @@
   std::vector<std::unique_ptr<FakeOwner>> Owners;
   FencingToken NextFence = 1;
   TimePoint Now{Micros(1000000)};
-  std::uint32_t Deaths = 0;
+  std::uint32_t OwnerCrashes = 0;
 
 private:
   bool chance(std::uint32_t Percent);
-  void readLog(FakeOwner &Who);
-  void showEngines(FakeOwner &Who);
-  void deliver(FakeOwner &Who, const Delivery &What);
+  void readLog(FakeOwner &Owner);
+  void reportEngines(FakeOwner &Owner);
+  void deliver(FakeOwner &Owner, const Delivery &Batch);
 };
 
 } // namespace wasabi::test
--- a/UnitTests/Rollout/TrainerFoldTest.cpp
+++ b/UnitTests/Rollout/TrainerFoldTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The fold of a trainer's stream.
+/// Tests the records of a trainer's stream and their fold.
 #include "Wasabi/Rollout/TrainerFold.h"
 
 #include <catch2/catch.hpp>
@@ -8,12 +8,12 @@
 
 namespace {
 
-Sample sampleOf(Slot Place, WeightVersion Version, std::string Text = "x") {
+Sample makeSample(Slot Place, WeightVersion Version, std::string Text = "x") {
   return Sample{Place, std::move(Text), 1, {{0, 1, Version}}, 0.25, 9};
 }
 
-/// A stream under construction, with its fold.
-struct Stream {
+/// Appends records to a stream and folds them.
+struct FoldedStream {
   TrainerState State;
   std::map<std::string, std::uint64_t> Sequences;
 
@@ -21,15 +21,15 @@
                          TrainerBody Body) {
     TrainerRecord record{RecordId{Author, 1, ++Sequences[Author]}, Fence,
                          std::move(Body)};
-    return repeat(record);
+    return addRecord(record);
   }
-  TrainerApplyResult repeat(const TrainerRecord &Record) {
+  TrainerApplyResult addRecord(const TrainerRecord &Record) {
     return apply(State, State.Next, encodeTrainerRecord(Record));
   }
 };
 
-Stream opened() {
-  Stream stream;
+FoldedStream makeOpenStream() {
+  FoldedStream stream;
   stream.add("a", 5, OwnerStart{1});
   stream.add("a", 5, VersionPublished{3});
   stream.add("a", 5, StepOpened{7});
@@ -38,78 +38,80 @@
 
 } // namespace
 
-TEST_CASE("records read back as written", "[trainer-fold]") {
+TEST_CASE("records are decoded as encoded", "[trainer-fold]") {
   const TrainerBody bodies[] = {
       OwnerStart{2},
       VersionPublished{9},
       StepOpened{4},
-      SampleCommit{{sampleOf({4, 0, 1}, 9), sampleOf({4, 0, 2}, 8)}},
+      SampleCommit{{makeSample({4, 0, 1}, 9), makeSample({4, 0, 2}, 8)}},
       SamplesDelivered{"d", {{4, 0, 1}}},
       StepClosed{4}};
   for (const TrainerBody &body : bodies) {
     TrainerRecord record{RecordId{"a", 2, 3}, 17, body};
-    Outcome<TrainerRecord> back = toOutcome<TrainerRecord>(
+    Outcome<TrainerRecord> decoded = toOutcome<TrainerRecord>(
         [&] { return decodeTrainerRecord(encodeTrainerRecord(record)); });
-    REQUIRE(back);
-    CHECK(*back == record);
+    REQUIRE(decoded);
+    CHECK(*decoded == record);
   }
 }
 
-TEST_CASE("the first valid commit has the slot", "[trainer-fold]") {
-  Stream stream = opened();
+TEST_CASE("the first valid commit fills the slot", "[trainer-fold]") {
+  FoldedStream stream = makeOpenStream();
   Slot slot{7, 0, 0};
   TrainerApplyResult first =
-      stream.add("a", 5, SampleCommit{{sampleOf(slot, 3, "one")}});
+      stream.add("a", 5, SampleCommit{{makeSample(slot, 3, "one")}});
   TrainerApplyResult second =
-      stream.add("a", 5, SampleCommit{{sampleOf(slot, 3, "two")}});
+      stream.add("a", 5, SampleCommit{{makeSample(slot, 3, "two")}});
   CHECK(first.Filled == std::vector<Slot>{slot});
   CHECK(second.Dropped == std::vector<Slot>{slot});
-  CHECK(stream.State.Committed.at(slot).What.Text == "one");
+  CHECK(stream.State.Committed.at(slot).Content.Text == "one");
 }
 
-TEST_CASE("an older owner's records are void", "[trainer-fold]") {
-  Stream stream = opened();
+TEST_CASE("records of an earlier owner are refused", "[trainer-fold]") {
+  FoldedStream stream = makeOpenStream();
   stream.add("b", 8, OwnerStart{1});
-  TrainerApplyResult late =
-      stream.add("a", 5, SampleCommit{{sampleOf({7, 0, 0}, 3)}});
-  CHECK(late.ApplyStatus == RecordStatus::Refused);
+  TrainerApplyResult refused =
+      stream.add("a", 5, SampleCommit{{makeSample({7, 0, 0}, 3)}});
+  CHECK(refused.ApplyStatus == RecordStatus::Refused);
   CHECK(stream.State.Committed.empty());
   CHECK(stream.add("c", 9, StepOpened{8}).ApplyStatus == RecordStatus::Refused);
 }
 
-TEST_CASE("a record id is taken once", "[trainer-fold]") {
-  Stream stream = opened();
+TEST_CASE("a record id is applied once", "[trainer-fold]") {
+  FoldedStream stream = makeOpenStream();
   TrainerRecord record{RecordId{"a", 1, 4}, 5,
-                       SampleCommit{{sampleOf({7, 0, 0}, 3)}}};
-  CHECK(stream.repeat(record).ApplyStatus == RecordStatus::Accepted);
-  CHECK(stream.repeat(record).ApplyStatus == RecordStatus::Duplicate);
+                       SampleCommit{{makeSample({7, 0, 0}, 3)}}};
+  CHECK(stream.addRecord(record).ApplyStatus == RecordStatus::Accepted);
+  CHECK(stream.addRecord(record).ApplyStatus == RecordStatus::Duplicate);
 }
 
-TEST_CASE("a commit is judged by the version before it in the log",
+TEST_CASE("a commit is checked against the version before it in the log",
           "[trainer-fold]") {
-  Stream stream = opened();
+  FoldedStream stream = makeOpenStream();
   Slot slot{7, 0, 0};
-  CHECK(stream.add("a", 5, SampleCommit{{sampleOf(slot, 1)}}).Dropped.size() ==
+  CHECK(
+      stream.add("a", 5, SampleCommit{{makeSample(slot, 1)}}).Dropped.size() ==
+      1);
+  CHECK(stream.add("a", 5, SampleCommit{{makeSample(slot, 2)}}).Filled.size() ==
         1);
-  CHECK(stream.add("a", 5, SampleCommit{{sampleOf(slot, 2)}}).Filled.size() ==
-        1);
-  // Undelivered, it makes place for a fresh one; delivered, it stays.
-  Slot taken{7, 0, 1};
-  stream.add("a", 5, SampleCommit{{sampleOf(taken, 2)}});
-  stream.add("a", 5, SamplesDelivered{"d", {taken}});
+  // A publication frees the slot of a stale undelivered sample; a delivered
+  // sample stays.
+  Slot delivered{7, 0, 1};
+  stream.add("a", 5, SampleCommit{{makeSample(delivered, 2)}});
+  stream.add("a", 5, SamplesDelivered{"d", {delivered}});
   stream.add("a", 5, VersionPublished{4});
   CHECK_FALSE(stream.State.Committed.contains(slot));
-  CHECK(stream.State.Committed.contains(taken));
-  CHECK(stream.add("a", 5, SampleCommit{{sampleOf(slot, 4)}}).Filled.size() ==
-        1);
-  CHECK(stream.add("a", 5, SampleCommit{{sampleOf(taken, 4)}}).Dropped.size() ==
+  CHECK(stream.State.Committed.contains(delivered));
+  CHECK(stream.add("a", 5, SampleCommit{{makeSample(slot, 4)}}).Filled.size() ==
         1);
+  CHECK(stream.add("a", 5, SampleCommit{{makeSample(delivered, 4)}})
+            .Dropped.size() == 1);
 }
 
-TEST_CASE("a new step forgets the old one, and never goes back",
+TEST_CASE("a new step discards the old one, which cannot be reopened",
           "[trainer-fold]") {
-  Stream stream = opened();
-  stream.add("a", 5, SampleCommit{{sampleOf({7, 0, 0}, 3)}});
+  FoldedStream stream = makeOpenStream();
+  stream.add("a", 5, SampleCommit{{makeSample({7, 0, 0}, 3)}});
   CHECK(stream.add("a", 5, StepOpened{7}).ApplyStatus ==
         RecordStatus::Accepted);
   CHECK(stream.State.Committed.size() == 1);
@@ -118,12 +120,11 @@
   CHECK(stream.add("a", 5, StepOpened{7}).ApplyStatus == RecordStatus::Refused);
 }
 
-TEST_CASE("malformed and newer records are skipped, not applied",
-          "[trainer-fold]") {
-  Stream stream = opened();
+TEST_CASE("malformed and newer records are skipped", "[trainer-fold]") {
+  FoldedStream stream = makeOpenStream();
   TrainerState before = stream.State;
   std::string gap = encodeTrainerRecord(TrainerRecord{
-      RecordId{"a", 1, 4}, 5, SampleCommit{{sampleOf({7, 0, 0}, 3)}}});
+      RecordId{"a", 1, 4}, 5, SampleCommit{{makeSample({7, 0, 0}, 3)}}});
   gap.replace(gap.find("\"to\":1"), 6, "\"to\":2");
   for (const std::string &bad : {std::string("{"), std::string("[]"), gap})
     CHECK(apply(stream.State, stream.State.Next, bad).ApplyStatus ==
--- a/UnitTests/Rollout/TrainerInputsTest.cpp
+++ b/UnitTests/Rollout/TrainerInputsTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// What an owner's decisions start from: the configuration, the lengths seen,
-/// and the request that an attempt becomes.
+/// Tests the inputs and outputs of the dispatch decisions: policy, length
+/// estimates and engine requests.
 #include "Wasabi/Rollout/LengthEstimates.h"
 #include "Wasabi/Rollout/RolloutPolicyOf.h"
 #include "Wasabi/Rollout/SampleRequest.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-Configuration twoTrainers() {
+Configuration makeTwoTrainers() {
   Configuration config;
   for (const char *name : {"a", "b"}) {
     TrainerDeclaration trainer;
@@ -37,10 +37,11 @@
 
 } // namespace
 
-TEST_CASE("the policy is what preset, trainer and attachments say",
+TEST_CASE("the policy combines preset, trainer and attachments",
           "[rollout-policy]") {
-  Configuration config = twoTrainers();
-  std::optional<RolloutPolicy> policy = policyOf(config, TrainerName("a"));
+  Configuration config = makeTwoTrainers();
+  std::optional<RolloutPolicy> policy =
+      findRolloutPolicy(config, TrainerName("a"));
   REQUIRE(policy);
   CHECK(policy->StalenessBound == 3);
   CHECK_FALSE(policy->AdmitRollouts);
@@ -48,15 +49,16 @@
   CHECK(policy->Part == EngineShare{3, 4, 50});
   CHECK(findAttachedServices(config, TrainerName("a")) ==
         std::vector<ServiceName>{ServiceName("llm")});
-  CHECK_FALSE(policyOf(config, TrainerName("c")));
+  CHECK_FALSE(findRolloutPolicy(config, TrainerName("c")));
 }
 
-TEST_CASE("an outgrown estimate expects more to come", "[rollout-policy]") {
+TEST_CASE("a sample beyond its estimate is expected to go on",
+          "[rollout-policy]") {
   LengthEstimates lengths;
   CHECK(expectedTokens(lengths, "p", 100) == 50);
-  observe(lengths, "q", 20);
+  recordLength(lengths, "q", 20);
   CHECK(expectedTokens(lengths, "p", 100) == 20);
-  observe(lengths, "p", 40);
+  recordLength(lengths, "p", 40);
   CHECK(expectedTokens(lengths, "p", 100) == 40);
   CHECK(expectedRemaining(40, 10, 100) == 30);
   CHECK(expectedRemaining(40, 60, 100) == 30);
@@ -64,7 +66,7 @@
   CHECK(expectedRemaining(40, 100, 100) == 0);
 }
 
-TEST_CASE("an attempt's request names it once and resumes where it was",
+TEST_CASE("the request has a unique id and resumes from the draft",
           "[rollout-policy]") {
   DispatchAttempt attempt;
   attempt.Attempt = 7;
@@ -72,8 +74,8 @@
   attempt.Prompt = "say \"x\"";
   attempt.MaxTokens = 9;
   attempt.Seed = 11;
-  SampleOrigin from{TrainerName("t"), 42, ModelName("m"), -5};
-  RequestAttempt fresh = makeSampleRequest(attempt, from);
+  SampleOrigin origin{TrainerName("t"), 42, ModelName("m"), -5};
+  RequestAttempt fresh = makeSampleRequest(attempt, origin);
   CHECK(fresh.Request == "t:42:7");
   CHECK(fresh.Slot == "2/1/3");
   CHECK(fresh.Http.header("X-Request-Id") == fresh.Request);
@@ -81,7 +83,7 @@
   CHECK(fresh.Http.Body.find(R"("prompt":"say \"x\"")") != std::string::npos);
   CHECK(fresh.Http.Body.find(R"("priority":-5)") != std::string::npos);
   attempt.From = Draft{" a b", 2, {{0, 2, 5}}};
-  CHECK(makeSampleRequest(attempt, from)
+  CHECK(makeSampleRequest(attempt, origin)
             .Http.Body.find(R"("resume":{"position":2,"text":" a b"})") !=
         std::string::npos);
 }
--- a/Wasabi/Rollout/Attempts.cpp
+++ b/Wasabi/Rollout/Attempts.cpp
@@ -6,152 +6,163 @@
 
 namespace {
 
-/// How long an engine rests that sent what cannot be attested.
-constexpr Millis UnattestedRest{1000};
+/// Back-off of an engine after a chunk without a weight version.
+constexpr Millis UnversionedBackOff{1000};
 
-/// Ends an attempt; the slot waits again when it was the last one.
-void abandon(StepState &State, AttemptId Id, Draft Keep) {
-  AttemptState gone = State.Attempts.at(Id);
-  State.TokensWasted += gone.GeneratedDraft.Tokens - gone.ResumePosition;
+/// Ends an attempt without a sample. The slot returns to `Waiting` if this was
+/// its last attempt; the next one resumes from `Keep`.
+void abandonAttempt(StepState &State, AttemptId Id, Draft Keep) {
+  AttemptState ended = State.Attempts.at(Id);
+  State.TokensWasted += ended.GeneratedDraft.Tokens - ended.ResumePosition;
   removeAttempt(State, Id);
-  SlotState &which = State.Slots.at(gone.Place);
+  SlotState &which = State.Slots.at(ended.Place);
   if (!which.Running.empty() || which.Phase != SlotPhase::Running)
     return;
-  // What is kept is not wasted: the next attempt goes on from it.
-  if (Keep.Tokens > gone.ResumePosition)
-    State.TokensWasted -= Keep.Tokens - gone.ResumePosition;
-  which.Kept = std::move(Keep);
+  // Tokens of the kept draft are reused, so they are not wasted.
+  if (Keep.Tokens > ended.ResumePosition)
+    State.TokensWasted -= Keep.Tokens - ended.ResumePosition;
+  which.ResumableDraft = std::move(Keep);
   setPhase(State, which, SlotPhase::Waiting);
 }
 
-void cancelAs(StepState &State, AttemptId Id, Draft Keep,
-              const std::string &Reason, StepEffects &Out) {
-  const AttemptState &one = State.Attempts.at(Id);
-  Out.emplace_back(CancelAttempt{Id, one.Place, one.On, Reason});
-  abandon(State, Id, std::move(Keep));
+void cancelAttempt(StepState &State, AttemptId Id, Draft Keep,
+                   const std::string &Reason, StepEffects &Out) {
+  const AttemptState &attempt = State.Attempts.at(Id);
+  Out.emplace_back(CancelAttempt{Id, attempt.Place, attempt.On, Reason});
+  abandonAttempt(State, Id, std::move(Keep));
 }
 
-void rest(StepState &State, const ServerName &Which, Millis Atleast,
-          TimePoint Now) {
+void backOffEngine(StepState &State, const ServerName &Which, Millis RetryAfter,
+                   TimePoint Now) {
   auto it = State.Servers.find(Which);
   if (it != State.Servers.end())
-    backOff(it->second, Atleast, Now);
+    backOff(it->second, RetryAfter, Now);
 }
 
-/// Engines that sent nothing of a slot which another one has done meanwhile.
-void restSilent(StepState &State, const SlotState &Which, TimePoint Now) {
+/// Backs off the engines that generated no token of a slot before another
+/// engine finished it.
+void backOffSilentEngines(StepState &State, const SlotState &Which,
+                          TimePoint Now) {
   for (AttemptId id : Which.Running) {
-    const AttemptState &loser = State.Attempts.at(id);
-    bool silent = loser.GeneratedDraft.Tokens == loser.ResumePosition &&
-                  Now - loser.Started > State.Setup.StallTimeout;
+    const AttemptState &attempt = State.Attempts.at(id);
+    bool silent = attempt.GeneratedDraft.Tokens == attempt.ResumePosition &&
+                  Now - attempt.Started > State.Setup.StallTimeout;
     if (silent)
-      rest(State, loser.On, State.Setup.StallTimeout, Now);
+      backOffEngine(State, attempt.On, State.Setup.StallTimeout, Now);
   }
 }
 
-bool changedVersion(const Draft &Of) { return Of.Spans.size() > 1; }
+bool hasSeveralVersions(const Draft &Generated) {
+  return Generated.Spans.size() > 1;
+}
 
 } // namespace
 
-void onChunk(StepState &State, const ChunkReceived &What, TimePoint Now,
+void onChunk(StepState &State, const ChunkReceived &Event, TimePoint Now,
              StepEffects &Out) {
-  auto it = State.Attempts.find(What.Attempt);
+  auto it = State.Attempts.find(Event.Attempt);
   if (it == State.Attempts.end())
     return;
   AttemptState &attempt = it->second;
-  ChunkStatus fate = append(attempt.GeneratedDraft, What.What);
-  if (fate != ChunkStatus::Taken) {
-    bool unattested = fate == ChunkStatus::MissingVersion;
-    ServerName on = attempt.On;
-    // Whatever came before the doubtful chunk was attested in place.
-    cancelAs(State, What.Attempt, attempt.GeneratedDraft,
-             unattested ? "version not attested" : "chunk out of place", Out);
-    rest(State, on, unattested ? UnattestedRest : Millis(0), Now);
+  ChunkStatus status = append(attempt.GeneratedDraft, Event.Received);
+  if (status != ChunkStatus::Appended) {
+    bool unversioned = status == ChunkStatus::MissingVersion;
+    ServerName server = attempt.On;
+    // The draft before the rejected chunk remains valid.
+    cancelAttempt(State, Event.Attempt, attempt.GeneratedDraft,
+                  unversioned ? "chunk has no weights version"
+                              : "unexpected chunk position",
+                  Out);
+    backOffEngine(State, server, unversioned ? UnversionedBackOff : Millis(0),
+                  Now);
     return;
   }
   attempt.LastChunk = Now;
-  State.TokensGenerated += What.What.Tokens;
+  State.TokensGenerated += Event.Received.Tokens;
   if (!isFresh(State.Fresh, attempt.GeneratedDraft.Spans))
-    cancelAs(State, What.Attempt, Draft(), "too old", Out);
+    cancelAttempt(State, Event.Attempt, Draft(), "stale weights version", Out);
   else if (State.Policy.OnVersionChange == VersionChange::Restart &&
-           changedVersion(attempt.GeneratedDraft))
-    cancelAs(State, What.Attempt, Draft(), "version changed", Out);
+           hasSeveralVersions(attempt.GeneratedDraft))
+    cancelAttempt(State, Event.Attempt, Draft(), "weights version changed",
+                  Out);
 }
 
-void onAttemptEnded(StepState &State, const AttemptEnded &What, TimePoint Now,
+void onAttemptEnded(StepState &State, const AttemptEnded &Event, TimePoint Now,
                     StepEffects &Out) {
-  auto it = State.Attempts.find(What.Attempt);
+  auto it = State.Attempts.find(Event.Attempt);
   if (it == State.Attempts.end())
     return;
-  const AttemptState won = it->second;
-  // A count that does not match means that something is missing.
-  if (won.GeneratedDraft.Tokens != What.Tokens || What.Tokens == 0 ||
-      !covers(won.GeneratedDraft.Spans, What.Tokens)) {
-    abandon(State, What.Attempt, Draft());
-    rest(State, won.On, Millis(0), Now);
+  const AttemptState winner = it->second;
+  // A mismatch means that chunks are missing.
+  if (winner.GeneratedDraft.Tokens != Event.Tokens || Event.Tokens == 0 ||
+      !covers(winner.GeneratedDraft.Spans, Event.Tokens)) {
+    abandonAttempt(State, Event.Attempt, Draft());
+    backOffEngine(State, winner.On, Millis(0), Now);
     return;
   }
-  SlotState &which = State.Slots.at(won.Place);
+  SlotState &which = State.Slots.at(winner.Place);
   const WantedGroup &group = State.Groups[which.GroupIndex];
-  removeAttempt(State, What.Attempt);
-  auto engine = State.Servers.find(won.On);
+  removeAttempt(State, Event.Attempt);
+  auto engine = State.Servers.find(winner.On);
   if (engine != State.Servers.end())
     engine->second.Failures = 0;
-  restSilent(State, which, Now);
-  observe(State.Lengths, group.Prompt, won.GeneratedDraft.Tokens);
-  cancelAttempts(State, which, "another attempt was first", Out);
-  which.Kept = Draft();
-  which.Whole = Sample{won.Place,
-                       won.GeneratedDraft.Text,
-                       won.GeneratedDraft.Tokens,
-                       won.GeneratedDraft.Spans,
-                       0,
-                       group.Seed + won.Place.Index};
+  backOffSilentEngines(State, which, Now);
+  recordLength(State.Lengths, group.Prompt, winner.GeneratedDraft.Tokens);
+  cancelAttempts(State, which, "another attempt finished first", Out);
+  which.ResumableDraft = Draft();
+  which.FinishedSample = Sample{winner.Place,
+                                winner.GeneratedDraft.Text,
+                                winner.GeneratedDraft.Tokens,
+                                winner.GeneratedDraft.Spans,
+                                0,
+                                group.Seed + winner.Place.Index};
   setPhase(State, which, SlotPhase::Scoring);
   which.ScoreRequested = true;
-  Out.emplace_back(ScoreSample{won.Place, won.GeneratedDraft.Text});
-  Out.emplace_back(Note{
+  Out.emplace_back(ScoreSample{winner.Place, winner.GeneratedDraft.Text});
+  Out.emplace_back(TimelineNote{
       "sample.done",
       {field("trainer", State.Setup.Trainer.Text),
-       field("slot", toText(won.Place)), field("attempt", What.Attempt),
-       field("server", won.On.Text), field("tokens", won.GeneratedDraft.Tokens),
-       field("spans", toText(won.GeneratedDraft.Spans))}});
+       field("slot", toText(winner.Place)), field("attempt", Event.Attempt),
+       field("server", winner.On.Text),
+       field("tokens", winner.GeneratedDraft.Tokens),
+       field("spans", toText(winner.GeneratedDraft.Spans))}});
 }
 
-void onAttemptFailed(StepState &State, const AttemptFailed &What, TimePoint Now,
-                     StepEffects &Out) {
-  auto it = State.Attempts.find(What.Attempt);
+void onAttemptFailed(StepState &State, const AttemptFailed &Event,
+                     TimePoint Now, StepEffects &Out) {
+  auto it = State.Attempts.find(Event.Attempt);
   if (it == State.Attempts.end())
     return;
   const AttemptState failed = it->second;
   Draft keep = isFresh(State.Fresh, failed.GeneratedDraft.Spans)
                    ? failed.GeneratedDraft
                    : Draft();
-  abandon(State, What.Attempt, std::move(keep));
-  rest(State, failed.On, What.Why.RetryAfter, Now);
-  Out.emplace_back(
-      Note{"sample.failed",
-           {field("trainer", State.Setup.Trainer.Text),
-            field("slot", toText(failed.Place)), field("attempt", What.Attempt),
-            field("server", failed.On.Text),
-            field("tokens", failed.GeneratedDraft.Tokens),
-            field("reason", describe(What.Why))}});
+  abandonAttempt(State, Event.Attempt, std::move(keep));
+  backOffEngine(State, failed.On, Event.Why.RetryAfter, Now);
+  Out.emplace_back(TimelineNote{"sample.failed",
+                                {field("trainer", State.Setup.Trainer.Text),
+                                 field("slot", toText(failed.Place)),
+                                 field("attempt", Event.Attempt),
+                                 field("server", failed.On.Text),
+                                 field("tokens", failed.GeneratedDraft.Tokens),
+                                 field("reason", describe(Event.Why))}});
 }
 
 void dropStale(StepState &State, StepEffects &Out) {
-  std::vector<AttemptId> old;
+  std::vector<AttemptId> stale;
   for (const auto &it : State.Attempts) {
     if (!isFresh(State.Fresh, it.second.GeneratedDraft.Spans))
-      old.push_back(it.first);
+      stale.push_back(it.first);
   }
-  for (AttemptId id : old)
-    cancelAs(State, id, Draft(), "too old", Out);
+  for (AttemptId id : stale)
+    cancelAttempt(State, id, Draft(), "stale weights version", Out);
   for (auto &it : State.Slots) {
     SlotState &which = it.second;
-    bool whole =
+    bool generated =
         which.Phase == SlotPhase::Scoring || which.Phase == SlotPhase::Scored;
-    // What is on its way is judged by the trainer's answer.
-    if (whole && !which.InDelivery && !isFresh(State.Fresh, which.Whole.Spans))
+    // The trainer's response decides about samples in delivery.
+    if (generated && !which.InDelivery &&
+        !isFresh(State.Fresh, which.FinishedSample.Spans))
       resetSlot(State, which);
   }
 }
--- a/Wasabi/Rollout/Attempts.h
+++ b/Wasabi/Rollout/Attempts.h
@@ -1,5 +1,5 @@
 /// \file
-/// What follows from an attempt's chunks, end and failure.
+/// Handles the chunks, the end and the failure of attempts.
 #ifndef WASABI_ROLLOUT_ATTEMPTS_H
 #define WASABI_ROLLOUT_ATTEMPTS_H
 
@@ -7,21 +7,24 @@
 
 namespace wasabi {
 
-/// Takes a chunk into the attempt's draft, or gives the attempt up: when the
-/// chunk is out of place, names no version, is too old, or is of another
-/// version than the first under `Restart`.
-void onChunk(StepState &State, const ChunkReceived &What, TimePoint Now,
+/// Appends a chunk to the attempt's draft. Cancels the attempt if the chunk has
+/// an unexpected position, no version or a stale version, or if the version
+/// changed under the `Restart` policy.
+void onChunk(StepState &State, const ChunkReceived &Event, TimePoint Now,
              StepEffects &Out);
 
-/// The first whole attempt wins; the others of its slot are cancelled.
-void onAttemptEnded(StepState &State, const AttemptEnded &What, TimePoint Now,
+/// Requests the score of a complete sample and cancels the other attempts of
+/// its slot. An incomplete attempt is dropped.
+void onAttemptEnded(StepState &State, const AttemptEnded &Event, TimePoint Now,
                     StepEffects &Out);
 
-/// Its whole chunks are kept to go on from; its engine rests a while.
-void onAttemptFailed(StepState &State, const AttemptFailed &What, TimePoint Now,
-                     StepEffects &Out);
+/// Keeps the draft, if it is fresh, for the next attempt and backs off the
+/// engine.
+void onAttemptFailed(StepState &State, const AttemptFailed &Event,
+                     TimePoint Now, StepEffects &Out);
 
-/// Ends whatever a newly published version made too old.
+/// Cancels the attempts, and drops the undelivered samples, that are stale
+/// under the newest version.
 void dropStale(StepState &State, StepEffects &Out);
 
 } // namespace wasabi
--- a/Wasabi/Rollout/Delivering.cpp
+++ b/Wasabi/Rollout/Delivering.cpp
@@ -10,26 +10,26 @@
 
 namespace {
 
-constexpr Millis DeliveryRetry{100};
-constexpr Millis TellPeriod{500};
+constexpr Millis DeliveryRetryDelay{100};
+constexpr Millis AppendDeliveredInterval{500};
 
-/// Samples gathered up to the limits of a batch.
+/// Samples of one commit or delivery.
 struct Batch {
   std::vector<Sample> Samples;
   std::size_t Bytes = 0;
 };
 
-bool hasRoom(const Batch &Of, const StepState::Settings &Limits) {
-  return Of.Samples.size() < Limits.MaxBatchSamples &&
-         Of.Bytes < Limits.MaxBatchBytes;
+bool hasRoom(const Batch &Current, const StepState::Settings &Limits) {
+  return Current.Samples.size() < Limits.MaxBatchSamples &&
+         Current.Bytes < Limits.MaxBatchBytes;
 }
 
-void add(Batch &To, const Sample &What) {
-  To.Bytes += What.Text.size();
-  To.Samples.push_back(What);
+void add(Batch &Target, const Sample &Added) {
+  Target.Bytes += Added.Text.size();
+  Target.Samples.push_back(Added);
 }
 
-bool wantsCommit(const StepState &State, const SlotState &Which,
+bool needsCommit(const StepState &State, const SlotState &Which,
                  TimePoint Now) {
   if (Which.Phase != SlotPhase::Scored || Which.CommitAppended)
     return false;
@@ -55,37 +55,37 @@
   State.Pending = Delivery();
 }
 
-void noteDelivered(const StepState &State, Slot Place, StepEffects &Out) {
-  const Delivery &by = State.Pending;
+void recordDelivery(const StepState &State, Slot Place, StepEffects &Out) {
+  const Delivery &pending = State.Pending;
   std::string spans;
-  for (const Sample &it : by.Samples) {
+  for (const Sample &it : pending.Samples) {
     if (it.Place == Place)
       spans = toText(it.Spans);
   }
-  Out.emplace_back(
-      Note{"sample.deliver",
-           {field("trainer", State.Setup.Trainer.Text),
-            field("slot", toText(Place)), field("fence", by.Fence),
-            field("delivery", by.Id), field("newest", State.Fresh.Newest),
-            field("bound", State.Fresh.Bound), field("spans", spans)}});
+  Out.emplace_back(TimelineNote{
+      "sample.deliver",
+      {field("trainer", State.Setup.Trainer.Text), field("slot", toText(Place)),
+       field("fence", pending.Fence), field("delivery", pending.Id),
+       field("newest", State.Fresh.Newest), field("bound", State.Fresh.Bound),
+       field("spans", spans)}});
 }
 
-void onRefused(StepState &State, const RefusedSample &What, TimePoint Now,
+void onRefused(StepState &State, const RefusedSample &Refusal, TimePoint Now,
                StepEffects &Out) {
-  auto it = State.Slots.find(What.Place);
+  auto it = State.Slots.find(Refusal.Place);
   if (it == State.Slots.end())
     return;
-  switch (What.Reason) {
+  switch (Refusal.Reason) {
   case RefusalReason::Duplicate:
-    markDelivered(State, What.Place, Out);
+    markDelivered(State, Refusal.Place, Out);
     return;
   case RefusalReason::Stale:
     if (it->second.Phase == SlotPhase::Scored)
       resetSlot(State, it->second);
     return;
   case RefusalReason::Unknown:
-    // The trainer is at another step, which its next answer will say.
-    State.DeliverAfter = Now + DeliveryRetry;
+    // The trainer is at another step; query it for the current one.
+    State.DeliverAfter = Now + DeliveryRetryDelay;
     Out.emplace_back(QueryTrainer());
     return;
   }
@@ -105,10 +105,10 @@
   Batch batch;
   for (auto &it : State.Slots) {
     SlotState &which = it.second;
-    if (!wantsCommit(State, which, Now) || !hasRoom(batch, State.Setup))
+    if (!needsCommit(State, which, Now) || !hasRoom(batch, State.Setup))
       continue;
     which.CommitAppended = true;
-    add(batch, which.Whole);
+    add(batch, which.FinishedSample);
   }
   if (batch.Samples.empty())
     return;
@@ -129,13 +129,13 @@
     SlotState &which = it.second;
     if (!mayDeliver(State, which) || !hasRoom(batch, State.Setup))
       continue;
-    // It may have aged while an earlier delivery had it.
-    if (!isFresh(State.Fresh, which.Whole.Spans)) {
+    // A version may have been published since it was scored.
+    if (!isFresh(State.Fresh, which.FinishedSample.Spans)) {
       resetSlot(State, which);
       continue;
     }
     which.InDelivery = true;
-    add(batch, which.Whole);
+    add(batch, which.FinishedSample);
   }
   if (batch.Samples.empty())
     return;
@@ -148,27 +148,27 @@
 }
 
 void appendDeliveredSlots(StepState &State, TimePoint Now, StepEffects &Out) {
-  if (State.Untold.empty() || Now < State.AppendDeliveredAfter)
+  if (State.UnappendedSlots.empty() || Now < State.AppendDeliveredAfter)
     return;
-  State.AppendDeliveredAfter = Now + TellPeriod;
+  State.AppendDeliveredAfter = Now + AppendDeliveredInterval;
   Out.emplace_back(AppendRecord{
-      SamplesDelivered{State.Pending.Id, std::move(State.Untold)}});
-  State.Untold.clear();
+      SamplesDelivered{State.Pending.Id, std::move(State.UnappendedSlots)}});
+  State.UnappendedSlots.clear();
 }
 
-void onScored(StepState &State, const SampleScored &What, TimePoint Now) {
-  auto it = State.Slots.find(What.Place);
-  // A late or second answer finds the slot further on.
+void onScored(StepState &State, const SampleScored &Event, TimePoint Now) {
+  auto it = State.Slots.find(Event.Place);
+  // Ignores late and repeated responses.
   if (it == State.Slots.end() || it->second.Phase != SlotPhase::Scoring ||
       !it->second.ScoreRequested)
     return;
-  it->second.Whole.Score = What.Score;
+  it->second.FinishedSample.Score = Event.Score;
   it->second.ScoredAt = Now;
   setPhase(State, it->second, SlotPhase::Scored);
 }
 
-void onScoreFailed(StepState &State, const ScoreFailed &What, TimePoint Now) {
-  auto it = State.Slots.find(What.Place);
+void onScoreFailed(StepState &State, const ScoreFailed &Event, TimePoint Now) {
+  auto it = State.Slots.find(Event.Place);
   if (it == State.Slots.end() || it->second.Phase != SlotPhase::Scoring)
     return;
   it->second.ScoreRequested = false;
@@ -182,27 +182,27 @@
         Now < which.NotBefore)
       continue;
     which.ScoreRequested = true;
-    Out.emplace_back(ScoreSample{it.first, which.Whole.Text});
+    Out.emplace_back(ScoreSample{it.first, which.FinishedSample.Text});
   }
 }
 
-void onCommitConfirmed(StepState &State, const CommitConfirmed &What,
+void onCommitConfirmed(StepState &State, const CommitConfirmed &Event,
                        StepEffects &Out) {
   State.Committing = false;
-  for (const Slot &it : What.Filled) {
+  for (const Slot &it : Event.Filled) {
     auto slot = State.Slots.find(it);
     if (slot == State.Slots.end() || !slot->second.CommitAppended)
       continue;
     slot->second.Committed = true;
-    Out.emplace_back(Note{
+    Out.emplace_back(TimelineNote{
         "sample.commit",
         {field("trainer", State.Setup.Trainer.Text), field("slot", toText(it)),
-         field("fence", State.Setup.Fence), field("offset", What.At),
-         field("spans", toText(slot->second.Whole.Spans)),
+         field("fence", State.Setup.Fence), field("offset", Event.At),
+         field("spans", toText(slot->second.FinishedSample.Spans)),
          field("newest", State.Fresh.Newest),
          field("bound", State.Fresh.Bound)}});
   }
-  for (const Slot &it : What.Dropped) {
+  for (const Slot &it : Event.Dropped) {
     auto slot = State.Slots.find(it);
     bool waitsForLog =
         slot != State.Slots.end() && !State.Policy.ChecksFences &&
@@ -213,36 +213,37 @@
   }
 }
 
-void onDeliveryAnswered(StepState &State, const DeliveryAnswered &What,
+void onDeliveryAnswered(StepState &State, const DeliveryAnswered &Event,
                         TimePoint Now, StepEffects &Out) {
-  if (!State.Delivering || What.Id != State.Pending.Id)
+  if (!State.Delivering || Event.Id != State.Pending.Id)
     return;
-  for (const Slot &it : What.Answer.AcceptedSlots) {
+  for (const Slot &it : Event.Answer.AcceptedSlots) {
     markDelivered(State, it, Out);
-    noteDelivered(State, it, Out);
+    recordDelivery(State, it, Out);
   }
-  for (const RefusedSample &it : What.Answer.Refused)
+  for (const RefusedSample &it : Event.Answer.Refused)
     onRefused(State, it, Now, Out);
   releasePending(State);
-  recordNewestVersion(State, What.Answer.Newest, Now, Out);
+  recordNewestVersion(State, Event.Answer.Newest, Now, Out);
   closeIfComplete(State, Out);
 }
 
-void onDeliveryFailed(StepState &State, const DeliveryFailed &What,
+void onDeliveryFailed(StepState &State, const DeliveryFailed &Event,
                       TimePoint Now, StepEffects &Out) {
-  if (!State.Delivering || What.Id != State.Pending.Id)
+  if (!State.Delivering || Event.Id != State.Pending.Id)
     return;
-  if (What.Why.Code == FailureCode::StaleFence) {
-    Out.emplace_back(StopOwning{What.Why.Reason});
+  if (Event.Why.Code == FailureCode::StaleFence) {
+    Out.emplace_back(StopOwning{Event.Why.Reason});
     return;
   }
-  State.DeliverAfter = Now + std::max(What.Why.RetryAfter, DeliveryRetry);
-  if (What.Why.Run == Verdict::NotRun) {
+  State.DeliverAfter = Now + std::max(Event.Why.RetryAfter, DeliveryRetryDelay);
+  if (Event.Why.Run == Verdict::NotRun) {
     releasePending(State);
     return;
   }
-  // A trainer that checks refuses what it has; one that does not must be asked
-  // first, or it would take the same samples twice.
+  // A trainer that checks fences refuses duplicates, so the delivery can be
+  // repeated. Any other trainer would accept a sample twice, so it is queried
+  // first.
   if (State.Policy.ChecksFences) {
     State.RetryDelivery = true;
     return;
@@ -257,20 +258,20 @@
 }
 
 void closeIfComplete(StepState &State, StepEffects &Out) {
-  if (!State.HasStep || State.Closed || missing(State) > 0)
+  if (!State.HasStep || State.Closed || undeliveredCount(State) > 0)
     return;
   State.Closed = true;
-  if (!State.Untold.empty())
+  if (!State.UnappendedSlots.empty())
     Out.emplace_back(AppendRecord{
-        SamplesDelivered{State.Pending.Id, std::move(State.Untold)}});
-  State.Untold.clear();
+        SamplesDelivered{State.Pending.Id, std::move(State.UnappendedSlots)}});
+  State.UnappendedSlots.clear();
   Out.emplace_back(AppendRecord{StepClosed{State.Step}});
-  Out.emplace_back(
-      Note{"step.whole",
-           {field("trainer", State.Setup.Trainer.Text),
-            field("step", State.Step), field("samples", State.Slots.size()),
-            field("newest", State.Fresh.Newest),
-            field("fence", State.Setup.Fence)}});
+  Out.emplace_back(TimelineNote{"step.whole",
+                                {field("trainer", State.Setup.Trainer.Text),
+                                 field("step", State.Step),
+                                 field("samples", State.Slots.size()),
+                                 field("newest", State.Fresh.Newest),
+                                 field("fence", State.Setup.Fence)}});
 }
 
 void recordNewestVersion(StepState &State, WeightVersion Newest, TimePoint Now,
--- a/Wasabi/Rollout/Delivering.h
+++ b/Wasabi/Rollout/Delivering.h
@@ -1,5 +1,5 @@
 /// \file
-/// Commits and deliveries: how a scored sample reaches its trainer once.
+/// Commits scored samples to the log and delivers each to its trainer once.
 #ifndef WASABI_ROLLOUT_DELIVERING_H
 #define WASABI_ROLLOUT_DELIVERING_H
 
@@ -7,37 +7,38 @@
 
 namespace wasabi {
 
-/// Appends what is scored and not yet in the log: at once for a trainer that
-/// does not check tokens, and for others what is still undelivered a while
-/// after.
+/// Appends a commit of the scored samples that are not in the log: immediately
+/// for a trainer that does not check fences, otherwise for samples that are
+/// still undelivered after `CommitDelay`.
 void commitReady(StepState &State, TimePoint Now, StepEffects &Out);
 
-/// Delivers what may be delivered, one delivery at a time; repeats one whose
-/// answer was lost with the same id and content.
+/// Starts the next delivery unless one is in flight. Repeats a delivery whose
+/// response was lost with the same id and content.
 void deliverReady(StepState &State, TimePoint Now, StepEffects &Out);
 
-/// Tells the log which slots the trainer took, in batches.
+/// Appends the delivered slots to the log, in batches.
 void appendDeliveredSlots(StepState &State, TimePoint Now, StepEffects &Out);
 
-void onScored(StepState &State, const SampleScored &What, TimePoint Now);
-void onScoreFailed(StepState &State, const ScoreFailed &What, TimePoint Now);
-void onCommitConfirmed(StepState &State, const CommitConfirmed &What,
+void onScored(StepState &State, const SampleScored &Event, TimePoint Now);
+void onScoreFailed(StepState &State, const ScoreFailed &Event, TimePoint Now);
+void onCommitConfirmed(StepState &State, const CommitConfirmed &Event,
                        StepEffects &Out);
-void onDeliveryAnswered(StepState &State, const DeliveryAnswered &What,
+void onDeliveryAnswered(StepState &State, const DeliveryAnswered &Event,
                         TimePoint Now, StepEffects &Out);
-void onDeliveryFailed(StepState &State, const DeliveryFailed &What,
+void onDeliveryFailed(StepState &State, const DeliveryFailed &Event,
                       TimePoint Now, StepEffects &Out);
-/// Scores again what failed to be scored.
+/// Requests the scores that failed again, after `ScoreRetryDelay`.
 void retryScoring(StepState &State, TimePoint Now, StepEffects &Out);
 
-/// The trainer answered what it holds after a lost answer: whatever it does not
-/// hold of the pending delivery may be delivered anew.
+/// Handles the trainer's answer after a lost delivery response: samples of the
+/// pending delivery that the trainer does not hold may be delivered again.
 void resolvePendingDelivery(StepState &State);
 
-/// Closes the step once the trainer holds all of it.
+/// Closes the step once the trainer holds all its samples.
 void closeIfComplete(StepState &State, StepEffects &Out);
 
-/// Takes note of the newest version that the trainer published.
+/// Records the newest version that the trainer published and drops stale
+/// samples.
 void recordNewestVersion(StepState &State, WeightVersion Newest, TimePoint Now,
                          StepEffects &Out);
 
--- a/Wasabi/Rollout/Dispatching.cpp
+++ b/Wasabi/Rollout/Dispatching.cpp
@@ -10,17 +10,18 @@
 
 namespace {
 
-/// A slot that wants an engine, with what orders it among the others.
-struct Waiter {
+/// A waiting slot and its sort keys.
+struct WaitingSlot {
   Slot Place;
   SlotState *Which = nullptr;
   bool GroupBegun = false;
   double Tokens = 0;
 };
 
-bool goesFirst(const Waiter &A, const Waiter &B) {
-  // Begun groups first: a group with a missing member is worth nothing. Then
-  // the longest, since the step waits for its slowest member.
+bool goesFirst(const WaitingSlot &A, const WaitingSlot &B) {
+  // Groups that have begun go first, because an incomplete group is useless to
+  // the trainer. Then the longest samples, because the step ends with its last
+  // sample.
   if (A.GroupBegun != B.GroupBegun)
     return A.GroupBegun;
   if (A.Tokens != B.Tokens)
@@ -28,50 +29,53 @@
   return A.Place < B.Place;
 }
 
-double tokensLeft(const StepState &State, const SlotState &Which,
-                  std::uint32_t SoFar) {
+double expectedTokensLeft(const StepState &State, const SlotState &Which,
+                          std::uint32_t SoFar) {
   const WantedGroup &group = State.Groups[Which.GroupIndex];
   return expectedRemaining(
       expectedTokens(State.Lengths, group.Prompt, group.MaxTokens), SoFar,
       group.MaxTokens);
 }
 
-std::vector<Waiter> waiters(StepState &State, TimePoint Now) {
+std::vector<WaitingSlot> findWaitingSlots(StepState &State, TimePoint Now) {
   std::vector<bool> begun(State.Groups.size(), false);
-  std::vector<Waiter> all;
+  std::vector<WaitingSlot> all;
   for (auto &it : State.Slots) {
     SlotState &which = it.second;
     if (which.Phase != SlotPhase::Waiting)
       begun[which.GroupIndex] = true;
     else if (which.NotBefore <= Now)
-      all.push_back(Waiter{it.first, &which, false,
-                           tokensLeft(State, which, which.Kept.Tokens)});
+      all.push_back(WaitingSlot{
+          it.first, &which, false,
+          expectedTokensLeft(State, which, which.ResumableDraft.Tokens)});
   }
-  // By turns, slots go in their own order.
+  // Round robin keeps the order of the slots.
   if (State.Setup.Order == EngineOrder::RoundRobin) {
-    for (Waiter &it : all)
+    for (WaitingSlot &it : all)
       it.Tokens = 0;
     return all;
   }
-  for (Waiter &it : all)
+  for (WaitingSlot &it : all)
     it.GroupBegun = begun[it.Which->GroupIndex];
   return all;
 }
 
-/// What an attempt on this engine may go on from.
-Draft draftFor(const StepState &State, const Draft &Kept,
-               const EngineState &On) {
-  if (Kept.Spans.empty() || !isFresh(State.Fresh, Kept.Spans))
+/// Returns the draft that an attempt on this engine may resume from, or an
+/// empty one.
+Draft findResumeDraft(const StepState &State, const Draft &ResumableDraft,
+                      const EngineState &On) {
+  if (ResumableDraft.Spans.empty() ||
+      !isFresh(State.Fresh, ResumableDraft.Spans))
     return Draft();
-  bool sameVersion = Kept.Spans.back().Version == On.Seen.Version;
+  bool sameVersion = ResumableDraft.Spans.back().Version == On.Seen.Version;
   if (State.Policy.OnVersionChange == VersionChange::Restart && !sameVersion)
     return Draft();
-  return Kept;
+  return ResumableDraft;
 }
 
 void dispatch(StepState &State, Slot Place, SlotState &Which,
-              const Candidate &On, const Draft &Kept, bool Hedge, TimePoint Now,
-              StepEffects &Out) {
+              const Candidate &On, const Draft &ResumableDraft, bool Hedge,
+              TimePoint Now, StepEffects &Out) {
   const WantedGroup &group = State.Groups[Which.GroupIndex];
   AttemptId id = State.NextAttempt++;
   AttemptState attempt;
@@ -79,11 +83,11 @@
   attempt.On = On.At->Seen.Name;
   attempt.Started = Now;
   attempt.LastChunk = Now;
-  attempt.GeneratedDraft = draftFor(State, Kept, *On.At);
+  attempt.GeneratedDraft = findResumeDraft(State, ResumableDraft, *On.At);
   attempt.ResumePosition = attempt.GeneratedDraft.Tokens;
   attempt.Hedge = Hedge;
-  ++On.At->Own;
-  On.At->LastDispatchNumber = ++State.Dispatches;
+  ++On.At->OwnAttempts;
+  On.At->LastDispatchNumber = ++State.DispatchCount;
   ++Which.Attempts;
   Which.Running.push_back(id);
   if (Which.Phase == SlotPhase::Waiting)
@@ -98,20 +102,21 @@
   return State.HasStep && !State.Closed && State.Policy.AdmitRollouts;
 }
 
-/// Whether a copy on an engine of `Rate` would end well before the attempt.
-bool isWorthHedging(const StepState &State, const AttemptState &Of, double Rate,
-                    TimePoint Now) {
-  if (Now - Of.LastChunk > State.Setup.StallTimeout)
+/// Returns true if the attempt has stalled, or is much slower than a stream on
+/// an engine of `Rate` tokens per second.
+bool isWorthHedging(const StepState &State, const AttemptState &Attempt,
+                    double Rate, TimePoint Now) {
+  if (Now - Attempt.LastChunk > State.Setup.StallTimeout)
     return true;
-  Micros ran = Now - Of.Started;
+  Micros ran = Now - Attempt.Started;
   if (ran < State.Setup.StallTimeout || Rate <= 0)
     return false;
-  double own = (Of.GeneratedDraft.Tokens - Of.ResumePosition) * 1e6 /
+  double own = (Attempt.GeneratedDraft.Tokens - Attempt.ResumePosition) * 1e6 /
                static_cast<double>(ran.count());
   return own * State.Setup.MinHedgeSpeedup < Rate;
 }
 
-void giveUpHanging(StepState &State, TimePoint Now, StepEffects &Out) {
+void cancelHanging(StepState &State, TimePoint Now, StepEffects &Out) {
   std::vector<AttemptId> hanging;
   for (const auto &it : State.Attempts) {
     if (Now - it.second.LastChunk > State.Setup.HangTimeout)
@@ -119,8 +124,8 @@
   }
   for (AttemptId id : hanging) {
     AttemptState attempt = State.Attempts.at(id);
-    Out.emplace_back(
-        CancelAttempt{id, attempt.Place, attempt.On, "no chunk in time"});
+    Out.emplace_back(CancelAttempt{id, attempt.Place, attempt.On,
+                                   "no chunk within the time limit"});
     State.TokensWasted +=
         attempt.GeneratedDraft.Tokens - attempt.ResumePosition;
     removeAttempt(State, id);
@@ -129,7 +134,7 @@
       backOff(engine->second, State.Setup.StallTimeout, Now);
     SlotState &which = State.Slots.at(attempt.Place);
     if (which.Running.empty()) {
-      which.Kept = attempt.GeneratedDraft;
+      which.ResumableDraft = attempt.GeneratedDraft;
       setPhase(State, which, SlotPhase::Waiting);
     }
   }
@@ -143,11 +148,11 @@
   std::vector<Candidate> heap = enginesWithRoom(State, Now);
   if (heap.empty())
     return;
-  std::vector<Waiter> waiting = waiters(State, Now);
+  std::vector<WaitingSlot> waiting = findWaitingSlots(State, Now);
   std::size_t room = 0;
   for (const Candidate &it : heap)
     room += it.Free;
-  // Only those that find room need an order.
+  // Sorts only as many slots as there is capacity for.
   auto last = waiting.begin() +
               static_cast<std::ptrdiff_t>(std::min(room, waiting.size()));
   std::partial_sort(waiting.begin(), last, waiting.end(), goesFirst);
@@ -156,13 +161,13 @@
         takeEngine(State, heap, SlotRequirements{it->Tokens, {}}, Now);
     if (!on)
       return;
-    dispatch(State, it->Place, *it->Which, *on, it->Which->Kept, false, Now,
-             Out);
+    dispatch(State, it->Place, *it->Which, *on, it->Which->ResumableDraft,
+             false, Now, Out);
   }
 }
 
 void hedgeTail(StepState &State, TimePoint Now, StepEffects &Out) {
-  giveUpHanging(State, Now, Out);
+  cancelHanging(State, Now, Out);
   if (!mayDispatch(State) || !State.Policy.HedgeTail || State.WaitingCount > 0)
     return;
   std::vector<Candidate> heap = enginesWithRoom(State, Now);
@@ -176,7 +181,8 @@
     double rate = heap.empty() ? 0 : expectedRate(State, *heap.front().At);
     if (heap.empty() || !isWorthHedging(State, running, rate, Now))
       continue;
-    double left = tokensLeft(State, which, running.GeneratedDraft.Tokens);
+    double left =
+        expectedTokensLeft(State, which, running.GeneratedDraft.Tokens);
     std::optional<Candidate> on =
         takeEngine(State, heap, SlotRequirements{left, {running.On}}, Now);
     if (on)
--- a/Wasabi/Rollout/Dispatching.h
+++ b/Wasabi/Rollout/Dispatching.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which slot runs next, and on which engine.
+/// Chooses the slots to run next and their engines.
 #ifndef WASABI_ROLLOUT_DISPATCHING_H
 #define WASABI_ROLLOUT_DISPATCHING_H
 
@@ -7,14 +7,15 @@
 
 namespace wasabi {
 
-/// Dispatches as many waiting slots as engines have room for: groups already
-/// begun first, then the longest expected; the engine expected to be done first
-/// takes it, unless the sample is expected to be too old by then.
+/// Dispatches as many waiting slots as the engines have capacity for: first
+/// those of groups that have begun, then those with the longest expected
+/// samples. Each goes to the engine that is expected to finish it first, among
+/// those on which it is expected to stay fresh.
 void dispatchWaiting(StepState &State, TimePoint Now, StepEffects &Out);
 
-/// Runs the tail twice: attempts that stalled, or run on a much slower engine
-/// than one that stands idle, are copied there from their last whole position.
-/// Attempts that hang are given up.
+/// Starts a second attempt for slots whose only attempt has stalled, or is much
+/// slower than a free engine. It resumes from the draft of the first. Cancels
+/// the attempts without a chunk for `HangTimeout`.
 void hedgeTail(StepState &State, TimePoint Now, StepEffects &Out);
 
 } // namespace wasabi
--- a/Wasabi/Rollout/EngineChoice.cpp
+++ b/Wasabi/Rollout/EngineChoice.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-/// An engine this many times slower than the median takes one sample at once.
-constexpr double SlowRatio = 4;
-/// What another failure domain costs, against a whole stream's time.
-constexpr double FarCost = 0.01;
+/// An engine slower than the median by this factor runs one sample at a time.
+constexpr double MaxSlowdown = 4;
+/// Cost of an engine in another failure domain, relative to the duration of a
+/// stream.
+constexpr double RemoteDomainCost = 0.01;
 
 bool costsMore(const Candidate &A, const Candidate &B) {
   if (A.Cost != B.Cost)
@@ -17,19 +18,21 @@
   return A.At->Seen.Name > B.At->Seen.Name;
 }
 
-double costOf(const StepState &State, const EngineState &At, double Median) {
+double engineCost(const StepState &State, const EngineState &At,
+                  double Median) {
   if (State.Setup.Order == EngineOrder::RoundRobin)
     return static_cast<double>(At.LastDispatchNumber);
   double slots = std::max(1U, At.Seen.Slots);
-  double load = std::max<double>(At.Own, At.Seen.Running);
+  double load = std::max<double>(At.OwnAttempts, At.Seen.Running);
   double slowness =
       At.StreamRate > 0 && Median > 0 ? Median / At.StreamRate : 1;
-  double far = At.Seen.Domain == State.Setup.Domain ? 0 : FarCost;
-  return slowness * (1 + load / slots) + far;
+  double domainCost =
+      At.Seen.Domain == State.Setup.Domain ? 0 : RemoteDomainCost;
+  return slowness * (1 + load / slots) + domainCost;
 }
 
-/// What one more stream adds to an engine's cost.
-double costOfOneMore(const StepState &State, const EngineState &At) {
+/// Returns the increase in cost per additional stream.
+double costPerStream(const StepState &State, const EngineState &At) {
   if (State.Setup.Order == EngineOrder::RoundRobin)
     return static_cast<double>(State.Servers.size());
   return 1.0 / std::max(1U, At.Seen.Slots);
@@ -38,11 +41,11 @@
 bool isSlow(const StepState &State, const EngineState &At) {
   double median =
       State.Setup.Order == EngineOrder::RoundRobin ? 0 : State.MedianRate;
-  return At.StreamRate > 0 && At.StreamRate * SlowRatio < median;
+  return At.StreamRate > 0 && At.StreamRate * MaxSlowdown < median;
 }
 
-/// Under `Finish` an outdated engine drains, so that it can swap; but not when
-/// all are outdated, or nothing would run.
+/// Under the `Finish` policy outdated engines drain before they load the new
+/// weights, unless all engines are outdated.
 bool anyUpToDate(const StepState &State) {
   return std::any_of(State.Servers.begin(), State.Servers.end(),
                      [&State](const auto &it) {
@@ -57,16 +60,18 @@
   return Now + Micros(static_cast<std::int64_t>(Tokens / Rate * 1e6));
 }
 
-bool fits(const StepState &State, const Candidate &One,
-          const SlotRequirements &Need, TimePoint Now) {
-  const ReportedEngine &seen = One.At->Seen;
-  if (std::find(Need.Not.begin(), Need.Not.end(), seen.Name) != Need.Not.end())
+bool fits(const StepState &State, const Candidate &Engine,
+          const SlotRequirements &Requirements, TimePoint Now) {
+  const ReportedEngine &seen = Engine.At->Seen;
+  if (std::find(Requirements.ExcludedEngines.begin(),
+                Requirements.ExcludedEngines.end(),
+                seen.Name) != Requirements.ExcludedEngines.end())
     return false;
-  // Nothing fresher can be had than the newest: waiting would not help.
+  // No engine has a newer version.
   if (seen.Version >= State.Fresh.Newest)
     return true;
   TimePoint finish =
-      expectedFinish(Need.Tokens, expectedRate(State, *One.At), Now);
+      expectedFinish(Requirements.Tokens, expectedRate(State, *Engine.At), Now);
   return willBeFresh(State.Fresh, seen.Version, State.Publishing, Now, finish);
 }
 
@@ -84,15 +89,15 @@
     EngineState &at = it.second;
     if (draining && at.Seen.Version < State.Fresh.Newest)
       continue;
-    // Without a chance to be fresh there is no room.
+    // Samples of this engine would be stale already.
     if (!isFresh(State.Fresh, at.Seen.Version))
       continue;
     std::uint32_t free = freeSlots(at, State.Policy.Part, Now);
     if (isSlow(State, at))
-      free = at.Own == 0 ? std::min(free, 1U) : 0;
+      free = at.OwnAttempts == 0 ? std::min(free, 1U) : 0;
     if (free > 0)
       found.push_back(
-          Candidate{&at, free, costOf(State, at, State.MedianRate)});
+          Candidate{&at, free, engineCost(State, at, State.MedianRate)});
   }
   std::make_heap(found.begin(), found.end(), costsMore);
   return found;
@@ -100,25 +105,25 @@
 
 std::optional<Candidate> takeEngine(const StepState &State,
                                     std::vector<Candidate> &Heap,
-                                    const SlotRequirements &Need,
+                                    const SlotRequirements &Requirements,
                                     TimePoint Now) {
-  std::vector<Candidate> unfit;
+  std::vector<Candidate> remaining;
   std::optional<Candidate> taken;
   while (!Heap.empty() && !taken) {
     std::pop_heap(Heap.begin(), Heap.end(), costsMore);
     Candidate top = Heap.back();
     Heap.pop_back();
-    if (!fits(State, top, Need, Now)) {
-      unfit.push_back(top);
+    if (!fits(State, top, Requirements, Now)) {
+      remaining.push_back(top);
       continue;
     }
     taken = top;
     if (top.Free > 1) {
-      double more = costOfOneMore(State, *top.At);
-      unfit.push_back(Candidate{top.At, top.Free - 1, top.Cost + more});
+      double increase = costPerStream(State, *top.At);
+      remaining.push_back(Candidate{top.At, top.Free - 1, top.Cost + increase});
     }
   }
-  for (const Candidate &it : unfit) {
+  for (const Candidate &it : remaining) {
     Heap.push_back(it);
     std::push_heap(Heap.begin(), Heap.end(), costsMore);
   }
--- a/Wasabi/Rollout/EngineChoice.h
+++ b/Wasabi/Rollout/EngineChoice.h
@@ -1,5 +1,5 @@
 /// \file
-/// Engines with room, the one expected to be done first on top.
+/// Ranks the engines that have capacity by expected finish.
 #ifndef WASABI_ROLLOUT_ENGINECHOICE_H
 #define WASABI_ROLLOUT_ENGINECHOICE_H
 
@@ -10,33 +10,34 @@
 
 namespace wasabi {
 
-/// An engine with room. Valid while the state's engines do not change.
+/// An engine with capacity. The pointer is valid while the state's engines do
+/// not change.
 struct Candidate {
   EngineState *At = nullptr;
   std::uint32_t Free = 0;
-  /// Relative time that a stream is expected to take there.
+  /// Relative expected duration of a stream.
   double Cost = 0;
 };
 
-/// What may run there: a slot's needs.
+/// Requirements of a slot on its engine.
 struct SlotRequirements {
   double Tokens = 0;
-  /// Engines that run it already; nothing is won by running twice on one.
-  std::vector<ServerName> Not;
+  /// Engines that already run the slot.
+  std::vector<ServerName> ExcludedEngines;
 };
 
-/// All engines with room as a heap, cheapest on top. Pure.
+/// Returns the engines with capacity as a heap with the cheapest on top. Pure.
 std::vector<Candidate> enginesWithRoom(StepState &State, TimePoint Now);
 
-/// Takes the cheapest engine that a sample would still be fresh on, and one
-/// place there, out of the heap; empty when there is none. Pure but for
-/// `Heap`.
+/// Removes one place on the cheapest engine on which the sample is expected to
+/// stay fresh. Returns nothing if there is none. Pure except for `Heap`.
 std::optional<Candidate> takeEngine(const StepState &State,
                                     std::vector<Candidate> &Heap,
-                                    const SlotRequirements &Need,
+                                    const SlotRequirements &Requirements,
                                     TimePoint Now);
 
-/// The rate of a stream expected there, in tokens a second; 0 for unknown.
+/// Returns the expected rate of a stream in tokens per second; 0 if unknown.
+/// Pure.
 double expectedRate(const StepState &State, const EngineState &At);
 
 } // namespace wasabi
--- a/Wasabi/Rollout/Engines.cpp
+++ b/Wasabi/Rollout/Engines.cpp
@@ -10,13 +10,13 @@
 constexpr Millis FirstBackOff{100};
 constexpr std::uint32_t MaxBackOffDoublings = 5;
 
-std::uint32_t partOf(std::uint32_t Whole, std::uint32_t Part,
-                     std::uint32_t Sum) {
-  std::uint64_t up = std::uint64_t(Whole) * Part + Sum - 1;
-  return static_cast<std::uint32_t>(up / Sum);
+std::uint32_t computeShare(std::uint32_t Total, std::uint32_t Part,
+                           std::uint32_t TotalParts) {
+  std::uint64_t dividend = std::uint64_t(Total) * Part + TotalParts - 1;
+  return static_cast<std::uint32_t>(dividend / TotalParts);
 }
 
-std::uint32_t lessOrZero(std::uint32_t A, std::uint32_t B) {
+std::uint32_t subtractOrZero(std::uint32_t A, std::uint32_t B) {
   return A > B ? A - B : 0;
 }
 
@@ -28,14 +28,15 @@
   if (!seen.Serving || Now < At.NotBefore || Part.RolloutPercent == 0)
     return 0;
   std::uint32_t limit = std::max(1U, seen.Slots * Part.RolloutPercent / 100);
-  if (At.Own >= limit)
+  if (At.OwnAttempts >= limit)
     return 0;
-  std::uint32_t fair = std::min(
-      limit, partOf(limit, Part.Share, std::max(1U, Part.TotalShares)));
-  std::uint32_t others = lessOrZero(seen.Running, At.OwnAttemptsAtReport);
-  // Where someone waits, what stands idle is theirs.
-  std::uint32_t idle = seen.Queued > 0 ? 0 : lessOrZero(limit, At.Own + others);
-  return std::max(lessOrZero(fair, At.Own), idle);
+  std::uint32_t share = std::min(
+      limit, computeShare(limit, Part.Share, std::max(1U, Part.TotalShares)));
+  std::uint32_t others = subtractOrZero(seen.Running, At.OwnAttemptsAtReport);
+  // Leaves idle capacity to the requests that are queued.
+  std::uint32_t idle =
+      seen.Queued > 0 ? 0 : subtractOrZero(limit, At.OwnAttempts + others);
+  return std::max(subtractOrZero(share, At.OwnAttempts), idle);
 }
 
 void backOff(EngineState &At, Millis RetryAfter, TimePoint Now) {
@@ -45,16 +46,16 @@
   ++At.Failures;
 }
 
-void recordStreamRate(EngineState &At, std::uint32_t Tokens, Micros Took) {
-  if (Tokens == 0 || Took.count() <= 0)
+void recordStreamRate(EngineState &At, std::uint32_t Tokens, Micros Duration) {
+  if (Tokens == 0 || Duration.count() <= 0)
     return;
-  double rate = Tokens * 1e6 / static_cast<double>(Took.count());
+  double rate = Tokens * 1e6 / static_cast<double>(Duration.count());
   At.StreamRate = At.StreamRate == 0 ? rate : (At.StreamRate * 3 + rate) / 4;
 }
 
-double medianRate(const Engines &All) {
+double medianRate(const Engines &Servers) {
   std::vector<double> rates;
-  for (const auto &it : All) {
+  for (const auto &it : Servers) {
     if (it.second.StreamRate > 0)
       rates.push_back(it.second.StreamRate);
   }
--- a/Wasabi/Rollout/Engines.h
+++ b/Wasabi/Rollout/Engines.h
@@ -1,5 +1,5 @@
 /// \file
-/// The engines that a trainer's samples may run on, as its owner sees them.
+/// The engines available to a trainer, as its owner sees them.
 #ifndef WASABI_ROLLOUT_ENGINES_H
 #define WASABI_ROLLOUT_ENGINES_H
 
@@ -13,71 +13,74 @@
 
 namespace wasabi {
 
-/// One engine as its daemon reported it last. An immutable value.
+/// An engine as last reported by its daemon. An immutable value.
 struct ReportedEngine {
   ServerName Name;
   ServiceName Service;
   InstanceName Daemon;
   DomainName Domain;
-  /// Where its daemon takes requests.
+  /// Address for requests to the daemon.
   Address Where;
-  /// As reported; 0 for unknown.
+  /// 0 if unknown.
   WeightVersion Version = 0;
-  /// Requests it runs at once.
+  /// Maximum number of concurrent requests.
   std::uint32_t Slots = 1;
-  /// Requests of all callers and trainers there, as reported.
+  /// Reported requests of all callers and trainers.
   std::uint32_t Running = 0;
   std::uint32_t Queued = 0;
   bool Serving = true;
-  /// Counts the load reports: the same one again is no news.
+  /// Number of load reports received; unchanged if there is no newer report.
   std::uint64_t Report = 0;
   bool operator==(const ReportedEngine &) const = default;
 };
 
-/// An engine and what its owner did with it. A value.
+/// An engine with the owner's statistics. A value.
 struct EngineState {
   ReportedEngine Seen;
-  /// Attempts of this trainer there now, and when it was reported.
-  std::uint32_t Own = 0;
+  /// Attempts of this trainer, now and at the time of the last report.
+  std::uint32_t OwnAttempts = 0;
   std::uint32_t OwnAttemptsAtReport = 0;
-  /// No new attempt before this, after a refusal or a failure.
+  /// No attempt starts before this time, after a refusal or failure.
   TimePoint NotBefore;
   std::uint32_t Failures = 0;
-  /// Counts the dispatches of its owner; the last one that went here.
+  /// Number of the owner's last dispatch to this engine.
   std::uint64_t LastDispatchNumber = 0;
-  /// Tokens a second of one stream, a moving average; 0 until one ended.
+  /// Moving average of a stream's rate in tokens per second; 0 if unknown.
   double StreamRate = 0;
   bool operator==(const EngineState &) const = default;
 };
 
 using Engines = std::map<ServerName, EngineState>;
 
-/// A trainer's part of its engines.
+/// A trainer's share of its engines.
 struct EngineShare {
-  /// Its share, and the sum of shares of all trainers on the service.
+  /// The trainer's share, and the sum of the shares of all trainers on the
+  /// service.
   std::uint32_t Share = 1;
   std::uint32_t TotalShares = 1;
-  /// Most of an engine that rollouts may hold, in percent.
+  /// Maximum part of an engine's slots for rollouts, in percent.
   std::uint32_t RolloutPercent = 100;
   bool operator==(const EngineShare &) const = default;
 };
 
-/// Attempts that may begin there now. Own dispatches since the report correct
-/// its lag. Up to its share a trainer may queue behind others; beyond it, it
-/// only takes what stands idle, so that others get theirs as samples end. Pure.
+/// Returns the number of attempts that may start on the engine. Takes the
+/// dispatches since the last report into account. Up to its share a trainer may
+/// queue behind others; beyond its share it uses only idle slots. Pure.
 std::uint32_t freeSlots(const EngineState &At, const EngineShare &Part,
                         TimePoint Now);
 
-/// Notes a refusal or failure: no attempt before a delay that doubles with each
-/// further failure, or before `RetryAfter`. Pure but for `At`.
+/// Records a refusal or failure: attempts are delayed by `RetryAfter`, or by a
+/// back-off that doubles with each failure, whichever is longer. Pure except
+/// for `At`.
 void backOff(EngineState &At, Millis RetryAfter, TimePoint Now);
 
-/// Notes that a stream sent `Tokens` in `Took`; nothing without any.
-void recordStreamRate(EngineState &At, std::uint32_t Tokens, Micros Took);
+/// Adds a stream that generated `Tokens` within `Duration` to the average rate.
+/// Ignores empty streams.
+void recordStreamRate(EngineState &At, std::uint32_t Tokens, Micros Duration);
 
-/// The median rate of a stream over the engines that have one; 0 for none.
-/// Pure.
-double medianRate(const Engines &All);
+/// Returns the median stream rate of the engines with a known rate, in tokens
+/// per second; 0 if there are none. Pure.
+double medianRate(const Engines &Servers);
 
 } // namespace wasabi
 
--- a/Wasabi/Rollout/Label.cpp
+++ b/Wasabi/Rollout/Label.cpp
@@ -4,22 +4,23 @@
 
 namespace wasabi {
 
-ChunkStatus append(Draft &Into, const Chunk &What) {
-  if (What.Position != Into.Tokens)
+ChunkStatus append(Draft &Into, const Chunk &Received) {
+  if (Received.Position != Into.Tokens)
     return ChunkStatus::UnexpectedPosition;
-  if (!What.Version)
+  if (!Received.Version)
     return ChunkStatus::MissingVersion;
-  if (What.Tokens == 0)
-    return ChunkStatus::Taken;
-  std::uint32_t end = What.Position + What.Tokens;
-  // Neighbours of one version are one span, so that equal labels are equal.
-  if (!Into.Spans.empty() && Into.Spans.back().Version == *What.Version)
+  if (Received.Tokens == 0)
+    return ChunkStatus::Appended;
+  std::uint32_t end = Received.Position + Received.Tokens;
+  // Merges adjacent spans of the same version, so that labels compare equal.
+  if (!Into.Spans.empty() && Into.Spans.back().Version == *Received.Version)
     Into.Spans.back().To = end;
   else
-    Into.Spans.push_back(VersionSpan{What.Position, end, *What.Version});
-  Into.Text += What.Text;
+    Into.Spans.push_back(
+        VersionSpan{Received.Position, end, *Received.Version});
+  Into.Text += Received.Text;
   Into.Tokens = end;
-  return ChunkStatus::Taken;
+  return ChunkStatus::Appended;
 }
 
 bool covers(const Label &Spans, std::uint32_t Tokens) {
--- a/Wasabi/Rollout/Label.h
+++ b/Wasabi/Rollout/Label.h
@@ -1,6 +1,6 @@
 /// \file
-/// A sample's label: which weight versions produced which of its tokens, as the
-/// engine itself attested chunk by chunk.
+/// Labels of samples: which weight version generated which tokens, as reported
+/// by the engine with each chunk.
 #ifndef WASABI_ROLLOUT_LABEL_H
 #define WASABI_ROLLOUT_LABEL_H
 
@@ -13,7 +13,7 @@
 
 namespace wasabi {
 
-/// Tokens [From, To) were produced on one version.
+/// Tokens [From, To) were generated with one version.
 struct VersionSpan {
   std::uint32_t From = 0;
   std::uint32_t To = 0;
@@ -21,16 +21,17 @@
   bool operator==(const VersionSpan &) const = default;
 };
 
-/// Spans in order, without gaps, neighbours of different versions.
+/// Contiguous spans in order; adjacent spans have different versions.
 using Label = std::vector<VersionSpan>;
 
-/// One chunk of an engine's stream.
+/// A chunk of an engine's stream.
 struct Chunk {
-  /// Index of its first token.
+  /// Index of the first token.
   std::uint32_t Position = 0;
   std::uint32_t Tokens = 0;
   std::string Text;
-  /// Empty when the engine did not say: such tokens cannot be attested.
+  /// Empty if the engine does not report the version; the chunk is then
+  /// rejected.
   std::optional<WeightVersion> Version;
   bool operator==(const Chunk &) const = default;
 };
@@ -43,27 +44,28 @@
   bool operator==(const Draft &) const = default;
 };
 
-/// What became of a chunk.
+/// Result of appending a chunk.
 enum class ChunkStatus : std::uint8_t {
-  Taken,
-  /// Its position is not the draft's next token: the stream has a gap or a
-  /// repeat.
+  Appended,
+  /// The chunk does not continue the draft: the stream has a gap or a
+  /// repetition.
   UnexpectedPosition,
-  /// It names no version.
+  /// The chunk has no version.
   MissingVersion,
 };
 
-/// Appends a chunk to a draft; a chunk not taken leaves it as it was. Pure but
-/// for `Into`.
-ChunkStatus append(Draft &Into, const Chunk &What);
+/// Appends a chunk to a draft. A rejected chunk leaves the draft unchanged.
+/// Pure except for `Into`.
+ChunkStatus append(Draft &Into, const Chunk &Received);
 
-/// Whether the spans cover [0, Tokens) in order without gap or overlap. Pure.
+/// Returns true if the spans cover [0, Tokens) in order without gaps or
+/// overlaps. Pure.
 bool covers(const Label &Spans, std::uint32_t Tokens);
 
-/// The oldest version in a label; empty for no spans. Pure.
+/// Returns the oldest version of a label; empty if it has no spans. Pure.
 std::optional<WeightVersion> oldestVersion(const Label &Spans);
 
-/// "0-12@3,12-40@4". Pure.
+/// Formats a label, for example "0-12@3,12-40@4". Pure.
 std::string toText(const Label &Spans);
 
 } // namespace wasabi
--- a/Wasabi/Rollout/LengthEstimates.h
+++ b/Wasabi/Rollout/LengthEstimates.h
@@ -1,5 +1,5 @@
 /// \file
-/// How long samples are expected to be, learnt from those that ended.
+/// Estimates the length of samples from those that finished.
 #ifndef WASABI_ROLLOUT_LENGTHESTIMATES_H
 #define WASABI_ROLLOUT_LENGTHESTIMATES_H
 
@@ -10,9 +10,9 @@
 
 namespace wasabi {
 
-/// Mean lengths in tokens by prompt and over all. A value.
+/// Mean lengths in tokens, by prompt and overall. A value.
 struct LengthEstimates {
-  /// Prompts remembered at most; beyond it the memory begins anew.
+  /// Maximum number of prompts; when it is reached, all of them are discarded.
   static constexpr std::size_t MaxPrompts = 16384;
 
   struct Mean {
@@ -27,17 +27,18 @@
   bool operator==(const LengthEstimates &) const = default;
 };
 
-/// Takes note of an ended sample. Not thread-safe.
-void observe(LengthEstimates &Of, const std::string &Prompt,
-             std::uint32_t Tokens);
+/// Adds the length of a finished sample. Not thread-safe.
+void recordLength(LengthEstimates &Estimates, const std::string &Prompt,
+                  std::uint32_t Tokens);
 
-/// Tokens a sample of this prompt is expected to have, at most `MaxTokens`;
-/// half of it while nothing is known. Pure.
-double expectedTokens(const LengthEstimates &Of, const std::string &Prompt,
-                      std::uint32_t MaxTokens);
+/// Returns the expected number of tokens of a sample, at most `MaxTokens`; half
+/// of it if no sample has finished. Pure.
+double expectedTokens(const LengthEstimates &Estimates,
+                      const std::string &Prompt, std::uint32_t MaxTokens);
 
-/// Tokens still to come after `SoFar`. Lengths are heavy-tailed: a sample that
-/// outgrew its estimate is expected to go on for half of what it has. Pure.
+/// Returns the expected number of tokens after the first `SoFar`. Lengths are
+/// heavy-tailed: a sample that exceeds its estimate is expected to grow by half
+/// of its length. Pure.
 double expectedRemaining(double Expected, std::uint32_t SoFar,
                          std::uint32_t MaxTokens);
 
--- a/Wasabi/Rollout/LoadReports.cpp
+++ b/Wasabi/Rollout/LoadReports.cpp
@@ -2,20 +2,21 @@
 
 namespace wasabi {
 
-void LoadReports::take(const ReportedLoad &Report, TimePoint Now) {
-  Held &held = Newest[Report.Server];
-  held = Held{Report, Now, held.Count + 1};
+void LoadReports::update(const ReportedLoad &Report, TimePoint Now) {
+  StoredReport &stored = Newest[Report.Server];
+  stored = StoredReport{Report, Now, stored.Count + 1};
 }
 
-std::uint64_t LoadReports::count(const ServerName &Of) const {
-  const auto found = Newest.find(Of);
+std::uint64_t LoadReports::count(const ServerName &Server) const {
+  const auto found = Newest.find(Server);
   return found == Newest.end() ? 0 : found->second.Count;
 }
 
-const ReportedLoad *LoadReports::find(const ServerName &Of,
+const ReportedLoad *LoadReports::find(const ServerName &Server,
                                       TimePoint Now) const {
-  const auto found = Newest.find(Of);
-  if (found == Newest.end() || Now - found->second.At > LoadReportTimeout)
+  const auto found = Newest.find(Server);
+  if (found == Newest.end() ||
+      Now - found->second.ReceivedAt > LoadReportTimeout)
     return nullptr;
   return &found->second.Report;
 }
--- a/Wasabi/Rollout/LoadReports.h
+++ b/Wasabi/Rollout/LoadReports.h
@@ -1,5 +1,5 @@
 /// \file
-/// The load reports that daemons push, for as long as they say something.
+/// Stores the load reports that daemons push.
 #ifndef WASABI_ROLLOUT_LOADREPORTS_H
 #define WASABI_ROLLOUT_LOADREPORTS_H
 
@@ -12,29 +12,29 @@
 
 namespace wasabi {
 
-/// A report that is older says nothing: its connection was lost, its daemon is
-/// paused or was replaced. Daemons report five times as often.
+/// Age at which a report expires, because its connection was lost or its daemon
+/// was paused or replaced.
 inline constexpr Millis LoadReportTimeout{1000};
 
-/// The newest report of each server, with the time when it came. Not
-/// thread-safe; time is passed in.
+/// The newest report of each server with its time of receipt. Not thread-safe.
 class LoadReports {
 public:
-  /// Takes a report that came at `Now`.
-  void take(const ReportedLoad &Report, TimePoint Now);
-  /// The report of a server, or null when there is none that still counts.
-  const ReportedLoad *find(const ServerName &Of, TimePoint Now) const;
+  /// Stores a report that was received at `Now`.
+  void update(const ReportedLoad &Report, TimePoint Now);
+  /// Returns the report of a server, or null if there is none or it has
+  /// expired.
+  const ReportedLoad *find(const ServerName &Server, TimePoint Now) const;
 
-  /// How many reports of a server came; the same number again is no news.
-  std::uint64_t count(const ServerName &Of) const;
+  /// Returns the number of reports received of a server.
+  std::uint64_t count(const ServerName &Server) const;
 
 private:
-  struct Held {
+  struct StoredReport {
     ReportedLoad Report;
-    TimePoint At;
+    TimePoint ReceivedAt;
     std::uint64_t Count = 0;
   };
-  std::map<ServerName, Held> Newest;
+  std::map<ServerName, StoredReport> Newest;
 };
 
 } // namespace wasabi
--- a/Wasabi/Rollout/RolloutContext.cpp
+++ b/Wasabi/Rollout/RolloutContext.cpp
@@ -9,53 +9,55 @@
 
 namespace {
 
-ReportedEngine engineFrom(const Member &Who, const ServerStatus &Server) {
-  ReportedEngine seen;
-  seen.Name = Server.Name;
-  seen.Service = Server.Service;
-  seen.Daemon = Who.Instance;
-  seen.Domain = Who.Domain;
-  seen.Where = Who.Requests;
-  seen.Version = Server.Version;
-  seen.Slots = Server.Slots;
-  seen.Serving = Server.Serving;
-  return seen;
+ReportedEngine makeReportedEngine(const Member &Daemon,
+                                  const ServerStatus &Server) {
+  ReportedEngine engine;
+  engine.Name = Server.Name;
+  engine.Service = Server.Service;
+  engine.Daemon = Daemon.Instance;
+  engine.Domain = Daemon.Domain;
+  engine.Where = Daemon.Requests;
+  engine.Version = Server.Version;
+  engine.Slots = Server.Slots;
+  engine.Serving = Server.Serving;
+  return engine;
 }
 
-/// A load report is younger than the view.
-void correct(ReportedEngine &Seen, const ReportedLoad &Load) {
-  Seen.Running = Load.Running;
-  Seen.Queued = Load.Queued;
-  Seen.Serving = Seen.Serving && Load.Serving;
+/// Load reports are newer than the view.
+void applyLoad(ReportedEngine &Engine, const ReportedLoad &Load) {
+  Engine.Running = Load.Running;
+  Engine.Queued = Load.Queued;
+  Engine.Serving = Engine.Serving && Load.Serving;
   if (Load.Version != 0)
-    Seen.Version = Load.Version;
+    Engine.Version = Load.Version;
 }
 
 } // namespace
 
-std::vector<ReportedEngine> findServiceEngines(RolloutContext &Of,
+std::vector<ReportedEngine> findServiceEngines(RolloutContext &Context,
                                                const ServiceName &Service) {
-  std::vector<ReportedEngine> all;
+  std::vector<ReportedEngine> engines;
   const TimePoint now = monotonicNow();
-  std::shared_ptr<const View> view = Of.Control.view();
+  std::shared_ptr<const View> view = Context.Control.view();
   for (const auto &it : view->Members) {
-    const Member &who = it.second;
-    if (who.Kind != Role::Daemon || !takesWork(who) || who.Requests.empty())
+    const Member &daemon = it.second;
+    if (daemon.Kind != Role::Daemon || !takesWork(daemon) ||
+        daemon.Requests.empty())
       continue;
-    for (const ServerStatus &server : who.Servers) {
+    for (const ServerStatus &server : daemon.Servers) {
       if (server.Service != Service)
         continue;
-      ReportedEngine seen = engineFrom(who, server);
-      seen.Report = Of.Loads.count(seen.Name);
-      const ReportedLoad *load = Of.Loads.find(seen.Name, now);
+      ReportedEngine engine = makeReportedEngine(daemon, server);
+      engine.Report = Context.Loads.count(engine.Name);
+      const ReportedLoad *load = Context.Loads.find(engine.Name, now);
       if (load != nullptr)
-        correct(seen, *load);
+        applyLoad(engine, *load);
       else
-        Of.Requests->connectAhead(who.Requests);
-      all.push_back(std::move(seen));
+        Context.Requests->connectAhead(daemon.Requests);
+      engines.push_back(std::move(engine));
     }
   }
-  return all;
+  return engines;
 }
 
 void GuardedExecutor::post(std::function<void()> Work) {
@@ -69,8 +71,8 @@
   Open = false;
 }
 
-boost::asio::awaitable<void> pause(Millis HowLong) {
-  BootTimer timer(co_await boost::asio::this_coro::executor, HowLong);
+boost::asio::awaitable<void> pause(Millis Duration) {
+  BootTimer timer(co_await boost::asio::this_coro::executor, Duration);
   co_await timer.async_wait(boost::asio::use_awaitable);
 }
 
--- a/Wasabi/Rollout/RolloutContext.h
+++ b/Wasabi/Rollout/RolloutContext.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the owners of trainers and of weight rollouts share: the duty's thread,
-/// its ports, and what it sees of the engines.
+/// State shared by the owners of trainers and of weight rollouts: the executor,
+/// the ports and the engines' loads.
 #ifndef WASABI_ROLLOUT_ROLLOUTCONTEXT_H
 #define WASABI_ROLLOUT_ROLLOUTCONTEXT_H
 
@@ -26,15 +26,15 @@
 
 namespace wasabi {
 
-/// Lets other threads' answers onto the duty's thread while that is there.
-/// Thread-safe.
+/// Posts the callbacks of other threads to the rollout thread until it is
+/// closed. Thread-safe.
 class GuardedExecutor {
 public:
   explicit GuardedExecutor(boost::asio::any_io_executor Executor)
       : Executor(std::move(Executor)) {}
-  /// Runs `Work` on the duty's thread, or drops it once the duty has ended.
+  /// Runs `Work` on the rollout thread, or drops it after `close`.
   void post(std::function<void()> Work);
-  /// Nothing is let through any more.
+  /// Drops all work that is posted from now on.
   void close();
 
 private:
@@ -43,7 +43,7 @@
   const boost::asio::any_io_executor Executor;
 };
 
-/// Shared by all owners of one duty; used on the duty's thread only.
+/// Shared by all owners of a process. Used on the rollout thread only.
 struct RolloutContext {
   RolloutService::Settings Setup;
   ControlPlane &Control;
@@ -56,17 +56,18 @@
   ScorerPort Scorer;
   WeightStorePort Weights;
   LoadReports Loads;
-  /// Counts the records that this process appends to trainers' streams.
+  /// Next sequence number of the records that this process appends to trainers'
+  /// streams.
   std::uint64_t NextSequence = 1;
 };
 
-/// Engines of a service behind daemons that take work, with their loads. The
-/// connections to daemons that do not report are prepared. Not thread-safe.
-std::vector<ReportedEngine> findServiceEngines(RolloutContext &Of,
+/// Returns the engines of a service whose daemons accept work, with their
+/// loads. Opens connections to the daemons that do not report. Not thread-safe.
+std::vector<ReportedEngine> findServiceEngines(RolloutContext &Context,
                                                const ServiceName &Service);
 
-/// Waits on the duty's thread.
-boost::asio::awaitable<void> pause(Millis HowLong);
+/// Suspends the calling coroutine.
+boost::asio::awaitable<void> pause(Millis Duration);
 
 } // namespace wasabi
 
--- a/Wasabi/Rollout/RolloutPolicyOf.cpp
+++ b/Wasabi/Rollout/RolloutPolicyOf.cpp
@@ -4,47 +4,47 @@
 
 namespace {
 
-EngineShare shareOf(const Configuration &From, const TrainerName &Trainer) {
-  EngineShare part;
-  part.RolloutPercent = From.preset().RolloutPercent;
-  const Attachment *own = nullptr;
-  for (const auto &it : From.Attachments) {
-    if (own == nullptr && it.second.Trainer == Trainer)
-      own = &it.second;
+EngineShare findShare(const Configuration &Config, const TrainerName &Trainer) {
+  EngineShare share;
+  share.RolloutPercent = Config.preset().RolloutPercent;
+  const Attachment *attachment = nullptr;
+  for (const auto &it : Config.Attachments) {
+    if (attachment == nullptr && it.second.Trainer == Trainer)
+      attachment = &it.second;
   }
-  if (own == nullptr)
-    return part;
-  part.Share = own->Share;
-  part.TotalShares = 0;
-  for (const auto &it : From.Attachments) {
-    if (it.second.Service == own->Service)
-      part.TotalShares += it.second.Share;
+  if (attachment == nullptr)
+    return share;
+  share.Share = attachment->Share;
+  share.TotalShares = 0;
+  for (const auto &it : Config.Attachments) {
+    if (it.second.Service == attachment->Service)
+      share.TotalShares += it.second.Share;
   }
-  return part;
+  return share;
 }
 
 } // namespace
 
-std::optional<RolloutPolicy> policyOf(const Configuration &From,
-                                      const TrainerName &Trainer) {
-  auto it = From.Trainers.find(Trainer);
-  if (it == From.Trainers.end())
+std::optional<RolloutPolicy> findRolloutPolicy(const Configuration &Config,
+                                               const TrainerName &Trainer) {
+  auto it = Config.Trainers.find(Trainer);
+  if (it == Config.Trainers.end())
     return std::nullopt;
-  const PresetDeclaration &preset = From.preset();
+  const PresetDeclaration &preset = Config.preset();
   RolloutPolicy policy;
   policy.StalenessBound = it->second.StalenessBound;
   policy.ChecksFences = it->second.ChecksFences;
   policy.AdmitRollouts = preset.AdmitRollouts;
   policy.OnVersionChange = preset.OnVersionChange;
   policy.HedgeTail = preset.HedgeTail;
-  policy.Part = shareOf(From, Trainer);
+  policy.Part = findShare(Config, Trainer);
   return policy;
 }
 
-std::vector<ServiceName> findAttachedServices(const Configuration &From,
+std::vector<ServiceName> findAttachedServices(const Configuration &Config,
                                               const TrainerName &Trainer) {
   std::vector<ServiceName> services;
-  for (const auto &it : From.Attachments) {
+  for (const auto &it : Config.Attachments) {
     if (it.second.Trainer == Trainer)
       services.push_back(it.second.Service);
   }
--- a/Wasabi/Rollout/RolloutPolicyOf.h
+++ b/Wasabi/Rollout/RolloutPolicyOf.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a configuration says of one trainer.
+/// Derives the policy of a trainer from the configuration.
 #ifndef WASABI_ROLLOUT_ROLLOUTPOLICYOF_H
 #define WASABI_ROLLOUT_ROLLOUTPOLICYOF_H
 
@@ -11,13 +11,14 @@
 
 namespace wasabi {
 
-/// The policy in force for a trainer; empty when it is not declared. Its share
-/// is the one of its first attachment, against all of that service's. Pure.
-std::optional<RolloutPolicy> policyOf(const Configuration &From,
-                                      const TrainerName &Trainer);
+/// Returns the policy of a trainer; empty if the trainer is not declared. Its
+/// share is that of its first attachment, relative to all attachments of the
+/// same service. Pure.
+std::optional<RolloutPolicy> findRolloutPolicy(const Configuration &Config,
+                                               const TrainerName &Trainer);
 
-/// The services that a trainer is attached to. Pure.
-std::vector<ServiceName> findAttachedServices(const Configuration &From,
+/// Returns the services that a trainer is attached to. Pure.
+std::vector<ServiceName> findAttachedServices(const Configuration &Config,
                                               const TrainerName &Trainer);
 
 } // namespace wasabi
--- a/Wasabi/Rollout/RolloutService.cpp
+++ b/Wasabi/Rollout/RolloutService.cpp
@@ -22,9 +22,9 @@
 
 namespace {
 
-constexpr Millis SupervisePeriod{50};
-/// How long a leaving owner waits for what it has at hand.
-constexpr Millis LeavePatience{5000};
+constexpr Millis SuperviseInterval{50};
+/// Time limit for the work in flight at shutdown.
+constexpr Millis ShutdownTimeout{5000};
 
 std::string trainerResource(const TrainerName &Trainer) {
   return "trainer/" + Trainer.Text;
@@ -35,18 +35,18 @@
                            const boost::asio::any_io_executor &Executor) {
   std::shared_ptr<http::Client> client =
       http::Client::create(Executor, http::Client::Settings());
-  RequestClient::Settings asking;
-  asking.Instance = Setup.Instance;
-  asking.Domain = Setup.Domain;
-  asking.Life = Setup.Life;
-  asking.Seed = Setup.Seed;
+  RequestClient::Settings clientSetup;
+  clientSetup.Instance = Setup.Instance;
+  clientSetup.Domain = Setup.Domain;
+  clientSetup.Life = Setup.Life;
+  clientSetup.Seed = Setup.Seed;
   return RolloutContext{Setup,
                         Control,
                         Events,
                         Executor,
                         std::make_shared<GuardedExecutor>(Executor),
                         client,
-                        RequestClient::create(Executor, std::move(asking)),
+                        RequestClient::create(Executor, std::move(clientSetup)),
                         makeHttpLog(client, Setup.Log),
                         makeHttpScorer(client, Setup.Scorer),
                         makeHttpWeightStore(client, Setup.Weights),
@@ -63,20 +63,20 @@
     Context.Requests->onLoad(
         [this](const Address &, const std::vector<ReportedLoad> &loads, bool) {
           for (const ReportedLoad &it : loads)
-            Context.Loads.take(it, monotonicNow());
+            Context.Loads.update(it, monotonicNow());
         });
-    boost::asio::co_spawn(Loop, supervise(), boost::asio::detached);
+    boost::asio::co_spawn(Loop, superviseLoop(), boost::asio::detached);
     Thread = std::thread([this] { Loop.run(); });
   }
   RolloutServiceImpl(const RolloutServiceImpl &) = delete;
   RolloutServiceImpl &operator=(const RolloutServiceImpl &) = delete;
 
   ~RolloutServiceImpl() override {
-    // Answers of the control plane may still be on their way.
+    // Callbacks of the control plane may still arrive.
     Context.Gate->close();
     Loop.stop();
     Thread.join();
-    // Sockets go before the loop that serves them.
+    // Sockets must be destroyed before their event loop.
     for (auto &it : Trainers)
       it.second->stop();
     Trainers.clear();
@@ -91,26 +91,28 @@
 
   void shutDown(std::function<void()> Callback) override {
     boost::asio::post(Loop, [this, callback = std::move(Callback)] {
-      boost::asio::co_spawn(Loop, leaveNow(callback), boost::asio::detached);
+      boost::asio::co_spawn(Loop, shutDownLoop(callback),
+                            boost::asio::detached);
     });
   }
 
   std::string statusJson() const override { return *Status.get(); }
 
 private:
-  boost::asio::awaitable<void> supervise() {
+  boost::asio::awaitable<void> superviseLoop() {
     while (true) {
-      if (!Leaving && Context.Control.ready())
-        followConfiguration();
+      if (!ShuttingDown && Context.Control.ready())
+        updateClaims();
       superviseTrainers();
       superviseModels();
       publishStatus();
-      co_await pause(SupervisePeriod);
+      co_await pause(SuperviseInterval);
     }
   }
 
-  /// Wants the claims of all that is declared, and no others.
-  void followConfiguration() {
+  /// Requests the claims of all declared trainers and models, and withdraws the
+  /// others.
+  void updateClaims() {
     std::shared_ptr<const Configuration> config =
         Context.Control.state()->Config;
     std::set<std::string> wanted;
@@ -121,14 +123,14 @@
         wanted.insert(weightsResource(it.second.Model));
     }
     for (const std::string &it : wanted) {
-      if (!Wanted.contains(it))
+      if (!WantedClaims.contains(it))
         Context.Control.requestClaim(it);
     }
-    for (const std::string &it : Wanted) {
+    for (const std::string &it : WantedClaims) {
       if (!wanted.contains(it))
         Context.Control.withdrawClaim(it);
     }
-    Wanted = std::move(wanted);
+    WantedClaims = std::move(wanted);
   }
 
   void superviseTrainers() {
@@ -136,7 +138,7 @@
       if (it.second->ownsClaim() && !it.second->isStopped())
         return false;
       if (it.second->isStopped())
-        Abandoned.insert(it.second->fence());
+        AbandonedTokens.insert(it.second->fence());
       it.second->stop();
       return true;
     });
@@ -145,8 +147,8 @@
     for (const auto &it : config->Trainers) {
       std::optional<HeldClaim> held =
           Context.Control.held(trainerResource(it.first));
-      if (!held || Leaving || Trainers.contains(it.first) ||
-          Abandoned.contains(held->Token))
+      if (!held || ShuttingDown || Trainers.contains(it.first) ||
+          AbandonedTokens.contains(held->Token))
         continue;
       TrainerOwner::Settings setup;
       setup.Trainer = it.first;
@@ -160,7 +162,7 @@
 
   void superviseModels() {
     std::erase_if(Models, [this](const auto &it) {
-      if (it.second->ownsClaim() && !Leaving)
+      if (it.second->ownsClaim() && !ShuttingDown)
         return false;
       it.second->stop();
       return true;
@@ -169,7 +171,7 @@
         Context.Control.state()->Config;
     for (const auto &it : config->Services) {
       const ModelName &model = it.second.Model;
-      if (model.empty() || Leaving || Models.contains(model))
+      if (model.empty() || ShuttingDown || Models.contains(model))
         continue;
       std::optional<HeldClaim> held =
           Context.Control.held(weightsResource(model));
@@ -203,18 +205,18 @@
     return true;
   }
 
-  boost::asio::awaitable<void> leaveNow(std::function<void()> Callback) {
-    Leaving = true;
+  boost::asio::awaitable<void> shutDownLoop(std::function<void()> Callback) {
+    ShuttingDown = true;
     for (auto &it : Trainers)
       it.second->drain();
-    TimePoint until = monotonicNow() + LeavePatience;
-    while (!allIdle() && monotonicNow() < until)
-      co_await pause(SupervisePeriod);
+    TimePoint deadline = monotonicNow() + ShutdownTimeout;
+    while (!allIdle() && monotonicNow() < deadline)
+      co_await pause(SuperviseInterval);
     for (auto &it : Trainers)
       it.second->stop();
-    for (const std::string &it : Wanted)
+    for (const std::string &it : WantedClaims)
       Context.Control.withdrawClaim(it);
-    Wanted.clear();
+    WantedClaims.clear();
     Callback();
   }
 
@@ -223,10 +225,11 @@
   RolloutContext Context;
   std::map<TrainerName, std::shared_ptr<TrainerOwner>> Trainers;
   std::map<ModelName, std::shared_ptr<WeightsOwner>> Models;
-  /// Claims whose trainer has seen a greater token: not to be taken up again.
-  std::set<FencingToken> Abandoned;
-  std::set<std::string> Wanted;
-  bool Leaving = false;
+  /// Tokens of claims whose owner stopped because its trainer has seen a
+  /// greater token. They get no new owner.
+  std::set<FencingToken> AbandonedTokens;
+  std::set<std::string> WantedClaims;
+  bool ShuttingDown = false;
   Published<std::string> Status{std::string("{}")};
   std::thread Thread;
 };
@@ -237,8 +240,8 @@
 RolloutService::create(const Settings &Setup, ControlPlane &Control,
                        Timeline &Events) {
   if (Setup.Log.empty() || Setup.Weights.empty() || Setup.Scorer.empty())
-    return badInput("rollout settings",
-                    "the log, the weight store and the scorer are needed");
+    return badInput("rollout settings", "the addresses of the log, the weight "
+                                        "store and the scorer are required");
   return std::unique_ptr<RolloutService>(
       std::make_unique<RolloutServiceImpl>(Setup, Control, Events));
 }
--- a/Wasabi/Rollout/RolloutService.h
+++ b/Wasabi/Rollout/RolloutService.h
@@ -1,7 +1,6 @@
 /// \file
-/// The rollout duty of a daemon, on a thread of its own: owns the steps of the
-/// trainers, and the weight rollouts of the models, whose claims this process
-/// holds. Any daemon may own any of them, and loses it without harm.
+/// Runs the steps of trainers and the weight rollouts of models whose claims
+/// this process holds, on a separate thread. Any daemon can take over a claim.
 #ifndef WASABI_ROLLOUT_ROLLOUTSERVICE_H
 #define WASABI_ROLLOUT_ROLLOUTSERVICE_H
 
@@ -24,24 +23,28 @@
     InstanceName Instance;
     DomainName Domain;
     Incarnation Life = 0;
-    /// The platform's services.
+    /// Addresses of the platform's services.
     Address Log;
     Address Weights;
     Address Scorer;
     std::uint64_t Seed = 1;
-    /// For measurements: engines by turns in place of the expected finish.
+    /// For benchmarks: chooses engines round robin instead of by expected
+    /// finish.
     bool RoundRobin = false;
   };
 
-  /// Starts the thread. `Control` and `Events` must outlive the duty.
+  /// Starts the thread. `Control` and `Events` must outlive the service.
+  /// Errors: `BadInput` if an address is empty.
   static Result<std::unique_ptr<RolloutService>>
   create(const Settings &Setup, ControlPlane &Control, Timeline &Events);
-  /// Stops the thread at once.
+  /// Stops the thread immediately.
   virtual ~RolloutService() = default;
-  /// Graceful: takes no new work, finishes commits and deliveries at hand,
-  /// gives its claims up, and calls back. Thread-safe.
+  /// Starts no new work, waits a limited time for commits and deliveries in
+  /// flight, withdraws the claims and calls `Callback` on the rollout thread.
+  /// Thread-safe.
   virtual void shutDown(std::function<void()> Callback) = 0;
-  /// A JSON object for `/status`: trainers owned, steps, versions ordered.
+  /// Returns a JSON object for `/status` with the owned trainers and weight
+  /// rollouts.
   virtual std::string statusJson() const = 0;
 };
 
--- a/Wasabi/Rollout/Sample.h
+++ b/Wasabi/Rollout/Sample.h
@@ -1,5 +1,5 @@
 /// \file
-/// A whole sample, and the step that a trainer wants filled with them.
+/// A complete sample, and the step that a trainer requests.
 #ifndef WASABI_ROLLOUT_SAMPLE_H
 #define WASABI_ROLLOUT_SAMPLE_H
 
@@ -13,7 +13,7 @@
 
 namespace wasabi {
 
-/// One generated, scored sample. An immutable value.
+/// A generated and scored sample. An immutable value.
 struct Sample {
   Slot Place;
   std::string Text;
@@ -24,25 +24,25 @@
   bool operator==(const Sample &) const = default;
 };
 
-/// Samples of one prompt; worth something only together.
+/// Samples of the same prompt. The trainer can use only complete groups.
 struct WantedGroup {
   std::uint32_t Group = 0;
   std::string Prompt;
   std::uint32_t Samples = 0;
   std::uint32_t MaxTokens = 0;
-  /// The seed of sample I is `Seed + I`.
+  /// Sample I has the seed `Seed + I`.
   std::uint64_t Seed = 0;
   bool operator==(const WantedGroup &) const = default;
 };
 
-/// A step as its trainer asks for it.
+/// A step as requested by its trainer.
 struct WantedStep {
   std::uint64_t Step = 0;
   ModelName Model;
   /// The newest version that the trainer has published.
   WeightVersion Newest = 0;
   std::vector<WantedGroup> Groups;
-  /// Slots that the trainer holds already: the truth of what was delivered.
+  /// Slots that the trainer holds; authoritative for the delivered samples.
   std::vector<Slot> HeldSlots;
   /// The greatest fencing token that the trainer has seen.
   FencingToken Fence = 0;
--- a/Wasabi/Rollout/SampleJson.cpp
+++ b/Wasabi/Rollout/SampleJson.cpp
@@ -11,51 +11,52 @@
 
 namespace {
 
-std::string join(std::string_view Place, std::string_view Member) {
+std::string memberPath(std::string_view Place, std::string_view Member) {
   return std::string(Place) + "/" + std::string(Member);
 }
 
 } // namespace
 
-Result<std::uint64_t> numberMember(const json::object &Of,
+Result<std::uint64_t> numberMember(const json::object &Object,
                                    std::string_view Member,
                                    std::string_view Place) {
-  const json::value *found = Of.if_contains(Member);
+  const json::value *found = Object.if_contains(Member);
   if (found == nullptr)
-    return badInput(join(Place, Member), "missing");
+    return badInput(memberPath(Place, Member), "missing");
   boost::system::error_code ec;
   std::uint64_t n = found->to_number<std::uint64_t>(ec);
   if (ec || found->is_double())
-    return badInput(join(Place, Member), "not a whole number from 0");
+    return badInput(memberPath(Place, Member), "not a non-negative integer");
   return n;
 }
 
-Result<double> realMember(const json::object &Of, std::string_view Member,
+Result<double> realMember(const json::object &Object, std::string_view Member,
                           std::string_view Place) {
-  const json::value *found = Of.if_contains(Member);
+  const json::value *found = Object.if_contains(Member);
   if (found == nullptr)
-    return badInput(join(Place, Member), "missing");
+    return badInput(memberPath(Place, Member), "missing");
   boost::system::error_code ec;
-  double x = found->to_number<double>(ec);
-  if (ec || !std::isfinite(x))
-    return badInput(join(Place, Member), "not a finite number");
-  return x;
+  double number = found->to_number<double>(ec);
+  if (ec || !std::isfinite(number))
+    return badInput(memberPath(Place, Member), "not a finite number");
+  return number;
 }
 
-Result<std::string> textMember(const json::object &Of, std::string_view Member,
+Result<std::string> textMember(const json::object &Object,
+                               std::string_view Member,
                                std::string_view Place) {
-  const json::value *found = Of.if_contains(Member);
+  const json::value *found = Object.if_contains(Member);
   if (found == nullptr || !found->is_string())
-    return badInput(join(Place, Member), "missing or not a text");
+    return badInput(memberPath(Place, Member), "missing or not a string");
   return std::string(found->get_string());
 }
 
-Result<const json::array *> arrayMember(const json::object &Of,
+Result<const json::array *> arrayMember(const json::object &Object,
                                         std::string_view Member,
                                         std::string_view Place) {
-  const json::value *found = Of.if_contains(Member);
+  const json::value *found = Object.if_contains(Member);
   if (found == nullptr || !found->is_array())
-    return badInput(join(Place, Member), "missing or not an array");
+    return badInput(memberPath(Place, Member), "missing or not an array");
   return &found->get_array();
 }
 
@@ -71,16 +72,16 @@
 }
 
 json::array toJson(const Label &Spans) {
-  json::array all;
+  json::array array;
   for (const VersionSpan &it : Spans)
-    all.push_back(json::object{
+    array.push_back(json::object{
         {"from", it.From}, {"to", it.To}, {"weights_version", it.Version}});
-  return all;
+  return array;
 }
 
-Result<Label> labelFromJson(const json::array &From, std::string_view Place) {
+Result<Label> labelFromJson(const json::array &Json, std::string_view Place) {
   Label spans;
-  for (const json::value &it : From) {
+  for (const json::value &it : Json) {
     if (!it.is_object())
       return badInput(std::string(Place), "a span is not an object");
     const json::object &span = it.get_object();
@@ -93,26 +94,26 @@
   return spans;
 }
 
-json::object toJson(const Sample &What) {
+json::object toJson(const Sample &Value) {
   return json::object{
-      {"slot", toText(What.Place)}, {"text", What.Text},
-      {"tokens", What.Tokens},      {"spans", toJson(What.Spans)},
-      {"score", What.Score},        {"seed", What.Seed}};
+      {"slot", toText(Value.Place)}, {"text", Value.Text},
+      {"tokens", Value.Tokens},      {"spans", toJson(Value.Spans)},
+      {"score", Value.Score},        {"seed", Value.Seed}};
 }
 
-Result<Slot> slotFromJson(const json::value &From, std::string_view Place) {
-  if (!From.is_string())
-    return badInput(std::string(Place), "a slot is not a text");
-  std::optional<Slot> slot = slotFromText(From.get_string());
+Result<Slot> slotFromJson(const json::value &Json, std::string_view Place) {
+  if (!Json.is_string())
+    return badInput(std::string(Place), "a slot is not a string");
+  std::optional<Slot> slot = slotFromText(Json.get_string());
   if (!slot)
     return badInput(std::string(Place), "a slot is not STEP/GROUP/INDEX");
   return *slot;
 }
 
-Result<Sample> sampleFromJson(const json::value &From, std::string_view Place) {
-  if (!From.is_object())
+Result<Sample> sampleFromJson(const json::value &Json, std::string_view Place) {
+  if (!Json.is_object())
     return badInput(std::string(Place), "a sample is not an object");
-  const json::object &object = From.get_object();
+  const json::object &object = Json.get_object();
   Sample sample;
   BOOST_LEAF_AUTO(slot, textMember(object, "slot", Place));
   BOOST_LEAF_ASSIGN(sample.Place, slotFromJson(json::value(slot), Place));
@@ -127,16 +128,16 @@
 }
 
 json::array toJson(const std::vector<Slot> &Slots) {
-  json::array all;
+  json::array array;
   for (const Slot &it : Slots)
-    all.emplace_back(toText(it));
-  return all;
+    array.emplace_back(toText(it));
+  return array;
 }
 
-Result<std::vector<Slot>> slotsFromJson(const json::array &From,
+Result<std::vector<Slot>> slotsFromJson(const json::array &Json,
                                         std::string_view Place) {
   std::vector<Slot> slots;
-  for (const json::value &it : From) {
+  for (const json::value &it : Json) {
     BOOST_LEAF_AUTO(slot, slotFromJson(it, Place));
     slots.push_back(slot);
   }
--- a/Wasabi/Rollout/SampleRequest.cpp
+++ b/Wasabi/Rollout/SampleRequest.cpp
@@ -9,44 +9,45 @@
 
 namespace {
 
-/// A sample has no caller that leaves: the owner cancels by itself.
+/// Long, because the owner cancels attempts itself.
 constexpr Millis SampleDeadline{600000};
 
-std::string bodyOf(const DispatchAttempt &What, const SampleOrigin &From) {
-  json::object body{{"model", From.Model.Text},
-                    {"prompt", What.Prompt},
-                    {"max_tokens", What.MaxTokens},
-                    {"seed", What.Seed},
+std::string makeRequestBody(const DispatchAttempt &Dispatch,
+                            const SampleOrigin &Origin) {
+  json::object body{{"model", Origin.Model.Text},
+                    {"prompt", Dispatch.Prompt},
+                    {"max_tokens", Dispatch.MaxTokens},
+                    {"seed", Dispatch.Seed},
                     {"stream", true},
-                    {"priority", From.Priority}};
-  if (What.From.Tokens > 0)
-    body["resume"] =
-        json::object{{"position", What.From.Tokens}, {"text", What.From.Text}};
+                    {"priority", Origin.Priority}};
+  if (Dispatch.From.Tokens > 0)
+    body["resume"] = json::object{{"position", Dispatch.From.Tokens},
+                                  {"text", Dispatch.From.Text}};
   return json::serialize(body);
 }
 
 } // namespace
 
-RequestAttempt makeSampleRequest(const DispatchAttempt &What,
-                                 const SampleOrigin &From) {
+RequestAttempt makeSampleRequest(const DispatchAttempt &Dispatch,
+                                 const SampleOrigin &Origin) {
   RequestAttempt attempt;
-  // Engines know a request by this id: it is another one for each attempt.
-  attempt.Request = From.Trainer.Text + ":" + std::to_string(From.Fence) + ":" +
-                    std::to_string(What.Attempt);
-  attempt.Attempt = What.Number;
-  attempt.Service = What.On.Service;
-  attempt.Server = What.On.Name;
+  // Engines identify a request by this id, so it differs between attempts.
+  attempt.Request = Origin.Trainer.Text + ":" + std::to_string(Origin.Fence) +
+                    ":" + std::to_string(Dispatch.Attempt);
+  attempt.Attempt = Dispatch.Number;
+  attempt.Service = Dispatch.On.Service;
+  attempt.Server = Dispatch.On.Name;
   attempt.Http.Method = "POST";
   attempt.Http.Target = "/v1/completions";
   attempt.Http.Headers = {{"Content-Type", "application/json"},
                           {"X-Request-Id", attempt.Request}};
-  attempt.Http.Body = bodyOf(What, From);
+  attempt.Http.Body = makeRequestBody(Dispatch, Origin);
   attempt.Idempotent = true;
   attempt.Deadline = SampleDeadline;
-  attempt.Priority = From.Priority;
-  attempt.Caller = "trainer/" + From.Trainer.Text;
-  attempt.Trainer = From.Trainer;
-  attempt.Slot = toText(What.Place);
+  attempt.Priority = Origin.Priority;
+  attempt.Caller = "trainer/" + Origin.Trainer.Text;
+  attempt.Trainer = Origin.Trainer;
+  attempt.Slot = toText(Dispatch.Place);
   return attempt;
 }
 
--- a/Wasabi/Rollout/SampleRequest.h
+++ b/Wasabi/Rollout/SampleRequest.h
@@ -1,5 +1,5 @@
 /// \file
-/// The engine request of one attempt.
+/// Creates the engine request of an attempt.
 #ifndef WASABI_ROLLOUT_SAMPLEREQUEST_H
 #define WASABI_ROLLOUT_SAMPLEREQUEST_H
 
@@ -10,7 +10,7 @@
 
 namespace wasabi {
 
-/// Who asks, and how urgently.
+/// Identity and priority of the requesting trainer.
 struct SampleOrigin {
   TrainerName Trainer;
   FencingToken Fence = 0;
@@ -18,9 +18,9 @@
   std::int32_t Priority = 0;
 };
 
-/// The attempt as sent to the daemon in front of its engine. Pure.
-RequestAttempt makeSampleRequest(const DispatchAttempt &What,
-                                 const SampleOrigin &From);
+/// Returns the request to the engine's daemon. Pure.
+RequestAttempt makeSampleRequest(const DispatchAttempt &Dispatch,
+                                 const SampleOrigin &Origin);
 
 } // namespace wasabi
 
--- a/Wasabi/Rollout/Slot.cpp
+++ b/Wasabi/Rollout/Slot.cpp
@@ -4,20 +4,21 @@
 
 namespace wasabi {
 
-std::string toText(const Slot &What) {
-  return std::to_string(What.Step) + "/" + std::to_string(What.Group) + "/" +
-         std::to_string(What.Index);
+std::string toText(const Slot &Value) {
+  return std::to_string(Value.Step) + "/" + std::to_string(Value.Group) + "/" +
+         std::to_string(Value.Index);
 }
 
 namespace {
 
-/// Reads digits up to `Stop` (or the end when `Stop` is 0) and drops them.
+/// Parses a number that ends at `Stop`, or at the end of the text if `Stop` is
+/// 0, and removes both from the text.
 template <typename T> bool takeNumber(std::string_view &Rest, char Stop, T &N) {
   const char *end = Rest.data() + Rest.size();
-  std::from_chars_result got = std::from_chars(Rest.data(), end, N);
-  if (got.ec != std::errc() || got.ptr == Rest.data())
+  std::from_chars_result parsed = std::from_chars(Rest.data(), end, N);
+  if (parsed.ec != std::errc() || parsed.ptr == Rest.data())
     return false;
-  Rest.remove_prefix(static_cast<std::size_t>(got.ptr - Rest.data()));
+  Rest.remove_prefix(static_cast<std::size_t>(parsed.ptr - Rest.data()));
   if (Stop == 0)
     return Rest.empty();
   if (Rest.empty() || Rest.front() != Stop)
@@ -29,11 +30,11 @@
 } // namespace
 
 std::optional<Slot> slotFromText(std::string_view Text) {
-  Slot found;
-  if (!takeNumber(Text, '/', found.Step) ||
-      !takeNumber(Text, '/', found.Group) || !takeNumber(Text, 0, found.Index))
+  Slot slot;
+  if (!takeNumber(Text, '/', slot.Step) || !takeNumber(Text, '/', slot.Group) ||
+      !takeNumber(Text, 0, slot.Index))
     return std::nullopt;
-  return found;
+  return slot;
 }
 
 } // namespace wasabi
--- a/Wasabi/Rollout/Slot.h
+++ b/Wasabi/Rollout/Slot.h
@@ -1,5 +1,5 @@
 /// \file
-/// The identity of one sample of a trainer's step.
+/// Identifies a sample of a trainer's step.
 #ifndef WASABI_ROLLOUT_SLOT_H
 #define WASABI_ROLLOUT_SLOT_H
 
@@ -11,8 +11,8 @@
 
 namespace wasabi {
 
-/// Place of a sample: step, group, index in the group. However many attempts
-/// run for a slot, one sample fills it.
+/// Step, group and index within the group. A slot may have several attempts,
+/// but is filled by one sample.
 struct Slot {
   std::uint64_t Step = 0;
   std::uint32_t Group = 0;
@@ -20,10 +20,10 @@
   auto operator<=>(const Slot &) const = default;
 };
 
-/// "S/G/I", as trainers write it. Thread-safe.
-std::string toText(const Slot &What);
+/// Formats a slot as "STEP/GROUP/INDEX". Thread-safe.
+std::string toText(const Slot &Value);
 
-/// The reverse; empty for anything else. Thread-safe.
+/// Parses "STEP/GROUP/INDEX"; empty if the text is malformed. Thread-safe.
 std::optional<Slot> slotFromText(std::string_view Text);
 
 } // namespace wasabi
--- a/Wasabi/Rollout/SlotMoves.cpp
+++ b/Wasabi/Rollout/SlotMoves.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-std::size_t *countOf(StepState &State, SlotPhase Phase) {
+std::size_t *findPhaseCount(StepState &State, SlotPhase Phase) {
   switch (Phase) {
   case SlotPhase::Waiting:
     return &State.WaitingCount;
@@ -24,17 +24,17 @@
 } // namespace
 
 void setPhase(StepState &State, SlotState &Which, SlotPhase Phase) {
-  if (std::size_t *n = countOf(State, Which.Phase))
+  if (std::size_t *n = findPhaseCount(State, Which.Phase))
     --*n;
-  if (std::size_t *n = countOf(State, Phase))
+  if (std::size_t *n = findPhaseCount(State, Phase))
     ++*n;
   Which.Phase = Phase;
 }
 
 void resetSlot(StepState &State, SlotState &Which) {
-  State.TokensWasted += Which.Whole.Tokens;
-  Which.Whole = Sample();
-  Which.Kept = Draft();
+  State.TokensWasted += Which.FinishedSample.Tokens;
+  Which.FinishedSample = Sample();
+  Which.ResumableDraft = Draft();
   Which.ScoreRequested = false;
   Which.CommitAppended = false;
   Which.Committed = false;
@@ -47,10 +47,9 @@
   if (it == State.Attempts.end())
     return;
   auto engine = State.Servers.find(it->second.On);
-  if (engine != State.Servers.end() && engine->second.Own > 0) {
-    --engine->second.Own;
-    // Attempts that lost tell as much of an engine as those that won: a slow
-    // engine would never be known by its ended ones.
+  if (engine != State.Servers.end() && engine->second.OwnAttempts > 0) {
+    --engine->second.OwnAttempts;
+    // Includes cancelled attempts: a slow engine may never finish one.
     recordStreamRate(engine->second,
                      it->second.GeneratedDraft.Tokens -
                          it->second.ResumePosition,
@@ -66,9 +65,10 @@
                     const std::string &Reason, StepEffects &Out) {
   const std::vector<AttemptId> running = Which.Running;
   for (AttemptId id : running) {
-    const AttemptState &one = State.Attempts.at(id);
-    State.TokensWasted += one.GeneratedDraft.Tokens - one.ResumePosition;
-    Out.emplace_back(CancelAttempt{id, one.Place, one.On, Reason});
+    const AttemptState &attempt = State.Attempts.at(id);
+    State.TokensWasted +=
+        attempt.GeneratedDraft.Tokens - attempt.ResumePosition;
+    Out.emplace_back(CancelAttempt{id, attempt.Place, attempt.On, Reason});
     removeAttempt(State, id);
   }
 }
@@ -81,10 +81,10 @@
   cancelAttempts(State, which, "delivered", Out);
   setPhase(State, which, SlotPhase::Delivered);
   which.InDelivery = false;
-  // The text is the trainer's now.
-  which.Whole.Text = std::string();
-  which.Kept = Draft();
-  State.Untold.push_back(Place);
+  // The trainer holds the text now; release the memory.
+  which.FinishedSample.Text = std::string();
+  which.ResumableDraft = Draft();
+  State.UnappendedSlots.push_back(Place);
 }
 
 } // namespace wasabi
--- a/Wasabi/Rollout/SlotMoves.h
+++ b/Wasabi/Rollout/SlotMoves.h
@@ -1,5 +1,5 @@
 /// \file
-/// The moves of one slot between its phases, with the counts kept right.
+/// Moves slots between phases and keeps the counts consistent.
 #ifndef WASABI_ROLLOUT_SLOTMOVES_H
 #define WASABI_ROLLOUT_SLOTMOVES_H
 
@@ -7,23 +7,23 @@
 
 namespace wasabi {
 
-/// Sets a slot's phase and adjusts the state's counts.
+/// Sets the phase of a slot and updates the counts of the state.
 void setPhase(StepState &State, SlotState &Which, SlotPhase Phase);
 
-/// Forgets the slot's sample, so that it is generated again.
+/// Discards the sample of a slot, so that it is generated again.
 void resetSlot(StepState &State, SlotState &Which);
 
-/// Ends an attempt's books: its engine, its slot. Its id is unknown afterwards.
+/// Removes an attempt from its engine and slot. Ignores unknown ids.
 void removeAttempt(StepState &State, AttemptId Id);
 
-/// Cancels every attempt of a slot, with their tokens counted as wasted.
+/// Cancels all attempts of a slot and counts their tokens as wasted.
 void cancelAttempts(StepState &State, SlotState &Which,
                     const std::string &Reason, StepEffects &Out);
 
-/// The trainer holds the slot: whatever else was under way for it ends.
+/// Marks a slot as delivered and cancels its attempts.
 void markDelivered(StepState &State, Slot Place, StepEffects &Out);
 
-/// A field of a time line event.
+/// Creates a field of a timeline event.
 inline EventField field(std::string Key, std::string Value) {
   return EventField{std::move(Key), std::move(Value)};
 }
--- a/Wasabi/Rollout/Staleness.cpp
+++ b/Wasabi/Rollout/Staleness.cpp
@@ -4,43 +4,45 @@
 
 namespace wasabi {
 
-bool isFresh(const Freshness &By, WeightVersion Version) {
-  return Version + By.Bound >= By.Newest;
+bool isFresh(const Freshness &Limits, WeightVersion Version) {
+  return Version + Limits.Bound >= Limits.Newest;
 }
 
-bool isFresh(const Freshness &By, const Label &Spans) {
-  return std::all_of(Spans.begin(), Spans.end(), [&By](const VersionSpan &it) {
-    return isFresh(By, it.Version);
-  });
+bool isFresh(const Freshness &Limits, const Label &Spans) {
+  return std::all_of(
+      Spans.begin(), Spans.end(),
+      [&Limits](const VersionSpan &it) { return isFresh(Limits, it.Version); });
 }
 
-Cadence withPublication(Cadence Of, bool StepOpen, TimePoint Now) {
-  Micros gap = Now - Of.Last;
-  bool first = Of.Last == TimePoint();
-  Of.Last = Now;
+Cadence withPublication(Cadence Publishing, bool StepOpen, TimePoint Now) {
+  Micros gap = Now - Publishing.Last;
+  bool first = Publishing.Last == TimePoint();
+  Publishing.Last = Now;
   if (first || !StepOpen)
-    return Of;
-  // A slow average: one early publication must not stop all dispatching.
-  Of.MeanInterval =
-      Of.MeanInterval.count() == 0 ? gap : (Of.MeanInterval * 3 + gap) / 4;
-  return Of;
+    return Publishing;
+  // Smoothed, so that one early publication does not stop dispatching.
+  Publishing.MeanInterval = Publishing.MeanInterval.count() == 0
+                                ? gap
+                                : (Publishing.MeanInterval * 3 + gap) / 4;
+  return Publishing;
 }
 
-std::uint64_t expectedPublications(const Cadence &Of, TimePoint Now,
+std::uint64_t expectedPublications(const Cadence &Publishing, TimePoint Now,
                                    TimePoint Finish) {
-  if (Of.MeanInterval.count() <= 0 || Finish <= Now)
+  if (Publishing.MeanInterval.count() <= 0 || Finish <= Now)
     return 0;
-  // A publication that is overdue may come at once, but counts as one.
-  Micros since = std::min(Micros(Now - Of.Last), Of.MeanInterval);
+  // An overdue publication counts once.
+  Micros since =
+      std::min(Micros(Now - Publishing.Last), Publishing.MeanInterval);
   return static_cast<std::uint64_t>((since + Micros(Finish - Now)).count() /
-                                    Of.MeanInterval.count());
+                                    Publishing.MeanInterval.count());
 }
 
-bool willBeFresh(const Freshness &By, WeightVersion Version,
+bool willBeFresh(const Freshness &Limits, WeightVersion Version,
                  const Cadence &Publishing, TimePoint Now, TimePoint Finish) {
-  Freshness then = By;
-  then.Newest += expectedPublications(Publishing, Now, Finish);
-  return isFresh(then, Version);
+  Freshness expected = Limits;
+  expected.Newest += expectedPublications(Publishing, Now, Finish);
+  return isFresh(expected, Version);
 }
 
 } // namespace wasabi
--- a/Wasabi/Rollout/Staleness.h
+++ b/Wasabi/Rollout/Staleness.h
@@ -1,5 +1,5 @@
 /// \file
-/// Whether a sample is, or will still be, fresh enough for its trainer.
+/// Decides whether samples are, or will be, fresh enough for their trainer.
 #ifndef WASABI_ROLLOUT_STALENESS_H
 #define WASABI_ROLLOUT_STALENESS_H
 
@@ -11,39 +11,41 @@
 
 namespace wasabi {
 
-/// Versions behind the newest that a trainer's samples may be.
+/// The newest version, and the number of versions that a sample may be behind
+/// it.
 struct Freshness {
   WeightVersion Newest = 0;
   std::uint32_t Bound = 1;
   bool operator==(const Freshness &) const = default;
 };
 
-/// Whether a token of `Version` may be delivered now. Pure.
-bool isFresh(const Freshness &By, WeightVersion Version);
+/// Returns true if a token of `Version` may be delivered. Pure.
+bool isFresh(const Freshness &Limits, WeightVersion Version);
 
-/// Whether every token of a label may be delivered now. Pure.
-bool isFresh(const Freshness &By, const Label &Spans);
+/// Returns true if all tokens of a label may be delivered. Pure.
+bool isFresh(const Freshness &Limits, const Label &Spans);
 
-/// How often a trainer publishes while a step is open. A trainer that publishes
-/// only between steps cannot make a running sample of the open step stale.
+/// Estimates how often a trainer publishes while a step is open. Publications
+/// between steps do not make running samples stale.
 struct Cadence {
-  /// Mean time between publications within open steps; zero until one is seen.
+  /// Mean interval between publications within open steps; zero if unknown.
   Micros MeanInterval{0};
-  /// When the newest version was seen first.
+  /// Time when the newest version was first seen.
   TimePoint Last;
   bool operator==(const Cadence &) const = default;
 };
 
-/// Takes note of a publication at `Now`. Pure.
-Cadence withPublication(Cadence Of, bool StepOpen, TimePoint Now);
+/// Returns the cadence after a publication at `Now`. Pure.
+Cadence withPublication(Cadence Publishing, bool StepOpen, TimePoint Now);
 
-/// Publications to expect between now and `Finish`. Pure.
-std::uint64_t expectedPublications(const Cadence &Of, TimePoint Now,
+/// Returns the expected number of publications between `Now` and `Finish`.
+/// Pure.
+std::uint64_t expectedPublications(const Cadence &Publishing, TimePoint Now,
                                    TimePoint Finish);
 
-/// Whether a sample begun on `Version` is expected to be fresh at `Finish`.
-/// Pure.
-bool willBeFresh(const Freshness &By, WeightVersion Version,
+/// Returns true if a sample that starts on `Version` is expected to be fresh at
+/// `Finish`. Pure.
+bool willBeFresh(const Freshness &Limits, WeightVersion Version,
                  const Cadence &Publishing, TimePoint Now, TimePoint Finish);
 
 } // namespace wasabi
--- a/Wasabi/Rollout/StepEvent.h
+++ b/Wasabi/Rollout/StepEvent.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a step's decisions are told, and what they ask to be done.
+/// Events and effects of the decisions about a step.
 #ifndef WASABI_ROLLOUT_STEPEVENT_H
 #define WASABI_ROLLOUT_STEPEVENT_H
 
@@ -18,14 +18,14 @@
 
 namespace wasabi {
 
-/// Numbers the attempts of one owner, over all slots.
+/// Numbers the attempts of one owner across all slots.
 using AttemptId = std::uint64_t;
 
-/// What the configuration in force says of one trainer. An immutable value.
+/// Configuration of a trainer. An immutable value.
 struct RolloutPolicy {
   std::uint32_t StalenessBound = 1;
-  /// Whether the trainer refuses old tokens: deliveries then go first and the
-  /// log follows.
+  /// True if the trainer refuses old fencing tokens. Samples are then delivered
+  /// before they are committed.
   bool ChecksFences = true;
   bool AdmitRollouts = true;
   VersionChange OnVersionChange = VersionChange::Resume;
@@ -39,11 +39,12 @@
 struct PolicyChanged {
   RolloutPolicy Policy;
 };
-/// The fold of the trainer's stream when this owner's start was read back.
+/// The fold of the trainer's stream up to this owner's start record.
 struct LogRecovered {
   TrainerState State;
 };
-/// The trainer's word. `Asked` when it answers an `QueryTrainer`.
+/// The step that the trainer requests. `Asked` is true for the response to a
+/// `QueryTrainer`.
 struct StepReceived {
   WantedStep Wanted;
   bool Asked = false;
@@ -53,9 +54,9 @@
 };
 struct ChunkReceived {
   AttemptId Attempt = 0;
-  Chunk What;
+  Chunk Received;
 };
-/// The engine said that it is done, after `Tokens` in all.
+/// The engine finished, after `Tokens` tokens in total.
 struct AttemptEnded {
   AttemptId Attempt = 0;
   std::uint32_t Tokens = 0;
@@ -72,7 +73,7 @@
   Slot Place;
   Failure Why;
 };
-/// A commit record of this owner was folded.
+/// A commit record of this owner was applied.
 struct CommitConfirmed {
   Offset At = 0;
   std::vector<Slot> Filled;
@@ -86,7 +87,7 @@
   std::string Id;
   Failure Why;
 };
-/// Time passed.
+/// Sent periodically.
 struct Tick {};
 /// @}
 
@@ -98,11 +99,11 @@
 
 /// \name Effects
 /// @{
-/// Generate a sample, from the draft on if it is not empty.
+/// Generate a sample, resuming from the draft if it is not empty.
 struct DispatchAttempt {
   AttemptId Attempt = 0;
   Slot Place;
-  /// From 1, of this slot and owner.
+  /// Counts the attempts of this owner for the slot, from 1.
   std::uint32_t Number = 1;
   ReportedEngine On;
   std::string Prompt;
@@ -121,21 +122,21 @@
   Slot Place;
   std::string Text;
 };
-/// Append to the trainer's stream, in the order of the effects.
+/// Append a record to the trainer's stream, in the order of the effects.
 struct AppendRecord {
   TrainerBody Body;
 };
 struct DeliverSamples {
-  Delivery What;
+  Delivery Batch;
 };
-/// Ask the trainer afresh which slots it holds.
+/// Query which slots the trainer holds.
 struct QueryTrainer {};
-/// A newer owner's token was seen: this owner must stop.
+/// Stop this owner, because a newer one was seen.
 struct StopOwning {
   std::string Reason;
 };
-/// For the time line.
-struct Note {
+/// Record an event on the timeline.
+struct TimelineNote {
   std::string Kind;
   std::vector<EventField> Fields;
 };
@@ -143,7 +144,7 @@
 
 using StepEffect =
     std::variant<DispatchAttempt, CancelAttempt, ScoreSample, AppendRecord,
-                 DeliverSamples, QueryTrainer, StopOwning, Note>;
+                 DeliverSamples, QueryTrainer, StopOwning, TimelineNote>;
 
 } // namespace wasabi
 
--- a/Wasabi/Rollout/StepState.cpp
+++ b/Wasabi/Rollout/StepState.cpp
@@ -9,17 +9,17 @@
 
 namespace {
 
-/// Samples that a dead owner committed and the trainer does not hold are
-/// delivered, not generated again.
-void takeFromLog(StepState &State) {
+/// Restores the samples that a previous owner committed and the trainer does
+/// not hold, so that they are delivered and not generated again.
+void restoreCommittedSamples(StepState &State) {
   if (State.RecoveredState.Step != State.Step)
     return;
   for (const auto &it : State.RecoveredState.Committed) {
     auto slot = State.Slots.find(it.first);
     if (slot == State.Slots.end() || slot->second.Phase != SlotPhase::Waiting ||
-        !isFresh(State.Fresh, it.second.What.Spans))
+        !isFresh(State.Fresh, it.second.Content.Spans))
       continue;
-    slot->second.Whole = it.second.What;
+    slot->second.FinishedSample = it.second.Content;
     slot->second.CommitAppended = true;
     slot->second.Committed = true;
     setPhase(State, slot->second, SlotPhase::Scored);
@@ -43,7 +43,7 @@
 
 void openStep(StepState &State, const WantedStep &Wanted, StepEffects &Out) {
   for (auto &it : State.Slots)
-    cancelAttempts(State, it.second, "its step is over", Out);
+    cancelAttempts(State, it.second, "the step has ended", Out);
   State.HasStep = true;
   State.Step = Wanted.Step;
   State.Closed = false;
@@ -53,107 +53,109 @@
   State.IsQueryingTrainer = false;
   State.RetryDelivery = false;
   State.Pending = Delivery();
-  State.Untold.clear();
+  State.UnappendedSlots.clear();
   makeSlots(State);
   Out.emplace_back(AppendRecord{StepOpened{Wanted.Step}});
-  Out.emplace_back(
-      Note{"step.open",
-           {field("trainer", State.Setup.Trainer.Text),
-            field("step", Wanted.Step), field("samples", State.Slots.size()),
-            field("newest", State.Fresh.Newest),
-            field("fence", State.Setup.Fence)}});
+  Out.emplace_back(TimelineNote{"step.open",
+                                {field("trainer", State.Setup.Trainer.Text),
+                                 field("step", Wanted.Step),
+                                 field("samples", State.Slots.size()),
+                                 field("newest", State.Fresh.Newest),
+                                 field("fence", State.Setup.Fence)}});
 }
 
-/// Attempts under way on an engine that was out of sight for a while.
-std::uint32_t attemptsOn(const StepState &State, const ServerName &Which) {
+/// Returns the number of attempts in flight on an engine that was not reported
+/// for some time.
+std::uint32_t countAttempts(const StepState &State, const ServerName &Which) {
   std::uint32_t n = 0;
   for (const auto &it : State.Attempts)
     n += it.second.On == Which ? 1 : 0;
   return n;
 }
 
-/// One event's handling.
+/// Handles one event.
 struct Decider {
   StepState &State;
   TimePoint Now;
   StepEffects &Out;
 
-  void operator()(const PolicyChanged &What) const {
-    bool known = State.Fresh.Bound == What.Policy.StalenessBound;
-    State.Policy = What.Policy;
-    State.Fresh.Bound = What.Policy.StalenessBound;
-    // The fold judges by the bound that the log names.
-    if (!known && State.HasStep) {
-      Out.emplace_back(AppendRecord{OwnerStart{What.Policy.StalenessBound}});
+  void operator()(const PolicyChanged &Event) const {
+    bool sameBound = State.Fresh.Bound == Event.Policy.StalenessBound;
+    State.Policy = Event.Policy;
+    State.Fresh.Bound = Event.Policy.StalenessBound;
+    // The fold checks freshness by the bound in the log.
+    if (!sameBound && State.HasStep) {
+      Out.emplace_back(AppendRecord{OwnerStart{Event.Policy.StalenessBound}});
       dropStale(State, Out);
     }
   }
-  void operator()(const LogRecovered &What) const {
-    State.RecoveredState = What.State;
-    State.Fresh.Newest = std::max(State.Fresh.Newest, What.State.Fresh.Newest);
+  void operator()(const LogRecovered &Event) const {
+    State.RecoveredState = Event.State;
+    State.Fresh.Newest = std::max(State.Fresh.Newest, Event.State.Fresh.Newest);
   }
-  void operator()(const StepReceived &What) const {
-    const WantedStep &wanted = What.Wanted;
+  void operator()(const StepReceived &Event) const {
+    const WantedStep &wanted = Event.Wanted;
     if (State.Policy.ChecksFences && wanted.Fence > State.Setup.Fence) {
-      Out.emplace_back(StopOwning{"the trainer has seen token " +
+      Out.emplace_back(StopOwning{"the trainer has seen fencing token " +
                                   std::to_string(wanted.Fence)});
       return;
     }
     recordNewestVersion(State, wanted.Newest, Now, Out);
-    // An answer that was long on its way is no news.
+    // Ignores a delayed response about an earlier step.
     if (State.HasStep && wanted.Step < State.Step)
       return;
-    bool opens = !State.HasStep || wanted.Step > State.Step;
-    if (opens)
+    bool isNewStep = !State.HasStep || wanted.Step > State.Step;
+    if (isNewStep)
       openStep(State, wanted, Out);
     for (const Slot &it : wanted.HeldSlots)
       markDelivered(State, it, Out);
-    if (opens)
-      takeFromLog(State);
-    if (What.Asked)
+    if (isNewStep)
+      restoreCommittedSamples(State);
+    if (Event.Asked)
       resolvePendingDelivery(State);
     closeIfComplete(State, Out);
   }
-  void operator()(const EnginesUpdated &What) const {
-    Engines seen;
-    for (const ReportedEngine &it : What.All) {
-      auto had = State.Servers.find(it.Name);
-      EngineState &at = seen[it.Name];
-      if (had != State.Servers.end())
-        at = std::move(had->second);
+  void operator()(const EnginesUpdated &Event) const {
+    Engines engines;
+    for (const ReportedEngine &it : Event.All) {
+      auto previous = State.Servers.find(it.Name);
+      EngineState &at = engines[it.Name];
+      if (previous != State.Servers.end())
+        at = std::move(previous->second);
       else
-        at.Own = attemptsOn(State, it.Name);
-      // Own attempts correct the lag since the report, not since this look.
-      bool news = had == State.Servers.end() || it.Report != at.Seen.Report;
-      if (news)
-        at.OwnAttemptsAtReport = at.Own;
+        at.OwnAttempts = countAttempts(State, it.Name);
+      // `OwnAttemptsAtReport` changes only with a new load report.
+      bool isNewReport =
+          previous == State.Servers.end() || it.Report != at.Seen.Report;
+      if (isNewReport)
+        at.OwnAttemptsAtReport = at.OwnAttempts;
       at.Seen = it;
     }
-    State.Servers = std::move(seen);
+    State.Servers = std::move(engines);
   }
-  void operator()(const ChunkReceived &What) const {
-    onChunk(State, What, Now, Out);
+  void operator()(const ChunkReceived &Event) const {
+    onChunk(State, Event, Now, Out);
   }
-  void operator()(const AttemptEnded &What) const {
-    onAttemptEnded(State, What, Now, Out);
+  void operator()(const AttemptEnded &Event) const {
+    onAttemptEnded(State, Event, Now, Out);
   }
-  void operator()(const AttemptFailed &What) const {
-    onAttemptFailed(State, What, Now, Out);
+  void operator()(const AttemptFailed &Event) const {
+    onAttemptFailed(State, Event, Now, Out);
   }
-  void operator()(const SampleScored &What) const {
-    onScored(State, What, Now);
+  void operator()(const SampleScored &Event) const {
+    onScored(State, Event, Now);
   }
-  void operator()(const ScoreFailed &What) const {
-    onScoreFailed(State, What, Now);
+  void operator()(const ScoreFailed &Event) const {
+    onScoreFailed(State, Event, Now);
   }
-  void operator()(const CommitConfirmed &What) const {
-    onCommitConfirmed(State, What, Out);
+  void operator()(const CommitConfirmed &Event) const {
+    onCommitConfirmed(State, Event, Out);
   }
-  void operator()(const DeliveryAnswered &What) const {
-    onDeliveryAnswered(State, What, Now, Out);
+  void operator()(const DeliveryAnswered &Event) const {
+    onDeliveryAnswered(State, Event, Now, Out);
   }
-  void operator()(const DeliveryFailed &What) const {
-    onDeliveryFailed(State, What, Now, Out);
+  void operator()(const DeliveryFailed &Event) const {
+    onDeliveryFailed(State, Event, Now, Out);
   }
   void operator()(const Tick &) const {
     State.MedianRate = medianRate(State.Servers);
@@ -164,14 +166,14 @@
 
 } // namespace
 
-std::size_t missing(const StepState &State) {
+std::size_t undeliveredCount(const StepState &State) {
   return State.Slots.size() - State.DeliveredCount;
 }
 
 StepEffects decide(StepState &State, const StepEvent &Event, TimePoint Now) {
   StepEffects out;
   std::visit(Decider{State, Now, out}, Event);
-  // Chunks free no engine and make no sample: most events end here.
+  // Chunks change neither capacity nor samples.
   if (std::holds_alternative<ChunkReceived>(Event) && out.empty())
     return out;
   commitReady(State, Now, out);
--- a/Wasabi/Rollout/StreamParser.h
+++ b/Wasabi/Rollout/StreamParser.h
@@ -1,5 +1,5 @@
 /// \file
-/// An engine's event stream, parsed as it arrives (docs/PLATFORM.md, "engine").
+/// Incremental parser of an engine's event stream (docs/PLATFORM.md, "engine").
 #ifndef WASABI_ROLLOUT_STREAMPARSER_H
 #define WASABI_ROLLOUT_STREAMPARSER_H
 
@@ -13,27 +13,27 @@
 
 namespace wasabi {
 
-/// The engine's count of all tokens, those resumed from included.
+/// Total number of tokens, including those resumed from.
 struct StreamDone {
   std::uint32_t Tokens = 0;
   bool operator==(const StreamDone &) const = default;
 };
 
-/// `[DONE]`: nothing follows.
+/// `[DONE]`, the last event of a stream.
 struct StreamEnd {
   bool operator==(const StreamEnd &) const = default;
 };
 
 using StreamItem = std::variant<Chunk, StreamDone, StreamEnd>;
 
-/// Bytes of an event that is not whole yet. A value.
+/// Holds the bytes of an incomplete event. A value.
 struct StreamParser {
-  std::string Rest;
+  std::string Buffer;
 };
 
-/// Adds bytes and gives the events that are whole now, in order. Failures:
-/// `BadInput` naming the member of a malformed event. Pure but for `Of`.
-Outcome<std::vector<StreamItem>> parse(StreamParser &Of,
+/// Adds bytes and returns the events that are now complete, in order. Failures:
+/// `BadInput` naming the member of a malformed event. Pure except for `Parser`.
+Outcome<std::vector<StreamItem>> parse(StreamParser &Parser,
                                        std::string_view Bytes);
 
 } // namespace wasabi
--- a/Wasabi/Rollout/TrainerFold.cpp
+++ b/Wasabi/Rollout/TrainerFold.cpp
@@ -6,75 +6,75 @@
 
 namespace {
 
-/// Drops the undelivered commits that are too old by now.
+/// Drops the undelivered commits that are stale.
 void dropStale(TrainerState &State) {
   std::erase_if(State.Committed, [&State](const auto &it) {
     return !State.Delivered.contains(it.first) &&
-           !isFresh(State.Fresh, it.second.What.Spans);
+           !isFresh(State.Fresh, it.second.Content.Spans);
   });
 }
 
-/// Applies one body that passed the checks of fence and id.
+/// Applies the body of a record that passed the checks of its fence and id.
 struct BodyFold {
   TrainerState &State;
   Offset At;
-  TrainerApplyResult &Did;
+  TrainerApplyResult &Applied;
 
-  void operator()(const OwnerStart &What) const {
-    State.Fresh.Bound = What.StalenessBound;
+  void operator()(const OwnerStart &Body) const {
+    State.Fresh.Bound = Body.StalenessBound;
     dropStale(State);
   }
-  void operator()(const VersionPublished &What) const {
-    State.Fresh.Newest = std::max(State.Fresh.Newest, What.Version);
+  void operator()(const VersionPublished &Body) const {
+    State.Fresh.Newest = std::max(State.Fresh.Newest, Body.Version);
     dropStale(State);
   }
-  void operator()(const StepOpened &What) const {
-    if (What.Step < State.Step) {
-      refuse("an earlier step than " + std::to_string(State.Step));
+  void operator()(const StepOpened &Body) const {
+    if (Body.Step < State.Step) {
+      refuse("the step is earlier than step " + std::to_string(State.Step));
       return;
     }
-    // A new owner opens the same step again; its samples stay.
-    if (What.Step == State.Step)
+    // A new owner opens the same step again; its samples are kept.
+    if (Body.Step == State.Step)
       return;
-    State.Step = What.Step;
+    State.Step = Body.Step;
     State.Closed = false;
     State.Committed.clear();
     State.Delivered.clear();
   }
-  void operator()(const SampleCommit &What) const {
-    for (const Sample &it : What.Samples) {
+  void operator()(const SampleCommit &Body) const {
+    for (const Sample &it : Body.Samples) {
       bool fills = mayFill(it);
-      (fills ? Did.Filled : Did.Dropped).push_back(it.Place);
+      (fills ? Applied.Filled : Applied.Dropped).push_back(it.Place);
       if (fills)
         State.Committed.emplace(it.Place, CommittedSample{it, At});
     }
   }
-  void operator()(const SamplesDelivered &What) const {
-    for (const Slot &it : What.Slots) {
+  void operator()(const SamplesDelivered &Body) const {
+    for (const Slot &it : Body.Slots) {
       if (it.Step == State.Step)
         State.Delivered.insert(it);
     }
   }
-  void operator()(const StepClosed &What) const {
-    if (What.Step == State.Step)
+  void operator()(const StepClosed &Body) const {
+    if (Body.Step == State.Step)
       State.Closed = true;
   }
 
 private:
-  bool mayFill(const Sample &What) const {
-    return What.Place.Step == State.Step && !State.Closed &&
-           !State.Committed.contains(What.Place) &&
-           !State.Delivered.contains(What.Place) &&
-           isFresh(State.Fresh, What.Spans);
+  bool mayFill(const Sample &Candidate) const {
+    return Candidate.Place.Step == State.Step && !State.Closed &&
+           !State.Committed.contains(Candidate.Place) &&
+           !State.Delivered.contains(Candidate.Place) &&
+           isFresh(State.Fresh, Candidate.Spans);
   }
-  void refuse(std::string Why) const {
-    Did.ApplyStatus = RecordStatus::Refused;
-    Did.Reason = std::move(Why);
+  void refuse(std::string Reason) const {
+    Applied.ApplyStatus = RecordStatus::Refused;
+    Applied.Reason = std::move(Reason);
   }
 };
 
-/// Whether this id was taken before. An author has one append in flight, so a
-/// sequence number not above the last one is a repeat.
+/// Returns true if this id was applied before. An author has one append in
+/// flight, so a sequence number that is not above the last one is a repetition.
 bool isRepeat(const TrainerState &State, const RecordId &Id) {
   auto it = State.Authors.find(Id.Author);
   if (it == State.Authors.end())
@@ -84,25 +84,25 @@
 }
 
 TrainerApplyResult applyRecord(TrainerState &State, Offset At,
-                               const TrainerRecord &What) {
-  TrainerApplyResult did;
-  if (isRepeat(State, What.Id)) {
-    did.ApplyStatus = RecordStatus::Duplicate;
-    return did;
+                               const TrainerRecord &Record) {
+  TrainerApplyResult result;
+  if (isRepeat(State, Record.Id)) {
+    result.ApplyStatus = RecordStatus::Duplicate;
+    return result;
   }
-  State.Authors[What.Id.Author] = {What.Id.Life, What.Id.Sequence};
-  bool starts = std::holds_alternative<OwnerStart>(What.Body);
-  // Only a start raises the token: nobody acts before saying so. A second
-  // start of the same owner changes the bound.
-  if (starts ? What.Fence < State.Fence : What.Fence != State.Fence) {
-    did.ApplyStatus = RecordStatus::Refused;
-    did.Reason = "fence " + std::to_string(What.Fence) + " against " +
-                 std::to_string(State.Fence);
-    return did;
+  State.Authors[Record.Id.Author] = {Record.Id.Life, Record.Id.Sequence};
+  bool isStart = std::holds_alternative<OwnerStart>(Record.Body);
+  // Only a start record raises the fence: an owner must append one before any
+  // other record. Another start record of the same owner changes the bound.
+  if (isStart ? Record.Fence < State.Fence : Record.Fence != State.Fence) {
+    result.ApplyStatus = RecordStatus::Refused;
+    result.Reason = "fence " + std::to_string(Record.Fence) + ", expected " +
+                    std::to_string(State.Fence);
+    return result;
   }
-  State.Fence = What.Fence;
-  std::visit(BodyFold{State, At, did}, What.Body);
-  return did;
+  State.Fence = Record.Fence;
+  std::visit(BodyFold{State, At, result}, Record.Body);
+  return result;
 }
 
 } // namespace
@@ -113,12 +113,12 @@
   Outcome<TrainerRecord> record =
       toOutcome<TrainerRecord>([&] { return decodeTrainerRecord(Text); });
   if (!record) {
-    TrainerApplyResult did;
-    did.ApplyStatus = record.failure().Code == FailureCode::NewerSchema
-                          ? RecordStatus::NewerSchema
-                          : RecordStatus::Malformed;
-    did.Reason = describe(record.failure());
-    return did;
+    TrainerApplyResult result;
+    result.ApplyStatus = record.failure().Code == FailureCode::NewerSchema
+                             ? RecordStatus::NewerSchema
+                             : RecordStatus::Malformed;
+    result.Reason = describe(record.failure());
+    return result;
   }
   return applyRecord(State, At, *record);
 }
--- a/Wasabi/Rollout/TrainerFold.h
+++ b/Wasabi/Rollout/TrainerFold.h
@@ -1,6 +1,6 @@
 /// \file
-/// The deterministic fold of one trainer's stream: the same records in the same
-/// order give an owner and its successor the same samples.
+/// Deterministic fold of one trainer's stream: an owner and its successor
+/// derive the same state from the same records.
 #ifndef WASABI_ROLLOUT_TRAINERFOLD_H
 #define WASABI_ROLLOUT_TRAINERFOLD_H
 
@@ -18,54 +18,55 @@
 
 namespace wasabi {
 
-/// The last record taken of one author.
+/// The last applied record of an author.
 struct AuthorProgress {
   Incarnation Life = 0;
   std::uint64_t Sequence = 0;
   bool operator==(const AuthorProgress &) const = default;
 };
 
-/// A committed sample and the record that committed it.
+/// A committed sample and the offset of its commit record.
 struct CommittedSample {
-  Sample What;
+  Sample Content;
   Offset At = 0;
   bool operator==(const CommittedSample &) const = default;
 };
 
-/// What a trainer's stream says. A value.
+/// State of a trainer's stream. A value.
 struct TrainerState {
   /// The next offset to apply.
   Offset Next = 0;
-  /// The greatest token an owner began with; smaller ones are void.
+  /// The greatest token of an owner's start record; records with a smaller
+  /// token are refused.
   FencingToken Fence = 0;
-  /// Newest version published, and the bound in force.
+  /// Newest published version and current staleness bound.
   Freshness Fresh;
-  /// The step open, or the last one.
+  /// The open step, or the last one if `Closed`.
   std::uint64_t Step = 0;
   bool Closed = false;
-  /// Samples of the open step: the first valid commit of each slot.
+  /// The first valid commit of each slot of the open step.
   std::map<Slot, CommittedSample> Committed;
-  /// Slots of the open step that the trainer took.
+  /// Slots of the open step that the trainer accepted.
   std::set<Slot> Delivered;
   std::map<std::string, AuthorProgress> Authors;
   bool operator==(const TrainerState &) const = default;
 };
 
-/// What became of one record of a trainer's stream.
+/// Result of applying a record of a trainer's stream.
 struct TrainerApplyResult {
   RecordStatus ApplyStatus = RecordStatus::Accepted;
-  /// Empty when accepted.
+  /// Empty if the record was accepted.
   std::string Reason;
-  /// For commits: the slots that this record filled, and those it did not,
-  /// because they were filled, delivered, too old or of another step.
+  /// For commits: the slots that the record filled, and those that it did not,
+  /// because they were filled, delivered, stale or of another step.
   std::vector<Slot> Filled;
   std::vector<Slot> Dropped;
   bool operator==(const TrainerApplyResult &) const = default;
 };
 
-/// Applies the record at offset `At` to `State`. Pure but for `State`; never
-/// fails: what is bad is skipped by all alike. An undelivered commit that a
-/// published version makes too old gives its slot free again.
+/// Applies the record at offset `At`. Invalid records are skipped
+/// deterministically. A published version removes the undelivered commits that
+/// it makes stale. Never fails; pure except for `State`.
 TrainerApplyResult apply(TrainerState &State, Offset At, std::string_view Text);
 
 } // namespace wasabi
--- a/Wasabi/Rollout/TrainerLog.cpp
+++ b/Wasabi/Rollout/TrainerLog.cpp
@@ -10,39 +10,41 @@
 
 std::shared_ptr<TrainerLog> TrainerLog::create(RolloutContext &Context,
                                                Settings Setup,
-                                               Authority MayAppend,
+                                               AppendPermission MayAppend,
                                                ConfirmCallback Callback) {
   return std::shared_ptr<TrainerLog>(new TrainerLog(
       Context, std::move(Setup), std::move(MayAppend), std::move(Callback)));
 }
 
 TrainerLog::TrainerLog(RolloutContext &Context, Settings Setup,
-                       Authority MayAppend, ConfirmCallback Callback)
+                       AppendPermission MayAppend, ConfirmCallback Callback)
     : Context(Context), Setup(std::move(Setup)),
       MayAppend(std::move(MayAppend)), Callback(std::move(Callback)),
       Wake(Context.Executor) {}
 
 bool TrainerLog::mergeDeliveredSlots(const TrainerBody &Body) {
-  const auto *more = std::get_if<SamplesDelivered>(&Body);
-  if (more == nullptr || Waiting.empty() || (FirstSent && Waiting.size() == 1))
+  const auto *added = std::get_if<SamplesDelivered>(&Body);
+  if (added == nullptr || Pending.empty() ||
+      (FirstRecordSent && Pending.size() == 1))
     return false;
-  auto *last = std::get_if<SamplesDelivered>(&Waiting.back().Body);
+  auto *last = std::get_if<SamplesDelivered>(&Pending.back().Body);
   if (last == nullptr)
     return false;
-  last->Slots.insert(last->Slots.end(), more->Slots.begin(), more->Slots.end());
+  last->Slots.insert(last->Slots.end(), added->Slots.begin(),
+                     added->Slots.end());
   return true;
 }
 
 void TrainerLog::append(TrainerBody Body) {
-  // An outage piles these up: one record may tell of many deliveries.
+  // During an outage, merges deliveries into one record.
   if (mergeDeliveredSlots(Body))
     return;
-  bool telling = std::holds_alternative<SamplesDelivered>(Body);
-  if (telling && Waiting.size() >= Setup.MaxWaiting)
+  bool isDelivery = std::holds_alternative<SamplesDelivered>(Body);
+  if (isDelivery && Pending.size() >= Setup.MaxPendingRecords)
     return;
   RecordId id{Context.Setup.Instance.Text, Context.Setup.Life,
               Context.NextSequence++};
-  Waiting.push_back(TrainerRecord{std::move(id), Setup.Fence, std::move(Body)});
+  Pending.push_back(TrainerRecord{std::move(id), Setup.Fence, std::move(Body)});
   Wake.cancel();
 }
 
@@ -54,7 +56,7 @@
 boost::asio::awaitable<void> TrainerLog::run() {
   std::shared_ptr<TrainerLog> self = shared_from_this();
   while (!Stopped) {
-    if (Waiting.empty()) {
+    if (Pending.empty()) {
       boost::system::error_code ec;
       Wake.expires_at(BootTimer::time_point::max());
       co_await Wake.async_wait(
@@ -62,75 +64,77 @@
       continue;
     }
     if (!MayAppend()) {
-      co_await pause(Setup.Retry);
+      co_await pause(Setup.RetryDelay);
       continue;
     }
-    FirstSent = true;
-    co_await appendOne(encodeTrainerRecord(Waiting.front()));
-    // Gone only once it was read back: until then it is sent again.
-    RecordId id = Waiting.front().Id;
-    auto mark = Fold.Authors.find(id.Author);
-    bool taken = mark != Fold.Authors.end() && mark->second.Life == id.Life &&
-                 mark->second.Sequence >= id.Sequence;
-    if (!taken)
+    FirstRecordSent = true;
+    co_await appendRecord(encodeTrainerRecord(Pending.front()));
+    // Keeps the record, and appends it again, until it is read back.
+    RecordId id = Pending.front().Id;
+    auto progress = Fold.Authors.find(id.Author);
+    bool confirmed = progress != Fold.Authors.end() &&
+                     progress->second.Life == id.Life &&
+                     progress->second.Sequence >= id.Sequence;
+    if (!confirmed)
       continue;
-    Waiting.pop_front();
-    FirstSent = false;
+    Pending.pop_front();
+    FirstRecordSent = false;
   }
 }
 
-boost::asio::awaitable<void> TrainerLog::appendOne(std::string Text) {
+boost::asio::awaitable<void> TrainerLog::appendRecord(std::string Text) {
   std::string stream = trainerStream(Setup.Trainer);
   Outcome<Offset> at = co_await Context.Log.Append(stream, std::move(Text));
   if (!at) {
-    if (!Down)
+    if (!LogUnreachable)
       Context.Events.record("log.down", {{"trainer", Setup.Trainer.Text},
                                          {"reason", describe(at.failure())}});
-    Down = true;
-    co_await pause(std::max(at.failure().RetryAfter, Setup.Retry));
+    LogUnreachable = true;
+    co_await pause(std::max(at.failure().RetryAfter, Setup.RetryDelay));
     co_return;
   }
-  if (Down)
+  if (LogUnreachable)
     Context.Events.record("log.up", {{"trainer", Setup.Trainer.Text}});
-  Down = false;
+  LogUnreachable = false;
   while (!Stopped && Fold.Next <= *at) {
     bool read = co_await readUntil(*at);
     if (!read)
-      co_await pause(Setup.Retry);
+      co_await pause(Setup.RetryDelay);
   }
 }
 
 boost::asio::awaitable<bool> TrainerLog::readUntil(Offset At) {
-  Outcome<LogRange> range = co_await Context.Log.Read(
-      trainerStream(Setup.Trainer), Fold.Next, Setup.ReadMax, Setup.ReadWait);
+  Outcome<LogRange> range =
+      co_await Context.Log.Read(trainerStream(Setup.Trainer), Fold.Next,
+                                Setup.MaxReadRecords, Setup.ReadTimeout);
   if (!range)
     co_return false;
-  // Expired records belong to steps long over.
+  // Expired records belong to earlier steps.
   if (range->Entries.empty() && range->First > Fold.Next)
     Fold.Next = range->First;
   for (const LogEntry &it : range->Entries) {
     if (it.At >= Fold.Next)
-      fold(it);
+      applyEntry(it);
   }
   co_return Fold.Next > At || !range->Entries.empty();
 }
 
-void TrainerLog::fold(const LogEntry &Entry) {
-  TrainerApplyResult did = apply(Fold, Entry.At, Entry.Text);
-  if (Waiting.empty() || did.ApplyStatus == RecordStatus::Malformed ||
-      did.ApplyStatus == RecordStatus::NewerSchema ||
-      did.ApplyStatus == RecordStatus::Duplicate)
+void TrainerLog::applyEntry(const LogEntry &Entry) {
+  TrainerApplyResult result = apply(Fold, Entry.At, Entry.Text);
+  if (Pending.empty() || result.ApplyStatus == RecordStatus::Malformed ||
+      result.ApplyStatus == RecordStatus::NewerSchema ||
+      result.ApplyStatus == RecordStatus::Duplicate)
     return;
-  // Only the first waiting record can be on the log.
-  const TrainerRecord &own = Waiting.front();
-  auto mark = Fold.Authors.find(own.Id.Author);
-  if (mark == Fold.Authors.end() || mark->second.Life != own.Id.Life ||
-      mark->second.Sequence != own.Id.Sequence)
+  // Only the first pending record can have been appended.
+  const TrainerRecord &own = Pending.front();
+  auto progress = Fold.Authors.find(own.Id.Author);
+  if (progress == Fold.Authors.end() || progress->second.Life != own.Id.Life ||
+      progress->second.Sequence != own.Id.Sequence)
     return;
   Outcome<TrainerRecord> record = toOutcome<TrainerRecord>(
       [&Entry] { return decodeTrainerRecord(Entry.Text); });
   if (record && record->Id == own.Id)
-    Callback(*record, Entry.At, did);
+    Callback(*record, Entry.At, result);
 }
 
 } // namespace wasabi
--- a/Wasabi/Rollout/TrainerLog.h
+++ b/Wasabi/Rollout/TrainerLog.h
@@ -1,6 +1,6 @@
 /// \file
-/// One owner's side of its trainer's stream: appends in order, one in flight,
-/// each repeated under its id until it is read back.
+/// Appends an owner's records to its trainer's stream in order, one at a time.
+/// Repeats each with the same id until it is read back.
 #ifndef WASABI_ROLLOUT_TRAINERLOG_H
 #define WASABI_ROLLOUT_TRAINERLOG_H
 
@@ -14,57 +14,58 @@
 
 namespace wasabi {
 
-/// Not thread-safe: use on the duty's thread.
+/// Not thread-safe: used on the rollout thread.
 class TrainerLog : public std::enable_shared_from_this<TrainerLog> {
 public:
   struct Settings {
     TrainerName Trainer;
     FencingToken Fence = 0;
-    /// Records waiting at most, in an outage; beyond it, deliveries are not
-    /// told to the log any more (the trainer's own word replaces them).
-    std::size_t MaxWaiting = 4096;
-    Millis Retry{200};
-    Millis ReadWait{1000};
-    std::size_t ReadMax = 256;
+    /// Number of pending records from which on delivery records are dropped
+    /// during an outage. Their content can be read from the trainer.
+    std::size_t MaxPendingRecords = 4096;
+    Millis RetryDelay{200};
+    Millis ReadTimeout{1000};
+    std::size_t MaxReadRecords = 256;
   };
-  /// Called for each record of this owner that was folded.
+  /// Called for each applied record of this owner.
   using ConfirmCallback = std::function<void(const TrainerRecord &, Offset,
                                              const TrainerApplyResult &)>;
-  /// Whether this owner may still append.
-  using Authority = std::function<bool()>;
+  /// Returns true while this owner may append.
+  using AppendPermission = std::function<bool()>;
 
   static std::shared_ptr<TrainerLog> create(RolloutContext &Context,
-                                            Settings Setup, Authority MayAppend,
+                                            Settings Setup,
+                                            AppendPermission MayAppend,
                                             ConfirmCallback Callback);
 
-  /// Queues a record.
+  /// Adds a record to the queue.
   void append(TrainerBody Body);
-  /// Appends what is queued and reads it back, until `stop`.
+  /// Appends the queued records and reads them back, until `stop`.
   boost::asio::awaitable<void> run();
   void stop();
 
   const TrainerState &state() const { return Fold; }
-  /// Records not yet read back.
-  std::size_t waiting() const { return Waiting.size(); }
+  /// Number of records that were not read back yet.
+  std::size_t pendingCount() const { return Pending.size(); }
 
 private:
-  TrainerLog(RolloutContext &Context, Settings Setup, Authority MayAppend,
-             ConfirmCallback Callback);
+  TrainerLog(RolloutContext &Context, Settings Setup,
+             AppendPermission MayAppend, ConfirmCallback Callback);
   bool mergeDeliveredSlots(const TrainerBody &Body);
-  boost::asio::awaitable<void> appendOne(std::string Text);
+  boost::asio::awaitable<void> appendRecord(std::string Text);
   boost::asio::awaitable<bool> readUntil(Offset At);
-  void fold(const LogEntry &Entry);
+  void applyEntry(const LogEntry &Entry);
 
   RolloutContext &Context;
   const Settings Setup;
-  const Authority MayAppend;
+  const AppendPermission MayAppend;
   const ConfirmCallback Callback;
   TrainerState Fold;
-  std::deque<TrainerRecord> Waiting;
-  /// Whether the first waiting record was sent: it must not change any more.
-  bool FirstSent = false;
+  std::deque<TrainerRecord> Pending;
+  /// True if the first pending record was sent; it must not change any more.
+  bool FirstRecordSent = false;
   bool Stopped = false;
-  bool Down = false;
+  bool LogUnreachable = false;
   BootTimer Wake;
 };
 
