--- a/Wasabi/Rollout/TrainerOwner.cpp
+++ b/Wasabi/Rollout/TrainerOwner.cpp
@@ -17,26 +17,26 @@
 
 namespace {
 
-/// Longer than any pause that the decisions allow an attempt.
+/// Longer than the time after which an attempt is cancelled.
 constexpr Millis ChunkTimeout{60000};
-constexpr Millis Forever{3600000};
-
-Failure notNow() {
-  Failure why;
-  why.Run = Verdict::NotRun;
-  why.Code = FailureCode::Expired;
-  why.Place = "claim";
-  why.Reason = "the claim's term does not allow it now";
-  return why;
+constexpr Millis UnlimitedClaimTime{3600000};
+
+Failure makeClaimFailure() {
+  Failure failed;
+  failed.Run = Verdict::NotRun;
+  failed.Code = FailureCode::Expired;
+  failed.Place = "claim";
+  failed.Reason = "the claim has ended or is about to end";
+  return failed;
 }
 
-Failure refusedHead(const http::Response &Head) {
-  Failure why;
-  why.Run = Verdict::MayHaveRun;
-  why.Code = FailureCode::Unavailable;
-  why.Place = "engine";
-  why.Reason = "status " + std::to_string(Head.Status);
-  return why;
+Failure makeStatusFailure(const http::Response &Head) {
+  Failure failed;
+  failed.Run = Verdict::MayHaveRun;
+  failed.Code = FailureCode::Unavailable;
+  failed.Place = "engine";
+  failed.Reason = "unexpected HTTP status " + std::to_string(Head.Status);
+  return failed;
 }
 
 } // namespace
@@ -47,8 +47,8 @@
       new TrainerOwner(Context, std::move(Setup)));
 }
 
-TrainerOwner::TrainerOwner(RolloutContext &Context, Settings With)
-    : Context(Context), Setup(std::move(With)),
+TrainerOwner::TrainerOwner(RolloutContext &Context, Settings InitialSetup)
+    : Context(Context), Setup(std::move(InitialSetup)),
       Resource("trainer/" + Setup.Trainer.Text) {
   State.Setup.Trainer = Setup.Trainer;
   State.Setup.Fence = Setup.Fence;
@@ -70,26 +70,26 @@
       Context, TrainerLog::Settings{Setup.Trainer, Setup.Fence},
       [weak] {
         std::shared_ptr<TrainerOwner> self = weak.lock();
-        return self && !self->Stopped && self->authority() > Millis(0);
+        return self && !self->Stopped && self->remainingClaimTime() > Millis(0);
       },
       [weak](const TrainerRecord &record, Offset at,
-             const TrainerApplyResult &did) {
+             const TrainerApplyResult &result) {
         std::shared_ptr<TrainerOwner> self = weak.lock();
         if (!self)
           return;
         if (std::holds_alternative<OwnerStart>(record.Body))
           self->StartConfirmed = true;
         if (std::holds_alternative<SampleCommit>(record.Body))
-          self->feed(CommitConfirmed{at, did.Filled, did.Dropped});
+          self->handleEvent(CommitConfirmed{at, result.Filled, result.Dropped});
       });
   spawn(run());
 }
 
-void TrainerOwner::connect(const TrainerDeclaration &To) {
-  Model = To.Model;
-  if (Endpoint == To.Endpoint)
+void TrainerOwner::connect(const TrainerDeclaration &Declaration) {
+  Model = Declaration.Model;
+  if (Endpoint == Declaration.Endpoint)
     return;
-  Endpoint = To.Endpoint;
+  Endpoint = Declaration.Endpoint;
   Trainer = makeHttpTrainer(Context.Http, Endpoint);
 }
 
@@ -101,8 +101,8 @@
     Log->stop();
   for (auto &it : InFlightAttempts) {
     it.second->Cancelled = true;
-    if (it.second->Answer)
-      it.second->Answer->cancel();
+    if (it.second->Response)
+      it.second->Response->cancel();
   }
 }
 
@@ -118,19 +118,19 @@
          !it->second.Released;
 }
 
-Millis TrainerOwner::authority() const {
+Millis TrainerOwner::remainingClaimTime() const {
   std::optional<HeldClaim> held = Context.Control.held(Resource);
   if (held && held->Token == Setup.Fence)
     return std::chrono::duration_cast<Millis>(held->Until - monotonicNow());
-  // A trainer that checks tokens stops this owner by itself, so an outage of
-  // the log need not.
+  // A trainer that checks fences refuses an outdated owner, so it may continue
+  // during an outage of the log.
   if (State.Policy.ChecksFences && ownsClaim())
-    return Forever;
+    return UnlimitedClaimTime;
   return Millis(0);
 }
 
 void TrainerOwner::spawn(boost::asio::awaitable<void> Work) {
-  // The function object, and with it this owner, lives until the work is done.
+  // The coroutine keeps this owner and its log alive.
   boost::asio::co_spawn(
       Context.Executor,
       [self = shared_from_this(), log = Log, work = std::move(Work)]() mutable
@@ -138,7 +138,7 @@
       boost::asio::detached);
 }
 
-void TrainerOwner::feed(const StepEvent &Event) {
+void TrainerOwner::handleEvent(const StepEvent &Event) {
   if (Stopped)
     return;
   StepEffects effects = decide(State, Event, monotonicNow());
@@ -146,56 +146,58 @@
     perform(it);
 }
 
-void TrainerOwner::perform(StepEffect &What) {
-  if (auto *begin = std::get_if<DispatchAttempt>(&What)) {
-    recordDispatch(*begin);
-    InFlightAttempts[begin->Attempt] = std::make_shared<InFlightAttempt>();
-    spawn(generate(std::move(*begin)));
-  } else if (const auto *gone = std::get_if<CancelAttempt>(&What)) {
-    cancel(*gone);
-  } else if (auto *text = std::get_if<ScoreSample>(&What)) {
+void TrainerOwner::perform(StepEffect &Effect) {
+  if (auto *dispatch = std::get_if<DispatchAttempt>(&Effect)) {
+    recordDispatch(*dispatch);
+    InFlightAttempts[dispatch->Attempt] = std::make_shared<InFlightAttempt>();
+    spawn(generate(std::move(*dispatch)));
+  } else if (const auto *cancelled = std::get_if<CancelAttempt>(&Effect)) {
+    cancel(*cancelled);
+  } else if (auto *text = std::get_if<ScoreSample>(&Effect)) {
     spawn(score(std::move(*text)));
-  } else if (auto *record = std::get_if<AppendRecord>(&What)) {
+  } else if (auto *record = std::get_if<AppendRecord>(&Effect)) {
     Log->append(std::move(record->Body));
-  } else if (auto *samples = std::get_if<DeliverSamples>(&What)) {
-    spawn(deliver(std::move(samples->What)));
-  } else if (std::holds_alternative<QueryTrainer>(What)) {
-    spawn(ask());
-  } else if (const auto *over = std::get_if<StopOwning>(&What)) {
+  } else if (auto *samples = std::get_if<DeliverSamples>(&Effect)) {
+    spawn(deliver(std::move(samples->Batch)));
+  } else if (std::holds_alternative<QueryTrainer>(Effect)) {
+    spawn(queryTrainer());
+  } else if (const auto *request = std::get_if<StopOwning>(&Effect)) {
     Context.Events.record("step.abandon", {{"trainer", Setup.Trainer.Text},
-                                           {"reason", over->Reason}});
+                                           {"reason", request->Reason}});
     stop();
-  } else if (auto *note = std::get_if<Note>(&What)) {
+  } else if (auto *note = std::get_if<TimelineNote>(&Effect)) {
     Context.Events.record(note->Kind, std::move(note->Fields));
   }
 }
 
-void TrainerOwner::recordDispatch(const DispatchAttempt &What) {
-  Context.Events.record(
-      "sample.dispatch",
-      {field("trainer", Setup.Trainer.Text), field("slot", toText(What.Place)),
-       field("attempt", What.Attempt), field("server", What.On.Name.Text),
-       field("version", What.On.Version),
-       field("hedge", std::uint64_t(What.Hedge))});
+void TrainerOwner::recordDispatch(const DispatchAttempt &Effect) {
+  Context.Events.record("sample.dispatch",
+                        {field("trainer", Setup.Trainer.Text),
+                         field("slot", toText(Effect.Place)),
+                         field("attempt", Effect.Attempt),
+                         field("server", Effect.On.Name.Text),
+                         field("version", Effect.On.Version),
+                         field("hedge", std::uint64_t(Effect.Hedge))});
 }
 
-void TrainerOwner::cancel(const CancelAttempt &What) {
+void TrainerOwner::cancel(const CancelAttempt &Effect) {
   Context.Events.record("sample.cancel", {field("trainer", Setup.Trainer.Text),
-                                          field("slot", toText(What.Place)),
-                                          field("attempt", What.Attempt),
-                                          field("server", What.On.Text),
-                                          field("reason", What.Reason)});
-  auto it = InFlightAttempts.find(What.Attempt);
+                                          field("slot", toText(Effect.Place)),
+                                          field("attempt", Effect.Attempt),
+                                          field("server", Effect.On.Text),
+                                          field("reason", Effect.Reason)});
+  auto it = InFlightAttempts.find(Effect.Attempt);
   if (it == InFlightAttempts.end())
     return;
   it->second->Cancelled = true;
-  if (it->second->Answer)
-    it->second->Answer->cancel();
+  if (it->second->Response)
+    it->second->Response->cancel();
 }
 
-void TrainerOwner::refresh() {
+void TrainerOwner::refreshInputs() {
   std::shared_ptr<const Configuration> config = Context.Control.state()->Config;
-  std::optional<RolloutPolicy> policy = policyOf(*config, Setup.Trainer);
+  std::optional<RolloutPolicy> policy =
+      findRolloutPolicy(*config, Setup.Trainer);
   if (!policy) {
     stop();
     return;
@@ -204,41 +206,41 @@
   Priority = config->preset().RolloutPriority;
   policy->AdmitRollouts = policy->AdmitRollouts && !Draining;
   if (!(*policy == State.Policy))
-    feed(PolicyChanged{*policy});
+    handleEvent(PolicyChanged{*policy});
   EnginesUpdated seen;
   for (const ServiceName &it : findAttachedServices(*config, Setup.Trainer)) {
     std::vector<ReportedEngine> more = findServiceEngines(Context, it);
     seen.All.insert(seen.All.end(), more.begin(), more.end());
   }
-  feed(seen);
+  handleEvent(seen);
 }
 
 boost::asio::awaitable<void> TrainerOwner::run() {
-  refresh();
+  refreshInputs();
   co_await recover();
   if (Stopped)
     co_return;
-  spawn(tick());
-  co_await pollTrainer();
+  spawn(tickLoop());
+  co_await pollLoop();
 }
 
 boost::asio::awaitable<void> TrainerOwner::recover() {
-  // Everything before this owner's start is known once it is read back, and
-  // nothing of an older owner counts after it.
+  // When the start record is read back, all earlier records have been applied,
+  // and later records of earlier owners are refused.
   Log->append(OwnerStart{State.Policy.StalenessBound});
   spawn(Log->run());
-  TimePoint until = monotonicNow() + Setup.RecoveryPatience;
-  constexpr Millis look{5};
+  TimePoint deadline = monotonicNow() + Setup.RecoveryTimeout;
+  constexpr Millis checkInterval{5};
   while (!Stopped && !StartConfirmed) {
-    // What the log would tell, a trainer that checks tokens knows as well.
-    if (State.Policy.ChecksFences && monotonicNow() > until)
+    // Without the log, a trainer that checks fences knows its slots.
+    if (State.Policy.ChecksFences && monotonicNow() > deadline)
       break;
-    co_await pause(look);
+    co_await pause(checkInterval);
   }
-  feed(LogRecovered{StartConfirmed ? Log->state() : TrainerState()});
+  handleEvent(LogRecovered{StartConfirmed ? Log->state() : TrainerState()});
 }
 
-boost::asio::awaitable<void> TrainerOwner::pollTrainer() {
+boost::asio::awaitable<void> TrainerOwner::pollLoop() {
   while (!Stopped) {
     std::optional<std::uint64_t> after;
     if (State.HasStep)
@@ -252,108 +254,110 @@
       co_await pause(Setup.PollRetryDelay);
       continue;
     }
-    feed(StepReceived{std::move(*wanted), false});
-    // An answer that does not wait must not make this loop spin.
-    constexpr Millis breath{5};
-    co_await pause(breath);
+    handleEvent(StepReceived{std::move(*wanted), false});
+    // Limits the poll rate if the trainer answers immediately.
+    constexpr Millis minPollDelay{5};
+    co_await pause(minPollDelay);
   }
 }
 
-boost::asio::awaitable<void> TrainerOwner::tick() {
+boost::asio::awaitable<void> TrainerOwner::tickLoop() {
   while (!Stopped) {
-    refresh();
-    feed(Tick());
+    refreshInputs();
+    handleEvent(Tick());
     co_await pause(Setup.TickInterval);
   }
 }
 
-boost::asio::awaitable<void> TrainerOwner::generate(DispatchAttempt What) {
-  std::shared_ptr<InFlightAttempt> flight = InFlightAttempts[What.Attempt];
+boost::asio::awaitable<void> TrainerOwner::generate(DispatchAttempt Effect) {
+  std::shared_ptr<InFlightAttempt> inFlight = InFlightAttempts[Effect.Attempt];
   RequestAttempt attempt = makeSampleRequest(
-      What, SampleOrigin{Setup.Trainer, Setup.Fence, Model, Priority});
+      Effect, SampleOrigin{Setup.Trainer, Setup.Fence, Model, Priority});
   Outcome<std::unique_ptr<DaemonResponseStream>> opened =
-      co_await Context.Requests->open(What.On.Where, std::move(attempt));
+      co_await Context.Requests->open(Effect.On.Where, std::move(attempt));
   if (!opened) {
-    InFlightAttempts.erase(What.Attempt);
-    feed(AttemptFailed{What.Attempt, opened.failure()});
+    InFlightAttempts.erase(Effect.Attempt);
+    handleEvent(AttemptFailed{Effect.Attempt, opened.failure()});
     co_return;
   }
   constexpr unsigned statusOk = 200;
-  if (!flight->Cancelled && (*opened)->head().Status != statusOk) {
-    InFlightAttempts.erase(What.Attempt);
-    feed(AttemptFailed{What.Attempt, refusedHead((*opened)->head())});
+  if (!inFlight->Cancelled && (*opened)->head().Status != statusOk) {
+    InFlightAttempts.erase(Effect.Attempt);
+    handleEvent(
+        AttemptFailed{Effect.Attempt, makeStatusFailure((*opened)->head())});
     co_return;
   }
-  // Destroying the answer of a cancelled attempt cancels it at the daemon.
-  if (!flight->Cancelled) {
-    flight->Answer = std::move(*opened);
-    co_await readStream(What.Attempt, flight);
+  // Destroying the response of a cancelled attempt cancels it at the daemon.
+  if (!inFlight->Cancelled) {
+    inFlight->Response = std::move(*opened);
+    co_await readStream(Effect.Attempt, inFlight);
   }
-  InFlightAttempts.erase(What.Attempt);
+  InFlightAttempts.erase(Effect.Attempt);
 }
 
 boost::asio::awaitable<void>
-TrainerOwner::readStream(AttemptId Id, std::shared_ptr<InFlightAttempt> Of) {
+TrainerOwner::readStream(AttemptId Id,
+                         std::shared_ptr<InFlightAttempt> Attempt) {
   StreamParser parser;
   std::optional<StreamDone> done;
-  while (!Of->Cancelled) {
+  while (!Attempt->Cancelled) {
     Outcome<std::optional<std::string>> piece =
-        co_await Of->Answer->next(ChunkTimeout);
+        co_await Attempt->Response->next(ChunkTimeout);
     if (!piece) {
-      feed(AttemptFailed{Id, piece.failure()});
+      handleEvent(AttemptFailed{Id, piece.failure()});
       co_return;
     }
     if (!*piece)
       break;
     Outcome<std::vector<StreamItem>> items = parse(parser, **piece);
     if (!items) {
-      feed(AttemptFailed{Id, items.failure()});
+      handleEvent(AttemptFailed{Id, items.failure()});
       co_return;
     }
     for (const StreamItem &it : *items) {
       if (const auto *chunk = std::get_if<Chunk>(&it))
-        feed(ChunkReceived{Id, *chunk});
+        handleEvent(ChunkReceived{Id, *chunk});
       else if (const auto *end = std::get_if<StreamDone>(&it))
         done = *end;
     }
   }
-  if (Of->Cancelled)
+  if (Attempt->Cancelled)
     co_return;
-  // An end without the engine's count proves nothing: zero never matches.
-  feed(AttemptEnded{Id, done ? done->Tokens : 0});
+  // A stream without a final count is incomplete; 0 is always refused.
+  handleEvent(AttemptEnded{Id, done ? done->Tokens : 0});
 }
 
-boost::asio::awaitable<void> TrainerOwner::score(ScoreSample What) {
-  Outcome<double> got = co_await Context.Scorer.Score(
-      What.Place, std::move(What.Text), Setup.ScoreTimeout);
-  if (got)
-    feed(SampleScored{What.Place, *got});
+boost::asio::awaitable<void> TrainerOwner::score(ScoreSample Effect) {
+  Outcome<double> result = co_await Context.Scorer.Score(
+      Effect.Place, std::move(Effect.Text), Setup.ScoreTimeout);
+  if (result)
+    handleEvent(SampleScored{Effect.Place, *result});
   else
-    feed(ScoreFailed{What.Place, got.failure()});
+    handleEvent(ScoreFailed{Effect.Place, result.failure()});
 }
 
-boost::asio::awaitable<void> TrainerOwner::deliver(Delivery What) {
-  std::string id = What.Id;
-  // Its last byte must leave before the term ends.
-  Millis left = authority() - Setup.ClaimExpiryMargin;
+boost::asio::awaitable<void> TrainerOwner::deliver(Delivery Batch) {
+  std::string id = Batch.Id;
+  // The delivery must end before the claim's term.
+  Millis left = remainingClaimTime() - Setup.ClaimExpiryMargin;
   if (left <= Setup.ClaimExpiryMargin) {
     co_await pause(Setup.PollRetryDelay);
-    feed(DeliveryFailed{id, notNow()});
+    handleEvent(DeliveryFailed{id, makeClaimFailure()});
     co_return;
   }
   Outcome<DeliveryResponse> answer = co_await Trainer.Deliver(
-      std::move(What), std::min(left, Setup.DeliveryTimeout));
+      std::move(Batch), std::min(left, Setup.DeliveryTimeout));
   if (answer)
-    feed(DeliveryAnswered{id, std::move(*answer)});
+    handleEvent(DeliveryAnswered{id, std::move(*answer)});
   else
-    feed(DeliveryFailed{id, answer.failure()});
+    handleEvent(DeliveryFailed{id, answer.failure()});
 }
 
-boost::asio::awaitable<void> TrainerOwner::ask() {
+boost::asio::awaitable<void> TrainerOwner::queryTrainer() {
   while (!Stopped) {
     Outcome<WantedStep> wanted = co_await Trainer.Step(std::nullopt, Millis(0));
     if (wanted) {
-      feed(StepReceived{std::move(*wanted), true});
+      handleEvent(StepReceived{std::move(*wanted), true});
       co_return;
     }
     co_await pause(Setup.PollRetryDelay);
@@ -371,7 +375,7 @@
                           {"delivered", State.DeliveredCount},
                           {"newest", State.Fresh.Newest},
                           {"engines", State.Servers.size()},
-                          {"log_waiting", Log ? Log->waiting() : 0},
+                          {"log_waiting", Log ? Log->pendingCount() : 0},
                           {"tokens", State.TokensGenerated},
                           {"tokens_wasted", State.TokensWasted}});
 }
--- a/Wasabi/Rollout/TrainerOwner.h
+++ b/Wasabi/Rollout/TrainerOwner.h
@@ -1,6 +1,6 @@
 /// \file
-/// The owner of one trainer's steps under one claim: performs what `decide`
-/// asks for, and tells it what came of it.
+/// Owns the steps of one trainer under one claim: performs the effects of
+/// `decide` and passes their results to it as events.
 #ifndef WASABI_ROLLOUT_TRAINEROWNER_H
 #define WASABI_ROLLOUT_TRAINEROWNER_H
 
@@ -17,21 +17,22 @@
 
 namespace wasabi {
 
-/// Not thread-safe: use on the duty's thread.
+/// Not thread-safe: used on the rollout thread.
 class TrainerOwner : public std::enable_shared_from_this<TrainerOwner> {
 public:
   struct Settings {
     TrainerName Trainer;
     FencingToken Fence = 0;
     Millis TickInterval{100};
-    /// How often the step is asked for while one is open.
+    /// Maximum time that a poll for the next step waits at the trainer.
     Millis PollTimeout{1000};
     Millis PollRetryDelay{200};
     Millis DeliveryTimeout{5000};
     Millis ScoreTimeout{5000};
-    /// How long a trainer that checks tokens waits for the log at a takeover.
-    Millis RecoveryPatience{2000};
-    /// Without checked tokens nothing is sent this near to the claim's end.
+    /// Time that a takeover waits for the log if the trainer checks fences.
+    Millis RecoveryTimeout{2000};
+    /// Without checked fences no delivery starts this close to the end of the
+    /// claim.
     Millis ClaimExpiryMargin{200};
   };
 
@@ -39,49 +40,52 @@
                                               Settings Setup);
 
   void start();
-  /// Stops at once: cancels what runs, sends nothing more.
+  /// Cancels all attempts and ends the loops. Starts nothing more.
   void stop();
-  /// Begins no more samples.
+  /// Starts no more samples.
   void drain() { Draining = true; }
-  /// Whether nothing is at hand: no attempt, delivery or commit.
+  /// Returns true if there is no attempt, commit or delivery in flight and no
+  /// undelivered scored sample, or if this owner has stopped.
   bool isIdle() const;
   bool isStopped() const { return Stopped; }
-  /// Whether the claim is still this owner's, as far as the log is known.
+  /// Returns true if this owner still holds the claim, as far as the log is
+  /// known.
   bool ownsClaim() const;
   FencingToken fence() const { return Setup.Fence; }
-  /// A JSON object.
+  /// Returns a JSON object.
   std::string statusJson() const;
 
 private:
-  /// An attempt under way.
+  /// The response stream of an attempt.
   struct InFlightAttempt {
-    std::unique_ptr<DaemonResponseStream> Answer;
+    std::unique_ptr<DaemonResponseStream> Response;
     bool Cancelled = false;
   };
 
   TrainerOwner(RolloutContext &Context, Settings Setup);
-  /// Runs on the duty's thread; this owner lives until it is done.
+  /// Runs a coroutine on the rollout thread and keeps this owner alive
+  /// meanwhile.
   void spawn(boost::asio::awaitable<void> Work);
-  void feed(const StepEvent &Event);
-  void perform(StepEffect &What);
-  void cancel(const CancelAttempt &What);
-  void recordDispatch(const DispatchAttempt &What);
-  void refresh();
-  /// Follows the trainer to where its declaration says that it listens.
-  void connect(const TrainerDeclaration &To);
-  /// How long this owner may act for now; zero when it may not.
-  Millis authority() const;
+  void handleEvent(const StepEvent &Event);
+  void perform(StepEffect &Effect);
+  void cancel(const CancelAttempt &Effect);
+  void recordDispatch(const DispatchAttempt &Effect);
+  void refreshInputs();
+  /// Uses the model and the endpoint that the declaration names.
+  void connect(const TrainerDeclaration &Declaration);
+  /// Returns how long this owner may still act; zero or less if it may not.
+  Millis remainingClaimTime() const;
 
   boost::asio::awaitable<void> run();
   boost::asio::awaitable<void> recover();
-  boost::asio::awaitable<void> pollTrainer();
-  boost::asio::awaitable<void> tick();
-  boost::asio::awaitable<void> generate(DispatchAttempt What);
-  boost::asio::awaitable<void> readStream(AttemptId Id,
-                                          std::shared_ptr<InFlightAttempt> Of);
-  boost::asio::awaitable<void> score(ScoreSample What);
-  boost::asio::awaitable<void> deliver(Delivery What);
-  boost::asio::awaitable<void> ask();
+  boost::asio::awaitable<void> pollLoop();
+  boost::asio::awaitable<void> tickLoop();
+  boost::asio::awaitable<void> generate(DispatchAttempt Effect);
+  boost::asio::awaitable<void>
+  readStream(AttemptId Id, std::shared_ptr<InFlightAttempt> Attempt);
+  boost::asio::awaitable<void> score(ScoreSample Effect);
+  boost::asio::awaitable<void> deliver(Delivery Batch);
+  boost::asio::awaitable<void> queryTrainer();
 
   RolloutContext &Context;
   const Settings Setup;
@@ -93,7 +97,7 @@
   ModelName Model;
   std::int32_t Priority = 0;
   std::map<AttemptId, std::shared_ptr<InFlightAttempt>> InFlightAttempts;
-  /// Set when the start of this owner was read back.
+  /// True once this owner's start record was read back.
   bool StartConfirmed = false;
   bool Draining = false;
   bool Stopped = false;
--- a/Wasabi/Rollout/TrainerRecord.cpp
+++ b/Wasabi/Rollout/TrainerRecord.cpp
@@ -13,46 +13,46 @@
 
 constexpr char Place[] = "trainer record";
 
-/// Writes one body's members, and its kind, into a record's object.
+/// Writes the kind and the members of a body into a record's object.
 struct BodyWriter {
   json::object &Into;
 
-  void operator()(const OwnerStart &What) const {
+  void operator()(const OwnerStart &Body) const {
     Into["kind"] = "owner_start";
-    Into["staleness_bound"] = What.StalenessBound;
+    Into["staleness_bound"] = Body.StalenessBound;
   }
-  void operator()(const VersionPublished &What) const {
+  void operator()(const VersionPublished &Body) const {
     Into["kind"] = "version_published";
-    Into["version"] = What.Version;
+    Into["version"] = Body.Version;
   }
-  void operator()(const StepOpened &What) const {
+  void operator()(const StepOpened &Body) const {
     Into["kind"] = "step_opened";
-    Into["step"] = What.Step;
+    Into["step"] = Body.Step;
   }
-  void operator()(const SampleCommit &What) const {
+  void operator()(const SampleCommit &Body) const {
     Into["kind"] = "sample_commit";
     json::array samples;
-    for (const Sample &it : What.Samples)
+    for (const Sample &it : Body.Samples)
       samples.push_back(toJson(it));
     Into["samples"] = std::move(samples);
   }
-  void operator()(const SamplesDelivered &What) const {
+  void operator()(const SamplesDelivered &Body) const {
     Into["kind"] = "samples_delivered";
-    Into["delivery"] = What.Delivery;
-    Into["slots"] = toJson(What.Slots);
+    Into["delivery"] = Body.Delivery;
+    Into["slots"] = toJson(Body.Slots);
   }
-  void operator()(const StepClosed &What) const {
+  void operator()(const StepClosed &Body) const {
     Into["kind"] = "step_closed";
-    Into["step"] = What.Step;
+    Into["step"] = Body.Step;
   }
 };
 
-Result<TrainerBody> readCommit(const json::object &From) {
-  BOOST_LEAF_AUTO(list, arrayMember(From, "samples", Place));
+Result<TrainerBody> parseCommit(const json::object &Object) {
+  BOOST_LEAF_AUTO(array, arrayMember(Object, "samples", Place));
   SampleCommit commit;
-  for (const json::value &it : *list) {
+  for (const json::value &it : *array) {
     BOOST_LEAF_AUTO(sample, sampleFromJson(it, Place));
-    // A label with a gap attests nothing: such a record is malformed.
+    // A label with gaps makes the record malformed.
     if (!covers(sample.Spans, sample.Tokens))
       return badInput(std::string(Place) + "/samples/spans",
                       "spans do not cover the tokens");
@@ -61,34 +61,34 @@
   return TrainerBody(std::move(commit));
 }
 
-Result<TrainerBody> readDelivered(const json::object &From) {
+Result<TrainerBody> parseDelivered(const json::object &Object) {
   SamplesDelivered delivered;
-  BOOST_LEAF_ASSIGN(delivered.Delivery, textMember(From, "delivery", Place));
-  BOOST_LEAF_AUTO(list, arrayMember(From, "slots", Place));
-  BOOST_LEAF_ASSIGN(delivered.Slots, slotsFromJson(*list, Place));
+  BOOST_LEAF_ASSIGN(delivered.Delivery, textMember(Object, "delivery", Place));
+  BOOST_LEAF_AUTO(array, arrayMember(Object, "slots", Place));
+  BOOST_LEAF_ASSIGN(delivered.Slots, slotsFromJson(*array, Place));
   return TrainerBody(std::move(delivered));
 }
 
-Result<TrainerBody> readBody(const json::object &From,
-                             const std::string &Kind) {
+Result<TrainerBody> parseBody(const json::object &Object,
+                              const std::string &Kind) {
   if (Kind == "owner_start") {
-    BOOST_LEAF_AUTO(bound, numberMember(From, "staleness_bound", Place));
+    BOOST_LEAF_AUTO(bound, numberMember(Object, "staleness_bound", Place));
     return TrainerBody(OwnerStart{static_cast<std::uint32_t>(bound)});
   }
   if (Kind == "version_published") {
-    BOOST_LEAF_AUTO(version, numberMember(From, "version", Place));
+    BOOST_LEAF_AUTO(version, numberMember(Object, "version", Place));
     return TrainerBody(VersionPublished{version});
   }
   if (Kind == "step_opened") {
-    BOOST_LEAF_AUTO(step, numberMember(From, "step", Place));
+    BOOST_LEAF_AUTO(step, numberMember(Object, "step", Place));
     return TrainerBody(StepOpened{step});
   }
   if (Kind == "sample_commit")
-    return readCommit(From);
+    return parseCommit(Object);
   if (Kind == "samples_delivered")
-    return readDelivered(From);
+    return parseDelivered(Object);
   if (Kind == "step_closed") {
-    BOOST_LEAF_AUTO(step, numberMember(From, "step", Place));
+    BOOST_LEAF_AUTO(step, numberMember(Object, "step", Place));
     return TrainerBody(StepClosed{step});
   }
   return boost::leaf::new_error(Failure{Verdict::NotRun,
@@ -104,13 +104,13 @@
   return "trainer." + Trainer.Text;
 }
 
-std::string encodeTrainerRecord(const TrainerRecord &What) {
+std::string encodeTrainerRecord(const TrainerRecord &Record) {
   json::object object{{"schema", RecordSchema},
-                      {"author", What.Id.Author},
-                      {"life", What.Id.Life},
-                      {"sequence", What.Id.Sequence},
-                      {"fence", What.Fence}};
-  std::visit(BodyWriter{object}, What.Body);
+                      {"author", Record.Id.Author},
+                      {"life", Record.Id.Life},
+                      {"sequence", Record.Id.Sequence},
+                      {"fence", Record.Fence}};
+  std::visit(BodyWriter{object}, Record.Body);
   return json::serialize(object);
 }
 
@@ -131,7 +131,7 @@
                     numberMember(object, "sequence", Place));
   BOOST_LEAF_ASSIGN(record.Fence, numberMember(object, "fence", Place));
   BOOST_LEAF_AUTO(kind, textMember(object, "kind", Place));
-  BOOST_LEAF_ASSIGN(record.Body, readBody(object, kind));
+  BOOST_LEAF_ASSIGN(record.Body, parseBody(object, kind));
   return record;
 }
 
--- a/Wasabi/Rollout/TrainerRecord.h
+++ b/Wasabi/Rollout/TrainerRecord.h
@@ -1,6 +1,6 @@
 /// \file
-/// The records of one trainer's own log stream. Only the trainer's owner writes
-/// it and only a successor reads it back, so the control stream stays small.
+/// Records of a trainer's log stream. Only the trainer's owner writes the
+/// stream and only successors read it, which keeps the control stream small.
 #ifndef WASABI_ROLLOUT_TRAINERRECORD_H
 #define WASABI_ROLLOUT_TRAINERRECORD_H
 
@@ -15,12 +15,12 @@
 
 namespace wasabi {
 
-/// The stream of a trainer: `trainer.NAME`.
+/// Returns the stream of a trainer, `trainer.NAME`.
 std::string trainerStream(const TrainerName &Trainer);
 
-/// A new owner begins; every record of a smaller token after it is void.
+/// A new owner starts. Later records with a smaller fencing token are refused.
 struct OwnerStart {
-  /// The bound in force, in versions.
+  /// Staleness bound in versions.
   std::uint32_t StalenessBound = 1;
   bool operator==(const OwnerStart &) const = default;
 };
@@ -31,26 +31,26 @@
   bool operator==(const VersionPublished &) const = default;
 };
 
-/// The trainer opened a step; the slots of earlier steps are over.
+/// The trainer opened a step; earlier steps have ended.
 struct StepOpened {
   std::uint64_t Step = 0;
   bool operator==(const StepOpened &) const = default;
 };
 
-/// Whole samples with their content, so that a successor can deliver them.
+/// Complete samples with their content, so that a successor can deliver them.
 struct SampleCommit {
   std::vector<Sample> Samples;
   bool operator==(const SampleCommit &) const = default;
 };
 
-/// The trainer took these slots.
+/// The trainer accepted these slots.
 struct SamplesDelivered {
   std::string Delivery;
   std::vector<Slot> Slots;
   bool operator==(const SamplesDelivered &) const = default;
 };
 
-/// The trainer holds the whole step.
+/// The trainer holds all samples of the step.
 struct StepClosed {
   std::uint64_t Step = 0;
   bool operator==(const StepClosed &) const = default;
@@ -59,21 +59,21 @@
 using TrainerBody = std::variant<OwnerStart, VersionPublished, StepOpened,
                                  SampleCommit, SamplesDelivered, StepClosed>;
 
-/// One record of a trainer's stream. An immutable value.
+/// A record of a trainer's stream. An immutable value.
 struct TrainerRecord {
-  /// Taken once by the fold, however often it is appended.
+  /// Applied once, however often it is appended.
   RecordId Id;
-  /// The claim that its author acts under.
+  /// Fencing token of the author's claim.
   FencingToken Fence = 0;
   TrainerBody Body;
   bool operator==(const TrainerRecord &) const = default;
 };
 
-/// The record's JSON text. Pure.
-std::string encodeTrainerRecord(const TrainerRecord &What);
+/// Returns the record as JSON text. Pure.
+std::string encodeTrainerRecord(const TrainerRecord &Record);
 
-/// Reads a record. Errors: `BadInput` naming the member; `NewerSchema` for a
-/// schema or kind beyond this program's.
+/// Parses a record. Errors: `BadInput` naming the member; `NewerSchema` for a
+/// schema or kind that this program does not know.
 Result<TrainerRecord> decodeTrainerRecord(std::string_view Text);
 
 } // namespace wasabi
