--- a/Wasabi/Rollout/EngineChoice.h
+++ b/Wasabi/Rollout/EngineChoice.h
@@ -29,8 +29,9 @@
 /// Returns the engines with capacity as a heap with the cheapest on top. Pure.
 std::vector<Candidate> enginesWithRoom(StepState &State, TimePoint Now);
 
-/// Removes one place on the cheapest engine on which the sample is expected to
-/// stay fresh. Returns nothing if there is none. Pure except for `Heap`.
+/// Takes one free slot of the cheapest engine on which the sample is expected
+/// to stay fresh out of the heap. Returns nothing if there is none. Pure except
+/// for `Heap`.
 std::optional<Candidate> takeEngine(const StepState &State,
                                     std::vector<Candidate> &Heap,
                                     const SlotRequirements &Requirements,
--- a/Wasabi/Rollout/TrainerOwner.cpp
+++ b/Wasabi/Rollout/TrainerOwner.cpp
@@ -170,14 +170,14 @@
   }
 }
 
-void TrainerOwner::recordDispatch(const DispatchAttempt &Effect) {
+void TrainerOwner::recordDispatch(const DispatchAttempt &Dispatch) {
   Context.Events.record("sample.dispatch",
                         {field("trainer", Setup.Trainer.Text),
-                         field("slot", toText(Effect.Place)),
-                         field("attempt", Effect.Attempt),
-                         field("server", Effect.On.Name.Text),
-                         field("version", Effect.On.Version),
-                         field("hedge", std::uint64_t(Effect.Hedge))});
+                         field("slot", toText(Dispatch.Place)),
+                         field("attempt", Dispatch.Attempt),
+                         field("server", Dispatch.On.Name.Text),
+                         field("version", Dispatch.On.Version),
+                         field("hedge", std::uint64_t(Dispatch.Hedge))});
 }
 
 void TrainerOwner::cancel(const CancelAttempt &Effect) {
@@ -232,7 +232,8 @@
   TimePoint deadline = monotonicNow() + Setup.RecoveryTimeout;
   constexpr Millis checkInterval{5};
   while (!Stopped && !StartConfirmed) {
-    // Without the log, a trainer that checks fences knows its slots.
+    // A trainer that checks fences reports the slots that it holds, so the log
+    // is not required.
     if (State.Policy.ChecksFences && monotonicNow() > deadline)
       break;
     co_await pause(checkInterval);
@@ -269,30 +270,31 @@
   }
 }
 
-boost::asio::awaitable<void> TrainerOwner::generate(DispatchAttempt Effect) {
-  std::shared_ptr<InFlightAttempt> inFlight = InFlightAttempts[Effect.Attempt];
+boost::asio::awaitable<void> TrainerOwner::generate(DispatchAttempt Dispatch) {
+  std::shared_ptr<InFlightAttempt> inFlight =
+      InFlightAttempts[Dispatch.Attempt];
   RequestAttempt attempt = makeSampleRequest(
-      Effect, SampleOrigin{Setup.Trainer, Setup.Fence, Model, Priority});
+      Dispatch, SampleOrigin{Setup.Trainer, Setup.Fence, Model, Priority});
   Outcome<std::unique_ptr<DaemonResponseStream>> opened =
-      co_await Context.Requests->open(Effect.On.Where, std::move(attempt));
+      co_await Context.Requests->open(Dispatch.On.Where, std::move(attempt));
   if (!opened) {
-    InFlightAttempts.erase(Effect.Attempt);
-    handleEvent(AttemptFailed{Effect.Attempt, opened.failure()});
+    InFlightAttempts.erase(Dispatch.Attempt);
+    handleEvent(AttemptFailed{Dispatch.Attempt, opened.failure()});
     co_return;
   }
   constexpr unsigned statusOk = 200;
   if (!inFlight->Cancelled && (*opened)->head().Status != statusOk) {
-    InFlightAttempts.erase(Effect.Attempt);
+    InFlightAttempts.erase(Dispatch.Attempt);
     handleEvent(
-        AttemptFailed{Effect.Attempt, makeStatusFailure((*opened)->head())});
+        AttemptFailed{Dispatch.Attempt, makeStatusFailure((*opened)->head())});
     co_return;
   }
   // Destroying the response of a cancelled attempt cancels it at the daemon.
   if (!inFlight->Cancelled) {
     inFlight->Response = std::move(*opened);
-    co_await readStream(Effect.Attempt, inFlight);
+    co_await readStream(Dispatch.Attempt, inFlight);
   }
-  InFlightAttempts.erase(Effect.Attempt);
+  InFlightAttempts.erase(Dispatch.Attempt);
 }
 
 boost::asio::awaitable<void>
@@ -327,13 +329,13 @@
   handleEvent(AttemptEnded{Id, done ? done->Tokens : 0});
 }
 
-boost::asio::awaitable<void> TrainerOwner::score(ScoreSample Effect) {
+boost::asio::awaitable<void> TrainerOwner::score(ScoreSample Request) {
   Outcome<double> result = co_await Context.Scorer.Score(
-      Effect.Place, std::move(Effect.Text), Setup.ScoreTimeout);
+      Request.Place, std::move(Request.Text), Setup.ScoreTimeout);
   if (result)
-    handleEvent(SampleScored{Effect.Place, *result});
+    handleEvent(SampleScored{Request.Place, *result});
   else
-    handleEvent(ScoreFailed{Effect.Place, result.failure()});
+    handleEvent(ScoreFailed{Request.Place, result.failure()});
 }
 
 boost::asio::awaitable<void> TrainerOwner::deliver(Delivery Batch) {
--- a/Wasabi/Rollout/TrainerOwner.h
+++ b/Wasabi/Rollout/TrainerOwner.h
@@ -69,7 +69,7 @@
   void handleEvent(const StepEvent &Event);
   void perform(StepEffect &Effect);
   void cancel(const CancelAttempt &Effect);
-  void recordDispatch(const DispatchAttempt &Effect);
+  void recordDispatch(const DispatchAttempt &Dispatch);
   void refreshInputs();
   /// Uses the model and the endpoint that the declaration names.
   void connect(const TrainerDeclaration &Declaration);
@@ -80,10 +80,10 @@
   boost::asio::awaitable<void> recover();
   boost::asio::awaitable<void> pollLoop();
   boost::asio::awaitable<void> tickLoop();
-  boost::asio::awaitable<void> generate(DispatchAttempt Effect);
+  boost::asio::awaitable<void> generate(DispatchAttempt Dispatch);
   boost::asio::awaitable<void>
   readStream(AttemptId Id, std::shared_ptr<InFlightAttempt> Attempt);
-  boost::asio::awaitable<void> score(ScoreSample Effect);
+  boost::asio::awaitable<void> score(ScoreSample Request);
   boost::asio::awaitable<void> deliver(Delivery Batch);
   boost::asio::awaitable<void> queryTrainer();
 
