--- a/Wasabi/Rollout/TrainerFold.h
+++ b/Wasabi/Rollout/TrainerFold.h
@@ -36,8 +36,8 @@
 struct TrainerState {
   /// The next offset to apply.
   Offset Next = 0;
-  /// The greatest token of an owner's start record; records with a smaller
-  /// token are refused.
+  /// Token of the current owner, the greatest of all start records. Records
+  /// with another token are refused, except for a start with a greater one.
   FencingToken Fence = 0;
   /// Newest published version and current staleness bound.
   Freshness Fresh;
