--- a/Daemon/Main.cpp
+++ b/Daemon/Main.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// `wasabi-daemon`: the process in the slot beside upstream servers. It is the
-/// only road to them, and may own any duty that is claimed.
+/// `wasabi-daemon`: proxy on the same instance as its upstream servers. All
+/// requests to these servers pass through it. It can hold any claimed duty.
 #include "Wasabi/Adapters/Admin/AdminServer.h"
 #include "Wasabi/Adapters/Frames/RequestServer.h"
 #include "Wasabi/Adapters/Proxy/DaemonProxy.h"
@@ -22,21 +22,23 @@
 #include <iostream>
 
 DEFINE_string(instance, "", "name of this instance");
-DEFINE_string(failure_domain, "", "failure domain that it stands in");
+DEFINE_string(failure_domain, "", "failure domain of this instance");
 DEFINE_string(frames, "127.0.0.1:0", "IP:PORT for request frames");
 DEFINE_string(control, "127.0.0.1:0", "IP:PORT for control frames");
 DEFINE_string(admin, "127.0.0.1:0", "IP:PORT for status and metrics");
-DEFINE_string(advertise_frames, "",
-              "request frames' IP:PORT told to others, if not the bound one");
+DEFINE_string(
+    advertise_frames, "",
+    "IP:PORT for request frames announced to others, if not the bound one");
 DEFINE_string(advertise_control, "",
-              "control IP:PORT told to others, if not the bound one");
+              "control IP:PORT announced to others, if not the bound one");
 DEFINE_string(log, "", "IP:PORT of the platform's log service");
 DEFINE_string(instances, "", "IP:PORT of the platform's instance list");
 DEFINE_string(weights, "", "IP:PORT of the platform's weight store");
 DEFINE_string(scorer, "", "IP:PORT of the service that scores samples");
-DEFINE_string(seeds, "", "control IP:PORT,IP:PORT of instances to begin with");
+DEFINE_string(seeds, "",
+              "control IP:PORT,IP:PORT of instances to contact first");
 DEFINE_bool(rollout_round_robin, false,
-            "for measurements: samples go to engines by turns");
+            "assigns samples to engines round-robin, for benchmarks");
 DEFINE_string(upstreams, "",
               "servers behind this daemon: server=service@IP:PORT,...");
 
@@ -46,21 +48,21 @@
 namespace asio = boost::asio;
 
 constexpr std::size_t TimelineEvents = 65536;
-/// Time between two looks whether the last request has ended.
+/// Interval between checks whether the last request has ended.
 constexpr Millis DrainPollInterval{10};
-/// How long a leaving daemon goes on refusing at least.
-constexpr Millis LeaveGrace{500};
-/// Time between two refreshes of what load reports say.
-constexpr Millis LoadPause{20};
+/// Minimum time that a leaving daemon keeps refusing requests.
+constexpr Millis MinLeavingTime{500};
+/// Interval between updates of the load reports.
+constexpr Millis LoadRefreshInterval{20};
 
-/// The parts of one daemon, in the order they are built.
+/// Components of the daemon, in the order of their construction.
 class DaemonProgram {
 public:
   Result<ExitCode> run() {
     BOOST_LEAF_CHECK(start());
     Context.run();
     Events->record("process.stop", {});
-    // The admin thread must not read what is being taken down.
+    // Stops the admin thread before the components that it reads.
     Admin.reset();
     Rollouts.reset();
     Control.reset();
@@ -87,23 +89,24 @@
                     {"domain", Settings.Domain.Text}});
     BOOST_LEAF_ASSIGN(Admin, AdminServer::create(Settings.Admin, *Events));
     BOOST_LEAF_CHECK(startProxy(std::move(Upstreams), Listen));
-    Address told = Advertise.empty() ? Front->address() : Advertise;
+    Address advertised = Advertise.empty() ? Frontend->address() : Advertise;
     BOOST_LEAF_ASSIGN(
         Control,
         ControlPlane::create(
-            makeControlPlaneSettings(Settings, Role::Daemon, told,
+            makeControlPlaneSettings(Settings, Role::Daemon, advertised,
                                      Admin->address()),
-            *Events, [this](Order What, DaemonProxy::OrderCallback Answer) {
-              takeOrder(std::move(What), std::move(Answer));
+            *Events, [this](Order Command, DaemonProxy::OrderCallback Answer) {
+              postOrder(std::move(Command), std::move(Answer));
             }));
-    Proxy->attach(sourceOf(*Control), [this](std::vector<ServerStatus> Now) {
-      Control->setServers(std::move(Now));
-    });
-    pushLoads();
+    Proxy->attach(makeControlPlaneReader(*Control),
+                  [this](std::vector<ServerStatus> Servers) {
+                    Control->setServers(std::move(Servers));
+                  });
+    publishLoads();
     BOOST_LEAF_CHECK(startRollouts());
-    showStatus();
+    setAdminSources();
     Signals = onStopSignal(Context, [this] { beginDrain(); });
-    std::cout << "frames " << toText(Front->address()) << "\n"
+    std::cout << "frames " << toText(Frontend->address()) << "\n"
               << "control " << toText(Control->address()) << "\n"
               << "admin " << toText(Admin->address()) << std::endl;
     return Done{};
@@ -124,21 +127,22 @@
     limits.Domain = Settings.Domain;
     limits.Life = Settings.Life;
     std::shared_ptr<DaemonProxy> proxy = Proxy;
-    BOOST_LEAF_ASSIGN(Front, RequestServer::create(
-                                 Context, limits,
-                                 [proxy](RequestAttempt Attempt,
-                                         std::shared_ptr<ResponseSink> Sink) {
-                                   return proxy->handle(std::move(Attempt),
-                                                        std::move(Sink));
-                                 }));
-    Front->setLoadSource([proxy] { return proxy->loads(); });
+    BOOST_LEAF_ASSIGN(
+        Frontend,
+        RequestServer::create(Context, limits,
+                              [proxy](RequestAttempt Attempt,
+                                      std::shared_ptr<ResponseSink> Sink) {
+                                return proxy->handle(std::move(Attempt),
+                                                     std::move(Sink));
+                              }));
+    Frontend->setLoadSource([proxy] { return proxy->loads(); });
     return Done{};
   }
 
   Result<Done> startRollouts() {
     BOOST_LEAF_AUTO(Weights, parseOptionalAddress(FLAGS_weights, "--weights"));
     BOOST_LEAF_AUTO(Scorer, parseOptionalAddress(FLAGS_scorer, "--scorer"));
-    // Without the platform's services this daemon owns no trainer.
+    // Without the platform's services this daemon serves no trainer.
     if (Settings.Log.empty() || Weights.empty() || Scorer.empty())
       return Done{};
     RolloutService::Settings setup;
@@ -155,22 +159,22 @@
     return Done{};
   }
 
-  /// Comes on the control thread: orders are carried out on the serving one.
-  void takeOrder(Order What, DaemonProxy::OrderCallback Answer) {
-    asio::post(Context, [this, What = std::move(What),
+  /// Called on the control thread; passes the order to the serving thread.
+  void postOrder(Order Command, DaemonProxy::OrderCallback Answer) {
+    asio::post(Context, [this, Command = std::move(Command),
                          Answer = std::move(Answer)]() mutable {
-      Proxy->order(std::move(What), std::move(Answer));
+      Proxy->executeOrder(std::move(Command), std::move(Answer));
     });
   }
 
-  void pushLoads() {
-    std::vector<ReportedLoad> now = Proxy->loads();
-    Front->setLoads(now, Leaving);
-    Shown.set(std::move(now));
-    Loads.expires_after(LoadPause);
-    Loads.async_wait([this](boost::system::error_code ec) {
+  void publishLoads() {
+    std::vector<ReportedLoad> loads = Proxy->loads();
+    Frontend->setLoads(loads, Leaving);
+    PublishedLoads.set(std::move(loads));
+    LoadTimer.expires_after(LoadRefreshInterval);
+    LoadTimer.async_wait([this](boost::system::error_code ec) {
       if (!ec)
-        pushLoads();
+        publishLoads();
     });
   }
 
@@ -189,54 +193,55 @@
     return shown;
   }
 
-  void showStatus() {
+  void setAdminSources() {
     AdminSources sources;
     sources.Ready = [this] { return ready(); };
     sources.Metrics = [this] { return Counts.render(); };
-    sources.BriefStatus = [this] { return statusJson(status()); };
+    sources.BriefStatus = [this] { return encodeProcessStatus(status()); };
     sources.Status = [this] {
       std::string rollouts =
           Rollouts ? "{\"rollouts\":" + Rollouts->statusJson() + "}" : "{}";
       return std::vector<std::string>{Control->statusJson(), rollouts,
-                                      encodeServerLoads(*Shown.get()),
-                                      statusJson(status())};
+                                      encodeServerLoads(*PublishedLoads.get()),
+                                      encodeProcessStatus(status())};
     };
     Admin->setSources(std::move(sources));
   }
 
-  /// The others are told first, over frames and control alike; new work is
-  /// refused as not run, and what runs goes on to its end.
+  /// Refuses new work as not run, and announces the leaving over request and
+  /// control frames. Running work continues to its end.
   void beginDrain() {
     Leaving = true;
-    LeftAt = monotonicNow();
+    LeavingSince = monotonicNow();
     Events->record("process.leaving", {});
-    Proxy->leave();
-    Front->setLoads(Proxy->loads(), true);
-    // Owned steps and rollouts are handed over before the claims go.
+    Proxy->startDraining();
+    Frontend->setLoads(Proxy->loads(), true);
+    // Hands over owned steps and rollouts before the claims are released.
     if (Rollouts)
-      Rollouts->shutDown([this] { tellLeaving(); });
+      Rollouts->shutDown([this] { announceLeaving(); });
     else
-      tellLeaving();
+      announceLeaving();
   }
 
-  /// Comes on any thread.
-  void tellLeaving() {
+  /// Called on any thread.
+  void announceLeaving() {
     Control->leave([this] {
       asio::post(Context, [this] {
-        Told = true;
+        LeavingAnnounced = true;
         endWhenIdle();
       });
     });
   }
 
   void endWhenIdle() {
-    // Requests that were sent before their sender heard of the leaving must
-    // still find somebody who refuses them.
-    bool heard = monotonicNow() - LeftAt >= LeaveGrace;
-    bool idle =
-        Told && heard && Proxy->inFlight() == 0 && Front->unsentBytes() == 0;
+    // Keeps refusing requests that were sent before their sender learned that
+    // this daemon is leaving.
+    bool minTimePassed = monotonicNow() - LeavingSince >= MinLeavingTime;
+    bool idle = LeavingAnnounced && minTimePassed && Proxy->inFlight() == 0 &&
+                Frontend->unsentBytes() == 0;
     if (idle && !HandedOver) {
-      // What ran under a key must not run again when this process is gone.
+      // Requests that ran with a key must not run again after this process has
+      // ended.
       Proxy->handOver([this] {
         HandedOver = true;
         endWhenIdle();
@@ -244,15 +249,15 @@
       return;
     }
     if (idle) {
-      Loads.cancel();
-      Front->stop();
+      LoadTimer.cancel();
+      Frontend->stop();
       Proxy->stop();
       Signals.reset();
       Context.stop();
       return;
     }
-    Drain.expires_after(DrainPollInterval);
-    Drain.async_wait([this](boost::system::error_code) { endWhenIdle(); });
+    DrainTimer.expires_after(DrainPollInterval);
+    DrainTimer.async_wait([this](boost::system::error_code) { endWhenIdle(); });
   }
 
   asio::io_context Context{1};
@@ -261,17 +266,17 @@
   std::unique_ptr<Timeline> Events;
   std::unique_ptr<AdminServer> Admin;
   std::shared_ptr<DaemonProxy> Proxy;
-  std::shared_ptr<RequestServer> Front;
+  std::shared_ptr<RequestServer> Frontend;
   std::unique_ptr<ControlPlane> Control;
   std::unique_ptr<RolloutService> Rollouts;
   std::shared_ptr<void> Signals;
-  BootTimer Loads{Context};
-  BootTimer Drain{Context};
+  BootTimer LoadTimer{Context};
+  BootTimer DrainTimer{Context};
   std::atomic<bool> Leaving{false};
-  TimePoint LeftAt;
-  /// The loads as the admin thread shows them.
-  Published<std::vector<ReportedLoad>> Shown;
-  bool Told = false;
+  TimePoint LeavingSince;
+  /// Loads shown by the admin thread.
+  Published<std::vector<ReportedLoad>> PublishedLoads;
+  bool LeavingAnnounced = false;
   bool HandedOver = false;
 };
 
@@ -281,8 +286,8 @@
 int main(int Count, char **Values) {
   wasabi::ProgramDescription about{
       "wasabi-daemon", "",
-      "Stands in front of upstream servers on their instance: the only road "
-      "to them.\nPrints its addresses on stdout once it serves."};
+      "Proxy for the upstream servers on its instance.\n"
+      "Prints its addresses on stdout once it serves."};
   wasabi::ProgramStart start = wasabi::startProgram(about, Count, Values);
   if (start.Exit)
     return static_cast<int>(*start.Exit);
--- a/Entry/Main.cpp
+++ b/Entry/Main.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// `wasabi-entry`: takes callers' HTTP behind the platform's balancer, and has
-/// each request answered by the daemon in front of an upstream.
+/// `wasabi-entry`: accepts callers' HTTP requests behind the platform's load
+/// balancer and forwards them to the daemons of the upstream servers.
 #include "Wasabi/Adapters/Admin/AdminServer.h"
 #include "Wasabi/Adapters/Http/HttpServer.h"
 #include "Wasabi/Adapters/Proxy/EntryProxy.h"
@@ -21,17 +21,19 @@
 #include <iostream>
 
 DEFINE_string(instance, "", "name of this instance");
-DEFINE_string(failure_domain, "", "failure domain that it stands in");
+DEFINE_string(failure_domain, "", "failure domain of this instance");
 DEFINE_string(listen, "127.0.0.1:0", "IP:PORT for callers' HTTP");
 DEFINE_string(control, "127.0.0.1:0", "IP:PORT for control frames");
 DEFINE_string(admin, "127.0.0.1:0", "IP:PORT for status and metrics");
 DEFINE_string(advertise_control, "",
-              "control IP:PORT told to others, if not the bound one");
+              "control IP:PORT announced to others, if not the bound one");
 DEFINE_string(log, "", "IP:PORT of the platform's log service");
 DEFINE_string(instances, "", "IP:PORT of the platform's instance list");
-DEFINE_string(seeds, "", "control IP:PORT,IP:PORT of instances to begin with");
+DEFINE_string(seeds, "",
+              "control IP:PORT,IP:PORT of instances to contact first");
 DEFINE_uint32(drain_grace_ms, 2000,
-              "how long callers still come after readiness went off");
+              "milliseconds that callers are still accepted after readiness is "
+              "withdrawn");
 
 namespace wasabi {
 namespace {
@@ -39,21 +41,21 @@
 namespace asio = boost::asio;
 
 constexpr std::size_t TimelineEvents = 65536;
-/// How long connections without a request may stay open at the end.
-constexpr Millis CloseGrace{2000};
-/// Time between two looks whether the last request has ended.
+/// Maximum time that idle connections may stay open after draining.
+constexpr Millis CloseTimeout{2000};
+/// Interval between checks whether the last request has ended.
 constexpr Millis DrainPollInterval{10};
-/// Longest that a fresh entry waits to know a server of each service.
-constexpr Millis WarmUpLimit{5000};
+/// Maximum time that a new entry waits until it knows a server of each service.
+constexpr Millis WarmUpTimeout{5000};
 
-/// The parts of one entry, in the order they are built.
+/// Components of the entry, in the order of their construction.
 class EntryProgram {
 public:
   Result<ExitCode> run() {
     BOOST_LEAF_CHECK(start());
     Context.run();
     Events->record("process.stop", {});
-    // The admin thread must not read what is being taken down.
+    // Stops the admin thread before the components that it reads.
     Admin.reset();
     Control.reset();
     return ExitCode::Success;
@@ -81,21 +83,21 @@
                                                    Address(), Admin->address()),
                           *Events, refuseOrder));
     startProxy();
-    BOOST_LEAF_CHECK(startFront(Listen));
-    showStatus();
+    BOOST_LEAF_CHECK(startFrontend(Listen));
+    setAdminSources();
     Signals = onStopSignal(Context, [this] { beginDrain(); });
     std::cout << "control " << toText(Control->address()) << "\n"
               << "admin " << toText(Admin->address()) << "\n"
-              << "listening " << toText(Front->address()) << std::endl;
+              << "listening " << toText(Frontend->address()) << std::endl;
     return Done{};
   }
 
   static void
-  refuseOrder(const Order &What,
+  refuseOrder(const Order &Command,
               const std::function<void(Outcome<OrderAnswer>)> &Answer) {
     Answer(Failure{Verdict::NotRun,
                    FailureCode::BadInput,
-                   What.Server.Text,
+                   Command.Server.Text,
                    "an entry has no servers",
                    {}});
   }
@@ -106,33 +108,34 @@
     setup.Domain = Settings.Domain;
     setup.Life = Settings.Life;
     setup.Seed = Settings.Seed;
-    Proxy =
-        EntryProxy::create(Context, setup, sourceOf(*Control), *Events, Counts);
+    Proxy = EntryProxy::create(Context, setup, makeControlPlaneReader(*Control),
+                               *Events, Counts);
   }
 
-  Result<Done> startFront(Address Listen) {
+  Result<Done> startFrontend(Address Listen) {
     http::Server::Settings limits;
     limits.Listen = std::move(Listen);
     std::shared_ptr<EntryProxy> proxy = Proxy;
     BOOST_LEAF_ASSIGN(
-        Front,
-        http::Server::create(
-            Context, limits,
-            [proxy](http::Request Ask, std::shared_ptr<http::Responder> Out) {
-              return proxy->handle(std::move(Ask), std::move(Out));
-            }));
+        Frontend,
+        http::Server::create(Context, limits,
+                             [proxy](http::Request Request,
+                                     std::shared_ptr<http::Responder> Out) {
+                               return proxy->handle(std::move(Request),
+                                                    std::move(Out));
+                             }));
     return Done{};
   }
 
-  /// Callers come once the servers are known, and until it leaves. A service
-  /// that is gone as a whole must not keep a fresh entry out for ever.
+  /// Returns true once the servers are known and until the entry leaves. After
+  /// `WarmUpTimeout`, a service without servers no longer delays readiness.
   bool ready() {
     if (!Control->ready() || Leaving)
       return false;
     if (!WarmedUp)
       WarmedUp =
           hasAllCandidates(*Control->state()->Config, *Control->view()) ||
-          monotonicNow() > Started + WarmUpLimit;
+          monotonicNow() > Started + WarmUpTimeout;
     return WarmedUp;
   }
 
@@ -149,46 +152,47 @@
     return shown;
   }
 
-  void showStatus() {
+  void setAdminSources() {
     AdminSources sources;
     sources.Ready = [this] { return ready(); };
     sources.Metrics = [this] { return Counts.render(); };
-    sources.BriefStatus = [this] { return statusJson(status()); };
+    sources.BriefStatus = [this] { return encodeProcessStatus(status()); };
     sources.Status = [this] {
       return std::vector<std::string>{Control->statusJson(),
-                                      statusJson(status())};
+                                      encodeProcessStatus(status())};
     };
     Admin->setSources(std::move(sources));
   }
 
-  /// Readiness goes first; the balancer is given its time, then the listener
-  /// closes, and what is in flight goes on to its end.
+  /// Withdraws readiness, waits for the load balancer to notice, then closes
+  /// the listener. Requests in flight continue to their end.
   void beginDrain() {
     Leaving = true;
     Events->record("process.leaving", {});
     Control->leave([] {});
-    Grace.expires_after(Millis(FLAGS_drain_grace_ms));
-    Grace.async_wait([this](boost::system::error_code) {
-      Front->drain();
-      CloseBy = monotonicNow() + CloseGrace;
+    DrainTimer.expires_after(Millis(FLAGS_drain_grace_ms));
+    DrainTimer.async_wait([this](boost::system::error_code) {
+      Frontend->drain();
+      CloseDeadline = monotonicNow() + CloseTimeout;
       endWhenIdle();
     });
   }
 
   void endWhenIdle() {
-    bool idle = Proxy->inFlight() == 0 && Front->inFlight() == 0;
-    // Idle connections close by themselves; a request that is on its way on one
-    // is still answered.
-    bool closed = Front->connections() == 0 || monotonicNow() >= CloseBy;
+    bool idle = Proxy->inFlight() == 0 && Frontend->inFlight() == 0;
+    // Idle connections close by themselves. A request that arrives on one
+    // meanwhile is still answered.
+    bool closed =
+        Frontend->connections() == 0 || monotonicNow() >= CloseDeadline;
     if (idle && closed) {
-      Front->stop();
+      Frontend->stop();
       Proxy->stop();
       Signals.reset();
       Context.stop();
       return;
     }
-    Grace.expires_after(DrainPollInterval);
-    Grace.async_wait([this](boost::system::error_code) { endWhenIdle(); });
+    DrainTimer.expires_after(DrainPollInterval);
+    DrainTimer.async_wait([this](boost::system::error_code) { endWhenIdle(); });
   }
 
   asio::io_context Context{1};
@@ -198,12 +202,12 @@
   std::unique_ptr<AdminServer> Admin;
   std::unique_ptr<ControlPlane> Control;
   std::shared_ptr<EntryProxy> Proxy;
-  std::shared_ptr<http::Server> Front;
+  std::shared_ptr<http::Server> Frontend;
   std::shared_ptr<void> Signals;
-  BootTimer Grace{Context};
+  BootTimer DrainTimer{Context};
   std::atomic<bool> Leaving{false};
-  TimePoint CloseBy;
-  /// Set once the servers were known; asked on several threads.
+  TimePoint CloseDeadline;
+  /// Set once the servers are known; read on several threads.
   std::atomic<bool> WarmedUp{false};
   const TimePoint Started = monotonicNow();
 };
@@ -214,8 +218,8 @@
 int main(int Count, char **Values) {
   wasabi::ProgramDescription about{
       "wasabi-entry", "",
-      "Takes callers' HTTP and has each request answered by the daemon in "
-      "front of\nan upstream; prints its addresses on stdout once it serves."};
+      "Forwards callers' HTTP requests to the daemons of the upstream "
+      "servers.\nPrints its addresses on stdout once it serves."};
   wasabi::ProgramStart start = wasabi::startProgram(about, Count, Values);
   if (start.Exit)
     return static_cast<int>(*start.Exit);
--- a/Replay/Main.cpp
+++ b/Replay/Main.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// wasabi-replay TRACE OUTCOMES: holds a recorded time line against stated
-/// outcomes. Exit codes: 0 all hold, 1 one is broken, 2 bad input.
+/// wasabi-replay TRACE OUTCOMES: checks a recorded timeline against expected
+/// outcomes. Exit codes: 0 all hold, 1 one is violated, 2 bad input.
 #include "Wasabi/Core/Program.h"
 #include "Wasabi/Replay/Check.h"
 
@@ -16,9 +16,9 @@
 
 const wasabi::ProgramDescription About{
     "wasabi-replay", "TRACE OUTCOMES",
-    "Holds a recorded time line (JSON lines, from wasabictl timeline) against\n"
-    "stated outcomes (a JSON file of rules, bounds and expected events).\n"
-    "Exit codes: 0 all hold, 1 one is broken, 2 bad input."};
+    "Checks a recorded timeline (JSON lines, from wasabictl timeline) against\n"
+    "expected outcomes (a JSON file of rules, bounds and expected events).\n"
+    "Exit codes: 0 all hold, 1 one is violated, 2 bad input."};
 
 Result<std::string> readFile(const std::string &path) {
   std::ifstream file(path, std::ios::binary);
@@ -30,21 +30,21 @@
 
 Result<ExitCode> replay(const std::vector<std::string> &arguments) {
   if (arguments.size() != 2)
-    return wasabi::badInput("arguments", "TRACE and OUTCOMES are needed");
-  BOOST_LEAF_AUTO(rules, readFile(arguments[1]));
-  BOOST_LEAF_AUTO(against,
-                  wasabi::replay::readExpectations(arguments[1], rules));
-  BOOST_LEAF_AUTO(lines, readFile(arguments[0]));
-  BOOST_LEAF_AUTO(trace, wasabi::replay::readTrace(arguments[0], lines));
-  const std::optional<TraceViolation> broken =
-      wasabi::replay::check(trace, against);
-  if (broken) {
-    std::cout << wasabi::replay::describeViolation(trace, *broken);
+    return wasabi::badInput("arguments", "expected TRACE and OUTCOMES");
+  BOOST_LEAF_AUTO(expectationsText, readFile(arguments[1]));
+  BOOST_LEAF_AUTO(expectations, wasabi::replay::readExpectations(
+                                    arguments[1], expectationsText));
+  BOOST_LEAF_AUTO(traceText, readFile(arguments[0]));
+  BOOST_LEAF_AUTO(trace, wasabi::replay::readTrace(arguments[0], traceText));
+  const std::optional<TraceViolation> violation =
+      wasabi::replay::check(trace, expectations);
+  if (violation) {
+    std::cout << wasabi::replay::describeViolation(trace, *violation);
     return ExitCode::OutcomeNotMet;
   }
   std::cout << "replay: events=" << trace.Events.size()
-            << " rules=" << against.Rules.size()
-            << " expected=" << against.Expect.size() << " broken=0\n";
+            << " rules=" << expectations.Rules.size()
+            << " expected=" << expectations.Events.size() << " broken=0\n";
   return ExitCode::Success;
 }
 
--- a/UnitTests/Adapters/PlatformLog/FakeLog.h
+++ b/UnitTests/Adapters/PlatformLog/FakeLog.h
@@ -1,5 +1,5 @@
 /// \file
-/// A log in memory with the faults of the platform's.
+/// In-memory log that injects faults.
 #ifndef WASABI_UNITTESTS_ADAPTERS_PLATFORMLOG_FAKELOG_H
 #define WASABI_UNITTESTS_ADAPTERS_PLATFORMLOG_FAKELOG_H
 
@@ -14,22 +14,22 @@
 
 namespace wasabi::logtest {
 
-/// One stream. Used on one thread; outlives its ports.
+/// Fake log with one stream. Used on one thread; outlives its ports.
 struct FakeLog {
   std::vector<LogEntry> Entries;
   Offset First = 0;
-  /// The next appends take effect, and their answers are lost.
-  int LoseAnswers = 0;
-  /// The next appends are refused without an effect.
+  /// Number of appends that take effect but whose response is lost.
+  int AppendAnswersToLose = 0;
+  /// Number of appends that are refused without effect.
   int AppendsToRefuse = 0;
-  /// The next reads hide the newest record.
+  /// Number of reads that hide the newest record.
   int StaleReadsLeft = 0;
-  bool Outage = false;
+  bool Unreachable = false;
   int Appends = 0;
 
   Outcome<Offset> append(std::string Text) {
     ++Appends;
-    if (Outage)
+    if (Unreachable)
       return Failure{
           Verdict::NotRun, FailureCode::Unreachable, "log", "down", {}};
     if (AppendsToRefuse > 0) {
@@ -39,8 +39,8 @@
     }
     Offset at = First + Entries.size();
     Entries.push_back({at, std::move(Text)});
-    if (LoseAnswers > 0) {
-      --LoseAnswers;
+    if (AppendAnswersToLose > 0) {
+      --AppendAnswersToLose;
       return Failure{Verdict::MayHaveRun,
                      FailureCode::ConnectionLost,
                      "log",
@@ -51,7 +51,7 @@
   }
 
   Outcome<LogRange> read(Offset From, std::size_t Max) {
-    if (Outage)
+    if (Unreachable)
       return Failure{
           Verdict::NotRun, FailureCode::Unreachable, "log", "down", {}};
     LogRange out;
@@ -67,7 +67,7 @@
     return out;
   }
 
-  /// Drops what is below `To`.
+  /// Removes the entries below `To`.
   void expireBelow(Offset To) {
     Entries.erase(Entries.begin(),
                   Entries.begin() + static_cast<std::ptrdiff_t>(To - First));
@@ -89,14 +89,14 @@
   }
 };
 
-/// Keeps what a coroutine gives.
+/// Stores the result of a coroutine in `Out`.
 template <typename T>
 boost::asio::awaitable<void> storeResult(std::optional<T> &Out,
                                          boost::asio::awaitable<T> Body) {
   Out = co_await std::move(Body);
 }
 
-/// Runs a coroutine to its end.
+/// Runs a coroutine to completion and returns its result.
 template <typename T> T runUntilComplete(boost::asio::awaitable<T> Body) {
   boost::asio::io_context context;
   std::optional<T> out;
--- a/UnitTests/Adapters/PlatformLog/HttpLogTests.cpp
+++ b/UnitTests/Adapters/PlatformLog/HttpLogTests.cpp
@@ -17,23 +17,24 @@
 namespace asio = boost::asio;
 namespace http = wasabi::http;
 
-/// A service that gives one answer and keeps what it was asked.
+/// Server that gives one response and stores the request.
 class SingleResponseServer {
 public:
   explicit SingleResponseServer(http::Response Answer)
       : Answer(std::move(Answer)) {}
 
   template <typename T>
-  T ask(const std::function<asio::awaitable<T>(const LogPort &)> &What) {
+  T ask(const std::function<asio::awaitable<T>(const LogPort &)> &Call) {
     asio::io_context context;
     Outcome<std::shared_ptr<http::Server>> server =
         wasabi::toOutcome<std::shared_ptr<http::Server>>([&] {
           return http::Server::create(
               context, {},
-              [this](http::Request Ask, std::shared_ptr<http::Responder> To)
+              [this](http::Request Request,
+                     std::shared_ptr<http::Responder> Out)
                   -> asio::awaitable<void> {
-                Asked = std::move(Ask);
-                co_await To->send(Answer);
+                LastRequest = std::move(Request);
+                co_await Out->send(Answer);
               });
         });
     REQUIRE(server);
@@ -43,7 +44,7 @@
     asio::co_spawn(
         context,
         wasabi::logtest::storeResult(
-            out, What(wasabi::makeHttpLog(client, (*server)->address()))),
+            out, Call(wasabi::makeHttpLog(client, (*server)->address()))),
         [&](const std::exception_ptr &) {
           (*server)->stop();
           context.stop();
@@ -63,7 +64,7 @@
     });
   }
 
-  http::Request Asked;
+  http::Request LastRequest;
 
 private:
   http::Response Answer;
@@ -71,18 +72,18 @@
 
 } // namespace
 
-TEST_CASE("An append posts the record and gives its offset") {
+TEST_CASE("An append posts the record and returns its offset") {
   SingleResponseServer log(
       http::jsonResponse(201, R"({"offset":12,"more":true})"));
   Outcome<Offset> at = log.append();
   REQUIRE(at);
   CHECK(*at == 12);
-  CHECK(log.Asked.Method == "POST");
-  CHECK(log.Asked.Target == "/v1/streams/control/records");
-  CHECK(log.Asked.Body == "{\"a\":1}");
+  CHECK(log.LastRequest.Method == "POST");
+  CHECK(log.LastRequest.Target == "/v1/streams/control/records");
+  CHECK(log.LastRequest.Body == "{\"a\":1}");
 }
 
-TEST_CASE("A failed append says whether it may have run") {
+TEST_CASE("A failed append reports whether it may have run") {
   http::Response busy = http::jsonResponse(429, "{}");
   busy.Headers.push_back({"Retry-After", "3"});
   Outcome<Offset> at = SingleResponseServer(busy).append();
@@ -105,7 +106,8 @@
             .Run == Verdict::MayHaveRun);
 }
 
-TEST_CASE("A read gives contiguous entries, or says what has expired") {
+TEST_CASE("A read returns contiguous entries, or none with the first offset if "
+          "expired") {
   SingleResponseServer log(http::jsonResponse(
       200, R"({"first":1,"end":9,"records":[{"offset":4,"body":"x"},)"
            R"({"offset":5,"body":"y"}]})"));
@@ -114,7 +116,7 @@
   CHECK(range->First == 1);
   CHECK(range->End == 9);
   CHECK(range->Entries == std::vector<wasabi::LogEntry>{{4, "x"}, {5, "y"}});
-  CHECK(log.Asked.Target ==
+  CHECK(log.LastRequest.Target ==
         "/v1/streams/control/records?from=4&max=10&wait_ms=7");
   CHECK_FALSE(log.read(3));
 
--- a/UnitTests/Adapters/Proxy/OrderTest.cpp
+++ b/UnitTests/Adapters/Proxy/OrderTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Orders at a daemon, before an engine that a test plays by HTTP.
+/// Tests how a daemon executes orders on a fake engine.
 #include "Wasabi/Adapters/Http/HttpServer.h"
 #include "Wasabi/Adapters/Proxy/DaemonProxy.h"
 #include "Wasabi/Core/BootTimer.h"
@@ -17,10 +17,10 @@
 
 namespace asio = boost::asio;
 
-constexpr std::chrono::seconds Patience{20};
+constexpr std::chrono::seconds WaitTimeout{20};
 constexpr asio::as_tuple_t<asio::use_awaitable_t<>> Awaited;
 
-/// What the engine does with the next order.
+/// Behavior of the fake engine for the next order.
 enum class FakeEngineBehavior {
   LoadsOrdered,
   LoadsOtherVersion,
@@ -28,10 +28,10 @@
   DropsConnection
 };
 
-/// An engine that ignores fencing tokens, and a daemon before it.
-class OrderWorld {
+/// Fixture with a daemon and an engine that ignores fencing tokens.
+class DaemonOrderFixture {
 public:
-  explicit OrderWorld(VersionChange Change) {
+  explicit DaemonOrderFixture(VersionChange Change) {
     Configuration config;
     ServiceDeclaration service;
     service.Name = ServiceName("llm");
@@ -45,13 +45,14 @@
     State->Config = std::make_shared<const Configuration>(config);
 
     http::Server::Settings limits;
-    Engine = http::Server::create(
-                 Context, limits,
-                 [this](http::Request Ask, std::shared_ptr<http::Responder> Out)
-                     -> asio::awaitable<void> {
-                   return serve(std::move(Ask), std::move(Out));
-                 })
-                 .value();
+    Engine =
+        http::Server::create(
+            Context, limits,
+            [this](http::Request Request, std::shared_ptr<http::Responder> Out)
+                -> asio::awaitable<void> {
+              return serve(std::move(Request), std::move(Out));
+            })
+            .value();
     DaemonProxy::Settings setup;
     setup.Instance = InstanceName("d");
     setup.Upstreams = {
@@ -59,30 +60,32 @@
     setup.StatePollInterval = Millis(5);
     setup.TickInterval = Millis(5);
     Proxy = DaemonProxy::create(Context, setup, Events, Counts);
-    Proxy->attach(
-        ControlPlaneReader{
-            [this] { return State; }, [this] { return Members; }, {}},
-        [this](std::vector<ServerStatus> Now) { Told = std::move(Now); });
-    REQUIRE(runUntil([this] { return !Told.empty() && Told[0].Version == 1; }));
+    Proxy->attach(ControlPlaneReader{
+                      [this] { return State; }, [this] { return Members; }, {}},
+                  [this](std::vector<ServerStatus> Servers) {
+                    Reported = std::move(Servers);
+                  });
+    REQUIRE(runUntil(
+        [this] { return !Reported.empty() && Reported[0].Version == 1; }));
   }
-  ~OrderWorld() {
+  ~DaemonOrderFixture() {
     Proxy->stop();
     Engine->stop();
   }
 
-  bool runUntil(const std::function<bool()> &Holds) {
+  bool runUntil(const std::function<bool()> &Condition) {
     std::chrono::steady_clock::time_point end =
-        std::chrono::steady_clock::now() + Patience;
-    while (!Holds() && std::chrono::steady_clock::now() < end)
+        std::chrono::steady_clock::now() + WaitTimeout;
+    while (!Condition() && std::chrono::steady_clock::now() < end)
       Context.run_one_for(Millis(50));
-    return Holds();
+    return Condition();
   }
 
   void send(FencingToken Token, WeightVersion Version) {
     Answer.reset();
     Order order{ServerName("e"), "weights/m", Token, ModelName("m"), Version};
-    Proxy->order(order,
-                 [this](const Outcome<OrderAnswer> &Given) { Answer = Given; });
+    Proxy->executeOrder(
+        order, [this](const Outcome<OrderAnswer> &Result) { Answer = Result; });
   }
 
   Outcome<OrderAnswer> order(FencingToken Token, WeightVersion Version) {
@@ -91,7 +94,7 @@
     return *Answer;
   }
 
-  /// A sample that runs until `FinishSamples`.
+  /// Starts a sample that runs until `FinishSamples` is set.
   void startSample() {
     RequestAttempt attempt;
     attempt.Request = "sample";
@@ -127,15 +130,15 @@
   bool FinishSamples = false;
   std::shared_ptr<RecordingSink> Sink;
   std::optional<Outcome<OrderAnswer>> Answer;
-  std::vector<ServerStatus> Told;
+  std::vector<ServerStatus> Reported;
 
 private:
-  asio::awaitable<void> serve(http::Request Ask,
+  asio::awaitable<void> serve(http::Request Request,
                               std::shared_ptr<http::Responder> Out) {
     http::Response answer =
         http::jsonResponse(200, "{\"model\":\"m\",\"slots\":4,\"version\":" +
                                     std::to_string(Version) + "}");
-    if (Ask.path() == "/v1/completions") {
+    if (Request.path() == "/v1/completions") {
       SampleRuns = true;
       BootTimer timer(Context);
       while (!FinishSamples && !Out->gone()) {
@@ -144,7 +147,7 @@
       }
       SampleRuns = false;
     }
-    if (Ask.path() == "/v1/orders") {
+    if (Request.path() == "/v1/orders") {
       ++Orders;
       Version =
           Behavior == FakeEngineBehavior::LoadsOtherVersion ? 99 : Version + 1;
@@ -168,64 +171,67 @@
 
 } // namespace
 
-TEST_CASE("An order is answered with the version the engine reports",
-          "[order]") {
-  OrderWorld world(VersionChange::Resume);
-  CHECK(world.order(10, 2)->Version == 2);
-  world.Behavior = FakeEngineBehavior::Fails;
-  CHECK(world.order(10, 3)->Version == 3);
-  world.Behavior = FakeEngineBehavior::DropsConnection;
-  CHECK(world.order(10, 4)->Version == 4);
-  world.Behavior = FakeEngineBehavior::LoadsOtherVersion;
-  CHECK(world.order(10, 5)->Version == 99);
-  CHECK(world.runUntil([&] { return world.Told[0].Version == 99; }));
+TEST_CASE("An order returns the version that the engine reports", "[order]") {
+  DaemonOrderFixture fixture(VersionChange::Resume);
+  CHECK(fixture.order(10, 2)->Version == 2);
+  fixture.Behavior = FakeEngineBehavior::Fails;
+  CHECK(fixture.order(10, 3)->Version == 3);
+  fixture.Behavior = FakeEngineBehavior::DropsConnection;
+  CHECK(fixture.order(10, 4)->Version == 4);
+  fixture.Behavior = FakeEngineBehavior::LoadsOtherVersion;
+  CHECK(fixture.order(10, 5)->Version == 99);
+  CHECK(fixture.runUntil([&] { return fixture.Reported[0].Version == 99; }));
 }
 
-TEST_CASE("A daemon guards an engine that ignores fencing tokens", "[order]") {
-  OrderWorld world(VersionChange::Resume);
-  REQUIRE(world.order(10, 2));
-  Outcome<OrderAnswer> stale = world.order(9, 3);
+TEST_CASE(
+    "A daemon refuses a stale order for an engine that ignores fencing tokens",
+    "[order]") {
+  DaemonOrderFixture fixture(VersionChange::Resume);
+  REQUIRE(fixture.order(10, 2));
+  Outcome<OrderAnswer> stale = fixture.order(9, 3);
   REQUIRE_FALSE(stale);
   CHECK(stale.failure().Code == FailureCode::StaleFence);
   CHECK(stale.failure().Run == Verdict::NotRun);
-  CHECK(world.Orders == 1);
-  CHECK(world.order(11, 3)->Version == 3);
+  CHECK(fixture.Orders == 1);
+  CHECK(fixture.order(11, 3)->Version == 3);
 }
 
-TEST_CASE("An order waits for running samples where the preset says so",
+TEST_CASE("An order waits for running samples if the preset finishes them",
           "[order]") {
-  OrderWorld world(VersionChange::Finish);
-  world.startSample();
-  world.send(10, 2);
-  // It has looked at the engine many times meanwhile.
-  int turns = 0;
-  world.runUntil([&] { return ++turns > 200; });
-  CHECK(world.Orders == 0);
-  world.FinishSamples = true;
-  REQUIRE(world.runUntil([&] { return world.Answer.has_value(); }));
-  CHECK((*world.Answer)->Version == 2);
-  CHECK(world.Sink->Ended);
+  DaemonOrderFixture fixture(VersionChange::Finish);
+  fixture.startSample();
+  fixture.send(10, 2);
+  // The daemon polls the engine many times meanwhile.
+  int iterations = 0;
+  fixture.runUntil([&] { return ++iterations > 200; });
+  CHECK(fixture.Orders == 0);
+  fixture.FinishSamples = true;
+  REQUIRE(fixture.runUntil([&] { return fixture.Answer.has_value(); }));
+  CHECK((*fixture.Answer)->Version == 2);
+  CHECK(fixture.Sink->Ended);
 }
 
-TEST_CASE("An order breaks samples off where the preset says so", "[order]") {
-  OrderWorld world(VersionChange::Restart);
-  world.startSample();
-  CHECK(world.order(10, 2)->Version == 2);
-  REQUIRE(world.Sink->Failed);
-  CHECK(world.Sink->Failed->Run != Verdict::NotRun);
-  CHECK(world.runUntil([&] { return !world.SampleRuns; }));
+TEST_CASE("An order cancels running samples if the preset restarts them",
+          "[order]") {
+  DaemonOrderFixture fixture(VersionChange::Restart);
+  fixture.startSample();
+  CHECK(fixture.order(10, 2)->Version == 2);
+  REQUIRE(fixture.Sink->Failed);
+  CHECK(fixture.Sink->Failed->Run != Verdict::NotRun);
+  CHECK(fixture.runUntil([&] { return !fixture.SampleRuns; }));
 }
 
-TEST_CASE("Samples go on across a swap where the preset says so", "[order]") {
-  OrderWorld world(VersionChange::Resume);
-  world.startSample();
-  CHECK(world.order(10, 2)->Version == 2);
-  CHECK(world.SampleRuns);
-  world.FinishSamples = true;
-  CHECK(world.runUntil([&] { return world.Sink->Ended; }));
+TEST_CASE("Samples continue across a version change if the preset resumes them",
+          "[order]") {
+  DaemonOrderFixture fixture(VersionChange::Resume);
+  fixture.startSample();
+  CHECK(fixture.order(10, 2)->Version == 2);
+  CHECK(fixture.SampleRuns);
+  fixture.FinishSamples = true;
+  CHECK(fixture.runUntil([&] { return fixture.Sink->Ended; }));
 }
 
-TEST_CASE("Upstreams are read from their setting", "[order]") {
+TEST_CASE("Upstreams are parsed from their flag", "[order]") {
   Outcome<std::vector<ProxiedServer>> good =
       toOutcome<std::vector<ProxiedServer>>([] {
         return parseUpstreams("a=s@127.0.0.1:1,b=t@127.0.0.1:2", "--upstreams");
--- a/UnitTests/Replay/ExampleTracesTest.cpp
+++ b/UnitTests/Replay/ExampleTracesTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The example traces hold, and a doctored copy of one is caught by the rule of
-/// the promise that it breaks.
+/// Checks that the example traces hold, and that a modified copy violates the
+/// matching rule.
 #include "Wasabi/Replay/Check.h"
 
 #include <catch2/catch.hpp>
@@ -19,24 +19,24 @@
   return std::filesystem::path(WASABI_SOURCE_DIR) / "examples" / "traces";
 }
 
-std::string textOf(const std::filesystem::path &path) {
+std::string readText(const std::filesystem::path &path) {
   std::ifstream file(path, std::ios::binary);
   REQUIRE(file);
   return std::string(std::istreambuf_iterator<char>(file), {});
 }
 
-Trace traceOf(const std::string &name) {
+Trace loadTrace(const std::string &name) {
   const Outcome<Trace> read = toOutcome<Trace>([&] {
-    return readTrace(name, textOf(tracesFolder() / (name + ".jsonl")));
+    return readTrace(name, readText(tracesFolder() / (name + ".jsonl")));
   });
   REQUIRE(read);
   return *read;
 }
 
-TraceExpectations outcomesOf(const std::string &name) {
+TraceExpectations loadExpectations(const std::string &name) {
   const Outcome<TraceExpectations> read = toOutcome<TraceExpectations>([&] {
-    return readExpectations(name,
-                            textOf(tracesFolder() / (name + ".outcomes.json")));
+    return readExpectations(
+        name, readText(tracesFolder() / (name + ".outcomes.json")));
   });
   REQUIRE(read);
   return *read;
@@ -44,25 +44,25 @@
 
 using Condition = std::function<bool(const TimelineEvent &)>;
 
-Condition is(const std::string &kind, const std::string &key,
-             const std::string &value) {
-  return [=](const TimelineEvent &what) {
-    return what.Kind == kind && what.field(key) == value;
+Condition hasField(const std::string &kind, const std::string &key,
+                   const std::string &value) {
+  return [=](const TimelineEvent &event) {
+    return event.Kind == kind && event.field(key) == value;
   };
 }
 
-/// The position of the last event that fits.
-std::size_t lastOf(const Trace &from, const Condition &fits) {
-  for (std::size_t at = from.Events.size(); at-- > 0;) {
-    if (fits(from.Events[at]))
+/// Returns the position of the last event that satisfies the condition.
+std::size_t findLast(const Trace &trace, const Condition &condition) {
+  for (std::size_t at = trace.Events.size(); at-- > 0;) {
+    if (condition(trace.Events[at]))
       return at;
   }
-  FAIL("the example trace lost the event that is to be doctored");
+  FAIL("the example trace lacks the event to modify");
   return 0;
 }
 
-void setField(TimelineEvent &what, std::string_view key, std::string value) {
-  for (EventField &it : what.Fields) {
+void setField(TimelineEvent &event, std::string_view key, std::string value) {
+  for (EventField &it : event.Fields) {
     if (it.Key == key) {
       it.Value = std::move(value);
       return;
@@ -71,101 +71,111 @@
   FAIL("no field " << key);
 }
 
-/// A copy of an event of the trace, appended some time after the last one.
-TimelineEvent &appendCopy(Trace &to, std::size_t of, Micros after) {
-  TimelineEvent copy = to.Events[of];
-  copy.At = to.Events.back().At;
+/// Appends a copy of an event, `after` microseconds after the last event.
+TimelineEvent &appendCopy(Trace &trace, std::size_t index, Micros after) {
+  TimelineEvent copy = trace.Events[index];
+  copy.At = trace.Events.back().At;
   copy.At.Wall += static_cast<std::uint64_t>(after.count());
   copy.Sequence += 100000;
-  to.Events.push_back(copy);
-  return to.Events.back();
+  trace.Events.push_back(copy);
+  return trace.Events.back();
 }
 
-void requireBroken(const std::string &name, const Trace &doctored,
-                   const std::string &rule) {
-  const std::optional<TraceViolation> broken =
-      check(makeTrace(doctored.Events), outcomesOf(name));
-  REQUIRE(broken);
-  INFO(describeViolation(doctored, *broken));
-  CHECK(broken->Rule == rule);
-  CHECK_FALSE(broken->What.Events.empty());
-  CHECK_FALSE(broken->What.Reason.empty());
+void requireViolation(const std::string &name, const Trace &modified,
+                      const std::string &rule) {
+  const std::optional<TraceViolation> violation =
+      check(makeTrace(modified.Events), loadExpectations(name));
+  REQUIRE(violation);
+  INFO(describeViolation(modified, *violation));
+  CHECK(violation->Rule == rule);
+  CHECK_FALSE(violation->Details.Events.empty());
+  CHECK_FALSE(violation->Details.Reason.empty());
 }
 
 } // namespace
 
-TEST_CASE("Every example trace holds against its outcomes") {
+TEST_CASE("Every example trace meets its expected outcomes") {
   std::size_t found = 0;
   for (const std::filesystem::directory_entry &it :
        std::filesystem::directory_iterator(tracesFolder())) {
     if (it.path().extension() != ".jsonl")
       continue;
     const std::string name = it.path().stem().string();
-    const Trace trace = traceOf(name);
-    const std::optional<TraceViolation> broken = check(trace, outcomesOf(name));
-    INFO(name << ": " << (broken ? describeViolation(trace, *broken) : ""));
-    CHECK_FALSE(broken);
+    const Trace trace = loadTrace(name);
+    const std::optional<TraceViolation> violation =
+        check(trace, loadExpectations(name));
+    INFO(name << ": "
+              << (violation ? describeViolation(trace, *violation) : ""));
+    CHECK_FALSE(violation);
     ++found;
   }
   CHECK(found >= 6);
 }
 
-TEST_CASE("A doctored duplicate is caught, with its causes") {
-  Trace trace = traceOf("samples");
+TEST_CASE("A duplicate delivery is reported with its related events") {
+  Trace trace = loadTrace("samples");
   const std::size_t first =
-      lastOf(trace, is("sample.deliver", "slot", "3/0/1"));
+      findLast(trace, hasField("sample.deliver", "slot", "3/0/1"));
   setField(appendCopy(trace, first, Micros(10)), "delivery", "30-9");
-  requireBroken("samples", trace, "sample-once");
-  const std::optional<TraceViolation> broken =
-      check(trace, outcomesOf("samples"));
-  REQUIRE(broken);
-  CHECK(broken->What.Events ==
+  requireViolation("samples", trace, "sample-once");
+  const std::optional<TraceViolation> violation =
+      check(trace, loadExpectations("samples"));
+  REQUIRE(violation);
+  CHECK(violation->Details.Events ==
         std::vector<std::size_t>{first, trace.Events.size() - 1});
-  // Dispatch, generation and commit of the slot lead to it.
-  CHECK(broken->RelatedEvents.size() == 3);
+  // The dispatch, generation and commit of the slot.
+  CHECK(violation->RelatedEvents.size() == 3);
 }
 
-TEST_CASE("A doctored label is caught") {
-  Trace trace = traceOf("samples");
+TEST_CASE("A changed or invalid label is reported") {
+  Trace trace = loadTrace("samples");
   SECTION("delivered with another than committed") {
-    setField(trace.Events[lastOf(trace, is("sample.deliver", "slot", "3/0/1"))],
+    setField(trace.Events[findLast(
+                 trace, hasField("sample.deliver", "slot", "3/0/1"))],
              "spans", "0-30@4,30-31@5");
   }
   SECTION("committed with another than generated") {
-    setField(trace.Events[lastOf(trace, is("sample.commit", "slot", "3/0/0"))],
+    setField(trace.Events[findLast(trace,
+                                   hasField("sample.commit", "slot", "3/0/0"))],
              "spans", "0-40@4");
   }
   SECTION("with a gap") {
-    setField(trace.Events[lastOf(trace, is("sample.done", "slot", "3/1/1"))],
-             "spans", "0-8@3,9-15@4");
+    setField(
+        trace.Events[findLast(trace, hasField("sample.done", "slot", "3/1/1"))],
+        "spans", "0-8@3,9-15@4");
   }
   SECTION("shorter than its text") {
-    setField(trace.Events[lastOf(trace, is("sample.done", "slot", "3/1/0"))],
-             "tokens", "21");
+    setField(
+        trace.Events[findLast(trace, hasField("sample.done", "slot", "3/1/0"))],
+        "tokens", "21");
   }
-  requireBroken("samples", trace, "label-true");
+  requireViolation("samples", trace, "label-true");
 }
 
-TEST_CASE("A doctored stale sample is caught") {
-  Trace trace = traceOf("samples");
+TEST_CASE("A stale sample is reported") {
+  Trace trace = loadTrace("samples");
   SECTION("at delivery") {
-    setField(trace.Events[lastOf(trace, is("sample.deliver", "slot", "3/0/0"))],
+    setField(trace.Events[findLast(
+                 trace, hasField("sample.deliver", "slot", "3/0/0"))],
              "newest", "5");
   }
   SECTION("at commit") {
-    setField(trace.Events[lastOf(trace, is("sample.commit", "slot", "3/1/1"))],
+    setField(trace.Events[findLast(trace,
+                                   hasField("sample.commit", "slot", "3/1/1"))],
              "newest", "5");
   }
-  SECTION("without a word on its freshness") {
-    setField(trace.Events[lastOf(trace, is("sample.deliver", "slot", "3/0/0"))],
+  SECTION("without the newest version") {
+    setField(trace.Events[findLast(
+                 trace, hasField("sample.deliver", "slot", "3/0/0"))],
              "newest", "");
   }
-  requireBroken("samples", trace, "fresh");
+  requireViolation("samples", trace, "fresh");
 }
 
-TEST_CASE("A doctored reverted configuration is caught") {
-  Trace trace = traceOf("configuration");
-  const std::size_t last = lastOf(trace, is("config.in_force", "offset", "12"));
+TEST_CASE("A reverted or diverged configuration is reported") {
+  Trace trace = loadTrace("configuration");
+  const std::size_t last =
+      findLast(trace, hasField("config.in_force", "offset", "12"));
   SECTION("an older offset in the same process") {
     setField(appendCopy(trace, last, Micros(10)), "offset", "9");
   }
@@ -175,105 +185,115 @@
   SECTION("a state that the log contradicts") {
     appendCopy(trace, last, Micros(10)).Kind = "fold.diverged";
   }
-  requireBroken("configuration", trace, "config-never-reverts");
+  requireViolation("configuration", trace, "config-never-reverts");
 }
 
-TEST_CASE("A doctored cut stream is caught") {
-  Trace trace = traceOf("requests");
+TEST_CASE("A truncated response is reported") {
+  Trace trace = loadTrace("requests");
   SECTION("called whole") {
-    setField(trace.Events[lastOf(trace, is("attempt.end", "request", "r1"))],
-             "whole", "false");
+    setField(
+        trace.Events[findLast(trace, hasField("attempt.end", "request", "r1"))],
+        "whole", "false");
   }
   SECTION("ended without a verdict") {
-    setField(trace.Events[lastOf(trace, is("request.done", "request", "r6"))],
+    setField(trace.Events[findLast(trace,
+                                   hasField("request.done", "request", "r6"))],
              "verdict", "");
   }
-  requireBroken("requests", trace, "answer-whole");
+  requireViolation("requests", trace, "answer-whole");
 }
 
-TEST_CASE("A doctored false not-run is caught") {
-  Trace trace = traceOf("requests");
+TEST_CASE("A false not-run verdict is reported") {
+  Trace trace = loadTrace("requests");
   SECTION("to the caller, though a daemon forwarded it") {
-    setField(trace.Events[lastOf(trace, is("request.done", "request", "r5"))],
+    setField(trace.Events[findLast(trace,
+                                   hasField("request.done", "request", "r5"))],
              "verdict", "not-run");
   }
   SECTION("to the caller, though it ended whole") {
-    setField(trace.Events[lastOf(trace, is("request.done", "request", "r1"))],
+    setField(trace.Events[findLast(trace,
+                                   hasField("request.done", "request", "r1"))],
              "verdict", "not-run");
   }
-  requireBroken("requests", trace, "not-run-is-true");
+  requireViolation("requests", trace, "not-run-is-true");
 }
 
-TEST_CASE("A doctored second run of a bid is caught") {
-  Trace trace = traceOf("requests");
-  const std::size_t bid = lastOf(trace, is("attempt.forward", "request", "r5"));
+TEST_CASE("A second run of a non-idempotent request is reported") {
+  Trace trace = loadTrace("requests");
+  const std::size_t bid =
+      findLast(trace, hasField("attempt.forward", "request", "r5"));
   SECTION("the same request") {
     setField(appendCopy(trace, bid, Micros(10)), "attempt", "2");
   }
   SECTION("the same idempotency key through another entry") {
-    const std::size_t asked =
-        lastOf(trace, is("request.received", "request", "r5"));
-    setField(appendCopy(trace, asked, Micros(10)), "request", "r9");
+    const std::size_t receivedIndex =
+        findLast(trace, hasField("request.received", "request", "r5"));
+    setField(appendCopy(trace, receivedIndex, Micros(10)), "request", "r9");
     setField(appendCopy(trace, bid, Micros(10)), "request", "r9");
   }
   SECTION("a first try that was not proved not to have run") {
-    const std::size_t first = lastOf(trace, [](const TimelineEvent &what) {
-      return what.Kind == "attempt.end" && what.field("request") == "r3" &&
-             what.field("attempt") == "1";
+    const std::size_t first = findLast(trace, [](const TimelineEvent &event) {
+      return event.Kind == "attempt.end" && event.field("request") == "r3" &&
+             event.field("attempt") == "1";
     });
     setField(trace.Events[first], "verdict", "may-have-run");
     const std::size_t retry =
-        lastOf(trace, is("request.retry", "request", "r3"));
+        findLast(trace, hasField("request.retry", "request", "r3"));
     setField(trace.Events[retry], "verdict", "may-have-run");
   }
-  requireBroken("requests", trace, "at-most-once");
+  requireViolation("requests", trace, "at-most-once");
 }
 
-TEST_CASE("Doctored work to a leaving upstream is caught") {
-  Trace trace = traceOf("leaving");
-  const std::size_t told =
-      lastOf(trace, is("member.leaving", "member", "umea-1"));
-  const std::size_t admit = lastOf(trace, is("attempt.admit", "request", "q3"));
+TEST_CASE("New work for a leaving instance is reported") {
+  Trace trace = loadTrace("leaving");
+  const std::size_t leavingIndex =
+      findLast(trace, hasField("member.leaving", "member", "umea-1"));
+  const std::size_t admit =
+      findLast(trace, hasField("attempt.admit", "request", "q3"));
   SECTION("admitted after the grace") {
-    trace.Events[admit].At = trace.Events[told].At;
+    trace.Events[admit].At = trace.Events[leavingIndex].At;
     trace.Events[admit].At.Wall += 3100000;
   }
   SECTION("forwarded without admission after the grace") {
     trace.Events.erase(trace.Events.begin() +
                        static_cast<std::ptrdiff_t>(admit));
     const std::size_t forward =
-        lastOf(trace, is("attempt.forward", "request", "q3"));
-    trace.Events[forward].At = trace.Events[told].At;
+        findLast(trace, hasField("attempt.forward", "request", "q3"));
+    trace.Events[forward].At = trace.Events[leavingIndex].At;
     trace.Events[forward].At.Wall += 3100000;
   }
-  requireBroken("leaving", trace, "leaving-gets-no-new-work");
+  requireViolation("leaving", trace, "leaving-gets-no-new-work");
 }
 
-TEST_CASE("A doctored cut by a planned stop is caught") {
-  Trace trace = traceOf("leaving");
-  const std::size_t end = lastOf(trace, is("attempt.end", "request", "q2"));
+TEST_CASE("Unfinished work at a planned stop is reported") {
+  Trace trace = loadTrace("leaving");
+  const std::size_t end =
+      findLast(trace, hasField("attempt.end", "request", "q2"));
   trace.Events.erase(trace.Events.begin() + static_cast<std::ptrdiff_t>(end));
-  requireBroken("leaving", trace, "planned-stop-cuts-nothing");
+  requireViolation("leaving", trace, "planned-stop-cuts-nothing");
 }
 
-TEST_CASE("A doctored order of a former holder is caught") {
-  Trace trace = traceOf("weights");
-  const std::size_t last = lastOf(trace, is("order.take", "fence", "31"));
+TEST_CASE("An order with a stale or missing token is reported") {
+  Trace trace = loadTrace("weights");
+  const std::size_t last =
+      findLast(trace, hasField("order.take", "fence", "31"));
   SECTION("an older token") {
     setField(appendCopy(trace, last, Micros(10)), "fence", "18");
   }
   SECTION("no token") { setField(trace.Events[last], "fence", ""); }
-  requireBroken("weights", trace, "fences-never-go-back");
+  requireViolation("weights", trace, "fences-never-go-back");
 }
 
-TEST_CASE("Too much idle time and an absent choice are caught") {
-  TraceExpectations against = outcomesOf("idle");
-  against.Limits.IdleShare = 0.2;
-  std::optional<TraceViolation> broken = check(traceOf("idle"), against);
-  REQUIRE(broken);
-  CHECK(broken->Rule == "idle-share");
-  against = TraceExpectations{{}, {}, {{"step.whole", {{"step", "9"}}, 1}}};
-  broken = check(traceOf("idle"), against);
-  REQUIRE(broken);
-  CHECK(broken->Rule == "expect");
+TEST_CASE("Excessive idle time and a missing expected event are reported") {
+  TraceExpectations expectations = loadExpectations("idle");
+  expectations.Limits.IdleShare = 0.2;
+  std::optional<TraceViolation> violation =
+      check(loadTrace("idle"), expectations);
+  REQUIRE(violation);
+  CHECK(violation->Rule == "idle-share");
+  expectations =
+      TraceExpectations{{}, {}, {{"step.whole", {{"step", "9"}}, 1}}};
+  violation = check(loadTrace("idle"), expectations);
+  REQUIRE(violation);
+  CHECK(violation->Rule == "expect");
 }
--- a/UnitTests/Replay/TraceTest.cpp
+++ b/UnitTests/Replay/TraceTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Reading traces and outcomes: what is malformed is named by its place.
+/// Parsing of traces and expectations: errors name the place of the fault.
 #include "Wasabi/Replay/Trace.h"
 #include "Wasabi/Replay/LabelReader.h"
 #include "Wasabi/Replay/TraceExpectations.h"
@@ -14,14 +14,14 @@
 constexpr char GoodLine[] =
     R"({"wall":5,"count":1,"seq":2,"instance":"a","kind":"k","fields":{"x":"1"}})";
 
-Failure failureOf(const std::string &text) {
+Failure readTraceFailure(const std::string &text) {
   const Outcome<Trace> read =
       toOutcome<Trace>([&] { return readTrace("t.jsonl", text); });
   REQUIRE_FALSE(read);
   return read.failure();
 }
 
-Failure outcomesFailure(const std::string &text) {
+Failure readExpectationsFailure(const std::string &text) {
   const Outcome<TraceExpectations> read = toOutcome<TraceExpectations>(
       [&] { return readExpectations("o.json", text); });
   REQUIRE_FALSE(read);
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("A trace is read in the order of hybrid time") {
+TEST_CASE("A trace is sorted by hybrid logical time") {
   const std::string later =
       R"({"wall":5,"count":2,"seq":0,"instance":"a","kind":"l","fields":{}})";
   const Outcome<Trace> read = toOutcome<Trace>(
@@ -42,7 +42,7 @@
   CHECK(read->Events[1].Kind == "l");
 }
 
-TEST_CASE("A bad line of a trace is named by its number") {
+TEST_CASE("An error in a trace names its line number") {
   for (
       const std::string bad :
       {"{", "[]", "{}", R"({"wall":-1})",
@@ -50,7 +50,8 @@
        R"({"wall":1,"count":1,"seq":1,"instance":"a","kind":"k"})",
        R"({"wall":1,"count":1,"seq":1,"instance":"a","kind":"k","fields":{"x":1}})",
        R"({"wall":1,"count":5000000000,"seq":1,"instance":"a","kind":"k","fields":{}})"}) {
-    const Failure why = failureOf(std::string(GoodLine) + "\n" + bad + "\n");
+    const Failure why =
+        readTraceFailure(std::string(GoodLine) + "\n" + bad + "\n");
     INFO(bad);
     CHECK(why.Code == FailureCode::BadInput);
     CHECK(why.Place == "t.jsonl:2");
@@ -58,23 +59,23 @@
   }
 }
 
-TEST_CASE("Bad outcomes are named by their JSON path") {
-  CHECK(outcomesFailure("{").Place == "o.json: /");
-  CHECK(outcomesFailure(R"({"rule":[]})").Place == "o.json: /rule");
-  CHECK(outcomesFailure(R"({"rules":["fresh","new"]})").Place ==
+TEST_CASE("An error in the expectations names its JSON path") {
+  CHECK(readExpectationsFailure("{").Place == "o.json: /");
+  CHECK(readExpectationsFailure(R"({"rule":[]})").Place == "o.json: /rule");
+  CHECK(readExpectationsFailure(R"({"rules":["fresh","new"]})").Place ==
         "o.json: /rules/1");
-  CHECK(outcomesFailure(R"({"bounds":{"idle_share":"x"}})").Place ==
+  CHECK(readExpectationsFailure(R"({"bounds":{"idle_share":"x"}})").Place ==
         "o.json: /bounds/idle_share");
-  CHECK(outcomesFailure(R"({"bounds":{"leaving_grace_ms":-1}})").Place ==
-        "o.json: /bounds/leaving_grace_ms");
-  CHECK(outcomesFailure(R"({"expect":[{"fields":{}}]})").Place ==
-        "o.json: /expect/0/kind");
   CHECK(
-      outcomesFailure(R"({"expect":[{"kind":"k","fields":{"a":1}}]})").Place ==
-      "o.json: /expect/0/fields/a");
+      readExpectationsFailure(R"({"bounds":{"leaving_grace_ms":-1}})").Place ==
+      "o.json: /bounds/leaving_grace_ms");
+  CHECK(readExpectationsFailure(R"({"expect":[{"fields":{}}]})").Place ==
+        "o.json: /expect/0/kind");
+  CHECK(readExpectationsFailure(R"({"expect":[{"kind":"k","fields":{"a":1}}]})")
+            .Place == "o.json: /expect/0/fields/a");
 }
 
-TEST_CASE("A label has no gap, no overlap and no empty span") {
+TEST_CASE("A label with a gap, an overlap or an empty span is malformed") {
   const std::optional<Label> label = readLabel("0-12@3,12-40@4");
   REQUIRE(label);
   CHECK(*label == Label{{0, 12, 3}, {12, 40, 4}});
--- a/Wasabi/Adapters/Platform/HttpScorer.cpp
+++ b/Wasabi/Adapters/Platform/HttpScorer.cpp
@@ -12,24 +12,24 @@
 constexpr unsigned StatusOk = 200;
 
 boost::asio::awaitable<Outcome<double>>
-score(PlatformService Of, std::string Body, Millis Timeout) {
-  Outcome<PlatformResponse> got =
-      co_await callPlatform(Of, "POST", "/v1/score", std::move(Body), Timeout);
-  if (!got)
-    co_return got.failure();
-  if (got->Status != StatusOk)
-    co_return failureOf(Of, *got);
+score(PlatformService Service, std::string Body, Millis Timeout) {
+  Outcome<PlatformResponse> response = co_await callPlatform(
+      Service, "POST", "/v1/score", std::move(Body), Timeout);
+  if (!response)
+    co_return response.failure();
+  if (response->Status != StatusOk)
+    co_return makeStatusFailure(Service, *response);
   co_return toOutcome<double>(
-      [&] { return realMember(got->Body, "score", Of.Place); });
+      [&] { return realMember(response->Body, "score", Service.Place); });
 }
 
 } // namespace
 
 ScorerPort makeHttpScorer(std::shared_ptr<http::Client> Client, Address Where) {
-  PlatformService of{std::move(Client), std::move(Where), "scorer"};
+  PlatformService service{std::move(Client), std::move(Where), "scorer"};
   ScorerPort port;
-  port.Score = [of](Slot Place, std::string Text, Millis Timeout) {
-    return score(of,
+  port.Score = [service](Slot Place, std::string Text, Millis Timeout) {
+    return score(service,
                  boost::json::serialize(boost::json::object{
                      {"slot", toText(Place)}, {"text", Text}}),
                  Timeout);
--- a/Wasabi/Adapters/Platform/HttpScorer.h
+++ b/Wasabi/Adapters/Platform/HttpScorer.h
@@ -1,5 +1,5 @@
 /// \file
-/// The scoring service over HTTP (docs/PLATFORM.md, "scorer").
+/// Client of the scoring service over HTTP (docs/PLATFORM.md, "scorer").
 #ifndef WASABI_ADAPTERS_PLATFORM_HTTPSCORER_H
 #define WASABI_ADAPTERS_PLATFORM_HTTPSCORER_H
 
@@ -10,7 +10,8 @@
 
 namespace wasabi {
 
-/// A scorer port on `Client`, for the thread of the client's executor.
+/// Returns a scorer port that uses `Client`, for use on the thread of its
+/// executor.
 ScorerPort makeHttpScorer(std::shared_ptr<http::Client> Client, Address Where);
 
 } // namespace wasabi
--- a/Wasabi/Adapters/Platform/HttpTrainer.h
+++ b/Wasabi/Adapters/Platform/HttpTrainer.h
@@ -1,5 +1,5 @@
 /// \file
-/// A trainer over HTTP (docs/PLATFORM.md, "trainer").
+/// Client of a trainer over HTTP (docs/PLATFORM.md, "trainer").
 #ifndef WASABI_ADAPTERS_PLATFORM_HTTPTRAINER_H
 #define WASABI_ADAPTERS_PLATFORM_HTTPTRAINER_H
 
@@ -10,7 +10,8 @@
 
 namespace wasabi {
 
-/// A trainer port on `Client`, for the thread of the client's executor.
+/// Returns a trainer port that uses `Client`, for use on the thread of its
+/// executor.
 TrainerPort makeHttpTrainer(std::shared_ptr<http::Client> Client,
                             Address Where);
 
--- a/Wasabi/Adapters/Platform/HttpWeightStore.cpp
+++ b/Wasabi/Adapters/Platform/HttpWeightStore.cpp
@@ -8,31 +8,33 @@
 namespace {
 
 constexpr unsigned StatusOk = 200;
-constexpr Millis AnswerTime{5000};
+constexpr Millis ResponseTimeMargin{5000};
 
 boost::asio::awaitable<Outcome<WeightVersion>>
-newest(PlatformService Of, ModelName Model, WeightVersion After, Millis Wait) {
+fetchNewestVersion(PlatformService Service, ModelName Model,
+                   WeightVersion After, Millis PollTimeout) {
   std::string target = "/v1/models/" + Model.Text +
                        "/versions?after=" + std::to_string(After) +
-                       "&wait_ms=" + std::to_string(Wait.count());
-  Outcome<PlatformResponse> got = co_await callPlatform(
-      Of, "GET", std::move(target), {}, Wait + AnswerTime);
-  if (!got)
-    co_return got.failure();
-  if (got->Status != StatusOk)
-    co_return failureOf(Of, *got);
+                       "&wait_ms=" + std::to_string(PollTimeout.count());
+  Outcome<PlatformResponse> response = co_await callPlatform(
+      Service, "GET", std::move(target), {}, PollTimeout + ResponseTimeMargin);
+  if (!response)
+    co_return response.failure();
+  if (response->Status != StatusOk)
+    co_return makeStatusFailure(Service, *response);
   co_return toOutcome<WeightVersion>(
-      [&] { return numberMember(got->Body, "newest", Of.Place); });
+      [&] { return numberMember(response->Body, "newest", Service.Place); });
 }
 
 } // namespace
 
 WeightStorePort makeHttpWeightStore(std::shared_ptr<http::Client> Client,
                                     Address Where) {
-  PlatformService of{std::move(Client), std::move(Where), "weight store"};
+  PlatformService service{std::move(Client), std::move(Where), "weight store"};
   WeightStorePort port;
-  port.Newest = [of](ModelName Model, WeightVersion After, Millis Wait) {
-    return newest(of, std::move(Model), After, Wait);
+  port.Newest = [service](ModelName Model, WeightVersion After,
+                          Millis PollTimeout) {
+    return fetchNewestVersion(service, std::move(Model), After, PollTimeout);
   };
   return port;
 }
--- a/Wasabi/Adapters/Platform/HttpWeightStore.h
+++ b/Wasabi/Adapters/Platform/HttpWeightStore.h
@@ -1,5 +1,5 @@
 /// \file
-/// The weight store over HTTP (docs/PLATFORM.md, "weights").
+/// Client of the weight store over HTTP (docs/PLATFORM.md, "weights").
 #ifndef WASABI_ADAPTERS_PLATFORM_HTTPWEIGHTSTORE_H
 #define WASABI_ADAPTERS_PLATFORM_HTTPWEIGHTSTORE_H
 
@@ -10,7 +10,8 @@
 
 namespace wasabi {
 
-/// A weight store port on `Client`, for the thread of the client's executor.
+/// Returns a weight store port that uses `Client`, for use on the thread of its
+/// executor.
 WeightStorePort makeHttpWeightStore(std::shared_ptr<http::Client> Client,
                                     Address Where);
 
--- a/Wasabi/Adapters/Platform/PlatformCall.cpp
+++ b/Wasabi/Adapters/Platform/PlatformCall.cpp
@@ -13,47 +13,49 @@
 
 http::Request makeRequest(std::string Method, std::string Target,
                           std::string Body) {
-  http::Request ask;
-  ask.Method = std::move(Method);
-  ask.Target = std::move(Target);
+  http::Request request;
+  request.Method = std::move(Method);
+  request.Target = std::move(Target);
   if (!Body.empty())
-    ask.Headers.push_back({"Content-Type", "application/json"});
-  ask.Body = std::move(Body);
-  return ask;
+    request.Headers.push_back({"Content-Type", "application/json"});
+  request.Body = std::move(Body);
+  return request;
 }
 
 } // namespace
 
 boost::asio::awaitable<Outcome<PlatformResponse>>
-callPlatform(PlatformService Of, std::string Method, std::string Target,
+callPlatform(PlatformService Service, std::string Method, std::string Target,
              std::string Body, Millis Timeout) {
-  Outcome<http::Response> got = co_await Of.Client->call(
-      Of.Where,
+  Outcome<http::Response> httpResponse = co_await Service.Client->call(
+      Service.Where,
       makeRequest(std::move(Method), std::move(Target), std::move(Body)),
       Timeout);
-  if (!got)
-    co_return got.failure();
-  PlatformResponse answer;
-  answer.Status = got->Status;
+  if (!httpResponse)
+    co_return httpResponse.failure();
+  PlatformResponse response;
+  response.Status = httpResponse->Status;
   Outcome<boost::json::object> object = toOutcome<boost::json::object>(
-      [&] { return parseObject(got->Body, Of.Place); });
+      [&] { return parseObject(httpResponse->Body, Service.Place); });
   if (object)
-    answer.Body = std::move(*object);
-  else if (answer.Status == StatusOk)
+    response.Body = std::move(*object);
+  else if (response.Status == StatusOk)
     co_return object.failure();
-  co_return answer;
+  co_return response;
 }
 
-Failure failureOf(const PlatformService &Of, const PlatformResponse &Answer) {
+Failure makeStatusFailure(const PlatformService &Service,
+                          const PlatformResponse &Response) {
   Failure why;
-  why.Place = Of.Place;
-  why.Reason = "status " + std::to_string(Answer.Status);
+  why.Place = Service.Place;
+  why.Reason = "status " + std::to_string(Response.Status);
   why.Code = FailureCode::Unavailable;
   why.Run = Verdict::MayHaveRun;
-  if (Answer.Status == StatusTooMany || Answer.Status == StatusUnavailable) {
+  if (Response.Status == StatusTooMany ||
+      Response.Status == StatusUnavailable) {
     why.Code = FailureCode::Overloaded;
     why.Run = Verdict::NotRun;
-  } else if (Answer.Status == StatusConflict) {
+  } else if (Response.Status == StatusConflict) {
     why.Code = FailureCode::StaleFence;
     why.Run = Verdict::NotRun;
     why.Reason += ": a newer fencing token was seen";
--- a/Wasabi/Adapters/Platform/PlatformCall.h
+++ b/Wasabi/Adapters/Platform/PlatformCall.h
@@ -1,5 +1,5 @@
 /// \file
-/// One JSON call to a platform service. Included by sources only.
+/// JSON calls to platform services. Included by sources only.
 #ifndef WASABI_ADAPTERS_PLATFORM_PLATFORMCALL_H
 #define WASABI_ADAPTERS_PLATFORM_PLATFORMCALL_H
 
@@ -12,28 +12,30 @@
 
 namespace wasabi {
 
-/// A platform service: where it is, and its name for failures.
+/// A platform service: its client, its address and its name in failures.
 struct PlatformService {
   std::shared_ptr<http::Client> Client;
   Address Where;
   std::string Place;
 };
 
-/// An answer of any status, with its JSON object if it has one.
+/// Response with any status, and its JSON object if it has one.
 struct PlatformResponse {
   unsigned Status = 0;
   boost::json::object Body;
 };
 
-/// Calls and reads the answer's object. Failures: those of the client, and
-/// `BadInput` for a 200 without a JSON object.
+/// Sends a request and parses the JSON object of the response. Failures: those
+/// of the client; `BadInput` for status 200 without a JSON object.
 boost::asio::awaitable<Outcome<PlatformResponse>>
-callPlatform(PlatformService Of, std::string Method, std::string Target,
+callPlatform(PlatformService Service, std::string Method, std::string Target,
              std::string Body, Millis Timeout);
 
-/// The failure that a status other than 2xx stands for: 429 and 503 did not
-/// run, 409 is a stale token, any other may have run.
-Failure failureOf(const PlatformService &Of, const PlatformResponse &Answer);
+/// Returns the failure for a status other than 200. Status 429 and 503 mean
+/// that the request did not run, 409 that the fencing token is stale; with any
+/// other, the request may have run.
+Failure makeStatusFailure(const PlatformService &Service,
+                          const PlatformResponse &Response);
 
 } // namespace wasabi
 
--- a/Wasabi/Adapters/PlatformLog/Commit.cpp
+++ b/Wasabi/Adapters/PlatformLog/Commit.cpp
@@ -14,8 +14,8 @@
 
 namespace asio = boost::asio;
 
-/// Least time between two reads that give nothing.
-constexpr Millis EmptyPause{20};
+/// Minimum delay after a read without new records.
+constexpr Millis EmptyReadDelay{20};
 
 asio::awaitable<void> sleepFor(Millis Time) {
   BootTimer timer(co_await asio::this_coro::executor);
@@ -23,28 +23,29 @@
   co_await timer.async_wait(asio::use_awaitable);
 }
 
-/// What is known of the append so far.
-struct Progress {
-  /// Whether it may be on the log.
-  bool MaySent = false;
-  /// Whether the log said that it is.
-  bool Sent = false;
-  std::string LastProblem;
-  Millis Pause{0};
+/// Progress of the append.
+struct AppendProgress {
+  /// True if the record may be on the log.
+  bool MayBeAppended = false;
+  /// True if the log has acknowledged the record.
+  bool Appended = false;
+  std::string LastError;
+  Millis Delay{0};
 };
 
 asio::awaitable<void> appendOnce(LogPort &Log, const std::string &Text,
-                                 Progress &So, Millis RetryDelay) {
+                                 AppendProgress &Progress, Millis RetryDelay) {
   Outcome<Offset> at = co_await Log.Append(ControlStream, Text);
   if (at) {
-    So.Sent = true;
-    So.MaySent = true;
-    So.Pause = Millis(0);
+    Progress.Appended = true;
+    Progress.MayBeAppended = true;
+    Progress.Delay = Millis(0);
     co_return;
   }
-  So.MaySent = So.MaySent || at.failure().Run != Verdict::NotRun;
-  So.LastProblem = describe(at.failure());
-  So.Pause = std::max(RetryDelay, at.failure().RetryAfter);
+  Progress.MayBeAppended =
+      Progress.MayBeAppended || at.failure().Run != Verdict::NotRun;
+  Progress.LastError = describe(at.failure());
+  Progress.Delay = std::max(RetryDelay, at.failure().RetryAfter);
 }
 
 Millis timeLeft(TimePoint Until) {
@@ -52,21 +53,25 @@
                   std::chrono::duration_cast<Millis>(Until - monotonicNow()));
 }
 
-/// The end of a commit whose id has not shown.
-CommitResult unsettled(const Progress &So, const FoldState &State) {
+/// Returns the result of a commit whose id was not read back.
+CommitResult makeUnsettledResult(const AppendProgress &Progress,
+                                 const FoldState &State) {
   if (State.BlockedOffset)
-    return {So.MaySent ? CommitStatus::Unknown : CommitStatus::NotAppended, 0,
+    return {Progress.MayBeAppended ? CommitStatus::Unknown
+                                   : CommitStatus::NotAppended,
+            0,
             "the record at offset " + std::to_string(*State.BlockedOffset) +
-                " is of a newer program"};
-  if (!So.MaySent)
-    return {CommitStatus::NotAppended, 0, So.LastProblem};
+                " was written by a newer version"};
+  if (!Progress.MayBeAppended)
+    return {CommitStatus::NotAppended, 0, Progress.LastError};
   return {CommitStatus::Unknown, 0,
-          So.LastProblem.empty() ? "it was not read back in time"
-                                 : So.LastProblem};
+          Progress.LastError.empty()
+              ? "the record was not read back within the deadline"
+              : Progress.LastError};
 }
 
-/// The reason that the history keeps for a refused change.
-std::string reasonAt(const FoldState &State, Offset At) {
+/// Returns the reason in the history for the refused change at this offset.
+std::string findRefusalReason(const FoldState &State, Offset At) {
   for (const HistoryEntry &line : State.History)
     if (line.At == At)
       return line.Reason;
@@ -84,54 +89,58 @@
   const AuthorLogProgress &mark = it->second;
   if (mark.ApplyStatus == RecordStatus::Accepted)
     return CommitResult{CommitStatus::Accepted, mark.At, ""};
-  return CommitResult{CommitStatus::Refused, mark.At, reasonAt(State, mark.At)};
+  return CommitResult{CommitStatus::Refused, mark.At,
+                      findRefusalReason(State, mark.At)};
 }
 
 asio::awaitable<CommitResult> commitRecord(LogPort Log, FoldState &State,
-                                           Record What, CommitSettings Limits) {
-  const std::string text = encodeRecord(What);
+                                           Record NewRecord,
+                                           CommitSettings Limits) {
+  const std::string text = encodeRecord(NewRecord);
   const TimePoint until = monotonicNow() + Limits.Deadline;
-  Progress so;
+  AppendProgress progress;
   while (!State.BlockedOffset && timeLeft(until) > Millis(0)) {
-    if (!so.Sent)
-      co_await appendOnce(Log, text, so, Limits.RetryDelay);
-
-    Millis wait = so.Sent ? Limits.ReadWait : Millis(0);
-    Outcome<std::size_t> read =
-        co_await readAndApplyRange(Log, State, std::min(wait, timeLeft(until)));
-    if (std::optional<CommitResult> fate = findCommitResult(State, What.Id))
-      co_return *fate;
+    if (!progress.Appended)
+      co_await appendOnce(Log, text, progress, Limits.RetryDelay);
+
+    Millis pollTimeout = progress.Appended ? Limits.PollTimeout : Millis(0);
+    Outcome<std::size_t> read = co_await readAndApplyRange(
+        Log, State, std::min(pollTimeout, timeLeft(until)));
+    if (std::optional<CommitResult> known =
+            findCommitResult(State, NewRecord.Id))
+      co_return *known;
     if (!read) {
-      so.LastProblem = describe(read.failure());
-      so.Pause = std::max(so.Pause, Limits.RetryDelay);
+      progress.LastError = describe(read.failure());
+      progress.Delay = std::max(progress.Delay, Limits.RetryDelay);
     }
-    // A log that shows an older tail may answer at once; a full chunk means
-    // that there is more to read at once.
+    // A stale read may return at once, so an empty read is followed by a delay.
+    // After other reads, more records may be available.
     if (read && *read == 0)
-      so.Pause = std::max(so.Pause, EmptyPause);
-    if (so.Pause > Millis(0))
-      co_await sleepFor(std::min(so.Pause, timeLeft(until)));
-    so.Pause = Millis(0);
+      progress.Delay = std::max(progress.Delay, EmptyReadDelay);
+    if (progress.Delay > Millis(0))
+      co_await sleepFor(std::min(progress.Delay, timeLeft(until)));
+    progress.Delay = Millis(0);
   }
-  co_return unsettled(so, State);
+  co_return makeUnsettledResult(progress, State);
 }
 
 asio::awaitable<CommitResult> settleRecord(LogPort Log, FoldState &State,
                                            RecordId Id, CommitSettings Limits) {
-  // Reads what is there first, as the id may show without more ado.
+  // Catches up first, as the record may already be on the log.
   Outcome<std::size_t> read = co_await readAndApplyRange(Log, State, Millis(0));
   while (read && *read > 0)
     read = co_await readAndApplyRange(Log, State, Millis(0));
-  if (std::optional<CommitResult> fate = findCommitResult(State, Id))
-    co_return *fate;
-  // A release with no token changes nothing, but takes the id. (It is a local,
-  // since GCC 12 destroys aggregates within a co_await expression twice.)
-  Record nothing{Id, ClaimRelease{"snapshots", 0}};
-  CommitResult end =
-      co_await commitRecord(Log, State, std::move(nothing), Limits);
-  if (end.Kind == CommitStatus::Refused && end.Reason.empty())
-    end.Reason = "it was never applied, and now never will be";
-  co_return end;
+  if (std::optional<CommitResult> known = findCommitResult(State, Id))
+    co_return *known;
+  // A release without a token changes nothing but uses up the id. (It is a
+  // local variable, since GCC 12 destroys aggregates within a co_await
+  // expression twice.)
+  Record noOp{Id, ClaimRelease{"snapshots", 0}};
+  CommitResult result =
+      co_await commitRecord(Log, State, std::move(noOp), Limits);
+  if (result.Kind == CommitStatus::Refused && result.Reason.empty())
+    result.Reason = "it was never applied, and now never will be";
+  co_return result;
 }
 
 } // namespace wasabi
--- a/Wasabi/Adapters/PlatformLog/Commit.h
+++ b/Wasabi/Adapters/PlatformLog/Commit.h
@@ -1,6 +1,6 @@
 /// \file
-/// Appends one record and learns its fate by reading it back, through lost
-/// answers and repeats.
+/// Appends one record and determines its outcome by reading it back, despite
+/// lost responses and repeated appends.
 #ifndef WASABI_ADAPTERS_PLATFORMLOG_COMMIT_H
 #define WASABI_ADAPTERS_PLATFORMLOG_COMMIT_H
 
@@ -13,52 +13,54 @@
 
 namespace wasabi {
 
-/// What is known of a record at the end of `commitRecord`.
+/// Outcome of a record as far as it is known.
 enum class CommitStatus : std::uint8_t {
-  /// Taken, and in force from its offset on.
+  /// Accepted, and in force from its offset on.
   Accepted,
-  /// Read back, and refused by the rules.
+  /// Read back, and refused by the rules of the state.
   Refused,
-  /// It may be on the log, or come to be: settle it by its id.
+  /// The record may be on the log or may still arrive: settle it by its id.
   Unknown,
-  /// Proved not to be on the log.
+  /// The record is proven not to be on the log.
   NotAppended,
 };
 
-/// How a commit ended. An immutable value.
+/// Result of a commit. An immutable value.
 struct CommitResult {
   CommitStatus Kind = CommitStatus::NotAppended;
-  /// Where it stands, for `Accepted` and `Refused`.
+  /// Offset of the record, for `Accepted` and `Refused`.
   Offset At = 0;
-  /// Why, for all but `Accepted`.
+  /// Reason, for all but `Accepted`.
   std::string Reason;
   bool operator==(const CommitResult &) const = default;
 };
 
-/// Limits of a commit.
+/// Time limits of a commit.
 struct CommitSettings {
-  /// How long to try, in all.
+  /// Time limit of the whole commit.
   Millis Deadline{10000};
-  /// Wait before an append is repeated; the log may ask for more.
+  /// Minimum delay before an append is repeated; the log may ask for more.
   Millis RetryDelay{200};
-  /// Longest wait of one read.
-  Millis ReadWait{500};
+  /// Maximum time that one read waits at the log.
+  Millis PollTimeout{500};
 };
 
-/// Appends `What` until an answer or the deadline, always with the same id, and
-/// applies the stream to `State` until the id shows. The log may show an older
-/// tail for a while; that is waited out. Precondition: `State` is not blocked,
-/// and the id is new.
-boost::asio::awaitable<CommitResult>
-commitRecord(LogPort Log, FoldState &State, Record What, CommitSettings Limits);
+/// Appends `NewRecord`, always with the same id, until the log acknowledges it
+/// or the deadline passes, and applies the stream to `State` until the id
+/// shows. Stale reads of the log are retried. Preconditions: `State` is not
+/// blocked, and the id is new.
+boost::asio::awaitable<CommitResult> commitRecord(LogPort Log, FoldState &State,
+                                                  Record NewRecord,
+                                                  CommitSettings Limits);
 
-/// The fate of an id, if the fold has taken it and it is its author's newest.
+/// Returns the result of an id if `State` has applied it and it is the newest
+/// of its author.
 std::optional<CommitResult> findCommitResult(const FoldState &State,
                                              const RecordId &Id);
 
-/// Settles an id whose fate is unknown: reads it back, or, when it is not on
-/// the log, takes the id with a record that does nothing, so that a late
-/// append of it never counts. `Refused` then says that it was never applied.
+/// Settles an id whose outcome is unknown. Reads the record back, or, if it is
+/// not on the log, uses up the id with a record without effect, so that a late
+/// append is ignored. `Refused` then means that the record was never applied.
 boost::asio::awaitable<CommitResult>
 settleRecord(LogPort Log, FoldState &State, RecordId Id, CommitSettings Limits);
 
--- a/Wasabi/Adapters/PlatformLog/HttpLog.cpp
+++ b/Wasabi/Adapters/PlatformLog/HttpLog.cpp
@@ -14,45 +14,46 @@
 
 namespace asio = boost::asio;
 
-/// How long an append may take before its fate counts as unknown.
+/// Time limit of an append, after which its outcome is unknown.
 constexpr Millis AppendTimeout{5000};
-/// How long a read may take beyond the wait that it asked for.
-constexpr Millis ReadSlack{5000};
-/// When to come back if the log refuses and does not say.
-constexpr Millis DefaultRetry{1000};
+/// Time allowed for a read beyond its poll timeout.
+constexpr Millis ReadTimeoutMargin{5000};
+/// Retry delay if the log does not name one.
+constexpr Millis DefaultRetryDelay{1000};
 constexpr char Place[] = "log";
 
 std::string recordsPath(const std::string &Stream) {
   return "/v1/streams/" + Stream + "/records";
 }
 
-/// Delay of a `Retry-After` header in seconds, or the default.
-Millis retryAfter(const http::Response &Answer) {
-  std::string_view text = Answer.header("Retry-After");
+/// Returns the delay that the `Retry-After` header gives in seconds, or the
+/// default if the header is missing or invalid.
+Millis parseRetryAfter(const http::Response &Response) {
+  std::string_view text = Response.header("Retry-After");
   int seconds = 0;
   std::from_chars_result read =
       std::from_chars(text.data(), text.data() + text.size(), seconds);
   if (read.ec != std::errc() || seconds <= 0)
-    return DefaultRetry;
+    return DefaultRetryDelay;
   return Millis(seconds * 1000);
 }
 
-/// The failure that a status means. Refusals by status 4xx did not run; of a
-/// failure inside the service nobody knows.
-Failure statusFailure(const http::Response &Answer) {
+/// Returns the failure for a status. A request refused with 4xx did not run;
+/// with any other status it may have run.
+Failure makeStatusFailure(const http::Response &Response) {
   constexpr unsigned TooManyRequests = 429;
-  std::string reason = "status " + std::to_string(Answer.Status);
-  if (Answer.Status == TooManyRequests)
+  std::string reason = "status " + std::to_string(Response.Status);
+  if (Response.Status == TooManyRequests)
     return {Verdict::NotRun, FailureCode::Overloaded, Place, reason,
-            retryAfter(Answer)};
-  if (Answer.Status >= 400 && Answer.Status < 500)
+            parseRetryAfter(Response)};
+  if (Response.Status >= 400 && Response.Status < 500)
     return {Verdict::NotRun, FailureCode::BadInput, Place, reason, {}};
   return {Verdict::MayHaveRun, FailureCode::Unavailable, Place, reason,
-          retryAfter(Answer)};
+          parseRetryAfter(Response)};
 }
 
-Result<Offset> readAppended(const http::Response &Answer) {
-  BOOST_LEAF_AUTO(value, parseJson(Answer.Body, Place));
+Result<Offset> parseAppendResponse(const http::Response &Response) {
+  BOOST_LEAF_AUTO(value, parseJson(Response.Body, Place));
   JsonReader reader(value, Place);
   reader.allowUnknown();
   Offset out = reader.number("offset");
@@ -60,9 +61,9 @@
   return out;
 }
 
-Result<LogRange> readRange(const http::Response &Answer, Offset From,
-                           bool Expired) {
-  BOOST_LEAF_AUTO(value, parseJson(Answer.Body, Place));
+Result<LogRange> parseRange(const http::Response &Response, Offset From,
+                            bool Expired) {
+  BOOST_LEAF_AUTO(value, parseJson(Response.Body, Place));
   JsonReader reader(value, Place);
   reader.allowUnknown();
   LogRange out;
@@ -80,8 +81,8 @@
   return out;
 }
 
-/// An answer that cannot be read says nothing about what was done.
-Failure unreadable(Failure Why) {
+/// A malformed response does not tell whether the request ran.
+Failure makeUnreadableFailure(Failure Why) {
   Why.Run = Verdict::MayHaveRun;
   Why.Code = FailureCode::Unavailable;
   return Why;
@@ -90,46 +91,46 @@
 asio::awaitable<Outcome<Offset>> append(std::shared_ptr<http::Client> Client,
                                         Address Service, std::string Stream,
                                         std::string Text) {
-  http::Request ask;
-  ask.Method = "POST";
-  ask.Target = recordsPath(Stream);
-  ask.Headers = {{"Content-Type", "application/json"}};
-  ask.Body = std::move(Text);
-  Outcome<http::Response> answer =
-      co_await Client->call(Service, std::move(ask), AppendTimeout);
-  if (!answer)
-    co_return answer.failure();
+  http::Request request;
+  request.Method = "POST";
+  request.Target = recordsPath(Stream);
+  request.Headers = {{"Content-Type", "application/json"}};
+  request.Body = std::move(Text);
+  Outcome<http::Response> response =
+      co_await Client->call(Service, std::move(request), AppendTimeout);
+  if (!response)
+    co_return response.failure();
   constexpr unsigned Created = 201;
-  if (answer->Status != Created)
-    co_return statusFailure(*answer);
+  if (response->Status != Created)
+    co_return makeStatusFailure(*response);
   Outcome<Offset> offset =
-      toOutcome<Offset>([&] { return readAppended(*answer); });
+      toOutcome<Offset>([&] { return parseAppendResponse(*response); });
   if (!offset)
-    co_return unreadable(offset.failure());
+    co_return makeUnreadableFailure(offset.failure());
   co_return offset;
 }
 
 asio::awaitable<Outcome<LogRange>> read(std::shared_ptr<http::Client> Client,
                                         Address Service, std::string Stream,
                                         Offset From, std::size_t Max,
-                                        Millis Wait) {
-  http::Request ask;
-  ask.Method = "GET";
-  ask.Target = recordsPath(Stream) + "?from=" + std::to_string(From) +
-               "&max=" + std::to_string(Max) +
-               "&wait_ms=" + std::to_string(Wait.count());
-  Outcome<http::Response> answer =
-      co_await Client->call(Service, std::move(ask), Wait + ReadSlack);
-  if (!answer)
-    co_return answer.failure();
+                                        Millis PollTimeout) {
+  http::Request request;
+  request.Method = "GET";
+  request.Target = recordsPath(Stream) + "?from=" + std::to_string(From) +
+                   "&max=" + std::to_string(Max) +
+                   "&wait_ms=" + std::to_string(PollTimeout.count());
+  Outcome<http::Response> response = co_await Client->call(
+      Service, std::move(request), PollTimeout + ReadTimeoutMargin);
+  if (!response)
+    co_return response.failure();
   constexpr unsigned Ok = 200;
   constexpr unsigned Gone = 410;
-  if (answer->Status != Ok && answer->Status != Gone)
-    co_return statusFailure(*answer);
+  if (response->Status != Ok && response->Status != Gone)
+    co_return makeStatusFailure(*response);
   Outcome<LogRange> range = toOutcome<LogRange>(
-      [&] { return readRange(*answer, From, answer->Status == Gone); });
+      [&] { return parseRange(*response, From, response->Status == Gone); });
   if (!range)
-    co_return unreadable(range.failure());
+    co_return makeUnreadableFailure(range.failure());
   co_return range;
 }
 
@@ -140,10 +141,10 @@
   out.Append = [Client, Service](std::string Stream, std::string Text) {
     return append(Client, Service, std::move(Stream), std::move(Text));
   };
-  out.Read = [Client = std::move(Client),
-              Service = std::move(Service)](std::string Stream, Offset From,
-                                            std::size_t Max, Millis Wait) {
-    return read(Client, Service, std::move(Stream), From, Max, Wait);
+  out.Read = [Client = std::move(Client), Service = std::move(Service)](
+                 std::string Stream, Offset From, std::size_t Max,
+                 Millis PollTimeout) {
+    return read(Client, Service, std::move(Stream), From, Max, PollTimeout);
   };
   return out;
 }
--- a/Wasabi/Adapters/PlatformLog/HttpLog.h
+++ b/Wasabi/Adapters/PlatformLog/HttpLog.h
@@ -1,5 +1,5 @@
 /// \file
-/// The platform's log service over HTTP (docs/PLATFORM.md, "log").
+/// Client of the platform's log service over HTTP (docs/PLATFORM.md, "log").
 #ifndef WASABI_ADAPTERS_PLATFORMLOG_HTTPLOG_H
 #define WASABI_ADAPTERS_PLATFORMLOG_HTTPLOG_H
 
@@ -10,7 +10,8 @@
 
 namespace wasabi {
 
-/// A log port on `Client`, for the thread of the client's executor.
+/// Returns a log port that uses `Client`, for use on the thread of its
+/// executor.
 LogPort makeHttpLog(std::shared_ptr<http::Client> Client, Address Service);
 
 } // namespace wasabi
--- a/Wasabi/Adapters/PlatformLog/LogRecovery.cpp
+++ b/Wasabi/Adapters/PlatformLog/LogRecovery.cpp
@@ -10,14 +10,14 @@
 
 namespace asio = boost::asio;
 
-/// Records of one read.
-constexpr std::size_t ReadChunk = 500;
-/// How far back the first look goes; each further one doubles it.
-constexpr Offset FirstLook = 256;
+/// Maximum number of records of one read.
+constexpr std::size_t MaxRecordsPerRead = 500;
+/// Number of records read back at first; doubled until a snapshot is found.
+constexpr Offset InitialLookback = 256;
 
 using Entries = std::vector<LogEntry>;
 
-Failure expired(Offset At, Offset First) {
+Failure makeExpiredFailure(Offset At, Offset First) {
   return {Verdict::NotRun,
           FailureCode::Unavailable,
           "control stream",
@@ -26,19 +26,21 @@
           {}};
 }
 
-/// All entries of `From` to below `Until`, or as many as the log shows.
+/// Returns the entries from `From` up to but excluding `Until`, or as many as
+/// the log shows.
 asio::awaitable<Outcome<Entries>> readAll(LogPort Log, Offset From,
                                           Offset Until) {
   Entries out;
   while (From + out.size() < Until) {
     Offset next = From + out.size();
-    std::size_t most = std::min<std::size_t>(ReadChunk, Until - next);
+    std::size_t maxRecords =
+        std::min<std::size_t>(MaxRecordsPerRead, Until - next);
     Outcome<LogRange> range =
-        co_await Log.Read(ControlStream, next, most, Millis(0));
+        co_await Log.Read(ControlStream, next, maxRecords, Millis(0));
     if (!range)
       co_return range.failure();
     if (range->First > next)
-      co_return expired(next, range->First);
+      co_return makeExpiredFailure(next, range->First);
     if (range->Entries.empty())
       break;
     std::move(range->Entries.begin(), range->Entries.end(),
@@ -57,36 +59,37 @@
   Offset end = Until ? std::min(*Until, bounds->End) : bounds->End;
   Offset first = bounds->First;
   if (end < first)
-    co_return expired(end, first);
+    co_return makeExpiredFailure(end, first);
 
-  Offset look = FirstLook;
+  Offset lookback = InitialLookback;
   while (true) {
-    Offset from = end - first > look ? end - look : first;
-    Outcome<Entries> kept = co_await readAll(Log, from, end);
-    if (!kept)
-      co_return kept.failure();
-    if (!kept->empty() || first == 0) {
+    Offset from = end - first > lookback ? end - lookback : first;
+    Outcome<Entries> entries = co_await readAll(Log, from, end);
+    if (!entries)
+      co_return entries.failure();
+    if (!entries->empty() || first == 0) {
       Outcome<FoldState> state =
-          toOutcome<FoldState>([&] { return recoverState(*kept); });
-      // Without a snapshot in sight, only the very beginning will do.
+          toOutcome<FoldState>([&] { return recoverState(*entries); });
+      // Reads further back unless a snapshot was found or the first record is
+      // reached.
       if (state || from == first)
         co_return state;
     } else if (from == first) {
-      co_return expired(end, first);
+      co_return makeExpiredFailure(end, first);
     }
-    look *= 2;
+    lookback *= 2;
   }
 }
 
 asio::awaitable<Outcome<std::size_t>>
-readAndApplyRange(LogPort Log, FoldState &State, Millis Wait) {
+readAndApplyRange(LogPort Log, FoldState &State, Millis PollTimeout) {
   Offset from = State.Next;
   Outcome<LogRange> range =
-      co_await Log.Read(ControlStream, from, ReadChunk, Wait);
+      co_await Log.Read(ControlStream, from, MaxRecordsPerRead, PollTimeout);
   if (!range)
     co_return range.failure();
   if (range->First > from)
-    co_return expired(from, range->First);
+    co_return makeExpiredFailure(from, range->First);
   for (const LogEntry &entry : range->Entries)
     if (entry.At == State.Next && !State.BlockedOffset)
       apply(State, entry.At, entry.Text);
--- a/Wasabi/Adapters/PlatformLog/LogRecovery.h
+++ b/Wasabi/Adapters/PlatformLog/LogRecovery.h
@@ -1,6 +1,6 @@
 /// \file
-/// Reads a state from the log: tail first, and further back only as far as the
-/// newest sound snapshot.
+/// Recovers the state from the log, reading back only as far as the newest
+/// valid snapshot.
 #ifndef WASABI_ADAPTERS_PLATFORMLOG_LOGRECOVERY_H
 #define WASABI_ADAPTERS_PLATFORMLOG_LOGRECOVERY_H
 
@@ -13,17 +13,18 @@
 
 namespace wasabi {
 
-/// The state at the end of the control stream, or, with `Until`, before the
-/// record at that offset. Failures: those of the log; `Unavailable` when the
-/// records needed have expired and no snapshot stands for them.
+/// Returns the state at the end of the control stream, or, with `Until`, before
+/// the record at that offset. Failures: those of the log; `Unavailable` if
+/// required records have expired and no snapshot replaces them.
 boost::asio::awaitable<Outcome<FoldState>>
 recoverFromLog(LogPort Log, std::optional<Offset> Until);
 
-/// Reads and applies what follows `State`, waiting up to `Wait` for a record.
-/// Gives how many were applied. Failures: those of the log; `Unavailable` when
-/// the next record has expired: recover anew.
+/// Reads and applies the records that follow `State`, waiting up to
+/// `PollTimeout` for one. Returns the number of applied records. Failures:
+/// those of the log; `Unavailable` if the next record has expired, and the
+/// state must be recovered from the log.
 boost::asio::awaitable<Outcome<std::size_t>>
-readAndApplyRange(LogPort Log, FoldState &State, Millis Wait);
+readAndApplyRange(LogPort Log, FoldState &State, Millis PollTimeout);
 
 } // namespace wasabi
 
--- a/Wasabi/Adapters/Proxy/CallerResponse.cpp
+++ b/Wasabi/Adapters/Proxy/CallerResponse.cpp
@@ -7,32 +7,33 @@
 
 namespace asio = boost::asio;
 
-void CallerResponse::prepare(http::Response &Answer) {
-  removeHopByHopHeaders(Answer.Headers);
-  removeHeader(Answer.Headers, VerdictHeader);
-  removeHeader(Answer.Headers, "X-Request-Id");
-  Answer.Headers.push_back({VerdictHeader, std::string(toText(Verdict::Ran))});
-  Answer.Headers.push_back({"X-Request-Id", Name});
-  Status = Answer.Status;
+void CallerResponse::prepareHeaders(http::Response &Response) {
+  removeHopByHopHeaders(Response.Headers);
+  removeHeader(Response.Headers, VerdictHeader);
+  removeHeader(Response.Headers, "X-Request-Id");
+  Response.Headers.push_back(
+      {VerdictHeader, std::string(toText(Verdict::Ran))});
+  Response.Headers.push_back({"X-Request-Id", RequestId});
+  Status = Response.Status;
 }
 
-asio::awaitable<Outcome<Done>> CallerResponse::send(http::Response Whole) {
-  prepare(Whole);
-  Begun = true;
-  Bytes += Whole.Body.size();
-  co_return co_await Out->send(std::move(Whole));
+asio::awaitable<Outcome<Done>> CallerResponse::send(http::Response Response) {
+  prepareHeaders(Response);
+  Started = true;
+  Bytes += Response.Body.size();
+  co_return co_await Out->send(std::move(Response));
 }
 
-asio::awaitable<Outcome<Done>> CallerResponse::begin(http::Response Head) {
-  prepare(Head);
-  Begun = true;
-  Head.Body.clear();
-  co_return co_await Out->begin(std::move(Head));
+asio::awaitable<Outcome<Done>> CallerResponse::begin(http::Response Response) {
+  prepareHeaders(Response);
+  Started = true;
+  Response.Body.clear();
+  co_return co_await Out->begin(std::move(Response));
 }
 
-asio::awaitable<Outcome<Done>> CallerResponse::write(std::string Piece) {
-  Bytes += Piece.size();
-  co_return co_await Out->write(std::move(Piece));
+asio::awaitable<Outcome<Done>> CallerResponse::write(std::string Chunk) {
+  Bytes += Chunk.size();
+  co_return co_await Out->write(std::move(Chunk));
 }
 
 asio::awaitable<Outcome<Done>> CallerResponse::end() {
@@ -41,17 +42,17 @@
 
 asio::awaitable<Outcome<Done>> CallerResponse::refuse(Failure Why) {
   http::Response problem = problemResponse(Why);
-  problem.Headers.push_back({"X-Request-Id", Name});
+  problem.Headers.push_back({"X-Request-Id", RequestId});
   Status = problem.Status;
   Bytes = problem.Body.size();
   co_return co_await Out->send(std::move(problem));
 }
 
-Failure CallerResponse::callerLeft() const {
+Failure CallerResponse::makeCallerLeftFailure() const {
   return Failure{Verdict::MayHaveRun,
                  FailureCode::Cancelled,
                  "caller",
-                 "it closed its connection",
+                 "the caller closed its connection",
                  {}};
 }
 
--- a/Wasabi/Adapters/Proxy/CallerResponse.h
+++ b/Wasabi/Adapters/Proxy/CallerResponse.h
@@ -1,6 +1,6 @@
 /// \file
-/// The answer to one caller: what has been given of it, with the headers that
-/// every answer carries.
+/// Writes the response to one caller: adds the common response headers and
+/// counts the bytes sent.
 #ifndef WASABI_ADAPTERS_PROXY_CALLERRESPONSE_H
 #define WASABI_ADAPTERS_PROXY_CALLERRESPONSE_H
 
@@ -16,42 +16,43 @@
 
 namespace wasabi {
 
-/// Counts what a caller is given. Not thread-safe.
+/// Response to one caller. Not thread-safe.
 class CallerResponse {
 public:
   CallerResponse() = default;
-  CallerResponse(std::shared_ptr<http::Responder> Out, std::string Name)
-      : Out(std::move(Out)), Name(std::move(Name)) {}
-
-  /// Gives a whole answer of the upstream.
-  boost::asio::awaitable<Outcome<Done>> send(http::Response Whole);
-  /// Begins an answer in pieces; `Head.Body` is ignored.
-  boost::asio::awaitable<Outcome<Done>> begin(http::Response Head);
-  boost::asio::awaitable<Outcome<Done>> write(std::string Piece);
-  /// Ends an answer in pieces that is proved whole.
+  CallerResponse(std::shared_ptr<http::Responder> Out, std::string RequestId)
+      : Out(std::move(Out)), RequestId(std::move(RequestId)) {}
+
+  /// Sends a complete response of the upstream.
+  boost::asio::awaitable<Outcome<Done>> send(http::Response Response);
+  /// Starts a streamed response; `Response.Body` is ignored.
+  boost::asio::awaitable<Outcome<Done>> begin(http::Response Response);
+  boost::asio::awaitable<Outcome<Done>> write(std::string Chunk);
+  /// Ends a streamed response. Precondition: the response is complete.
   boost::asio::awaitable<Outcome<Done>> end();
-  /// Gives a refusal with its verdict.
+  /// Sends an error response with the verdict of the failure.
   boost::asio::awaitable<Outcome<Done>> refuse(Failure Why);
-  /// Breaks off: the caller must not take what it has for whole.
+  /// Closes the connection so that the caller can't mistake a partial response
+  /// for a complete one.
   void abort() { Out->abort(); }
 
-  bool begun() const { return Begun; }
+  bool started() const { return Started; }
   bool gone() const { return Out->gone(); }
   void onGone(std::function<void()> Callback) {
     Out->onGone(std::move(Callback));
   }
   unsigned status() const { return Status; }
   std::uint64_t bytes() const { return Bytes; }
-  Failure callerLeft() const;
+  Failure makeCallerLeftFailure() const;
 
 private:
-  void prepare(http::Response &Answer);
+  void prepareHeaders(http::Response &Response);
 
   std::shared_ptr<http::Responder> Out;
-  std::string Name;
+  std::string RequestId;
   unsigned Status = 0;
   std::uint64_t Bytes = 0;
-  bool Begun = false;
+  bool Started = false;
 };
 
 } // namespace wasabi
--- a/Wasabi/Adapters/Proxy/DaemonMetrics.h
+++ b/Wasabi/Adapters/Proxy/DaemonMetrics.h
@@ -1,5 +1,5 @@
 /// \file
-/// The counters of a daemon's work.
+/// Counters of a daemon.
 #ifndef WASABI_ADAPTERS_PROXY_DAEMONMETRICS_H
 #define WASABI_ADAPTERS_PROXY_DAEMONMETRICS_H
 
@@ -7,19 +7,21 @@
 
 namespace wasabi {
 
-/// Its registry must outlive it. Thread-safe as each counter is.
+/// Counters of a daemon. The registry must outlive them. Each counter is
+/// thread-safe.
 struct DaemonMetrics {
   explicit DaemonMetrics(Metrics &Registry)
       : Attempts(Registry.counter("wasabi_daemon_attempts_total",
                                   "Attempts received")),
         Forwarded(Registry.counter("wasabi_daemon_forwarded_total",
                                    "Attempts given to a server")),
-        Whole(Registry.counter("wasabi_daemon_whole_answers_total",
-                               "Whole answers of servers")),
+        CompleteResponses(Registry.counter("wasabi_daemon_whole_answers_total",
+                                           "Whole answers of servers")),
         Refused(Registry.counter("wasabi_daemon_refused_total",
                                  "Attempts refused before their server")),
-        Broken(Registry.counter("wasabi_daemon_broken_total",
-                                "Attempts that failed at their server")),
+        FailedAttempts(
+            Registry.counter("wasabi_daemon_broken_total",
+                             "Attempts that failed at their server")),
         Repeats(Registry.counter("wasabi_daemon_repeats_total",
                                  "Repeats of a key that were not run")),
         OrdersExecuted(Registry.counter("wasabi_daemon_orders_total",
@@ -29,9 +31,9 @@
 
   Counter &Attempts;
   Counter &Forwarded;
-  Counter &Whole;
+  Counter &CompleteResponses;
   Counter &Refused;
-  Counter &Broken;
+  Counter &FailedAttempts;
   Counter &Repeats;
   Counter &OrdersExecuted;
   Counter &OrdersRefused;
--- a/Wasabi/Adapters/Proxy/DaemonProxy.cpp
+++ b/Wasabi/Adapters/Proxy/DaemonProxy.cpp
@@ -29,16 +29,18 @@
 
 constexpr asio::as_tuple_t<asio::use_awaitable_t<>> Awaited;
 constexpr std::string_view CompletionsPath = "/v1/completions";
-/// When to come back to a daemon that is starting, leaving or without engine.
-constexpr Millis ComeBack{500};
-/// Pause between two looks at the samples that an order waits for.
-constexpr Millis SwapPause{5};
-/// How long a repeat waits at most between two looks at the first one's end.
-constexpr Millis RepeatPause{1000};
-/// Largest answer remembered with a key.
-constexpr std::size_t MaxKeptAnswer = 256u << 10;
-
-/// One server behind this daemon.
+/// Retry delay reported while the daemon is starting, leaving or without a
+/// serving engine.
+constexpr Millis RetryDelay{500};
+/// Interval between checks whether running samples have ended.
+constexpr Millis SampleDrainPollInterval{5};
+/// Maximum time that a repeated request waits before it checks again whether
+/// the first run has ended.
+constexpr Millis MaxRepeatWait{1000};
+/// Maximum size of a response that is stored with a key.
+constexpr std::size_t MaxStoredResponseBytes = 256u << 10;
+
+/// State of one server behind this daemon.
 struct Upstream {
   Upstream(const asio::any_io_executor &Executor, ProxiedServer Setup,
            Admission::Settings Limits)
@@ -47,44 +49,46 @@
 
   const ProxiedServer Setup;
   AdmissionGate Gate;
-  /// Engines only: what they said last, and how many looks failed since.
+  /// True if the server is an engine. Only engines report a state.
   bool Engine = false;
   std::optional<EngineStatus> State;
-  std::uint32_t FailedLooks = 0;
-  /// Whether it takes new work.
+  std::uint32_t ConsecutiveFailures = 0;
+  /// True if the server accepts new work.
   bool Serving = true;
-  /// The exchanges at hand: true for those of samples.
-  std::map<UpstreamExchange *, bool> Running;
-  /// Orders at hand and waiting; one is carried out at a time.
+  /// Active exchanges; the value is true for samples.
+  std::map<UpstreamExchange *, bool> ActiveExchanges;
+  /// Queued orders; one is executed at a time.
   std::list<std::pair<Order, DaemonProxy::OrderCallback>> Orders;
-  bool Ordering = false;
+  bool OrderLoopRunning = false;
 };
 
-/// One attempt at this daemon.
-struct Work {
+/// State of one attempt.
+struct AttemptContext {
   RequestAttempt Attempt;
   std::shared_ptr<ResponseSink> Sink;
-  Upstream *At = nullptr;
+  Upstream *Target = nullptr;
   std::uint64_t Id = 0;
-  TimePoint Until;
-  /// Set for a request that a key makes run once.
+  TimePoint Deadline;
+  /// Set for a request that must run at most once; empty otherwise.
   std::string Key;
   std::uint64_t Fingerprint = 0;
-  /// Its witnesses know of no other run.
-  bool KeyProved = false;
-  /// The witnesses that hold the key for this attempt.
+  /// True once the witnesses have confirmed that no other run of the key is
+  /// known.
+  bool KeyVerified = false;
+  /// Witnesses that hold a reservation of the key for this attempt.
   std::vector<Address> Reserved;
 };
 
-std::uint64_t fingerprintOf(const http::Request &Ask) {
-  std::uint64_t hash = XXH64(Ask.Body.data(), Ask.Body.size(), 0);
-  hash = XXH64(Ask.Target.data(), Ask.Target.size(), hash);
-  return XXH64(Ask.Method.data(), Ask.Method.size(), hash);
+std::uint64_t computeFingerprint(const http::Request &Request) {
+  std::uint64_t hash = XXH64(Request.Body.data(), Request.Body.size(), 0);
+  hash = XXH64(Request.Target.data(), Request.Target.size(), hash);
+  return XXH64(Request.Method.data(), Request.Method.size(), hash);
 }
 
-Failure notRun(FailureCode Code, std::string Place, std::string Reason) {
+Failure makeNotRunFailure(FailureCode Code, std::string Place,
+                          std::string Reason) {
   return Failure{Verdict::NotRun, Code, std::move(Place), std::move(Reason),
-                 ComeBack};
+                 RetryDelay};
 }
 
 class DaemonProxyImpl final : public DaemonProxy {
@@ -92,9 +96,9 @@
   DaemonProxyImpl(asio::io_context &Context, Settings Setup, Timeline &Events,
                   Metrics &Registry)
       : Context(Context), Setup(std::move(Setup)), Events(Events),
-        Counts(Registry), Tick(Context) {
+        Counts(Registry), TickTimer(Context) {
     http::Client::Settings limits;
-    // Every slot of a server may have a connection of its own.
+    // Keeps enough idle connections for all slots of a server.
     limits.MaxIdlePerAddress = 1024;
     Client = http::Client::create(Context.get_executor(), limits);
     RequestClient::Settings peers;
@@ -108,21 +112,23 @@
                                                      Admission::Settings()));
   }
 
-  void attach(ControlPlaneReader NewSource,
-              ServerStatusCallback NewTell) override {
-    Source = std::move(NewSource);
-    Tell = std::move(NewTell);
+  void attach(ControlPlaneReader NewReader,
+              ServerStatusCallback NewCallback) override {
+    Reader = std::move(NewReader);
+    OnServerStatus = std::move(NewCallback);
     Witnesses = std::make_shared<KeyWitnesses>(
-        Context.get_executor(), witnessSettings(Setup), Peers, Source.Members);
+        Context.get_executor(), witnessSettings(Setup), Peers, Reader.Members);
     std::shared_ptr<DaemonProxyImpl> held = self();
     asio::co_spawn(
-        Context, [held]() -> asio::awaitable<void> { return held->tick(); },
+        Context, [held]() -> asio::awaitable<void> { return held->tickLoop(); },
         asio::detached);
     for (const std::unique_ptr<Upstream> &it : Upstreams) {
-      Upstream *at = it.get();
+      Upstream *target = it.get();
       asio::co_spawn(
           Context,
-          [held, at]() -> asio::awaitable<void> { return held->watch(*at); },
+          [held, target]() -> asio::awaitable<void> {
+            return held->pollLoop(*target);
+          },
           asio::detached);
     }
   }
@@ -130,52 +136,57 @@
   asio::awaitable<void> handle(RequestAttempt Attempt,
                                std::shared_ptr<ResponseSink> Sink) override {
     std::shared_ptr<DaemonProxyImpl> held = self();
-    // Daemons ask each other about keys, also while they leave.
+    // Requests without a service come from other daemons and concern
+    // idempotency keys. They are handled while leaving, too.
     if (Attempt.Service.empty()) {
       if (Witnesses)
-        Witnesses->answer(Attempt, *Sink);
+        Witnesses->handlePeerRequest(Attempt, *Sink);
       else
-        Sink->fail(notRun(FailureCode::Unavailable, Setup.Instance.Text,
-                          "this instance is starting"));
+        Sink->fail(makeNotRunFailure(FailureCode::Unavailable,
+                                     Setup.Instance.Text,
+                                     "this instance is starting"));
       co_return;
     }
     InFlight.fetch_add(1, std::memory_order_relaxed);
     Counts.Attempts.add();
-    Work work;
-    work.Until = monotonicNow() + Attempt.Deadline;
-    work.Attempt = std::move(Attempt);
-    work.Sink = std::move(Sink);
-    work.Id = ++LastId;
-    std::optional<Failure> refused = take(work);
+    AttemptContext ctx;
+    ctx.Deadline = monotonicNow() + Attempt.Deadline;
+    ctx.Attempt = std::move(Attempt);
+    ctx.Sink = std::move(Sink);
+    ctx.Id = ++LastId;
+    std::optional<Failure> refused = acceptAttempt(ctx);
     if (refused)
-      refuse(work, *refused);
-    else if (work.Key.empty())
-      co_await runPlain(work);
+      refuse(ctx, *refused);
+    else if (ctx.Key.empty())
+      co_await runPlain(ctx);
     else
-      co_await runKeyed(work);
+      co_await runKeyed(ctx);
     InFlight.fetch_sub(1, std::memory_order_relaxed);
   }
 
-  void order(Order What, OrderCallback Callback) override {
-    Upstream *at = find(What.Server);
-    if (!at) {
-      Callback(notRun(FailureCode::NoUpstream, "server " + What.Server.Text,
-                      "it is not behind this daemon"));
+  void executeOrder(Order Command, OrderCallback Callback) override {
+    Upstream *target = findServer(Command.Server);
+    if (!target) {
+      Callback(makeNotRunFailure(FailureCode::NoUpstream,
+                                 "server " + Command.Server.Text,
+                                 "the server is not behind this daemon"));
       return;
     }
-    at->Orders.emplace_back(std::move(What), std::move(Callback));
-    if (at->Ordering)
+    target->Orders.emplace_back(std::move(Command), std::move(Callback));
+    if (target->OrderLoopRunning)
       return;
-    at->Ordering = true;
+    target->OrderLoopRunning = true;
     std::shared_ptr<DaemonProxyImpl> held = self();
     asio::co_spawn(
         Context,
-        [held, at]() -> asio::awaitable<void> { return held->runOrders(*at); },
+        [held, target]() -> asio::awaitable<void> {
+          return held->orderLoop(*target);
+        },
         asio::detached);
   }
 
   std::vector<ReportedLoad> loads() const override {
-    std::vector<ReportedLoad> seen;
+    std::vector<ReportedLoad> reports;
     for (const std::unique_ptr<Upstream> &it : Upstreams) {
       const Admission &gate = it->Gate.admission();
       ReportedLoad load;
@@ -186,12 +197,12 @@
       load.Limit = gate.limitIgnoringProbe();
       load.Version = it->State ? it->State->Version : 0;
       load.Serving = it->Serving && !Leaving;
-      seen.push_back(load);
+      reports.push_back(load);
     }
-    return seen;
+    return reports;
   }
 
-  void leave() override { Leaving = true; }
+  void startDraining() override { Leaving = true; }
 
   std::size_t inFlight() const override {
     return InFlight.load(std::memory_order_relaxed);
@@ -199,18 +210,18 @@
 
   void stop() override {
     Stopped = true;
-    Tick.cancel();
+    TickTimer.cancel();
     Peers->stop();
   }
 
 private:
-  static KeyWitnesses::Settings witnessSettings(const Settings &From) {
+  static KeyWitnesses::Settings witnessSettings(const Settings &Options) {
     KeyWitnesses::Settings settings;
-    settings.Keys.Self = Runner{From.Instance, From.Life};
-    settings.Keys.MaxSingleAnswerBytes = MaxKeptAnswer;
-    settings.WitnessTimeout = From.WitnessTimeout;
-    settings.HandOverTimeout = From.HandOverTimeout;
-    settings.ComeBack = ComeBack;
+    settings.Keys.Self = Runner{Options.Instance, Options.Life};
+    settings.Keys.MaxSingleAnswerBytes = MaxStoredResponseBytes;
+    settings.WitnessTimeout = Options.WitnessTimeout;
+    settings.HandOverTimeout = Options.HandOverTimeout;
+    settings.RetryDelay = RetryDelay;
     return settings;
   }
 
@@ -218,7 +229,7 @@
     return std::static_pointer_cast<DaemonProxyImpl>(shared_from_this());
   }
 
-  Upstream *find(const ServerName &Name) {
+  Upstream *findServer(const ServerName &Name) {
     for (const std::unique_ptr<Upstream> &it : Upstreams) {
       if (it->Setup.Server == Name)
         return it.get();
@@ -226,43 +237,46 @@
     return nullptr;
   }
 
-  //===--- Taking an attempt ----------------------------------------------===//
+  //===--- Accepting attempts ---------------------------------------------===//
 
-  /// Chooses the server and looks at the preset; a failure when it is refused.
-  std::optional<Failure> take(Work &What) {
-    const RequestAttempt &attempt = What.Attempt;
+  /// Selects the server and checks the active preset. Returns a failure if the
+  /// attempt must be refused.
+  std::optional<Failure> acceptAttempt(AttemptContext &Ctx) {
+    const RequestAttempt &attempt = Ctx.Attempt;
     if (Leaving)
-      return notRun(FailureCode::Leaving, Setup.Instance.Text,
-                    "this instance is leaving");
-    if (!Source.State)
-      return notRun(FailureCode::Unavailable, Setup.Instance.Text,
-                    "this instance is starting");
-    What.At = attempt.Server.empty() ? leastLoaded(attempt.Service)
-                                     : find(attempt.Server);
-    if (!What.At || What.At->Setup.Service != attempt.Service)
-      return notRun(FailureCode::NoUpstream, "service " + attempt.Service.Text,
-                    "this instance has no such server of it");
-    if (!What.At->Serving)
-      return notRun(FailureCode::Unavailable,
-                    "server " + What.At->Setup.Server.Text,
-                    "it does not answer, or is draining");
-    std::shared_ptr<const FoldState> state = Source.State();
+      return makeNotRunFailure(FailureCode::Leaving, Setup.Instance.Text,
+                               "this instance is leaving");
+    if (!Reader.State)
+      return makeNotRunFailure(FailureCode::Unavailable, Setup.Instance.Text,
+                               "this instance is starting");
+    Ctx.Target = attempt.Server.empty() ? findLeastLoaded(attempt.Service)
+                                        : findServer(attempt.Server);
+    if (!Ctx.Target || Ctx.Target->Setup.Service != attempt.Service)
+      return makeNotRunFailure(
+          FailureCode::NoUpstream, "service " + attempt.Service.Text,
+          "this instance has no matching server of the service");
+    if (!Ctx.Target->Serving)
+      return makeNotRunFailure(FailureCode::Unavailable,
+                               "server " + Ctx.Target->Setup.Server.Text,
+                               "the server does not answer or is draining");
+    std::shared_ptr<const FoldState> state = Reader.State();
     const PresetDeclaration &preset = state->Config->preset();
     bool sample = !attempt.Trainer.empty();
     if (!(sample ? preset.AdmitRollouts : preset.AdmitCallers))
-      return notRun(FailureCode::Unavailable,
-                    "preset " + state->Config->ActivePreset.Text,
-                    sample ? "it dispatches no samples"
-                           : "it takes no callers' requests");
+      return makeNotRunFailure(FailureCode::Unavailable,
+                               "preset " + state->Config->ActivePreset.Text,
+                               sample
+                                   ? "the preset dispatches no samples"
+                                   : "the preset admits no callers' requests");
     if (!attempt.Idempotent && !attempt.Key.empty()) {
-      What.Key =
+      Ctx.Key =
           attempt.Service.Text + "\n" + attempt.Caller + "\n" + attempt.Key;
-      What.Fingerprint = fingerprintOf(attempt.Http);
+      Ctx.Fingerprint = computeFingerprint(attempt.Http);
     }
     return std::nullopt;
   }
 
-  Upstream *leastLoaded(const ServiceName &Service) {
+  Upstream *findLeastLoaded(const ServiceName &Service) {
     Upstream *best = nullptr;
     for (const std::unique_ptr<Upstream> &it : Upstreams) {
       if (it->Setup.Service != Service)
@@ -277,49 +291,49 @@
     return best;
   }
 
-  void record(std::string_view Kind, const Work &What,
-              std::vector<EventField> More) {
+  void record(std::string_view Kind, const AttemptContext &Ctx,
+              std::vector<EventField> ExtraFields) {
     std::vector<EventField> fields = {
-        {"request", What.Attempt.Request},
-        {"attempt", std::to_string(What.Attempt.Attempt)},
+        {"request", Ctx.Attempt.Request},
+        {"attempt", std::to_string(Ctx.Attempt.Attempt)},
         {"server",
-         What.At ? What.At->Setup.Server.Text : What.Attempt.Server.Text}};
-    for (EventField &it : More)
+         Ctx.Target ? Ctx.Target->Setup.Server.Text : Ctx.Attempt.Server.Text}};
+    for (EventField &it : ExtraFields)
       fields.push_back(std::move(it));
     Events.record(Kind, std::move(fields));
   }
 
-  void refuse(const Work &What, const Failure &Why) {
-    const RequestAttempt &attempt = What.Attempt;
+  void refuse(const AttemptContext &Ctx, const Failure &Why) {
+    const RequestAttempt &attempt = Ctx.Attempt;
     bool keyed = !attempt.Key.empty() && !attempt.Idempotent;
-    if (keyed && !What.KeyProved)
-      tellRefusal(What, downgradeUnprovenFailure(Why));
+    if (keyed && !Ctx.KeyVerified)
+      sendRefusal(Ctx, downgradeUnprovenFailure(Why));
     else
-      tellRefusal(What, Why);
+      sendRefusal(Ctx, Why);
   }
 
-  void tellRefusal(const Work &What, const Failure &Why) {
+  void sendRefusal(const AttemptContext &Ctx, const Failure &Why) {
     Counts.Refused.add();
-    record("attempt.refuse", What,
+    record("attempt.refuse", Ctx,
            {{"verdict", std::string(toText(Why.Run))}, {"reason", Why.Reason}});
-    What.Sink->fail(Why);
+    Ctx.Sink->fail(Why);
   }
 
-  AdmissionRequest askOf(const Work &What) {
-    const RequestAttempt &attempt = What.Attempt;
-    AdmissionRequest ask;
-    ask.Id = What.Id;
-    ask.Priority = attempt.Priority;
-    ask.Rollout = !attempt.Trainer.empty();
-    ask.Flow = ask.Rollout ? "trainer/" + attempt.Trainer.Text
-                           : "caller/" + attempt.Caller;
-    ask.FlowWeight = ask.Rollout ? shareOf(attempt) : 1;
-    ask.Deadline = What.Until;
-    return ask;
+  AdmissionRequest makeAdmissionRequest(const AttemptContext &Ctx) {
+    const RequestAttempt &attempt = Ctx.Attempt;
+    AdmissionRequest request;
+    request.Id = Ctx.Id;
+    request.Priority = attempt.Priority;
+    request.Rollout = !attempt.Trainer.empty();
+    request.Flow = request.Rollout ? "trainer/" + attempt.Trainer.Text
+                                   : "caller/" + attempt.Caller;
+    request.FlowWeight = request.Rollout ? findTrainerShare(attempt) : 1;
+    request.Deadline = Ctx.Deadline;
+    return request;
   }
 
-  std::uint32_t shareOf(const RequestAttempt &Attempt) {
-    std::shared_ptr<const FoldState> state = Source.State();
+  std::uint32_t findTrainerShare(const RequestAttempt &Attempt) {
+    std::shared_ptr<const FoldState> state = Reader.State();
     for (const std::pair<const std::string, Attachment> &it :
          state->Config->Attachments) {
       if (it.second.Trainer == Attempt.Trainer &&
@@ -329,190 +343,199 @@
     return 1;
   }
 
-  //===--- Running one ----------------------------------------------------===//
+  //===--- Running attempts -----------------------------------------------===//
 
-  asio::awaitable<void> runPlain(Work &What) {
-    Upstream &at = *What.At;
-    What.Sink->onGone([&at, id = What.Id] { at.Gate.wake(id); });
-    AdmissionRequest ask = askOf(What);
-    std::function<bool()> gone = [sink = What.Sink] { return sink->gone(); };
-    Outcome<Done> entered = co_await at.Gate.enter(ask, std::move(gone));
+  asio::awaitable<void> runPlain(AttemptContext &Ctx) {
+    Upstream &target = *Ctx.Target;
+    Ctx.Sink->onGone([&target, id = Ctx.Id] { target.Gate.wake(id); });
+    AdmissionRequest request = makeAdmissionRequest(Ctx);
+    std::function<bool()> gone = [sink = Ctx.Sink] { return sink->gone(); };
+    Outcome<Done> entered =
+        co_await target.Gate.enter(request, std::move(gone));
     if (!entered) {
-      refuse(What, entered.failure());
+      refuse(Ctx, entered.failure());
       co_return;
     }
-    record("attempt.admit", What, {});
+    record("attempt.admit", Ctx, {});
     UpstreamExchange exchange(Context.get_executor(), Client);
-    Outcome<Done> end = co_await forward(What, exchange);
+    Outcome<Done> end = co_await forward(Ctx, exchange);
     if (end)
-      What.Sink->end();
+      Ctx.Sink->end();
     else
-      What.Sink->fail(end.failure());
+      Ctx.Sink->fail(end.failure());
   }
 
-  /// Gives an admitted attempt to its server, and its place to the next.
-  asio::awaitable<Outcome<Done>> forward(Work &What,
+  /// Forwards an admitted attempt to its server, then releases its admission
+  /// slot.
+  asio::awaitable<Outcome<Done>> forward(AttemptContext &Ctx,
                                          UpstreamExchange &Exchange) {
-    Upstream &at = *What.At;
-    bool sample = !What.Attempt.Trainer.empty();
-    // A key's run is read to its end, for the caller's next try.
-    if (What.Key.empty() && !What.Sink->gone())
-      What.Sink->onGone([&Exchange] {
-        Exchange.breakOff(Failure{Verdict::MayHaveRun,
-                                  FailureCode::Cancelled,
-                                  "asker",
-                                  "it cancelled or is gone",
-                                  {}});
+    Upstream &target = *Ctx.Target;
+    bool sample = !Ctx.Attempt.Trainer.empty();
+    // Without a key, the exchange is cancelled when the requester disconnects.
+    // With a key, the response is read to its end and stored for a retry.
+    if (Ctx.Key.empty() && !Ctx.Sink->gone())
+      Ctx.Sink->onGone([&Exchange] {
+        Exchange.cancel(Failure{Verdict::MayHaveRun,
+                                FailureCode::Cancelled,
+                                "asker",
+                                "the requester cancelled or disconnected",
+                                {}});
       });
-    at.Running.emplace(&Exchange, sample);
+    target.ActiveExchanges.emplace(&Exchange, sample);
     Counts.Forwarded.add();
-    record("attempt.forward", What,
-           {{"idempotent", What.Attempt.Idempotent ? "true" : "false"},
-            {"key", What.Attempt.Key}});
-    UpstreamExchange::Ask ask = forwardingOf(What);
-    Outcome<Done> end = co_await Exchange.run(std::move(ask), What.Sink);
-    at.Running.erase(&Exchange);
-    if (!What.Sink->gone())
-      What.Sink->onGone([] {});
-    settle(What, end);
+    record("attempt.forward", Ctx,
+           {{"idempotent", Ctx.Attempt.Idempotent ? "true" : "false"},
+            {"key", Ctx.Attempt.Key}});
+    UpstreamExchange::ExchangeRequest request = makeExchangeRequest(Ctx);
+    Outcome<Done> end = co_await Exchange.run(std::move(request), Ctx.Sink);
+    target.ActiveExchanges.erase(&Exchange);
+    if (!Ctx.Sink->gone())
+      Ctx.Sink->onGone([] {});
+    recordOutcome(Ctx, end);
     co_return end;
   }
 
-  UpstreamExchange::Ask forwardingOf(Work &What) {
-    UpstreamExchange::Ask ask;
-    ask.Where = What.At->Setup.Where;
-    ask.Server = What.At->Setup.Server;
-    ask.Until = What.Until;
-    ask.Engine = What.At->Engine;
-    ask.MaxCopyBytes = What.Key.empty() ? 0 : MaxKeptAnswer;
-    ask.Http = std::move(What.Attempt.Http);
-    removeHopByHopHeaders(ask.Http.Headers);
-    if (ask.Http.header("X-Request-Id").empty())
-      ask.Http.Headers.push_back({"X-Request-Id", What.Attempt.Request});
-    removeHeader(ask.Http.Headers, "X-Attempt");
-    ask.Http.Headers.push_back(
-        {"X-Attempt", std::to_string(What.Attempt.Attempt)});
-    if (ask.Engine && ask.Http.path() == CompletionsPath)
-      ask.Http.Body = setRequestPriority(ask.Http.Body, What.Attempt.Priority);
-    return ask;
-  }
-
-  void settle(const Work &What, const Outcome<Done> &End) {
-    bool whole = static_cast<bool>(End);
-    if (whole) {
-      What.At->Gate.finish(What.Id);
-      Counts.Whole.add();
+  UpstreamExchange::ExchangeRequest makeExchangeRequest(AttemptContext &Ctx) {
+    UpstreamExchange::ExchangeRequest request;
+    request.Where = Ctx.Target->Setup.Where;
+    request.Server = Ctx.Target->Setup.Server;
+    request.Deadline = Ctx.Deadline;
+    request.Engine = Ctx.Target->Engine;
+    request.MaxCopyBytes = Ctx.Key.empty() ? 0 : MaxStoredResponseBytes;
+    request.Http = std::move(Ctx.Attempt.Http);
+    removeHopByHopHeaders(request.Http.Headers);
+    if (request.Http.header("X-Request-Id").empty())
+      request.Http.Headers.push_back({"X-Request-Id", Ctx.Attempt.Request});
+    removeHeader(request.Http.Headers, "X-Attempt");
+    request.Http.Headers.push_back(
+        {"X-Attempt", std::to_string(Ctx.Attempt.Attempt)});
+    if (request.Engine && request.Http.path() == CompletionsPath)
+      request.Http.Body =
+          setRequestPriority(request.Http.Body, Ctx.Attempt.Priority);
+    return request;
+  }
+
+  void recordOutcome(const AttemptContext &Ctx, const Outcome<Done> &End) {
+    bool complete = static_cast<bool>(End);
+    if (complete) {
+      Ctx.Target->Gate.finish(Ctx.Id);
+      Counts.CompleteResponses.add();
     } else {
       FailureCode code = End.failure().Code;
       bool overloaded =
           code == FailureCode::Overloaded || code == FailureCode::TimedOut;
-      What.At->Gate.abandon(What.Id, overloaded);
-      Counts.Broken.add();
+      Ctx.Target->Gate.abandon(Ctx.Id, overloaded);
+      Counts.FailedAttempts.add();
     }
-    Verdict run = whole ? Verdict::Ran : End.failure().Run;
-    record("attempt.end", What,
+    Verdict run = complete ? Verdict::Ran : End.failure().Run;
+    record("attempt.end", Ctx,
            {{"verdict", std::string(toText(run))},
-            {"whole", whole ? "true" : "false"},
-            {"reason", whole ? "" : End.failure().Reason}});
+            {"whole", complete ? "true" : "false"},
+            {"reason", complete ? "" : End.failure().Reason}});
   }
 
-  //===--- Requests that run once by a key --------------------------------===//
+  //===--- Requests with an idempotency key -------------------------------===//
 
-  asio::awaitable<void> runKeyed(Work &What) {
+  asio::awaitable<void> runKeyed(AttemptContext &Ctx) {
     KeyDecision decision =
-        Witnesses->keys().begin(What.Key, What.Fingerprint, monotonicNow());
+        Witnesses->keys().begin(Ctx.Key, Ctx.Fingerprint, monotonicNow());
     while (decision.Action == KeyAction::Wait) {
-      if (!co_await waitForFirst(What))
+      if (!co_await waitForFirstRun(Ctx))
         co_return;
       decision =
-          Witnesses->keys().begin(What.Key, What.Fingerprint, monotonicNow());
+          Witnesses->keys().begin(Ctx.Key, Ctx.Fingerprint, monotonicNow());
     }
     switch (decision.Action) {
     case KeyAction::Run:
-      co_await runFirst(What);
+      co_await runFirst(Ctx);
       break;
     case KeyAction::Answer:
       Counts.Repeats.add();
-      co_await answerAgain(What, std::move(decision.Answer));
+      co_await replayResponse(Ctx, std::move(decision.Answer));
       break;
     default:
       Counts.Repeats.add();
-      refuse(What, decision.Why);
+      refuse(Ctx, decision.Why);
       break;
     }
     wakeRepeats();
   }
 
-  /// False when the repeat was refused since its time is over.
-  asio::awaitable<bool> waitForFirst(Work &What) {
-    if (What.Sink->gone())
+  /// Waits until the first run of the key ends or a time limit passes. Returns
+  /// false if the attempt is over, since its requester is gone or its deadline
+  /// has passed.
+  asio::awaitable<bool> waitForFirstRun(AttemptContext &Ctx) {
+    if (Ctx.Sink->gone())
       co_return false;
-    if (monotonicNow() >= What.Until) {
-      refuse(What,
-             Failure{Verdict::MayHaveRun, FailureCode::TimedOut,
-                     "Idempotency-Key",
-                     "the first request with this key still runs", ComeBack});
+    if (monotonicNow() >= Ctx.Deadline) {
+      refuse(Ctx, Failure{Verdict::MayHaveRun, FailureCode::TimedOut,
+                          "Idempotency-Key",
+                          "the first request with this key is still running",
+                          RetryDelay});
       co_return false;
     }
     BootTimer timer(Context,
-                    std::min(What.Until, monotonicNow() + RepeatPause));
-    Repeats.push_back(&timer);
+                    std::min(Ctx.Deadline, monotonicNow() + MaxRepeatWait));
+    RepeatTimers.push_back(&timer);
     co_await timer.async_wait(Awaited);
-    std::erase(Repeats, &timer);
+    std::erase(RepeatTimers, &timer);
     co_return true;
   }
 
   void wakeRepeats() {
-    for (BootTimer *it : Repeats)
+    for (BootTimer *it : RepeatTimers)
       it->cancel();
   }
 
-  asio::awaitable<void> answerAgain(Work &What, http::Response Answer) {
-    std::string body = std::move(Answer.Body);
-    Answer.Headers.push_back({"X-Idempotent-Replay", "true"});
-    What.Sink->begin(std::move(Answer), What.At->Setup.Server);
-    Outcome<Done> written = co_await What.Sink->write(std::move(body));
+  asio::awaitable<void> replayResponse(AttemptContext &Ctx,
+                                       http::Response Response) {
+    std::string body = std::move(Response.Body);
+    Response.Headers.push_back({"X-Idempotent-Replay", "true"});
+    Ctx.Sink->begin(std::move(Response), Ctx.Target->Setup.Server);
+    Outcome<Done> written = co_await Ctx.Sink->write(std::move(body));
     if (written)
-      What.Sink->end();
+      Ctx.Sink->end();
   }
 
-  asio::awaitable<void> runFirst(Work &What) {
-    Upstream &at = *What.At;
-    // The witnesses come first: only then is a refusal proved not to have run.
+  asio::awaitable<void> runFirst(AttemptContext &Ctx) {
+    Upstream &target = *Ctx.Target;
+    // Reserves the key first: only then does a refusal prove that the request
+    // did not run.
     Outcome<Done> reserved =
-        co_await Witnesses->reserve(recordOf(What), What.Reserved);
+        co_await Witnesses->reserve(makeKeyRecord(Ctx), Ctx.Reserved);
     if (!reserved) {
-      refuse(What, reserved.failure());
-      co_await Witnesses->release(recordOf(What), What.Reserved);
-      Witnesses->keys().recordFailure(What.Key, reserved.failure());
+      refuse(Ctx, reserved.failure());
+      co_await Witnesses->release(makeKeyRecord(Ctx), Ctx.Reserved);
+      Witnesses->keys().recordFailure(Ctx.Key, reserved.failure());
       co_return;
     }
-    What.KeyProved = true;
-    What.Sink->onGone([&at, id = What.Id] { at.Gate.wake(id); });
-    AdmissionRequest ask = askOf(What);
-    std::function<bool()> gone = [sink = What.Sink] { return sink->gone(); };
-    Outcome<Done> entered = co_await at.Gate.enter(ask, std::move(gone));
+    Ctx.KeyVerified = true;
+    Ctx.Sink->onGone([&target, id = Ctx.Id] { target.Gate.wake(id); });
+    AdmissionRequest request = makeAdmissionRequest(Ctx);
+    std::function<bool()> gone = [sink = Ctx.Sink] { return sink->gone(); };
+    Outcome<Done> entered =
+        co_await target.Gate.enter(request, std::move(gone));
     if (!entered) {
-      refuse(What, entered.failure());
-      co_await Witnesses->release(recordOf(What), What.Reserved);
-      Witnesses->keys().recordNotRun(What.Key);
+      refuse(Ctx, entered.failure());
+      co_await Witnesses->release(makeKeyRecord(Ctx), Ctx.Reserved);
+      Witnesses->keys().recordNotRun(Ctx.Key);
       co_return;
     }
-    record("attempt.admit", What, {});
+    record("attempt.admit", Ctx, {});
     UpstreamExchange exchange(Context.get_executor(), Client);
-    Outcome<Done> end = co_await forward(What, exchange);
+    Outcome<Done> end = co_await forward(Ctx, exchange);
     if (end) {
-      Witnesses->keys().recordAnswer(What.Key, exchange.kept());
-      What.Sink->end();
+      Witnesses->keys().recordAnswer(Ctx.Key, exchange.responseCopy());
+      Ctx.Sink->end();
     } else {
-      Witnesses->keys().recordFailure(What.Key, end.failure());
-      What.Sink->fail(end.failure());
+      Witnesses->keys().recordFailure(Ctx.Key, end.failure());
+      Ctx.Sink->fail(end.failure());
     }
   }
 
-  KeyRecord recordOf(const Work &What) const {
+  KeyRecord makeKeyRecord(const AttemptContext &Ctx) const {
     Runner self{Setup.Instance, Setup.Life};
-    return KeyRecord{What.Key, What.Fingerprint, self, What.Id};
+    return KeyRecord{Ctx.Key, Ctx.Fingerprint, self, Ctx.Id};
   }
 
   void handOver(std::function<void()> Callback) override {
@@ -522,12 +545,12 @@
       Callback();
   }
 
-  //===--- Watching servers -----------------------------------------------===//
+  //===--- Polling servers ------------------------------------------------===//
 
-  asio::awaitable<void> tick() {
+  asio::awaitable<void> tickLoop() {
     std::shared_ptr<const FoldState> last;
     while (!Stopped) {
-      std::shared_ptr<const FoldState> state = Source.State();
+      std::shared_ptr<const FoldState> state = Reader.State();
       bool changed = state != last;
       last = state;
       for (const std::unique_ptr<Upstream> &it : Upstreams) {
@@ -535,22 +558,22 @@
           configure(*it, *state->Config);
         it->Gate.tick();
       }
-      tellServers();
-      Tick.expires_after(Setup.TickInterval);
-      co_await Tick.async_wait(Awaited);
+      reportServerStatus();
+      TickTimer.expires_after(Setup.TickInterval);
+      co_await TickTimer.async_wait(Awaited);
     }
   }
 
-  void configure(Upstream &At, const Configuration &Declared) {
+  void configure(Upstream &Target, const Configuration &Declared) {
     std::map<ServiceName, ServiceDeclaration>::const_iterator it =
-        Declared.Services.find(At.Setup.Service);
+        Declared.Services.find(Target.Setup.Service);
     bool declared = it != Declared.Services.end();
-    At.Engine = declared && it->second.Kind == ServiceKind::Engines;
-    At.Gate.setRolloutPercent(Declared.preset().RolloutPercent);
+    Target.Engine = declared && it->second.Kind == ServiceKind::Engines;
+    Target.Gate.setRolloutPercent(Declared.preset().RolloutPercent);
   }
 
-  void tellServers() {
-    std::vector<ServerStatus> now;
+  void reportServerStatus() {
+    std::vector<ServerStatus> current;
     for (const std::unique_ptr<Upstream> &it : Upstreams) {
       ServerStatus status;
       status.Name = it->Setup.Server;
@@ -558,112 +581,118 @@
       status.Version = it->State ? it->State->Version : 0;
       status.Slots = it->State ? it->State->Slots : 1;
       status.Serving = it->Serving;
-      now.push_back(std::move(status));
+      current.push_back(std::move(status));
     }
-    if (now == Told)
+    if (current == LastReported)
       return;
-    Told = now;
-    Tell(std::move(now));
+    LastReported = current;
+    OnServerStatus(std::move(current));
   }
 
-  asio::awaitable<void> watch(Upstream &At) {
+  asio::awaitable<void> pollLoop(Upstream &Target) {
     BootTimer timer(Context);
     while (!Stopped) {
-      if (At.Engine)
-        co_await look(At);
+      if (Target.Engine)
+        co_await pollEngine(Target);
       timer.expires_after(Setup.StatePollInterval);
       co_await timer.async_wait(Awaited);
     }
   }
 
-  asio::awaitable<Outcome<EngineStatus>> look(Upstream &At) {
-    Outcome<EngineStatus> state =
-        co_await readEngineState(*Client, At.Setup.Where, Setup.StateTimeout);
+  asio::awaitable<Outcome<EngineStatus>> pollEngine(Upstream &Target) {
+    Outcome<EngineStatus> state = co_await readEngineState(
+        *Client, Target.Setup.Where, Setup.StateTimeout);
     if (state) {
-      At.FailedLooks = 0;
-      if (!At.State || At.State->Slots != state->Slots)
-        useSlots(At, state->Slots);
-      At.State = *state;
-      At.Serving = !state->Draining;
-      tellServers();
+      Target.ConsecutiveFailures = 0;
+      if (!Target.State || Target.State->Slots != state->Slots)
+        updateSlots(Target, state->Slots);
+      Target.State = *state;
+      Target.Serving = !state->Draining;
+      reportServerStatus();
       co_return state;
     }
-    ++At.FailedLooks;
-    if (At.FailedLooks < Setup.UnhealthyThreshold || !At.Serving)
+    ++Target.ConsecutiveFailures;
+    if (Target.ConsecutiveFailures < Setup.UnhealthyThreshold ||
+        !Target.Serving)
       co_return state;
-    At.Serving = false;
-    spdlog::warn("engine {}: {}: out of service", At.Setup.Server.Text,
+    Target.Serving = false;
+    spdlog::warn("engine {} is out of service: {}", Target.Setup.Server.Text,
                  describe(state.failure()));
-    // What it was given is not answered any more: their askers go elsewhere.
-    breakOffRunning(At, false,
+    // The engine no longer answers. Cancelling its exchanges lets the
+    // requesters retry elsewhere.
+    cancelExchanges(Target, false,
                     Failure{Verdict::MayHaveRun,
                             FailureCode::Unavailable,
-                            "server " + At.Setup.Server.Text,
-                            "its engine does not answer",
+                            "server " + Target.Setup.Server.Text,
+                            "the engine does not answer",
                             {}});
-    tellServers();
+    reportServerStatus();
     co_return state;
   }
 
-  static void useSlots(Upstream &At, std::uint32_t Slots) {
-    At.Gate.setSlots(std::max(1u, Slots));
+  static void updateSlots(Upstream &Target, std::uint32_t Slots) {
+    Target.Gate.setSlots(std::max(1u, Slots));
   }
 
-  static void breakOffRunning(Upstream &At, bool SamplesOnly,
+  static void cancelExchanges(Upstream &Target, bool SamplesOnly,
                               const Failure &Why) {
-    std::vector<UpstreamExchange *> broken;
-    for (const std::pair<UpstreamExchange *const, bool> &it : At.Running) {
+    std::vector<UpstreamExchange *> toCancel;
+    for (const std::pair<UpstreamExchange *const, bool> &it :
+         Target.ActiveExchanges) {
       if (it.second || !SamplesOnly)
-        broken.push_back(it.first);
+        toCancel.push_back(it.first);
     }
-    for (UpstreamExchange *it : broken) {
-      // One may end while another is broken off.
-      if (At.Running.contains(it))
-        it->breakOff(Why);
+    for (UpstreamExchange *it : toCancel) {
+      // Cancelling one exchange may end others.
+      if (Target.ActiveExchanges.contains(it))
+        it->cancel(Why);
     }
   }
 
   //===--- Orders ---------------------------------------------------------===//
 
-  asio::awaitable<void> runOrders(Upstream &At) {
-    while (!At.Orders.empty()) {
-      std::pair<Order, OrderCallback> next = std::move(At.Orders.front());
-      At.Orders.pop_front();
-      Outcome<OrderAnswer> answer = co_await runOrder(At, next.first);
+  asio::awaitable<void> orderLoop(Upstream &Target) {
+    while (!Target.Orders.empty()) {
+      std::pair<Order, OrderCallback> next = std::move(Target.Orders.front());
+      Target.Orders.pop_front();
+      Outcome<OrderAnswer> answer = co_await runOrder(Target, next.first);
       next.second(std::move(answer));
     }
-    At.Ordering = false;
+    Target.OrderLoopRunning = false;
   }
 
-  asio::awaitable<Outcome<OrderAnswer>> runOrder(Upstream &At, Order What) {
-    // The daemon guards for engines that do not, and knows what they said.
+  asio::awaitable<Outcome<OrderAnswer>> runOrder(Upstream &Target,
+                                                 Order Command) {
+    // Checks the token against earlier orders, since not every engine does, and
+    // against the token that the engine reported.
     std::optional<Failure> stale =
-        Guard.admit(What.Server, What.Resource, What.Token);
-    if (!stale && At.State && At.State->Fence > What.Token)
-      stale =
-          notRun(FailureCode::StaleFence, What.Resource,
-                 "the engine holds token " + std::to_string(At.State->Fence));
+        Guard.admit(Command.Server, Command.Resource, Command.Token);
+    if (!stale && Target.State && Target.State->Fence > Command.Token)
+      stale = makeNotRunFailure(FailureCode::StaleFence, Command.Resource,
+                                "the engine holds token " +
+                                    std::to_string(Target.State->Fence));
     if (stale) {
       Counts.OrdersRefused.add();
-      recordOrder("order.refuse", What, stale->Reason);
+      recordOrder("order.refuse", Command, stale->Reason);
       co_return *stale;
     }
-    Outcome<Done> free = co_await clearSamples(At);
-    if (free && Guard.seen(What.Server, What.Resource) > What.Token)
-      free = notRun(FailureCode::StaleFence, What.Resource,
-                    "a newer order came meanwhile");
-    if (!free) {
-      At.Gate.holdRollouts(false);
-      recordOrder("order.refuse", What, free.failure().Reason);
-      co_return free.failure();
+    Outcome<Done> drained = co_await drainSamples(Target);
+    if (drained && Guard.seen(Command.Server, Command.Resource) > Command.Token)
+      drained = makeNotRunFailure(FailureCode::StaleFence, Command.Resource,
+                                  "a newer order arrived meanwhile");
+    if (!drained) {
+      Target.Gate.holdRollouts(false);
+      recordOrder("order.refuse", Command, drained.failure().Reason);
+      co_return drained.failure();
     }
     Counts.OrdersExecuted.add();
-    recordOrder("order.take", What, "");
-    Outcome<Done> done = co_await sendLoadOrder(*Client, At.Setup.Where, What,
-                                                Setup.OrderTimeout);
-    // The order's own answer may be lost or wrong: the report decides.
-    Outcome<EngineStatus> state = co_await look(At);
-    At.Gate.holdRollouts(false);
+    recordOrder("order.take", Command, "");
+    Outcome<Done> done = co_await sendLoadOrder(*Client, Target.Setup.Where,
+                                                Command, Setup.OrderTimeout);
+    // The response to the order may be lost or wrong: the reported state
+    // decides.
+    Outcome<EngineStatus> state = co_await pollEngine(Target);
+    Target.Gate.holdRollouts(false);
     if (!done && done.failure().Code == FailureCode::StaleFence)
       co_return done.failure();
     if (!state)
@@ -675,38 +704,38 @@
     co_return OrderAnswer{state->Version};
   }
 
-  void recordOrder(std::string_view Kind, const Order &What,
+  void recordOrder(std::string_view Kind, const Order &Command,
                    const std::string &Reason) {
-    Events.record(Kind, {{"server", What.Server.Text},
-                         {"resource", What.Resource},
-                         {"fence", std::to_string(What.Token)},
-                         {"version", std::to_string(What.Version)},
+    Events.record(Kind, {{"server", Command.Server.Text},
+                         {"resource", Command.Resource},
+                         {"fence", std::to_string(Command.Token)},
+                         {"version", std::to_string(Command.Version)},
                          {"reason", Reason}});
   }
 
-  /// Does with the running samples what the preset says of a version change.
-  asio::awaitable<Outcome<Done>> clearSamples(Upstream &At) {
+  /// Handles running samples before a version change, as the preset declares.
+  asio::awaitable<Outcome<Done>> drainSamples(Upstream &Target) {
     VersionChange change =
-        Source.State ? Source.State()->Config->preset().OnVersionChange
+        Reader.State ? Reader.State()->Config->preset().OnVersionChange
                      : VersionChange::Resume;
     if (change == VersionChange::Resume)
       co_return Done{};
-    At.Gate.holdRollouts(true);
+    Target.Gate.holdRollouts(true);
     if (change == VersionChange::Restart)
-      breakOffRunning(At, true,
+      cancelExchanges(Target, true,
                       Failure{Verdict::Ran,
                               FailureCode::Unavailable,
-                              "server " + At.Setup.Server.Text,
-                              "its model's version changes",
+                              "server " + Target.Setup.Server.Text,
+                              "the model version of the server changes",
                               {}});
-    TimePoint until = monotonicNow() + Setup.SampleDrainTimeout;
+    TimePoint deadline = monotonicNow() + Setup.SampleDrainTimeout;
     BootTimer timer(Context);
-    while (At.Gate.admission().runningRollouts() > 0) {
-      if (monotonicNow() >= until)
-        co_return notRun(FailureCode::TimedOut,
-                         "server " + At.Setup.Server.Text,
-                         "its running samples did not end in time");
-      timer.expires_after(SwapPause);
+    while (Target.Gate.admission().runningRollouts() > 0) {
+      if (monotonicNow() >= deadline)
+        co_return makeNotRunFailure(
+            FailureCode::TimedOut, "server " + Target.Setup.Server.Text,
+            "its running samples did not end within the timeout");
+      timer.expires_after(SampleDrainPollInterval);
       co_await timer.async_wait(Awaited);
     }
     co_return Done{};
@@ -716,17 +745,17 @@
   const Settings Setup;
   Timeline &Events;
   DaemonMetrics Counts;
-  ControlPlaneReader Source;
-  ServerStatusCallback Tell;
-  /// Made when attached.
+  ControlPlaneReader Reader;
+  ServerStatusCallback OnServerStatus;
+  /// Set by `attach`.
   std::shared_ptr<KeyWitnesses> Witnesses;
   FencingGuard Guard;
   std::shared_ptr<http::Client> Client;
   std::shared_ptr<RequestClient> Peers;
   std::vector<std::unique_ptr<Upstream>> Upstreams;
-  std::vector<ServerStatus> Told;
-  std::vector<BootTimer *> Repeats;
-  BootTimer Tick;
+  std::vector<ServerStatus> LastReported;
+  std::vector<BootTimer *> RepeatTimers;
+  BootTimer TickTimer;
   std::atomic<std::size_t> InFlight{0};
   std::uint64_t LastId = 0;
   bool Leaving = false;
--- a/Wasabi/Adapters/Proxy/DaemonProxy.h
+++ b/Wasabi/Adapters/Proxy/DaemonProxy.h
@@ -1,6 +1,6 @@
 /// \file
-/// A daemon's work: the only road to the servers behind it. Admits, forwards
-/// once, relays the answer, remembers keys, and carries out orders.
+/// Proxy of a daemon to the servers behind it: admits and forwards attempts,
+/// relays responses, remembers idempotency keys and executes orders.
 #ifndef WASABI_ADAPTERS_PROXY_DAEMONPROXY_H
 #define WASABI_ADAPTERS_PROXY_DAEMONPROXY_H
 
@@ -22,7 +22,7 @@
 
 namespace wasabi {
 
-/// One server behind a daemon, from its settings. An immutable value.
+/// Configuration of one server behind a daemon. An immutable value.
 struct ProxiedServer {
   ServerName Server;
   ServiceName Service;
@@ -30,12 +30,12 @@
   bool operator==(const ProxiedServer &) const = default;
 };
 
-/// Reads `server=service@IP:PORT,…`. Errors: `BadInput` naming `Place` and the
-/// item; also for a server named twice. Pure.
+/// Parses `server=service@IP:PORT,…`. Errors: `BadInput` naming `Place` and the
+/// item, also for a duplicate server. Pure.
 Result<std::vector<ProxiedServer>> parseUpstreams(std::string_view Text,
                                                   std::string_view Place);
 
-/// Not thread-safe, but for what says so: use on the context's thread.
+/// Not thread-safe unless stated otherwise: use on the context's thread.
 class DaemonProxy : public std::enable_shared_from_this<DaemonProxy> {
 public:
   struct Settings {
@@ -43,24 +43,26 @@
     DomainName Domain;
     Incarnation Life = 0;
     std::vector<ProxiedServer> Upstreams;
-    /// Time between two looks at an engine's state, and how long one may take.
+    /// Interval between polls of an engine's state, and timeout of one poll.
     Millis StatePollInterval{250};
     Millis StateTimeout{1000};
-    /// Looks in a row that must fail before a server is out of service.
+    /// Number of consecutive failed polls after which a server is out of
+    /// service.
     std::uint32_t UnhealthyThreshold = 3;
-    /// Time between two looks at the waiting requests' deadlines.
+    /// Interval between checks of the deadlines of queued requests.
     Millis TickInterval{20};
-    /// How long a witness of a key may take to answer.
+    /// Maximum time to wait for the response of a witness of a key.
     Millis WitnessTimeout{500};
-    /// How long handing all keys over may take.
+    /// Maximum duration of the handover of all keys.
     Millis HandOverTimeout{5000};
-    /// Longest that an order waits for running samples, and takes after it.
+    /// Maximum time that an order waits for running samples, and timeout of the
+    /// request to the engine that follows.
     Millis SampleDrainTimeout{60000};
     Millis OrderTimeout{60000};
     std::uint64_t Seed = 1;
   };
 
-  /// What the proxy tells the control plane.
+  /// Receives the status of all servers when it changes.
   using ServerStatusCallback = std::function<void(std::vector<ServerStatus>)>;
   using OrderCallback = std::function<void(Outcome<OrderAnswer>)>;
 
@@ -70,24 +72,27 @@
                                              Metrics &Counts);
   virtual ~DaemonProxy() = default;
 
-  /// Begins to take requests and to tell of the servers; before it every
-  /// request is refused `NotRun`.
-  virtual void attach(ControlPlaneReader Source, ServerStatusCallback Tell) = 0;
-  /// Runs one attempt. For `RequestServer`.
+  /// Starts to accept attempts and to report server status. Before this call,
+  /// every attempt is refused with `NotRun`.
+  virtual void attach(ControlPlaneReader Reader,
+                      ServerStatusCallback Callback) = 0;
+  /// Runs one attempt. Request handler for `RequestServer`.
   virtual boost::asio::awaitable<void>
   handle(RequestAttempt Attempt, std::shared_ptr<ResponseSink> Sink) = 0;
-  /// Carries an order out; calls back once, on the context's thread.
-  virtual void order(Order What, OrderCallback Callback) = 0;
-  /// What load reports say.
+  /// Executes an order; calls back once, on the context's thread.
+  virtual void executeOrder(Order Command, OrderCallback Callback) = 0;
+  /// Returns the current load of each server, for load reports.
   virtual std::vector<ReportedLoad> loads() const = 0;
-  /// From now on new work is refused `NotRun`; what runs goes on to its end.
-  virtual void leave() = 0;
-  /// Tells the keys' witnesses among those that stay what is remembered here,
-  /// and calls back when they know or after a bounded time. After `leave`.
+  /// Refuses new attempts with `NotRun`; running attempts continue to their
+  /// end.
+  virtual void startDraining() = 0;
+  /// Sends all remembered keys to those of their witnesses that take work.
+  /// Starts no request after `HandOverTimeout`, and calls back when all
+  /// requests have ended. Precondition: `startDraining` was called.
   virtual void handOver(std::function<void()> Callback) = 0;
-  /// Attempts at hand. Thread-safe.
+  /// Returns the number of attempts in flight. Thread-safe.
   virtual std::size_t inFlight() const = 0;
-  /// Ends the polling.
+  /// Stops polling and closes the connections to other daemons.
   virtual void stop() = 0;
 };
 
--- a/Wasabi/Adapters/Proxy/EngineApi.cpp
+++ b/Wasabi/Adapters/Proxy/EngineApi.cpp
@@ -13,8 +13,8 @@
 constexpr unsigned StatusOk = 200;
 constexpr unsigned StatusConflict = 409;
 
-std::uint64_t countOf(const json::object &From, std::string_view Name) {
-  const json::value *found = From.if_contains(Name);
+std::uint64_t readCount(const json::object &Object, std::string_view Name) {
+  const json::value *found = Object.if_contains(Name);
   if (!found)
     return 0;
   boost::system::error_code ec;
@@ -22,19 +22,19 @@
   return ec ? 0 : count;
 }
 
-bool flagOf(const json::object &From, std::string_view Name) {
-  const json::value *found = From.if_contains(Name);
+bool readFlag(const json::object &Object, std::string_view Name) {
+  const json::value *found = Object.if_contains(Name);
   return found && found->is_bool() && found->get_bool();
 }
 
 http::Request jsonRequest(std::string Method, std::string Target,
                           std::string Body) {
-  http::Request ask;
-  ask.Method = std::move(Method);
-  ask.Target = std::move(Target);
-  ask.Headers = {{"Content-Type", "application/json"}};
-  ask.Body = std::move(Body);
-  return ask;
+  http::Request request;
+  request.Method = std::move(Method);
+  request.Target = std::move(Target);
+  request.Headers = {{"Content-Type", "application/json"}};
+  request.Body = std::move(Body);
+  return request;
 }
 
 } // namespace
@@ -46,62 +46,64 @@
     return Failure{Verdict::NotRun,
                    FailureCode::BadInput,
                    "engine state",
-                   "it is not a JSON object",
+                   "the report is not a JSON object",
                    {}};
-  const json::object &from = parsed.get_object();
+  const json::object &object = parsed.get_object();
   EngineStatus state;
-  const json::value *model = from.if_contains("model");
+  const json::value *model = object.if_contains("model");
   if (model && model->is_string())
     state.Model = ModelName(std::string(model->get_string()));
-  state.Version = countOf(from, "version");
-  state.Running = static_cast<std::uint32_t>(countOf(from, "running"));
-  state.Queued = static_cast<std::uint32_t>(countOf(from, "queued"));
-  state.Slots = static_cast<std::uint32_t>(countOf(from, "slots"));
-  state.Fence = countOf(from, "fence");
-  state.ChecksFences = flagOf(from, "checks_fences");
-  state.Draining = flagOf(from, "draining");
+  state.Version = readCount(object, "version");
+  state.Running = static_cast<std::uint32_t>(readCount(object, "running"));
+  state.Queued = static_cast<std::uint32_t>(readCount(object, "queued"));
+  state.Slots = static_cast<std::uint32_t>(readCount(object, "slots"));
+  state.Fence = readCount(object, "fence");
+  state.ChecksFences = readFlag(object, "checks_fences");
+  state.Draining = readFlag(object, "draining");
   return state;
 }
 
 asio::awaitable<Outcome<EngineStatus>>
 readEngineState(http::Client &Client, Address Where, Millis Timeout) {
-  http::Request ask = jsonRequest("GET", "/v1/state", "");
-  Outcome<http::Response> answer =
-      co_await Client.call(std::move(Where), std::move(ask), Timeout);
-  if (!answer)
-    co_return answer.failure();
-  if (answer->Status != StatusOk)
+  http::Request request = jsonRequest("GET", "/v1/state", "");
+  Outcome<http::Response> response =
+      co_await Client.call(std::move(Where), std::move(request), Timeout);
+  if (!response)
+    co_return response.failure();
+  if (response->Status != StatusOk)
     co_return Failure{Verdict::NotRun,
                       FailureCode::Unavailable,
                       "engine state",
-                      "status " + std::to_string(answer->Status),
+                      "status " + std::to_string(response->Status),
                       {}};
-  co_return parseEngineState(answer->Body);
+  co_return parseEngineState(response->Body);
 }
 
-asio::awaitable<Outcome<Done>>
-sendLoadOrder(http::Client &Client, Address Where, Order What, Millis Timeout) {
+asio::awaitable<Outcome<Done>> sendLoadOrder(http::Client &Client,
+                                             Address Where, Order LoadOrder,
+                                             Millis Timeout) {
   json::object body;
-  body["fence"] = What.Token;
+  body["fence"] = LoadOrder.Token;
   body["order"] = "load";
-  body["model"] = What.Model.Text;
-  body["version"] = What.Version;
-  http::Request ask = jsonRequest("POST", "/v1/orders", json::serialize(body));
-  Outcome<http::Response> answer =
-      co_await Client.call(std::move(Where), std::move(ask), Timeout);
-  if (!answer)
-    co_return answer.failure();
-  if (answer->Status == StatusConflict)
+  body["model"] = LoadOrder.Model.Text;
+  body["version"] = LoadOrder.Version;
+  http::Request request =
+      jsonRequest("POST", "/v1/orders", json::serialize(body));
+  Outcome<http::Response> response =
+      co_await Client.call(std::move(Where), std::move(request), Timeout);
+  if (!response)
+    co_return response.failure();
+  if (response->Status == StatusConflict)
     co_return Failure{Verdict::NotRun,
                       FailureCode::StaleFence,
-                      What.Resource,
+                      LoadOrder.Resource,
                       "the engine holds a newer token",
                       {}};
-  if (answer->Status != StatusOk)
+  if (response->Status != StatusOk)
     co_return Failure{Verdict::MayHaveRun,
                       FailureCode::Unavailable,
-                      "order to " + What.Server.Text,
-                      "status " + std::to_string(answer->Status),
+                      "order to " + LoadOrder.Server.Text,
+                      "status " + std::to_string(response->Status),
                       {}};
   co_return Done{};
 }
--- a/Wasabi/Adapters/Proxy/EngineApi.h
+++ b/Wasabi/Adapters/Proxy/EngineApi.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a daemon asks of the engine behind it (docs/PLATFORM.md, "engine").
+/// HTTP interface of the engine behind a daemon (docs/PLATFORM.md, "engine").
 #ifndef WASABI_ADAPTERS_PROXY_ENGINEAPI_H
 #define WASABI_ADAPTERS_PROXY_ENGINEAPI_H
 
@@ -14,7 +14,7 @@
 
 namespace wasabi {
 
-/// What an engine says of itself. An immutable value.
+/// State reported by an engine. An immutable value.
 struct EngineStatus {
   ModelName Model;
   WeightVersion Version = 0;
@@ -27,21 +27,26 @@
   bool operator==(const EngineStatus &) const = default;
 };
 
-/// Reads an engine's report. Failures: `BadInput`, place `engine state`. Pure.
+/// Parses an engine's state report. Failures: `BadInput`, place `engine state`.
+/// Pure.
 Outcome<EngineStatus> parseEngineState(std::string_view Text);
 
-/// Asks an engine for its state.
+/// Reads the state of an engine. Failures: `Unavailable` for a status other
+/// than 200; those of `parseEngineState` and of the client.
 boost::asio::awaitable<Outcome<EngineStatus>>
 readEngineState(http::Client &Client, Address Where, Millis Timeout);
 
-/// Orders an engine to load a version. Its answer proves nothing: read the
-/// state afterwards. Failures: `StaleFence` when the engine refused the token;
-/// `Unavailable` when it failed; else those of the client.
-boost::asio::awaitable<Outcome<Done>>
-sendLoadOrder(http::Client &Client, Address Where, Order What, Millis Timeout);
-
-/// A completion's body with this priority. Gives `Body` back when it is not a
-/// JSON object. Pure.
+/// Orders an engine to load a version. The response does not prove which
+/// version is loaded: read the state afterwards. Failures: `StaleFence` if the
+/// engine refused the token; `Unavailable` for another error status; those of
+/// the client.
+boost::asio::awaitable<Outcome<Done>> sendLoadOrder(http::Client &Client,
+                                                    Address Where,
+                                                    Order LoadOrder,
+                                                    Millis Timeout);
+
+/// Returns the body of a completion request with its priority set. Returns
+/// `Body` unchanged if it is not a JSON object. Pure.
 std::string setRequestPriority(const std::string &Body, std::int32_t Priority);
 
 } // namespace wasabi
--- a/Wasabi/Adapters/Proxy/EntryMetrics.h
+++ b/Wasabi/Adapters/Proxy/EntryMetrics.h
@@ -1,5 +1,5 @@
 /// \file
-/// The counters of an entry's work.
+/// Counters of an entry.
 #ifndef WASABI_ADAPTERS_PROXY_ENTRYMETRICS_H
 #define WASABI_ADAPTERS_PROXY_ENTRYMETRICS_H
 
@@ -7,13 +7,14 @@
 
 namespace wasabi {
 
-/// Its registry must outlive it. Thread-safe as each counter is.
+/// Counters of an entry. The registry must outlive them. Each counter is
+/// thread-safe.
 struct EntryMetrics {
   explicit EntryMetrics(Metrics &Registry)
       : Received(Registry.counter("wasabi_entry_requests_total",
                                   "Callers' requests received")),
-        Whole(Registry.counter("wasabi_entry_whole_answers_total",
-                               "Whole answers given to callers")),
+        CompleteResponses(Registry.counter("wasabi_entry_whole_answers_total",
+                                           "Whole answers given to callers")),
         NotRun(Registry.counter("wasabi_entry_refusals_total",
                                 "Refusals given to callers, by verdict",
                                 {{"verdict", "not-run"}})),
@@ -25,8 +26,8 @@
                              {{"verdict", "ran"}})),
         Aborted(Registry.counter("wasabi_entry_aborted_answers_total",
                                  "Answers broken off after their head")),
-        Left(Registry.counter("wasabi_entry_callers_left_total",
-                              "Callers that left before their answer")),
+        CallersLeft(Registry.counter("wasabi_entry_callers_left_total",
+                                     "Callers that left before their answer")),
         Attempts(Registry.counter("wasabi_entry_attempts_total",
                                   "Attempts sent or tried to be sent")),
         Retries(Registry.counter("wasabi_entry_retries_total",
@@ -44,17 +45,17 @@
         CrossDomain(
             Registry.counter("wasabi_entry_cross_domain_total",
                              "Attempts that went to another failure domain")),
-        Seconds(Registry.quantiles("wasabi_entry_request_seconds",
-                                   "Time from a request to its whole answer")) {
-  }
+        RequestSeconds(
+            Registry.quantiles("wasabi_entry_request_seconds",
+                               "Time from a request to its whole answer")) {}
 
   Counter &Received;
-  Counter &Whole;
+  Counter &CompleteResponses;
   Counter &NotRun;
   Counter &MayHaveRun;
   Counter &Ran;
   Counter &Aborted;
-  Counter &Left;
+  Counter &CallersLeft;
   Counter &Attempts;
   Counter &Retries;
   Counter &Resumed;
@@ -62,7 +63,7 @@
   Counter &RateLimited;
   Counter &PrefixPlacements;
   Counter &CrossDomain;
-  Quantiles &Seconds;
+  Quantiles &RequestSeconds;
 };
 
 } // namespace wasabi
