--- a/Wasabi/Adapters/Proxy/EntryProxy.cpp
+++ b/Wasabi/Adapters/Proxy/EntryProxy.cpp
@@ -29,49 +29,52 @@
 
 constexpr asio::as_tuple_t<asio::use_awaitable_t<>> Awaited;
 
-/// One caller's request on its way.
-struct Call {
-  std::string Name;
+/// State of one request of a caller.
+struct CallContext {
+  std::string RequestId;
   RouteMatch Match;
-  http::Request Ask;
-  CallerResponse Answer;
-  TimePoint Began;
-  TimePoint Until;
+  http::Request Request;
+  CallerResponse Response;
+  TimePoint StartedAt;
+  TimePoint Deadline;
   std::int32_t Priority = 0;
   std::uint32_t Attempts = 0;
-  std::vector<Candidate> Tried;
-  /// How far a streamed completion has come.
+  std::vector<Candidate> TriedCandidates;
+  /// Progress of a streamed completion.
   CompletionProgress Progress;
-  /// Its events have begun to reach the caller: it can be resumed elsewhere.
-  bool Followed = false;
-  /// A daemon has looked its key up, so that its verdict holds for the key.
+  /// True once events of a completion stream are relayed: the stream can be
+  /// resumed on another server.
+  bool ResumableStream = false;
+  /// True once a daemon has looked up the key, so that its verdict holds for
+  /// the key.
   bool KeyLookedUp = false;
-  /// The attempt whose answer is being read, for cancelling.
-  DaemonResponseStream *Reading = nullptr;
+  /// Response stream that is being read, for cancellation.
+  DaemonResponseStream *ActiveStream = nullptr;
 
-  /// Whether its key makes it run once.
-  bool keyed() const { return !Match.Key.empty() && !Match.Idempotent; }
+  /// Returns true if the idempotency key requires that the request runs at most
+  /// once.
+  bool mustRunOnce() const { return !Match.Key.empty() && !Match.Idempotent; }
 };
 
-/// Marks the stream being read, for as long as it lives.
-class ReadingMark {
+/// Sets `ActiveStream` of a request for its own lifetime.
+class ActiveStreamScope {
 public:
-  ReadingMark(Call &What, DaemonResponseStream &Stream) : What(What) {
-    What.Reading = &Stream;
+  ActiveStreamScope(CallContext &Ctx, DaemonResponseStream &Stream) : Ctx(Ctx) {
+    Ctx.ActiveStream = &Stream;
   }
-  ReadingMark(const ReadingMark &) = delete;
-  ReadingMark &operator=(const ReadingMark &) = delete;
-  ~ReadingMark() { What.Reading = nullptr; }
+  ActiveStreamScope(const ActiveStreamScope &) = delete;
+  ActiveStreamScope &operator=(const ActiveStreamScope &) = delete;
+  ~ActiveStreamScope() { Ctx.ActiveStream = nullptr; }
 
 private:
-  Call &What;
+  CallContext &Ctx;
 };
 
-/// How one attempt ended: the whole answer reached the caller, or not.
-using AttemptEnd = Outcome<Done>;
+/// Success if the complete response has reached the caller.
+using AttemptOutcome = Outcome<Done>;
 
-/// Whether a further attempt can help and may do no harm.
-bool mayRetry(const Failure &Why, bool Idempotent) {
+/// Returns true if a retry is safe and may succeed.
+bool isRetryable(const Failure &Why, bool Idempotent) {
   switch (Why.Code) {
   case FailureCode::BadInput:
   case FailureCode::Cancelled:
@@ -90,13 +93,13 @@
 class EntryProxyImpl final : public EntryProxy {
 public:
   EntryProxyImpl(asio::io_context &Context, Settings Setup,
-                 ControlPlaneReader Source, Timeline &Events, Metrics &Registry)
-      : Context(Context), Setup(std::move(Setup)), Source(std::move(Source)),
+                 ControlPlaneReader Reader, Timeline &Events, Metrics &Registry)
+      : Context(Context), Setup(std::move(Setup)), Reader(std::move(Reader)),
         Events(Events), Counts(Registry), Random(this->Setup.Seed),
-        Hints(PrefixHints::Settings()), Refresh(Context) {
+        Hints(PrefixHints::Settings()), RefreshTimer(Context) {
     Budget = makeRetryBudget(this->Setup.Retries);
-    Choices.Settings = this->Setup.Choice;
-    Choices.Own = this->Setup.Domain;
+    Balancer.Settings = this->Setup.Balancing;
+    Balancer.Own = this->Setup.Domain;
     RequestClient::Settings client;
     client.Instance = this->Setup.Instance;
     client.Domain = this->Setup.Domain;
@@ -106,33 +109,34 @@
   }
 
   void start() {
-    Client->onLoad([this](const Address &Where,
-                          const std::vector<ReportedLoad> &Loads,
-                          bool Leaving) { takeLoads(Where, Loads, Leaving); });
+    Client->onLoad(
+        [this](const Address &Where, const std::vector<ReportedLoad> &Loads,
+               bool Leaving) { onLoadReport(Where, Loads, Leaving); });
     std::shared_ptr<EntryProxyImpl> self =
         std::static_pointer_cast<EntryProxyImpl>(shared_from_this());
     asio::co_spawn(
-        Context, [self]() -> asio::awaitable<void> { return self->refresh(); },
+        Context,
+        [self]() -> asio::awaitable<void> { return self->refreshLoop(); },
         asio::detached);
   }
 
-  asio::awaitable<void> handle(http::Request Ask,
+  asio::awaitable<void> handle(http::Request Request,
                                std::shared_ptr<http::Responder> Out) override {
     std::shared_ptr<EntryProxyImpl> self =
         std::static_pointer_cast<EntryProxyImpl>(shared_from_this());
     InFlight.fetch_add(1, std::memory_order_relaxed);
     Counts.Received.add();
-    Call call;
-    call.Name = nextName();
-    call.Ask = std::move(Ask);
-    call.Answer = CallerResponse(std::move(Out), call.Name);
-    call.Began = monotonicNow();
-    Outcome<Done> end = accept(call);
+    CallContext ctx;
+    ctx.RequestId = makeRequestId();
+    ctx.Request = std::move(Request);
+    ctx.Response = CallerResponse(std::move(Out), ctx.RequestId);
+    ctx.StartedAt = monotonicNow();
+    Outcome<Done> end = accept(ctx);
     if (end)
-      end = co_await serve(call);
-    if (!end && call.keyed() && !call.KeyLookedUp)
+      end = co_await serve(ctx);
+    if (!end && ctx.mustRunOnce() && !ctx.KeyLookedUp)
       end = downgradeUnprovenFailure(end.failure());
-    co_await finish(call, std::move(end));
+    co_await finish(ctx, std::move(end));
     InFlight.fetch_sub(1, std::memory_order_relaxed);
   }
 
@@ -142,92 +146,93 @@
 
   void stop() override {
     Stopped = true;
-    Refresh.cancel();
+    RefreshTimer.cancel();
     Client->stop();
   }
 
 private:
-  std::string nextName() {
+  std::string makeRequestId() {
     return Setup.Instance.Text + "-" + std::to_string(Setup.Life) + "-" +
-           std::to_string(++LastName);
+           std::to_string(++LastRequestId);
   }
 
-  /// Decides whether the request is taken at all.
-  Outcome<Done> accept(Call &What) {
-    std::shared_ptr<const FoldState> state = Source.State();
+  /// Matches the route and applies the admission limits. Returns a failure if
+  /// the request is refused.
+  Outcome<Done> accept(CallContext &Ctx) {
+    std::shared_ptr<const FoldState> state = Reader.State();
     const Configuration &declared = *state->Config;
-    Outcome<RouteMatch> match = matchRoute(declared, What.Ask);
+    Outcome<RouteMatch> match = matchRoute(declared, Ctx.Request);
     if (!match)
       return match.failure();
-    What.Match = *std::move(match);
-    What.Until = What.Began + What.Match.Deadline;
-    What.Priority = declared.preset().CallerPriority;
-    What.Ask.Target = What.Match.Target;
+    Ctx.Match = *std::move(match);
+    Ctx.Deadline = Ctx.StartedAt + Ctx.Match.Deadline;
+    Ctx.Priority = declared.preset().CallerPriority;
+    Ctx.Request.Target = Ctx.Match.Target;
     Events.record("request.received",
-                  {{"request", What.Name},
-                   {"service", What.Match.Service.Text},
-                   {"caller", What.Match.Caller},
-                   {"idempotent", What.Match.Idempotent ? "true" : "false"},
-                   {"key", What.Match.Key}});
+                  {{"request", Ctx.RequestId},
+                   {"service", Ctx.Match.Service.Text},
+                   {"caller", Ctx.Match.Caller},
+                   {"idempotent", Ctx.Match.Idempotent ? "true" : "false"},
+                   {"key", Ctx.Match.Key}});
     if (!declared.preset().AdmitCallers)
       return Failure{Verdict::NotRun, FailureCode::Unavailable,
                      "preset " + declared.ActivePreset.Text,
-                     "it takes no callers' requests", Millis(5000)};
-    std::size_t entries = countLiveEntries(*Source.Members());
-    std::optional<Millis> wait = Limits.take(declared.Limits, What.Match.Caller,
-                                             entries, monotonicNow());
+                     "the preset admits no callers' requests", Millis(5000)};
+    std::size_t entries = countLiveEntries(*Reader.Members());
+    std::optional<Millis> wait =
+        Limits.take(declared.Limits, Ctx.Match.Caller, entries, monotonicNow());
     if (wait) {
       Counts.RateLimited.add();
       return Failure{Verdict::NotRun, FailureCode::Overloaded,
-                     "caller " + What.Match.Caller,
-                     "it asks more than its declared limit", *wait};
+                     "caller " + Ctx.Match.Caller,
+                     "the caller exceeds its declared limit", *wait};
     }
-    if (What.Match.Streamed) {
-      Outcome<CompletionProgress> begin = parseInitialProgress(What.Ask.Body);
+    if (Ctx.Match.Streamed) {
+      Outcome<CompletionProgress> begin =
+          parseInitialProgress(Ctx.Request.Body);
       if (!begin)
         return begin.failure();
-      What.Progress = *std::move(begin);
+      Ctx.Progress = *std::move(begin);
     }
-    removeHopByHopHeaders(What.Ask.Headers);
-    if (What.Ask.header("X-Request-Id").empty())
-      What.Ask.Headers.push_back({"X-Request-Id", What.Name});
+    removeHopByHopHeaders(Ctx.Request.Headers);
+    if (Ctx.Request.header("X-Request-Id").empty())
+      Ctx.Request.Headers.push_back({"X-Request-Id", Ctx.RequestId});
     return Done{};
   }
 
-  /// Attempts until there is a whole answer, or nothing more may be tried.
-  asio::awaitable<Outcome<Done>> serve(Call &What) {
-    What.Answer.onGone([this, &What] {
-      Client->cancel(What.Name);
-      if (What.Reading)
-        What.Reading->cancel();
+  /// Retries until an attempt succeeds or no further attempt is allowed.
+  asio::awaitable<Outcome<Done>> serve(CallContext &Ctx) {
+    Ctx.Response.onGone([this, &Ctx] {
+      Client->cancel(Ctx.RequestId);
+      if (Ctx.ActiveStream)
+        Ctx.ActiveStream->cancel();
     });
     for (;;) {
-      AttemptEnd end = co_await attempt(What);
-      if (end || What.Answer.gone())
+      AttemptOutcome end = co_await attempt(Ctx);
+      if (end || Ctx.Response.gone())
         co_return end;
       Failure why = end.failure();
-      if (!mayTryAgain(What, why))
+      if (!canRetry(Ctx, why))
         co_return why;
       Budget = spend(Budget);
       Counts.Retries.add();
-      Events.record("request.retry",
-                    {{"request", What.Name},
-                     {"attempt", std::to_string(What.Attempts)},
-                     {"verdict", std::string(toText(why.Run))},
-                     {"reason", why.Reason}});
+      Events.record("request.retry", {{"request", Ctx.RequestId},
+                                      {"attempt", std::to_string(Ctx.Attempts)},
+                                      {"verdict", std::string(toText(why.Run))},
+                                      {"reason", why.Reason}});
     }
   }
 
-  bool mayTryAgain(const Call &What, const Failure &Why) {
-    // Once bytes have reached the caller, only a stream that is followed
-    // token by token can go on elsewhere.
-    if (What.Answer.begun() && !What.Followed)
+  bool canRetry(const CallContext &Ctx, const Failure &Why) {
+    // Once bytes have reached the caller, only a tracked completion stream can
+    // be resumed elsewhere.
+    if (Ctx.Response.started() && !Ctx.ResumableStream)
       return false;
-    if (What.keyed() || !mayRetry(Why, What.Match.Idempotent))
+    if (Ctx.mustRunOnce() || !isRetryable(Why, Ctx.Match.Idempotent))
       return false;
-    if (What.Attempts >= Setup.MaxAttempts || monotonicNow() >= What.Until)
+    if (Ctx.Attempts >= Setup.MaxAttempts || monotonicNow() >= Ctx.Deadline)
       return false;
-    if (!nextCandidate(What))
+    if (!nextCandidate(Ctx))
       return false;
     if (canSpend(Budget))
       return true;
@@ -235,272 +240,285 @@
     return false;
   }
 
-  const std::vector<Candidate> &candidates(const ServiceName &Service) {
+  const std::vector<Candidate> &currentCandidates(const ServiceName &Service) {
     static const std::vector<Candidate> None;
     refreshCandidates();
     std::map<ServiceName, std::vector<Candidate>>::const_iterator it =
-        Known.find(Service);
-    return it == Known.end() ? None : it->second;
+        CandidatesByService.find(Service);
+    return it == CandidatesByService.end() ? None : it->second;
   }
 
-  /// Reads the view again when it is another one.
+  /// Recomputes the candidates if the view has changed.
   void refreshCandidates() {
-    std::shared_ptr<const View> now = Source.Members();
-    if (now == Seen)
+    std::shared_ptr<const View> now = Reader.Members();
+    if (now == LastView)
       return;
-    Seen = now;
-    Known = findCandidates(*now);
-    retainServers(Choices, Known, monotonicNow());
+    LastView = now;
+    CandidatesByService = findCandidates(*now);
+    retainServers(Balancer, CandidatesByService, monotonicNow());
     Instances.clear();
     for (const std::pair<const ServiceName, std::vector<Candidate>> &service :
-         Known) {
+         CandidatesByService) {
       for (const Candidate &it : service.second)
         Instances[it.Where] = it.Key.Instance;
     }
   }
 
-  std::optional<Candidate> nextCandidate(const Call &What) {
-    const std::vector<Candidate> &all = candidates(What.Match.Service);
+  std::optional<Candidate> nextCandidate(const CallContext &Ctx) {
+    const std::vector<Candidate> &candidates =
+        currentCandidates(Ctx.Match.Service);
     TimePoint now = monotonicNow();
-    // A key has one home, whichever entry it comes through.
-    if (What.keyed())
-      return findHomeCandidate(What.Match.Key, all);
+    // All entries send a key to the same home.
+    if (Ctx.mustRunOnce())
+      return findHomeCandidate(Ctx.Match.Key, candidates);
     std::optional<ServerKey> cached;
-    if (!What.Match.Prompt.empty())
-      cached = holderOf(hashPromptPrefix(What.Match.Prompt), all, now);
-    std::optional<Candidate> chosen = chooseCandidate(
-        Choices, all, What.Tried, cached, now, Random, What.Match.Caller);
+    if (!Ctx.Match.Prompt.empty())
+      cached =
+          findPrefixHolder(hashPromptPrefix(Ctx.Match.Prompt), candidates, now);
+    std::optional<Candidate> chosen =
+        chooseCandidate(Balancer, candidates, Ctx.TriedCandidates, cached, now,
+                        Random, Ctx.Match.Caller);
     if (chosen && cached && chosen->Key == *cached)
       Counts.PrefixPlacements.add();
     return chosen;
   }
 
-  /// Where a prefix was placed last, else its home, which is the same for every
-  /// entry: they need not tell each other where they have placed one.
-  std::optional<ServerKey> holderOf(std::uint64_t Prefix,
-                                    const std::vector<Candidate> &Of,
-                                    TimePoint Now) {
+  /// Returns the server on which the prefix was placed last, else the home of
+  /// the prefix. The home is the same for all entries, so they need not
+  /// exchange placements.
+  std::optional<ServerKey>
+  findPrefixHolder(std::uint64_t Prefix,
+                   const std::vector<Candidate> &Candidates, TimePoint Now) {
     std::optional<ServerKey> placed = Hints.find(Prefix, Now);
     if (placed)
       return placed;
     std::optional<Candidate> home =
-        findHomeCandidate(std::to_string(Prefix), Of);
+        findHomeCandidate(std::to_string(Prefix), Candidates);
     return home ? std::optional<ServerKey>(home->Key) : std::nullopt;
   }
 
-  Failure nobody(const Call &What) {
-    const std::vector<Candidate> &all = candidates(What.Match.Service);
-    Millis wait =
-        timeUntilAvailable(Choices, all, monotonicNow(), What.Match.Caller);
+  Failure makeNoCandidateFailure(const CallContext &Ctx) {
+    const std::vector<Candidate> &candidates =
+        currentCandidates(Ctx.Match.Service);
+    Millis wait = timeUntilAvailable(Balancer, candidates, monotonicNow(),
+                                     Ctx.Match.Caller);
     return Failure{Verdict::NotRun, FailureCode::NoUpstream,
-                   "service " + What.Match.Service.Text,
-                   all.empty() ? "no server of it is known"
-                               : "no server of it takes work now",
+                   "service " + Ctx.Match.Service.Text,
+                   candidates.empty()
+                       ? "no server of the service is known"
+                       : "no server of the service accepts work now",
                    wait};
   }
 
-  asio::awaitable<AttemptEnd> attempt(Call &What) {
-    std::optional<Candidate> chosen = nextCandidate(What);
+  asio::awaitable<AttemptOutcome> attempt(CallContext &Ctx) {
+    std::optional<Candidate> chosen = nextCandidate(Ctx);
     if (!chosen)
-      co_return nobody(What);
-    const Candidate who = *chosen;
-    ++What.Attempts;
-    What.Tried.push_back(who);
+      co_return makeNoCandidateFailure(Ctx);
+    const Candidate target = *chosen;
+    ++Ctx.Attempts;
+    Ctx.TriedCandidates.push_back(target);
     Counts.Attempts.add();
-    if (who.Domain != Setup.Domain)
+    if (target.Domain != Setup.Domain)
       Counts.CrossDomain.add();
-    Events.record("request.attempt",
-                  {{"request", What.Name},
-                   {"attempt", std::to_string(What.Attempts)},
-                   {"instance", who.Key.Instance.Text},
-                   {"server", who.Key.Server.Text}});
-    if (!What.Match.Prompt.empty())
-      Hints.place(hashPromptPrefix(What.Match.Prompt), who.Key, monotonicNow());
+    Events.record("request.attempt", {{"request", Ctx.RequestId},
+                                      {"attempt", std::to_string(Ctx.Attempts)},
+                                      {"instance", target.Key.Instance.Text},
+                                      {"server", target.Key.Server.Text}});
+    if (!Ctx.Match.Prompt.empty())
+      Hints.place(hashPromptPrefix(Ctx.Match.Prompt), target.Key,
+                  monotonicNow());
 
     TimePoint began = monotonicNow();
-    noteStart(Choices, who, began);
-    AttemptEnd end = co_await exchange(What, who);
+    noteStart(Balancer, target, began);
+    AttemptOutcome end = co_await exchange(Ctx, target);
     if (end) {
       TimePoint now = monotonicNow();
-      noteSuccess(Choices, who, now - began, now);
+      noteSuccess(Balancer, target, now - began, now);
       Budget = addSuccess(Budget);
-    } else if (What.Answer.gone()) {
-      noteAbandoned(Choices, who);
+    } else if (Ctx.Response.gone()) {
+      noteAbandoned(Balancer, target);
     } else {
-      noteFailure(Choices, who, end.failure(), candidates(What.Match.Service),
-                  monotonicNow(), What.Match.Caller);
+      noteFailure(Balancer, target, end.failure(),
+                  currentCandidates(Ctx.Match.Service), monotonicNow(),
+                  Ctx.Match.Caller);
     }
     co_return end;
   }
 
-  RequestAttempt makeAttempt(const Call &What, const Candidate &Who) {
+  RequestAttempt makeAttempt(const CallContext &Ctx, const Candidate &Target) {
     RequestAttempt attempt;
-    attempt.Request = What.Name;
-    attempt.Attempt = What.Attempts;
-    attempt.Service = What.Match.Service;
-    attempt.Server = Who.Key.Server;
-    attempt.Http = What.Ask;
-    attempt.Idempotent = What.Match.Idempotent;
-    attempt.Key = What.Match.Key;
-    attempt.Deadline = timeLeft(What);
-    attempt.Priority = What.Priority;
-    attempt.Caller = What.Match.Caller;
-    if (What.Followed) {
-      attempt.Http.Body = makeResumeBody(What.Ask.Body, What.Progress);
+    attempt.Request = Ctx.RequestId;
+    attempt.Attempt = Ctx.Attempts;
+    attempt.Service = Ctx.Match.Service;
+    attempt.Server = Target.Key.Server;
+    attempt.Http = Ctx.Request;
+    attempt.Idempotent = Ctx.Match.Idempotent;
+    attempt.Key = Ctx.Match.Key;
+    attempt.Deadline = timeLeft(Ctx);
+    attempt.Priority = Ctx.Priority;
+    attempt.Caller = Ctx.Match.Caller;
+    if (Ctx.ResumableStream) {
+      attempt.Http.Body = makeResumeBody(Ctx.Request.Body, Ctx.Progress);
       Counts.Resumed.add();
     }
     return attempt;
   }
 
-  static Millis timeLeft(const Call &What) {
-    Millis left = std::chrono::ceil<Millis>(What.Until - monotonicNow());
+  static Millis timeLeft(const CallContext &Ctx) {
+    Millis left = std::chrono::ceil<Millis>(Ctx.Deadline - monotonicNow());
     return std::max(left, Millis(0));
   }
 
-  asio::awaitable<AttemptEnd> exchange(Call &What, const Candidate &Who) {
-    RequestAttempt attempt = makeAttempt(What, Who);
+  asio::awaitable<AttemptOutcome> exchange(CallContext &Ctx,
+                                           const Candidate &Target) {
+    RequestAttempt attempt = makeAttempt(Ctx, Target);
     if (attempt.Deadline <= Millis(0))
       co_return Failure{Verdict::NotRun,
                         FailureCode::Expired,
-                        What.Name,
-                        "its deadline is over",
+                        Ctx.RequestId,
+                        "the deadline of the request has passed",
                         {}};
     Outcome<std::unique_ptr<DaemonResponseStream>> opened =
-        co_await Client->open(Who.Where, std::move(attempt));
-    What.KeyLookedUp = opened || opened.failure().Place != toText(Who.Where);
+        co_await Client->open(Target.Where, std::move(attempt));
+    Ctx.KeyLookedUp = opened || opened.failure().Place != toText(Target.Where);
     if (!opened)
       co_return opened.failure();
     std::unique_ptr<DaemonResponseStream> stream = *std::move(opened);
-    ReadingMark mark(What, *stream);
-    if (What.Answer.gone())
-      co_return What.Answer.callerLeft();
-    bool events = What.Match.Streamed && isEventStream(stream->head());
-    if (events)
-      co_return co_await relayEvents(What, *stream);
-    co_return co_await relayWhole(What, *stream);
+    ActiveStreamScope scope(Ctx, *stream);
+    if (Ctx.Response.gone())
+      co_return Ctx.Response.makeCallerLeftFailure();
+    bool relaysEvents = Ctx.Match.Streamed && isEventStream(stream->head());
+    if (relaysEvents)
+      co_return co_await relayEvents(Ctx, *stream);
+    co_return co_await relayResponse(Ctx, *stream);
   }
 
-  /// Any answer but a followed stream: put together up to a bound, then passed
-  /// on in pieces.
-  asio::awaitable<AttemptEnd> relayWhole(Call &What,
-                                         DaemonResponseStream &From) {
-    // What goes on from a broken stream must be a stream itself.
-    if (What.Answer.begun())
-      co_return Failure{Verdict::MayHaveRun,
-                        FailureCode::Internal,
-                        What.Name,
-                        "a resumed stream was answered by something else",
-                        {}};
-    http::Response whole = From.head();
+  /// Relays a response that is not a completion stream. Buffers up to
+  /// `MaxBufferedBytes`, then streams.
+  asio::awaitable<AttemptOutcome> relayResponse(CallContext &Ctx,
+                                                DaemonResponseStream &Stream) {
+    // Only an event stream can resume an interrupted stream.
+    if (Ctx.Response.started())
+      co_return Failure{
+          Verdict::MayHaveRun,
+          FailureCode::Internal,
+          Ctx.RequestId,
+          "the response to a resumed stream is not an event stream",
+          {}};
+    http::Response response = Stream.head();
     for (;;) {
-      Outcome<std::optional<std::string>> piece =
-          co_await From.next(timeLeft(What));
-      if (!piece)
-        co_return piece.failure();
-      if (!piece->has_value())
+      Outcome<std::optional<std::string>> chunk =
+          co_await Stream.next(timeLeft(Ctx));
+      if (!chunk)
+        co_return chunk.failure();
+      if (!chunk->has_value())
         break;
-      if (What.Answer.begun()) {
-        Outcome<Done> written = co_await What.Answer.write(**std::move(piece));
+      if (Ctx.Response.started()) {
+        Outcome<Done> written = co_await Ctx.Response.write(**std::move(chunk));
         if (!written)
           co_return written;
         continue;
       }
-      whole.Body += **piece;
-      if (whole.Body.size() <= Setup.MaxBufferedBytes)
+      response.Body += **chunk;
+      if (response.Body.size() <= Setup.MaxBufferedBytes)
         continue;
-      std::string body = std::move(whole.Body);
-      Outcome<Done> begun = co_await What.Answer.begin(whole);
-      if (!begun)
-        co_return begun;
-      Outcome<Done> written = co_await What.Answer.write(std::move(body));
+      std::string body = std::move(response.Body);
+      Outcome<Done> started = co_await Ctx.Response.begin(response);
+      if (!started)
+        co_return started;
+      Outcome<Done> written = co_await Ctx.Response.write(std::move(body));
       if (!written)
         co_return written;
     }
-    if (What.Answer.begun())
-      co_return co_await What.Answer.end();
-    co_return co_await What.Answer.send(std::move(whole));
+    if (Ctx.Response.started())
+      co_return co_await Ctx.Response.end();
+    co_return co_await Ctx.Response.send(std::move(response));
   }
 
-  /// A completion's stream: whole events are passed on at once, and counted.
-  asio::awaitable<AttemptEnd> relayEvents(Call &What,
-                                          DaemonResponseStream &From) {
-    if (!What.Followed) {
-      What.Followed = true;
-      Outcome<Done> begun = co_await What.Answer.begin(From.head());
-      if (!begun)
-        co_return begun;
+  /// Relays a completion stream event by event and tracks its progress.
+  asio::awaitable<AttemptOutcome> relayEvents(CallContext &Ctx,
+                                              DaemonResponseStream &Stream) {
+    if (!Ctx.ResumableStream) {
+      Ctx.ResumableStream = true;
+      Outcome<Done> started = co_await Ctx.Response.begin(Stream.head());
+      if (!started)
+        co_return started;
     }
     EventSplitter splitter;
     for (;;) {
-      Outcome<std::optional<std::string>> piece =
-          co_await From.next(timeLeft(What));
-      if (!piece)
-        co_return piece.failure();
-      if (!piece->has_value())
+      Outcome<std::optional<std::string>> chunk =
+          co_await Stream.next(timeLeft(Ctx));
+      if (!chunk)
+        co_return chunk.failure();
+      if (!chunk->has_value())
         break;
-      std::string passed;
-      Outcome<Done> taken = takeEvents(What, splitter.feed(**piece), passed);
-      if (!passed.empty()) {
-        Outcome<Done> written = co_await What.Answer.write(std::move(passed));
+      std::string forwarded;
+      Outcome<Done> applied =
+          applyEvents(Ctx, splitter.feed(**chunk), forwarded);
+      if (!forwarded.empty()) {
+        Outcome<Done> written =
+            co_await Ctx.Response.write(std::move(forwarded));
         if (!written)
           co_return written;
       }
-      if (!taken)
-        co_return taken;
+      if (!applied)
+        co_return applied;
     }
-    if (!What.Progress.Done || splitter.hasPartialEvent())
+    if (!Ctx.Progress.Done || splitter.hasPartialEvent())
       co_return Failure{Verdict::Ran,
                         FailureCode::ConnectionLost,
                         "event stream",
-                        "it ended without its end event",
+                        "the stream ended without its end event",
                         {}};
-    co_return co_await What.Answer.end();
+    co_return co_await Ctx.Response.end();
   }
 
-  static Outcome<Done> takeEvents(Call &What,
-                                  const std::vector<std::string> &Events,
-                                  std::string &Passed) {
+  static Outcome<Done> applyEvents(CallContext &Ctx,
+                                   const std::vector<std::string> &Events,
+                                   std::string &Forwarded) {
     for (const std::string &it : Events) {
       Outcome<CompletionProgress> next =
-          applyStreamEvent(std::move(What.Progress), it);
+          applyStreamEvent(std::move(Ctx.Progress), it);
       if (!next)
         return next.failure();
-      What.Progress = *std::move(next);
-      Passed += it;
+      Ctx.Progress = *std::move(next);
+      Forwarded += it;
     }
     return Done{};
   }
 
-  asio::awaitable<void> finish(Call &What, Outcome<Done> End) {
-    if (!What.Answer.gone())
-      What.Answer.onGone([] {});
+  asio::awaitable<void> finish(CallContext &Ctx, Outcome<Done> End) {
+    if (!Ctx.Response.gone())
+      Ctx.Response.onGone([] {});
     std::string verdict = "ran";
-    bool whole = static_cast<bool>(End);
-    if (whole) {
-      Counts.Whole.add();
-      Counts.Seconds.observe(
-          std::chrono::duration<double>(monotonicNow() - What.Began).count());
-    } else if (What.Answer.gone()) {
-      Counts.Left.add();
+    bool complete = static_cast<bool>(End);
+    if (complete) {
+      Counts.CompleteResponses.add();
+      Counts.RequestSeconds.observe(
+          std::chrono::duration<double>(monotonicNow() - Ctx.StartedAt)
+              .count());
+    } else if (Ctx.Response.gone()) {
+      Counts.CallersLeft.add();
       verdict = toText(End.failure().Run);
-    } else if (What.Answer.begun()) {
-      // Never ended normally: the caller must not take it for whole.
+    } else if (Ctx.Response.started()) {
+      // Aborts the connection so that the caller does not mistake the partial
+      // response for a complete one.
       Counts.Aborted.add();
       verdict = toText(End.failure().Run);
-      What.Answer.abort();
+      Ctx.Response.abort();
     } else {
       verdict = toText(End.failure().Run);
       countRefusal(End.failure().Run);
-      co_await What.Answer.refuse(End.failure());
+      co_await Ctx.Response.refuse(End.failure());
     }
     Millis took =
-        std::chrono::duration_cast<Millis>(monotonicNow() - What.Began);
+        std::chrono::duration_cast<Millis>(monotonicNow() - Ctx.StartedAt);
     Events.record("request.done",
-                  {{"request", What.Name},
-                   {"status", std::to_string(What.Answer.status())},
+                  {{"request", Ctx.RequestId},
+                   {"status", std::to_string(Ctx.Response.status())},
                    {"verdict", verdict},
-                   {"bytes", std::to_string(What.Answer.bytes())},
-                   {"whole", whole ? "true" : "false"},
+                   {"bytes", std::to_string(Ctx.Response.bytes())},
+                   {"whole", complete ? "true" : "false"},
                    {"ms", std::to_string(took.count())}});
   }
 
@@ -515,65 +533,66 @@
     }
   }
 
-  void takeLoads(const Address &Where, const std::vector<ReportedLoad> &Loads,
-                 bool Leaving) {
+  void onLoadReport(const Address &Where,
+                    const std::vector<ReportedLoad> &Loads, bool Leaving) {
     std::map<Address, InstanceName>::const_iterator it = Instances.find(Where);
     if (it == Instances.end())
       return;
     for (const ReportedLoad &load : Loads)
-      noteLoad(Choices, ServerKey{it->second, load.Server}, load);
+      noteLoad(Balancer, ServerKey{it->second, load.Server}, load);
     if (Leaving)
-      noteLeaving(Choices, it->second);
+      noteLeaving(Balancer, it->second);
   }
 
-  /// Connects ahead, so that loads flow before the first request.
-  asio::awaitable<void> refresh() {
+  /// Connects to all candidate daemons in advance, so that load reports arrive
+  /// before the first request.
+  asio::awaitable<void> refreshLoop() {
     while (!Stopped) {
       refreshCandidates();
       for (const std::pair<const Address, InstanceName> &it : Instances)
         Client->connectAhead(it.first);
-      Refresh.expires_after(Setup.RefreshInterval);
-      co_await Refresh.async_wait(Awaited);
+      RefreshTimer.expires_after(Setup.RefreshInterval);
+      co_await RefreshTimer.async_wait(Awaited);
     }
   }
 
   asio::io_context &Context;
   const Settings Setup;
-  const ControlPlaneReader Source;
+  const ControlPlaneReader Reader;
   Timeline &Events;
   EntryMetrics Counts;
   std::mt19937_64 Random;
   std::shared_ptr<RequestClient> Client;
-  BalancerState Choices;
+  BalancerState Balancer;
   RetryBudget Budget;
   PrefixHints Hints;
   CallerLimits Limits;
-  std::shared_ptr<const View> Seen;
-  std::map<ServiceName, std::vector<Candidate>> Known;
+  std::shared_ptr<const View> LastView;
+  std::map<ServiceName, std::vector<Candidate>> CandidatesByService;
   std::map<Address, InstanceName> Instances;
-  BootTimer Refresh;
+  BootTimer RefreshTimer;
   std::atomic<std::size_t> InFlight{0};
-  std::uint64_t LastName = 0;
+  std::uint64_t LastRequestId = 0;
   bool Stopped = false;
 };
 
 } // namespace
 
-ControlPlaneReader sourceOf(ControlPlane &Control) {
+ControlPlaneReader makeControlPlaneReader(ControlPlane &Control) {
   return ControlPlaneReader{[&Control] { return Control.state(); },
                             [&Control] { return Control.view(); },
-                            [&Control](InstanceName Who) {
-                              Control.noteUnreachable(std::move(Who));
+                            [&Control](InstanceName Name) {
+                              Control.noteUnreachable(std::move(Name));
                             }};
 }
 
 std::shared_ptr<EntryProxy> EntryProxy::create(asio::io_context &Context,
                                                Settings Setup,
-                                               ControlPlaneReader Source,
+                                               ControlPlaneReader Reader,
                                                Timeline &Events,
                                                Metrics &Counts) {
   std::shared_ptr<EntryProxyImpl> proxy = std::make_shared<EntryProxyImpl>(
-      Context, std::move(Setup), std::move(Source), Events, Counts);
+      Context, std::move(Setup), std::move(Reader), Events, Counts);
   proxy->start();
   return proxy;
 }
--- a/Wasabi/Adapters/Proxy/EntryProxy.h
+++ b/Wasabi/Adapters/Proxy/EntryProxy.h
@@ -1,6 +1,6 @@
 /// \file
-/// An entry's work: takes callers' requests, has them answered by a daemon, and
-/// gives each caller its whole answer or a refusal with a verdict.
+/// Proxy of an entry: accepts callers' requests, forwards them to daemons and
+/// returns a complete response or a refusal with a verdict.
 #ifndef WASABI_ADAPTERS_PROXY_ENTRYPROXY_H
 #define WASABI_ADAPTERS_PROXY_ENTRYPROXY_H
 
@@ -21,32 +21,34 @@
 
 namespace wasabi {
 
-/// What the proxy reads of the control plane; each function is thread-safe.
+/// Read access to the control plane; each function is thread-safe.
 struct ControlPlaneReader {
   std::function<std::shared_ptr<const FoldState>()> State;
   std::function<std::shared_ptr<const View>()> Members;
-  /// Told when a daemon could not be reached. May be empty.
+  /// Reports a daemon that could not be reached. May be empty.
   std::function<void(InstanceName)> Unreachable;
 };
 
-/// The source that reads a control plane, which must outlive it.
-ControlPlaneReader sourceOf(ControlPlane &Control);
+/// Returns a reader of `Control`, which must outlive it.
+ControlPlaneReader makeControlPlaneReader(ControlPlane &Control);
 
-/// Not thread-safe, but for what says so: use on the context's thread.
+/// Not thread-safe unless stated otherwise: use on the context's thread.
 class EntryProxy : public std::enable_shared_from_this<EntryProxy> {
 public:
   struct Settings {
     InstanceName Instance;
     DomainName Domain;
     Incarnation Life = 0;
-    /// A whole answer up to this many bytes is put together before its head is
-    /// sent, so that a break can still be retried or told.
+    /// Maximum number of response bytes that are buffered before the head is
+    /// sent. Until then, a failed attempt can be retried or reported to the
+    /// caller.
     std::size_t MaxBufferedBytes = 1u << 20;
-    /// Most attempts of one request.
+    /// Maximum number of attempts of one request.
     std::uint32_t MaxAttempts = 4;
     RetryBudget::Settings Retries;
-    BalancerSettings Choice;
-    /// Time between two looks at the view, for connecting ahead.
+    BalancerSettings Balancing;
+    /// Interval between refreshes of the candidates, which also connect to
+    /// their daemons.
     Millis RefreshInterval{100};
     std::uint64_t Seed = 1;
   };
@@ -54,16 +56,16 @@
   /// `Events` and `Counts` must outlive the proxy.
   static std::shared_ptr<EntryProxy> create(boost::asio::io_context &Context,
                                             Settings Setup,
-                                            ControlPlaneReader Source,
+                                            ControlPlaneReader Reader,
                                             Timeline &Events, Metrics &Counts);
   virtual ~EntryProxy() = default;
 
-  /// Answers one caller's request. For `http::Server`.
+  /// Handles one caller's request. Request handler for `http::Server`.
   virtual boost::asio::awaitable<void>
-  handle(http::Request Ask, std::shared_ptr<http::Responder> Out) = 0;
-  /// Requests at hand. Thread-safe.
+  handle(http::Request Request, std::shared_ptr<http::Responder> Out) = 0;
+  /// Returns the number of requests in flight. Thread-safe.
   virtual std::size_t inFlight() const = 0;
-  /// Ends the connections to daemons and the refreshing.
+  /// Closes the connections to daemons and stops refreshing.
   virtual void stop() = 0;
 };
 
--- a/Wasabi/Adapters/Proxy/KeyWitnesses.cpp
+++ b/Wasabi/Adapters/Proxy/KeyWitnesses.cpp
@@ -10,7 +10,7 @@
 
 namespace asio = boost::asio;
 
-/// Keys handed over at once when this process leaves.
+/// Maximum number of concurrent requests during the handover.
 constexpr std::size_t HandOverWorkers = 32;
 constexpr char ReserveMethod[] = "RESERVE";
 constexpr char ReleaseMethod[] = "RELEASE";
@@ -19,7 +19,7 @@
 constexpr char LifeHeader[] = "Life";
 constexpr char TurnHeader[] = "Turn";
 
-std::uint64_t countFrom(std::string_view Text) {
+std::uint64_t parseCount(std::string_view Text) {
   std::uint64_t count = 0;
   std::from_chars(Text.data(), Text.data() + Text.size(), count);
   return count;
@@ -27,10 +27,10 @@
 
 } // namespace
 
-/// Keys under way to their witnesses, shared by the workers that tell them.
+/// Progress of a handover, shared by its workers.
 struct KeyWitnesses::HandOver {
-  std::vector<KeyRecord> Left;
-  TimePoint Until;
+  std::vector<KeyRecord> Remaining;
+  TimePoint Deadline;
   std::size_t Workers = 0;
   std::function<void()> Callback;
 };
@@ -43,98 +43,104 @@
       Keys(this->Setup.Keys) {}
 
 asio::awaitable<Outcome<Done>>
-KeyWitnesses::reserve(KeyRecord What, std::vector<Address> &Reserved) {
+KeyWitnesses::reserve(KeyRecord Record, std::vector<Address> &Reserved) {
   std::shared_ptr<const View> view = Members();
-  for (const Member &it : findWitnesses(What.Key, *view, self())) {
-    Outcome<Done> told = co_await tell(it.Requests, What, ReserveMethod);
-    if (told) {
+  for (const Member &it : findWitnesses(Record.Key, *view, self())) {
+    Outcome<Done> reserved =
+        co_await sendToWitness(it.Requests, Record, ReserveMethod);
+    if (reserved) {
       Reserved.push_back(it.Requests);
       continue;
     }
-    // Its own refusal says what is known; silence says only that this request
-    // was not forwarded.
-    if (told.failure().Place == "Idempotency-Key")
-      co_return told;
-    // What a leaver remembered is with the others, who were told as well.
+    // A refusal by the witness carries the verdict for the key. An unreachable
+    // witness proves only that this request was not forwarded.
+    if (reserved.failure().Place == "Idempotency-Key")
+      co_return reserved;
+    // A leaving witness has handed its keys over to the remaining witnesses.
     if (hasLeft(it))
       continue;
     co_return Failure{Verdict::NotRun, FailureCode::Unavailable,
-                      "witness " + it.Instance.Text, told.failure().Reason,
-                      Setup.ComeBack};
+                      "witness " + it.Instance.Text, reserved.failure().Reason,
+                      Setup.RetryDelay};
   }
   co_return Done{};
 }
 
-asio::awaitable<Outcome<Done>> KeyWitnesses::tell(Address Where, KeyRecord What,
-                                                  const char *Method) {
-  RequestAttempt ask;
-  ask.Request = self().Text + "/key";
-  ask.Http.Method = Method;
-  ask.Http.Target = What.Key;
-  ask.Http.Headers = {{FingerprintHeader, std::to_string(What.Fingerprint)},
-                      {RunnerHeader, What.Who.Instance.Text},
-                      {LifeHeader, std::to_string(What.Who.Life)},
-                      {TurnHeader, std::to_string(What.Turn)}};
-  ask.Deadline = Setup.WitnessTimeout;
-  Outcome<std::unique_ptr<DaemonResponseStream>> answer =
-      co_await Peers->open(std::move(Where), std::move(ask));
-  if (!answer)
-    co_return answer.failure();
+asio::awaitable<Outcome<Done>> KeyWitnesses::sendToWitness(Address Witness,
+                                                           KeyRecord Record,
+                                                           const char *Method) {
+  RequestAttempt request;
+  request.Request = self().Text + "/key";
+  request.Http.Method = Method;
+  request.Http.Target = Record.Key;
+  request.Http.Headers = {
+      {FingerprintHeader, std::to_string(Record.Fingerprint)},
+      {RunnerHeader, Record.Who.Instance.Text},
+      {LifeHeader, std::to_string(Record.Who.Life)},
+      {TurnHeader, std::to_string(Record.Turn)}};
+  request.Deadline = Setup.WitnessTimeout;
+  Outcome<std::unique_ptr<DaemonResponseStream>> handlePeerRequest =
+      co_await Peers->open(std::move(Witness), std::move(request));
+  if (!handlePeerRequest)
+    co_return handlePeerRequest.failure();
   co_return Done{};
 }
 
-asio::awaitable<void> KeyWitnesses::release(KeyRecord What,
+asio::awaitable<void> KeyWitnesses::release(KeyRecord Record,
                                             std::vector<Address> Reserved) {
   for (const Address &it : Reserved)
-    co_await tell(it, What, ReleaseMethod);
+    co_await sendToWitness(it, Record, ReleaseMethod);
 }
 
 void KeyWitnesses::handOver(std::function<void()> Callback) {
-  std::shared_ptr<HandOver> work = std::make_shared<HandOver>();
-  work->Left = Keys.records();
-  work->Until = monotonicNow() + Setup.HandOverTimeout;
-  work->Callback = std::move(Callback);
-  work->Workers = HandOverWorkers;
+  std::shared_ptr<HandOver> task = std::make_shared<HandOver>();
+  task->Remaining = Keys.records();
+  task->Deadline = monotonicNow() + Setup.HandOverTimeout;
+  task->Callback = std::move(Callback);
+  task->Workers = HandOverWorkers;
   std::shared_ptr<KeyWitnesses> held = shared_from_this();
   for (std::size_t n = 0; n < HandOverWorkers; ++n) {
     asio::co_spawn(
         Executor,
-        [held, work]() -> asio::awaitable<void> {
-          return held->handOverKeys(work);
+        [held, task]() -> asio::awaitable<void> {
+          return held->handOverKeys(task);
         },
         asio::detached);
   }
 }
 
 asio::awaitable<void>
-KeyWitnesses::handOverKeys(std::shared_ptr<HandOver> Work) {
+KeyWitnesses::handOverKeys(std::shared_ptr<HandOver> Task) {
   std::shared_ptr<KeyWitnesses> held = shared_from_this();
-  while (!Work->Left.empty() && monotonicNow() < Work->Until) {
-    KeyRecord record = std::move(Work->Left.back());
-    Work->Left.pop_back();
+  while (!Task->Remaining.empty() && monotonicNow() < Task->Deadline) {
+    KeyRecord record = std::move(Task->Remaining.back());
+    Task->Remaining.pop_back();
     std::shared_ptr<const View> view = Members();
     for (const Member &it : findWitnesses(record.Key, *view, self())) {
-      // A witness that knows better refuses, which is as good.
+      // Ignores refusals: a witness that refuses already holds a record of the
+      // key.
       if (takesWork(it))
-        co_await tell(it.Requests, record, ReserveMethod);
+        co_await sendToWitness(it.Requests, record, ReserveMethod);
     }
   }
-  if (--Work->Workers == 0)
-    Work->Callback();
+  if (--Task->Workers == 0)
+    Task->Callback();
 }
 
-/// Whether the newest view has this incarnation leaving, replaced or dead.
-bool KeyWitnesses::hasLeft(const Member &Who) const {
+/// Returns true if this incarnation is leaving, replaced, dead or unknown in
+/// the newest view.
+bool KeyWitnesses::hasLeft(const Member &Witness) const {
   std::shared_ptr<const View> view = Members();
-  auto it = view->Members.find(Who.Instance);
+  auto it = view->Members.find(Witness.Instance);
   if (it == view->Members.end())
     return true;
-  return it->second.Life != Who.Life || !takesWork(it->second);
+  return it->second.Life != Witness.Life || !takesWork(it->second);
 }
 
-void KeyWitnesses::answer(const RequestAttempt &Ask, ResponseSink &Sink) {
-  bool release = Ask.Http.Method == ReleaseMethod;
-  if (!release && Ask.Http.Method != ReserveMethod) {
+void KeyWitnesses::handlePeerRequest(const RequestAttempt &Request,
+                                     ResponseSink &Sink) {
+  bool release = Request.Http.Method == ReleaseMethod;
+  if (!release && Request.Http.Method != ReserveMethod) {
     Sink.fail(Failure{Verdict::NotRun,
                       FailureCode::BadInput,
                       "request",
@@ -142,16 +148,16 @@
                       {}});
     return;
   }
-  Runner who{InstanceName(std::string(Ask.Http.header(RunnerHeader))),
-             countFrom(Ask.Http.header(LifeHeader))};
-  std::uint64_t turn = countFrom(Ask.Http.header(TurnHeader));
+  Runner runner{InstanceName(std::string(Request.Http.header(RunnerHeader))),
+                parseCount(Request.Http.header(LifeHeader))};
+  std::uint64_t turn = parseCount(Request.Http.header(TurnHeader));
   std::optional<Failure> refused;
   if (release)
-    Keys.release(Ask.Http.Target, who, turn);
+    Keys.release(Request.Http.Target, runner, turn);
   else
-    refused = Keys.reserve(Ask.Http.Target,
-                           countFrom(Ask.Http.header(FingerprintHeader)), who,
-                           monotonicNow(), turn);
+    refused = Keys.reserve(Request.Http.Target,
+                           parseCount(Request.Http.header(FingerprintHeader)),
+                           runner, monotonicNow(), turn);
   if (refused) {
     Sink.fail(*refused);
     return;
--- a/Wasabi/Adapters/Proxy/KeyWitnesses.h
+++ b/Wasabi/Adapters/Proxy/KeyWitnesses.h
@@ -1,5 +1,5 @@
 /// \file
-/// Asks other daemons about idempotency keys, and answers them
+/// Exchanges reservations of idempotency keys with other daemons
 /// (docs/design/idempotency-keys.md).
 #ifndef WASABI_ADAPTERS_PROXY_KEYWITNESSES_H
 #define WASABI_ADAPTERS_PROXY_KEYWITNESSES_H
@@ -16,20 +16,21 @@
 
 namespace wasabi {
 
-/// The keys that one daemon remembers, as home or as witness, and its talk with
-/// the other daemons about them. Not thread-safe: use on the executor's thread.
+/// The idempotency keys that one daemon remembers, as home or as witness, and
+/// the requests about them between daemons. Not thread-safe: use on the
+/// executor's thread.
 class KeyWitnesses : public std::enable_shared_from_this<KeyWitnesses> {
 public:
   struct Settings {
     IdempotencyKeys::Settings Keys;
-    /// How long a witness may take to answer.
+    /// Maximum time to wait for the response of a witness.
     Millis WitnessTimeout{500};
-    /// Longest that a leaving daemon takes to hand its keys over.
+    /// Maximum duration of the handover when the daemon leaves.
     Millis HandOverTimeout{5000};
-    /// When to come back after a witness could not be asked.
-    Millis ComeBack{500};
+    /// Retry delay reported to the requester if a witness is unreachable.
+    Millis RetryDelay{500};
   };
-  /// The newest view; thread-safe.
+  /// Returns the newest view; thread-safe.
   using ViewSource = std::function<std::shared_ptr<const View>()>;
 
   KeyWitnesses(boost::asio::any_io_executor Executor, Settings Setup,
@@ -37,28 +38,30 @@
 
   IdempotencyKeys &keys() { return Keys; }
 
-  /// Lets the key's witnesses know before it runs here, and adds those that
-  /// hold it to `Reserved`. Failures: what a witness knows of the key, or
-  /// `Unavailable`, `NotRun`, when one cannot be asked.
-  boost::asio::awaitable<Outcome<Done>> reserve(KeyRecord What,
+  /// Reserves the key at its witnesses before it runs here, and adds the
+  /// witnesses that hold it to `Reserved`. Failures: the refusal of a witness;
+  /// `Unavailable`, `NotRun`, if a witness is unreachable.
+  boost::asio::awaitable<Outcome<Done>> reserve(KeyRecord Record,
                                                 std::vector<Address> &Reserved);
-  /// Gives back what an attempt reserved that was never forwarded: else another
-  /// home of the key could only answer that it may have run. A witness that
-  /// does not hear of it keeps the key, which is safe.
-  boost::asio::awaitable<void> release(KeyRecord What,
+  /// Releases the reservations of an attempt that was never forwarded.
+  /// Otherwise, another home of the key could only answer that the request may
+  /// have run. A witness that misses the release keeps the reservation, which
+  /// is safe.
+  boost::asio::awaitable<void> release(KeyRecord Record,
                                        std::vector<Address> Reserved);
-  /// Tells the keys' witnesses among those that stay all that is remembered
-  /// here, and calls back when done or after `HandOverTimeout`.
+  /// Sends all remembered keys to those of their witnesses that take work.
+  /// Starts no request after `HandOverTimeout`, and calls back when all
+  /// requests have ended.
   void handOver(std::function<void()> Callback);
-  /// Answers another daemon.
-  void answer(const RequestAttempt &Ask, ResponseSink &Sink);
+  /// Handles the request of another daemon to reserve or release a key.
+  void handlePeerRequest(const RequestAttempt &Request, ResponseSink &Sink);
 
 private:
   struct HandOver;
-  boost::asio::awaitable<Outcome<Done>> tell(Address Where, KeyRecord What,
-                                             const char *Method);
-  boost::asio::awaitable<void> handOverKeys(std::shared_ptr<HandOver> Work);
-  bool hasLeft(const Member &Who) const;
+  boost::asio::awaitable<Outcome<Done>>
+  sendToWitness(Address Witness, KeyRecord Record, const char *Method);
+  boost::asio::awaitable<void> handOverKeys(std::shared_ptr<HandOver> Task);
+  bool hasLeft(const Member &Witness) const;
   const InstanceName &self() const { return Setup.Keys.Self.Instance; }
 
   const boost::asio::any_io_executor Executor;
--- a/Wasabi/Adapters/Proxy/ProcessSettings.cpp
+++ b/Wasabi/Adapters/Proxy/ProcessSettings.cpp
@@ -19,22 +19,22 @@
 
 Result<std::vector<Address>> parseAddresses(std::string_view Text,
                                             std::string_view Place) {
-  std::vector<Address> found;
+  std::vector<Address> addresses;
   while (!Text.empty()) {
     std::size_t comma = std::min(Text.find(','), Text.size());
-    BOOST_LEAF_AUTO(One, parseAddress(Text.substr(0, comma), Place));
-    found.push_back(std::move(One));
+    BOOST_LEAF_AUTO(Parsed, parseAddress(Text.substr(0, comma), Place));
+    addresses.push_back(std::move(Parsed));
     Text.remove_prefix(std::min(comma + 1, Text.size()));
   }
-  return found;
+  return addresses;
 }
 
 Result<ProcessSettings> parseProcessSettings(const ProcessFlags &Flags,
                                              Incarnation Life) {
   if (Flags.Instance.empty())
-    return badInput("--instance", "this instance needs a name");
+    return badInput("--instance", "an instance name is required");
   if (Flags.FailureDomain.empty())
-    return badInput("--failure_domain", "it needs a failure domain");
+    return badInput("--failure_domain", "a failure domain is required");
   ProcessSettings settings;
   settings.Instance = InstanceName(Flags.Instance);
   settings.Domain = DomainName(Flags.FailureDomain);
@@ -53,35 +53,35 @@
   return settings;
 }
 
-ControlPlane::Settings makeControlPlaneSettings(const ProcessSettings &From,
+ControlPlane::Settings makeControlPlaneSettings(const ProcessSettings &Process,
                                                 Role Kind, Address Requests,
                                                 Address Admin) {
   ControlPlane::Settings settings;
-  settings.Instance = From.Instance;
-  settings.Domain = From.Domain;
+  settings.Instance = Process.Instance;
+  settings.Domain = Process.Domain;
   settings.Kind = Kind;
-  settings.Listen = From.Control;
-  settings.Advertise = From.AdvertiseControl;
+  settings.Listen = Process.Control;
+  settings.Advertise = Process.AdvertiseControl;
   settings.Requests = std::move(Requests);
   settings.Admin = std::move(Admin);
-  settings.Log = From.Log;
-  settings.Instances = From.Instances;
-  settings.Seeds = From.Seeds;
-  settings.Seed = From.Seed;
+  settings.Log = Process.Log;
+  settings.Instances = Process.Instances;
+  settings.Seeds = Process.Seeds;
+  settings.Seed = Process.Seed;
   return settings;
 }
 
-std::string statusJson(const ProcessStatus &What) {
+std::string encodeProcessStatus(const ProcessStatus &Status) {
   boost::json::object status;
-  status["instance"] = What.Settings.Instance.Text;
-  status["failure_domain"] = What.Settings.Domain.Text;
-  status["role"] = What.Kind == Role::Entry ? "entry" : "daemon";
-  status["incarnation"] = What.Settings.Life;
-  status["ready"] = What.Ready;
-  status["leaving"] = What.Leaving;
-  status["in_flight"] = What.InFlight;
-  status["next"] = What.Next;
-  status["config_revision"] = What.ConfigRevision;
+  status["instance"] = Status.Settings.Instance.Text;
+  status["failure_domain"] = Status.Settings.Domain.Text;
+  status["role"] = Status.Kind == Role::Entry ? "entry" : "daemon";
+  status["incarnation"] = Status.Settings.Life;
+  status["ready"] = Status.Ready;
+  status["leaving"] = Status.Leaving;
+  status["in_flight"] = Status.InFlight;
+  status["next"] = Status.Next;
+  status["config_revision"] = Status.ConfigRevision;
   return boost::json::serialize(status);
 }
 
--- a/Wasabi/Adapters/Proxy/ProcessSettings.h
+++ b/Wasabi/Adapters/Proxy/ProcessSettings.h
@@ -1,5 +1,5 @@
 /// \file
-/// Settings that entries and daemons share, and what both announce at start.
+/// Settings that entries and daemons share, and their status as JSON.
 #ifndef WASABI_ADAPTERS_PROXY_PROCESSSETTINGS_H
 #define WASABI_ADAPTERS_PROXY_PROCESSSETTINGS_H
 
@@ -15,7 +15,7 @@
 
 namespace wasabi {
 
-/// The shared flags as given. An immutable value.
+/// Unparsed values of the shared flags. An immutable value.
 struct ProcessFlags {
   std::string Instance;
   std::string FailureDomain;
@@ -27,7 +27,7 @@
   std::string Seeds;
 };
 
-/// The shared flags as read.
+/// Parsed and checked values of the shared flags.
 struct ProcessSettings {
   InstanceName Instance;
   DomainName Domain;
@@ -38,29 +38,31 @@
   Address Log;
   Address Instances;
   std::vector<Address> Seeds;
-  /// Seed of the process' random choices, from its name and life.
+  /// Seed of the process's random choices, derived from its name and
+  /// incarnation.
   std::uint64_t Seed = 1;
 };
 
-/// Reads an address that may be left out. Errors: `BadInput`.
+/// Parses an address; empty text gives an empty address. Errors: `BadInput`.
 Result<Address> parseOptionalAddress(std::string_view Text,
                                      std::string_view Place);
 
-/// Reads `IP:PORT,IP:PORT`. Errors: `BadInput`.
+/// Parses `IP:PORT,IP:PORT`. Errors: `BadInput`.
 Result<std::vector<Address>> parseAddresses(std::string_view Text,
                                             std::string_view Place);
 
-/// Reads and checks the shared flags; `Life` is this start. Errors: `BadInput`
-/// naming the flag.
+/// Parses and checks the shared flags; `Life` is the incarnation of this
+/// process. Errors: `BadInput` naming the flag.
 Result<ProcessSettings> parseProcessSettings(const ProcessFlags &Flags,
                                              Incarnation Life);
 
-/// The control plane's settings of a process with these addresses.
-ControlPlane::Settings makeControlPlaneSettings(const ProcessSettings &From,
+/// Returns the control plane settings of a process. `Requests` and `Admin` are
+/// the addresses that the process announces.
+ControlPlane::Settings makeControlPlaneSettings(const ProcessSettings &Process,
                                                 Role Kind, Address Requests,
                                                 Address Admin);
 
-/// A JSON object for `/status` of what every process tells.
+/// Status common to entries and daemons.
 struct ProcessStatus {
   ProcessSettings Settings;
   Role Kind = Role::Daemon;
@@ -70,9 +72,10 @@
   Offset Next = 0;
   Offset ConfigRevision = 0;
 };
-std::string statusJson(const ProcessStatus &What);
+/// Returns the common status as a JSON object for `/status`.
+std::string encodeProcessStatus(const ProcessStatus &Status);
 
-/// A JSON object for `/status` of a daemon's servers and their load.
+/// Returns the load of a daemon's servers as a JSON object for `/status`.
 std::string encodeServerLoads(const std::vector<ReportedLoad> &Loads);
 
 } // namespace wasabi
--- a/Wasabi/Adapters/Proxy/ProxyHeaders.cpp
+++ b/Wasabi/Adapters/Proxy/ProxyHeaders.cpp
@@ -6,20 +6,21 @@
 namespace wasabi {
 namespace {
 
-constexpr std::array<std::string_view, 10> HopHeaders = {
+constexpr std::array<std::string_view, 10> HopByHopHeaders = {
     "connection", "keep-alive", "proxy-connection", "transfer-encoding", "te",
     "trailer",    "upgrade",    "expect",           "content-length",    "host",
 };
 
-char lower(char Letter) {
-  return Letter >= 'A' && Letter <= 'Z' ? static_cast<char>(Letter - 'A' + 'a')
-                                        : Letter;
+char toLower(char Character) {
+  return Character >= 'A' && Character <= 'Z'
+             ? static_cast<char>(Character - 'A' + 'a')
+             : Character;
 }
 
-bool isSameHeaderName(std::string_view One, std::string_view Other) {
-  return One.size() == Other.size() &&
-         std::equal(One.begin(), One.end(), Other.begin(),
-                    [](char A, char B) { return lower(A) == lower(B); });
+bool isSameHeaderName(std::string_view Left, std::string_view Right) {
+  return Left.size() == Right.size() &&
+         std::equal(Left.begin(), Left.end(), Right.begin(),
+                    [](char A, char B) { return toLower(A) == toLower(B); });
 }
 
 } // namespace
@@ -33,7 +34,7 @@
 void removeHopByHopHeaders(std::vector<http::Header> &Headers) {
   std::erase_if(Headers, [](const http::Header &Field) {
     return std::any_of(
-        HopHeaders.begin(), HopHeaders.end(),
+        HopByHopHeaders.begin(), HopByHopHeaders.end(),
         [&](std::string_view it) { return isSameHeaderName(Field.Name, it); });
   });
 }
--- a/Wasabi/Adapters/Proxy/ProxyHeaders.h
+++ b/Wasabi/Adapters/Proxy/ProxyHeaders.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which header fields cross a proxy. Pure.
+/// Removes header fields that a proxy must not forward. Pure.
 #ifndef WASABI_ADAPTERS_PROXY_PROXYHEADERS_H
 #define WASABI_ADAPTERS_PROXY_PROXYHEADERS_H
 
@@ -10,11 +10,11 @@
 
 namespace wasabi {
 
-/// Takes out what holds for one connection only (RFC 9110, 7.6.1), and what
-/// the next connection frames anew: length, host, expectations.
+/// Removes hop-by-hop fields (RFC 9110, 7.6.1) and fields that the next
+/// connection sets itself: length, host and expectations.
 void removeHopByHopHeaders(std::vector<http::Header> &Headers);
 
-/// Takes out every field of this name, compared without case.
+/// Removes all fields with this name, ignoring case.
 void removeHeader(std::vector<http::Header> &Headers, std::string_view Name);
 
 } // namespace wasabi
--- a/Wasabi/Adapters/Proxy/UpstreamExchange.cpp
+++ b/Wasabi/Adapters/Proxy/UpstreamExchange.cpp
@@ -16,83 +16,86 @@
 namespace asio = boost::asio;
 
 constexpr unsigned StatusUnavailable = 503;
-constexpr Millis EngineRetryAfter{1000};
+constexpr Millis DefaultRetryAfter{1000};
 
-Millis leftOf(TimePoint Until) {
-  return std::max(std::chrono::ceil<Millis>(Until - monotonicNow()), Millis(0));
+Millis timeLeft(TimePoint Deadline) {
+  return std::max(std::chrono::ceil<Millis>(Deadline - monotonicNow()),
+                  Millis(0));
 }
 
-Millis retryAfterOf(const http::Response &Head) {
+Millis parseRetryAfter(const http::Response &Head) {
   std::string_view text = Head.header("Retry-After");
   std::int64_t seconds = 0;
   std::from_chars_result read =
       std::from_chars(text.data(), text.data() + text.size(), seconds);
   if (text.empty() || read.ec != std::errc() || seconds <= 0)
-    return EngineRetryAfter;
+    return DefaultRetryAfter;
   return std::chrono::seconds(seconds);
 }
 
 } // namespace
 
-void UpstreamExchange::breakOff(Failure Why) {
-  if (Broken)
+void UpstreamExchange::cancel(Failure Why) {
+  if (CancelReason)
     return;
-  Broken = std::move(Why);
-  if (Reading)
-    Reading->cancel();
+  CancelReason = std::move(Why);
+  if (ActiveStream)
+    ActiveStream->cancel();
   else
-    Cancel.emit(asio::cancellation_type::terminal);
+    CancelSignal.emit(asio::cancellation_type::terminal);
 }
 
 Failure UpstreamExchange::makeExchangeFailure(Failure Why) const {
-  if (!Broken)
+  if (!CancelReason)
     return Why;
-  Failure told = *Broken;
-  // What is known of the run outweighs what broke it.
-  told.Run = Why.Run;
-  return told;
+  Failure failure = *CancelReason;
+  // The verdict of the exchange itself takes precedence.
+  failure.Run = Why.Run;
+  return failure;
 }
 
-asio::awaitable<UpstreamExchange::Opened>
-UpstreamExchange::open(const Ask &What) {
-  std::optional<Opened> opened;
-  // A coroutine of its own, so that it can be cancelled while the server is
-  // silent; its connection is then closed, which tells the server.
+asio::awaitable<UpstreamExchange::OpenResult>
+UpstreamExchange::open(const ExchangeRequest &Request) {
+  std::optional<OpenResult> opened;
+  // Runs as a separate coroutine so that it can be cancelled while the server
+  // is silent. Cancelling closes the connection.
   co_await asio::co_spawn(
       Executor,
-      [this, &What, &opened]() -> asio::awaitable<void> {
-        http::Request ask = What.Http;
-        Opened got = co_await Client->open(What.Where, std::move(ask),
-                                           leftOf(What.Until));
-        opened.emplace(std::move(got));
+      [this, &Request, &opened]() -> asio::awaitable<void> {
+        http::Request request = Request.Http;
+        OpenResult result = co_await Client->open(
+            Request.Where, std::move(request), timeLeft(Request.Deadline));
+        opened.emplace(std::move(result));
       },
-      asio::bind_cancellation_slot(Cancel.slot(),
+      asio::bind_cancellation_slot(CancelSignal.slot(),
                                    asio::as_tuple(asio::use_awaitable)));
   if (!opened)
     co_return Failure{Verdict::MayHaveRun,
                       FailureCode::Cancelled,
-                      What.Server.Text,
-                      "broken off before its answer",
+                      Request.Server.Text,
+                      "cancelled before the response",
                       {}};
   co_return std::move(*opened);
 }
 
 asio::awaitable<Outcome<Done>>
-UpstreamExchange::run(Ask What, std::shared_ptr<ResponseSink> Sink) {
-  Opened opened = co_await open(What);
+UpstreamExchange::run(ExchangeRequest Request,
+                      std::shared_ptr<ResponseSink> Sink) {
+  OpenResult opened = co_await open(Request);
   if (!opened)
     co_return makeExchangeFailure(opened.failure());
   std::unique_ptr<http::ResponseStream> stream = *std::move(opened);
   const http::Response &head = stream->head();
-  if (What.Engine && head.Status == StatusUnavailable)
+  if (Request.Engine && head.Status == StatusUnavailable)
     co_return Failure{Verdict::NotRun, FailureCode::Overloaded,
-                      What.Server.Text, "the engine refused it",
-                      retryAfterOf(head)};
-  Reading = stream.get();
-  if (Broken)
-    Reading->cancel();
-  Outcome<Done> end = co_await relay(What, *stream, Sink);
-  Reading = nullptr;
+                      Request.Server.Text,
+                      "the engine refused the request with status 503",
+                      parseRetryAfter(head)};
+  ActiveStream = stream.get();
+  if (CancelReason)
+    ActiveStream->cancel();
+  Outcome<Done> end = co_await relay(Request, *stream, Sink);
+  ActiveStream = nullptr;
   if (!end) {
     Failure why = end.failure();
     why.Run = Verdict::Ran;
@@ -102,27 +105,30 @@
 }
 
 asio::awaitable<Outcome<Done>>
-UpstreamExchange::relay(const Ask &What, http::ResponseStream &From,
+UpstreamExchange::relay(const ExchangeRequest &Request,
+                        http::ResponseStream &Stream,
                         std::shared_ptr<ResponseSink> Sink) {
-  http::Response head = From.head();
+  http::Response head = Stream.head();
   removeHopByHopHeaders(head.Headers);
-  if (What.MaxCopyBytes > 0)
-    Kept = head;
-  Sink->begin(std::move(head), What.Server);
+  if (Request.MaxCopyBytes > 0)
+    ResponseCopy = head;
+  Sink->begin(std::move(head), Request.Server);
   for (;;) {
-    Outcome<std::optional<std::string>> piece =
-        co_await From.next(leftOf(What.Until));
-    if (!piece)
-      co_return piece.failure();
-    if (!piece->has_value())
+    Outcome<std::optional<std::string>> chunk =
+        co_await Stream.next(timeLeft(Request.Deadline));
+    if (!chunk)
+      co_return chunk.failure();
+    if (!chunk->has_value())
       co_return Done{};
-    // One byte too many is kept, so that the copy is seen to be cut short.
-    if (Kept.Body.size() <= What.MaxCopyBytes && What.MaxCopyBytes > 0)
-      Kept.Body += **piece;
-    if (Sink->gone() && What.MaxCopyBytes > 0)
+    // Lets the copy exceed the limit so that an incomplete copy can be
+    // detected.
+    if (ResponseCopy.Body.size() <= Request.MaxCopyBytes &&
+        Request.MaxCopyBytes > 0)
+      ResponseCopy.Body += **chunk;
+    if (Sink->gone() && Request.MaxCopyBytes > 0)
       continue;
-    Outcome<Done> written = co_await Sink->write(**std::move(piece));
-    if (!written && What.MaxCopyBytes == 0)
+    Outcome<Done> written = co_await Sink->write(**std::move(chunk));
+    if (!written && Request.MaxCopyBytes == 0)
       co_return written;
   }
 }
--- a/Wasabi/Adapters/Proxy/UpstreamExchange.h
+++ b/Wasabi/Adapters/Proxy/UpstreamExchange.h
@@ -1,5 +1,5 @@
 /// \file
-/// Gives one admitted attempt to its server, once, and relays the answer.
+/// Forwards one admitted attempt to its server and relays the response.
 #ifndef WASABI_ADAPTERS_PROXY_UPSTREAMEXCHANGE_H
 #define WASABI_ADAPTERS_PROXY_UPSTREAMEXCHANGE_H
 
@@ -15,8 +15,8 @@
 
 namespace wasabi {
 
-/// One exchange with a server, which can be broken off from outside. Not
-/// thread-safe: use on the executor's thread.
+/// One cancellable HTTP exchange with a server. Not thread-safe: use on the
+/// executor's thread.
 class UpstreamExchange {
 public:
   UpstreamExchange(boost::asio::any_io_executor Executor,
@@ -25,42 +25,45 @@
   UpstreamExchange(const UpstreamExchange &) = delete;
   UpstreamExchange &operator=(const UpstreamExchange &) = delete;
 
-  struct Ask {
+  struct ExchangeRequest {
     Address Where;
     http::Request Http;
     ServerName Server;
-    TimePoint Until;
-    /// An engine's 503 says that it did not run.
+    TimePoint Deadline;
+    /// True if the server is an engine, whose status 503 proves that the
+    /// request did not run.
     bool Engine = false;
-    /// Read to the end even when the asker is gone, and keep a copy of the
-    /// answer up to this many bytes; 0 for neither.
+    /// Maximum size of the response copy in bytes; 0 keeps no copy. With a
+    /// copy, the response is read to its end even if the requester has
+    /// disconnected.
     std::size_t MaxCopyBytes = 0;
   };
 
-  /// Sends the request and relays the answer into `Sink`, without its end.
-  /// The verdict of a failure says how far it came.
-  boost::asio::awaitable<Outcome<Done>> run(Ask What,
+  /// Sends the request and relays the response to `Sink`; the caller ends or
+  /// fails `Sink`. The verdict of a failure tells how far the request got.
+  boost::asio::awaitable<Outcome<Done>> run(ExchangeRequest Request,
                                             std::shared_ptr<ResponseSink> Sink);
-  /// Closes the exchange with this reason; `run` then fails with it, except
-  /// that nothing sent yet is `NotRun`.
-  void breakOff(Failure Why);
-  /// The answer kept, when one was wanted.
-  const http::Response &kept() const { return Kept; }
+  /// Cancels the exchange; `run` then fails with this reason. The verdict still
+  /// follows from how far the request got.
+  void cancel(Failure Why);
+  /// Returns the copied response, if `MaxCopyBytes` is not 0. The body exceeds
+  /// `MaxCopyBytes` if the copy is incomplete.
+  const http::Response &responseCopy() const { return ResponseCopy; }
 
 private:
-  using Opened = Outcome<std::unique_ptr<http::ResponseStream>>;
-  boost::asio::awaitable<Opened> open(const Ask &What);
+  using OpenResult = Outcome<std::unique_ptr<http::ResponseStream>>;
+  boost::asio::awaitable<OpenResult> open(const ExchangeRequest &Request);
   boost::asio::awaitable<Outcome<Done>>
-  relay(const Ask &What, http::ResponseStream &From,
+  relay(const ExchangeRequest &Request, http::ResponseStream &Stream,
         std::shared_ptr<ResponseSink> Sink);
   Failure makeExchangeFailure(Failure Why) const;
 
   boost::asio::any_io_executor Executor;
   std::shared_ptr<http::Client> Client;
-  boost::asio::cancellation_signal Cancel;
-  http::ResponseStream *Reading = nullptr;
-  std::optional<Failure> Broken;
-  http::Response Kept;
+  boost::asio::cancellation_signal CancelSignal;
+  http::ResponseStream *ActiveStream = nullptr;
+  std::optional<Failure> CancelReason;
+  http::Response ResponseCopy;
 };
 
 } // namespace wasabi
--- a/Wasabi/Replay/Check.cpp
+++ b/Wasabi/Replay/Check.cpp
@@ -7,23 +7,23 @@
 
 namespace {
 
-/// Most causes shown; the latest are nearest to what broke.
-constexpr std::size_t MaxCauses = 40;
+/// Maximum number of related events shown; the latest ones are kept.
+constexpr std::size_t MaxRelatedEvents = 40;
 
-bool matches(const TimelineEvent &what, const ExpectedEvent &expected) {
-  if (what.Kind != expected.Kind)
+bool matches(const TimelineEvent &event, const ExpectedEvent &expected) {
+  if (event.Kind != expected.Kind)
     return false;
   for (const EventField &it : expected.Fields) {
-    if (what.field(it.Key) != it.Value)
+    if (event.field(it.Key) != it.Value)
       return false;
   }
   return true;
 }
 
-std::optional<RuleViolation> checkExpected(const Trace &from,
+std::optional<RuleViolation> checkExpected(const Trace &trace,
                                            const ExpectedEvent &expected) {
   std::uint64_t found = 0;
-  for (const TimelineEvent &it : from.Events)
+  for (const TimelineEvent &it : trace.Events)
     found += matches(it, expected) ? 1 : 0;
   if (found >= expected.MinCount)
     return std::nullopt;
@@ -34,19 +34,20 @@
   return RuleViolation{reason, {}};
 }
 
-/// The fields by which one event leads to another.
-bool linksEvents(const EventField &what) {
+/// Returns true for a non-empty field that relates events to each other.
+bool linksEvents(const EventField &field) {
   static constexpr std::string_view Keys[] = {
       "request", "slot", "key", "resource", "member", "delivery", "server"};
-  return !what.Value.empty() && std::find(std::begin(Keys), std::end(Keys),
-                                          what.Key) != std::end(Keys);
+  return !field.Value.empty() && std::find(std::begin(Keys), std::end(Keys),
+                                           field.Key) != std::end(Keys);
 }
 
-std::set<std::string> linksOf(const Trace &from, const RuleViolation &what) {
+std::set<std::string> findLinks(const Trace &trace,
+                                const RuleViolation &violation) {
   std::set<std::string> links;
-  for (const std::size_t at : what.Events) {
-    for (const EventField &it : from.Events[at].Fields) {
-      // A server is in most events: it only leads on where nothing else does.
+  for (const std::size_t index : violation.Events) {
+    for (const EventField &it : trace.Events[index].Fields) {
+      // Ignores the server, which most events name.
       if (linksEvents(it) && it.Key != "server")
         links.insert(it.Key + "=" + it.Value);
     }
@@ -54,66 +55,72 @@
   return links;
 }
 
-bool isLinked(const TimelineEvent &what, const std::set<std::string> &links) {
-  for (const EventField &it : what.Fields) {
+bool isLinked(const TimelineEvent &event, const std::set<std::string> &links) {
+  for (const EventField &it : event.Fields) {
     if (linksEvents(it) && links.count(it.Key + "=" + it.Value) != 0)
       return true;
   }
   return false;
 }
 
-std::vector<std::size_t> findCauses(const Trace &from,
-                                    const RuleViolation &what) {
-  if (what.Events.empty())
+std::vector<std::size_t> findRelatedEvents(const Trace &trace,
+                                           const RuleViolation &violation) {
+  if (violation.Events.empty())
     return {};
-  const std::set<std::string> links = linksOf(from, what);
-  std::vector<std::size_t> causes;
-  for (std::size_t at = 0; at < what.Events.back(); ++at) {
-    const bool isOwn = std::find(what.Events.begin(), what.Events.end(), at) !=
-                       what.Events.end();
-    if (!isOwn && isLinked(from.Events[at], links))
-      causes.push_back(at);
+  const std::set<std::string> links = findLinks(trace, violation);
+  std::vector<std::size_t> relatedEvents;
+  for (std::size_t index = 0; index < violation.Events.back(); ++index) {
+    const bool isOwn =
+        std::find(violation.Events.begin(), violation.Events.end(), index) !=
+        violation.Events.end();
+    if (!isOwn && isLinked(trace.Events[index], links))
+      relatedEvents.push_back(index);
   }
-  if (causes.size() > MaxCauses)
-    causes.erase(causes.begin(),
-                 causes.end() - static_cast<std::ptrdiff_t>(MaxCauses));
-  return causes;
+  if (relatedEvents.size() > MaxRelatedEvents)
+    relatedEvents.erase(relatedEvents.begin(),
+                        relatedEvents.end() -
+                            static_cast<std::ptrdiff_t>(MaxRelatedEvents));
+  return relatedEvents;
 }
 
-std::string listEvents(const Trace &from, std::string_view title,
+std::string listEvents(const Trace &trace, std::string_view title,
                        const std::vector<std::size_t> &events) {
   std::string text;
   if (!events.empty())
     text += "  " + std::string(title) + ":\n";
   for (const std::size_t it : events)
-    text += "    " + describeEvent(from.Events[it]) + "\n";
+    text += "    " + describeEvent(trace.Events[it]) + "\n";
   return text;
 }
 
 } // namespace
 
-std::optional<TraceViolation> check(const Trace &From,
-                                    const TraceExpectations &Against) {
+std::optional<TraceViolation> check(const Trace &Input,
+                                    const TraceExpectations &Expectations) {
   std::optional<TraceViolation> first;
-  for (const std::string &it : Against.Rules) {
-    std::optional<RuleViolation> found = findRule(it)(From, Against.Limits);
-    if (found && (!first || found->Events.back() < first->What.Events.back()))
+  for (const std::string &it : Expectations.Rules) {
+    std::optional<RuleViolation> found =
+        findRule(it)(Input, Expectations.Limits);
+    if (found &&
+        (!first || found->Events.back() < first->Details.Events.back()))
       first = TraceViolation{it, std::move(*found), {}};
   }
-  for (const ExpectedEvent &it : Against.Expect) {
-    std::optional<RuleViolation> found = checkExpected(From, it);
+  for (const ExpectedEvent &it : Expectations.Events) {
+    std::optional<RuleViolation> found = checkExpected(Input, it);
     if (found && !first)
       first = TraceViolation{"expect", std::move(*found), {}};
   }
   if (first)
-    first->RelatedEvents = findCauses(From, first->What);
+    first->RelatedEvents = findRelatedEvents(Input, first->Details);
   return first;
 }
 
-std::string describeViolation(const Trace &From, const TraceViolation &Broken) {
-  std::string text = "broken: " + Broken.Rule + ": " + Broken.What.Reason;
-  text += "\n" + listEvents(From, "events", Broken.What.Events);
-  text += listEvents(From, "causes", Broken.RelatedEvents);
+std::string describeViolation(const Trace &Input,
+                              const TraceViolation &Violation) {
+  std::string text =
+      "broken: " + Violation.Rule + ": " + Violation.Details.Reason;
+  text += "\n" + listEvents(Input, "events", Violation.Details.Events);
+  text += listEvents(Input, "causes", Violation.RelatedEvents);
   return text;
 }
 
--- a/Wasabi/Replay/Check.h
+++ b/Wasabi/Replay/Check.h
@@ -1,5 +1,5 @@
 /// \file
-/// Holds a trace against its stated outcomes.
+/// Checks a trace against its expected outcomes.
 #ifndef WASABI_REPLAY_CHECK_H
 #define WASABI_REPLAY_CHECK_H
 
@@ -13,23 +13,25 @@
 
 namespace wasabi::replay {
 
-/// The first outcome that a trace breaks. An immutable value.
+/// The first outcome that a trace violates. An immutable value.
 struct TraceViolation {
-  /// The rule's name, or `expect`.
+  /// Name of the rule, or `expect`.
   std::string Rule;
-  RuleViolation What;
-  /// Earlier events about the same requests, slots, offsets or resources.
+  RuleViolation Details;
+  /// Positions of earlier events about the same request, slot, key, resource,
+  /// member or delivery.
   std::vector<std::size_t> RelatedEvents;
   bool operator==(const TraceViolation &) const = default;
 };
 
-/// The broken outcome whose deciding event comes first in the trace; absent
+/// Returns the violation whose deciding event comes first in the trace; missing
 /// expected events come last. Pure, thread-safe.
-std::optional<TraceViolation> check(const Trace &From,
-                                    const TraceExpectations &Against);
+std::optional<TraceViolation> check(const Trace &Input,
+                                    const TraceExpectations &Expectations);
 
-/// A broken outcome for a person, several lines. Pure, thread-safe.
-std::string describeViolation(const Trace &From, const TraceViolation &Broken);
+/// Describes a violation in several lines of text. Pure, thread-safe.
+std::string describeViolation(const Trace &Input,
+                              const TraceViolation &Violation);
 
 } // namespace wasabi::replay
 
--- a/Wasabi/Replay/ConfigRules.cpp
+++ b/Wasabi/Replay/ConfigRules.cpp
@@ -7,52 +7,56 @@
 
 namespace {
 
-/// The last change in force by instance, and the first by offset.
-struct ConfigSeen {
+/// Positions of the last change in force by instance, and of the first by
+/// offset.
+struct ConfigHistory {
   std::unordered_map<std::string, std::size_t> Last;
   std::unordered_map<std::uint64_t, std::size_t> ByOffset;
 };
 
-std::optional<RuleViolation> checkInForce(const Trace &from, ConfigSeen &seen,
-                                          std::size_t at) {
-  const TimelineEvent &what = from.Events[at];
-  const std::optional<std::uint64_t> offset = readNumber(what.field("offset"));
+std::optional<RuleViolation> checkConfigEvent(const Trace &trace,
+                                              ConfigHistory &history,
+                                              std::size_t index) {
+  const TimelineEvent &event = trace.Events[index];
+  const std::optional<std::uint64_t> offset =
+      parseDecimal(event.field("offset"));
   if (!offset)
-    return RuleViolation{"a change in force names no offset", {at}};
-  // One process only moves forward.
-  const auto last = seen.Last.find(what.Instance);
-  if (last != seen.Last.end() &&
-      *offset < readNumber(from.Events[last->second].field("offset")))
-    return RuleViolation{what.Instance + " went back to offset " +
+    return RuleViolation{"config.in_force has no valid offset", {index}};
+  // Within one process, offsets only grow.
+  const auto last = history.Last.find(event.Instance);
+  if (last != history.Last.end() &&
+      *offset < parseDecimal(trace.Events[last->second].field("offset")))
+    return RuleViolation{event.Instance + " reverted to offset " +
                              std::to_string(*offset),
-                         {last->second, at}};
-  seen.Last[what.Instance] = at;
-  // One offset is one configuration, in whichever process.
-  const auto [first, isFirst] = seen.ByOffset.emplace(*offset, at);
+                         {last->second, index}};
+  history.Last[event.Instance] = index;
+  // An offset has the same preset in all processes.
+  const auto [first, isFirst] = history.ByOffset.emplace(*offset, index);
   if (!isFirst &&
-      from.Events[first->second].field("preset") != what.field("preset"))
+      trace.Events[first->second].field("preset") != event.field("preset"))
     return RuleViolation{"offset " + std::to_string(*offset) +
-                             " put two presets in force",
-                         {first->second, at}};
+                             " put two different presets in force",
+                         {first->second, index}};
   return std::nullopt;
 }
 
 } // namespace
 
-std::optional<RuleViolation> checkConfigNeverReverts(const Trace &From,
+std::optional<RuleViolation> checkConfigNeverReverts(const Trace &Input,
                                                      const Bounds &) {
-  ConfigSeen seen;
-  for (std::size_t at = 0; at < From.Events.size(); ++at) {
-    const TimelineEvent &what = From.Events[at];
-    if (what.Kind == "fold.diverged")
-      return RuleViolation{what.Instance + " holds another state than the log",
-                           {at}};
-    // A new process catches up from the beginning.
-    if (what.Kind == "process.start")
-      seen.Last.erase(what.Instance);
-    if (what.Kind != "config.in_force")
+  ConfigHistory history;
+  for (std::size_t index = 0; index < Input.Events.size(); ++index) {
+    const TimelineEvent &event = Input.Events[index];
+    if (event.Kind == "fold.diverged")
+      return RuleViolation{
+          event.Instance + " holds a state that differs from the log", {index}};
+    // A restarted process catches up from the start.
+    if (event.Kind == "process.start")
+      history.Last.erase(event.Instance);
+    if (event.Kind != "config.in_force")
       continue;
-    std::optional<RuleViolation> found = checkInForce(From, seen, at);
+    std::optional<RuleViolation> found =
+        checkConfigEvent(Input, history, index);
     if (found)
       return found;
   }
--- a/Wasabi/Replay/EventReader.h
+++ b/Wasabi/Replay/EventReader.h
@@ -1,5 +1,5 @@
 /// \file
-/// Reads one event of a recorded time line from its JSON line.
+/// Parses one event of a recorded timeline from its JSON line.
 #ifndef WASABI_REPLAY_EVENTREADER_H
 #define WASABI_REPLAY_EVENTREADER_H
 
@@ -10,7 +10,7 @@
 
 namespace wasabi::replay {
 
-/// Reads `{"wall":…,"count":…,"seq":…,"instance":…,"kind":…,"fields":{…}}`.
+/// Parses `{"wall":…,"count":…,"seq":…,"instance":…,"kind":…,"fields":{…}}`.
 /// Errors: `BadInput` at `Place` naming the member. Thread-safe.
 Result<TimelineEvent> readEvent(std::string_view Line, std::string_view Place);
 
--- a/Wasabi/Replay/Forwards.cpp
+++ b/Wasabi/Replay/Forwards.cpp
@@ -4,31 +4,32 @@
 
 namespace {
 
-/// Notes the end of the forward that it belongs to: same attempt and daemon.
-void noteEnd(const Trace &from, std::vector<Forward> &forwards,
-             std::size_t at) {
-  const TimelineEvent &end = from.Events[at];
-  for (Forward &it : forwards) {
-    const TimelineEvent &begun = from.Events[it.At];
-    if (begun.Instance != end.Instance ||
-        begun.field("attempt") != end.field("attempt"))
+/// Records the end of the forwarded attempt with the same attempt number and
+/// daemon.
+void recordEnd(const Trace &trace, std::vector<ForwardedAttempt> &forwards,
+               std::size_t index) {
+  const TimelineEvent &end = trace.Events[index];
+  for (ForwardedAttempt &it : forwards) {
+    const TimelineEvent &start = trace.Events[it.At];
+    if (start.Instance != end.Instance ||
+        start.field("attempt") != end.field("attempt"))
       continue;
-    it.End = at;
+    it.End = index;
     it.ProvedNotRun = end.field("verdict") == "not-run";
   }
 }
 
 } // namespace
 
-ForwardsByRequest findForwards(const Trace &From) {
+ForwardsByRequest findForwards(const Trace &Input) {
   ForwardsByRequest found;
-  for (std::size_t at = 0; at < From.Events.size(); ++at) {
-    const TimelineEvent &what = From.Events[at];
-    if (what.Kind == "attempt.forward")
-      found[std::string(what.field("request"))].push_back(
-          Forward{at, std::nullopt, false});
-    else if (what.Kind == "attempt.end")
-      noteEnd(From, found[std::string(what.field("request"))], at);
+  for (std::size_t index = 0; index < Input.Events.size(); ++index) {
+    const TimelineEvent &event = Input.Events[index];
+    if (event.Kind == "attempt.forward")
+      found[std::string(event.field("request"))].push_back(
+          ForwardedAttempt{index, std::nullopt, false});
+    else if (event.Kind == "attempt.end")
+      recordEnd(Input, found[std::string(event.field("request"))], index);
   }
   return found;
 }
--- a/Wasabi/Replay/Forwards.h
+++ b/Wasabi/Replay/Forwards.h
@@ -1,5 +1,6 @@
 /// \file
-/// Which attempts of a trace went on to an upstream, and how they ended.
+/// Finds the attempts of a trace that were forwarded to an upstream, and how
+/// they ended.
 #ifndef WASABI_REPLAY_FORWARDS_H
 #define WASABI_REPLAY_FORWARDS_H
 
@@ -13,21 +14,22 @@
 
 namespace wasabi::replay {
 
-/// One attempt that a daemon forwarded.
-struct Forward {
+/// An attempt that a daemon forwarded.
+struct ForwardedAttempt {
   /// Position of `attempt.forward`.
   std::size_t At = 0;
   /// Position of its `attempt.end`.
   std::optional<std::size_t> End;
-  /// The end proves that the upstream did not run it.
+  /// True if the end proves that the upstream did not run the attempt.
   bool ProvedNotRun = false;
 };
 
-/// Forwards by request, in the order of the trace.
-using ForwardsByRequest = std::unordered_map<std::string, std::vector<Forward>>;
+/// Forwarded attempts by request, in the order of the trace.
+using ForwardsByRequest =
+    std::unordered_map<std::string, std::vector<ForwardedAttempt>>;
 
-/// Pure, thread-safe.
-ForwardsByRequest findForwards(const Trace &From);
+/// Returns the forwarded attempts of a trace. Pure, thread-safe.
+ForwardsByRequest findForwards(const Trace &Input);
 
 } // namespace wasabi::replay
 
--- a/Wasabi/Replay/Identity.h
+++ b/Wasabi/Replay/Identity.h
@@ -1,5 +1,5 @@
 /// \file
-/// What an event is about, as a key for look-ups.
+/// Lookup keys for the subject of an event.
 #ifndef WASABI_REPLAY_IDENTITY_H
 #define WASABI_REPLAY_IDENTITY_H
 
@@ -11,27 +11,27 @@
 
 namespace wasabi::replay {
 
-/// The values of some fields, joined so that different ones never look alike.
-/// Pure, thread-safe.
+/// Returns the values of the fields `Keys`, joined by line feeds. Pure,
+/// thread-safe.
 inline std::string
-joinFieldValues(const TimelineEvent &What,
+joinFieldValues(const TimelineEvent &Event,
                 std::initializer_list<std::string_view> Keys) {
   std::string joined;
   for (const std::string_view it : Keys) {
-    joined += What.field(it);
+    joined += Event.field(it);
     joined += '\n';
   }
   return joined;
 }
 
-/// Trainer and slot.
-inline std::string makeSlotKey(const TimelineEvent &What) {
-  return joinFieldValues(What, {"trainer", "slot"});
+/// Returns the key of a slot: trainer and slot.
+inline std::string makeSlotKey(const TimelineEvent &Event) {
+  return joinFieldValues(Event, {"trainer", "slot"});
 }
 
-/// Request and attempt.
-inline std::string makeAttemptKey(const TimelineEvent &What) {
-  return joinFieldValues(What, {"request", "attempt"});
+/// Returns the key of an attempt: request and attempt.
+inline std::string makeAttemptKey(const TimelineEvent &Event) {
+  return joinFieldValues(Event, {"request", "attempt"});
 }
 
 } // namespace wasabi::replay
--- a/Wasabi/Replay/IdleRule.cpp
+++ b/Wasabi/Replay/IdleRule.cpp
@@ -6,55 +6,60 @@
 
 namespace {
 
-/// One trainer's steps so far.
-struct Waiting {
-  std::uint64_t Begun = 0;
-  std::uint64_t Last = 0;
-  std::uint64_t Idle = 0;
-  /// Position of the open step's `step.open`.
-  std::optional<std::size_t> Open;
-  std::size_t LastWhole = 0;
+/// Accumulated waiting time of one trainer. Times are wall times in
+/// microseconds.
+struct TrainerWaits {
+  std::uint64_t FirstOpenedAt = 0;
+  std::uint64_t LastCompletedAt = 0;
+  std::uint64_t IdleMicros = 0;
+  /// Position of the `step.open` of the open step.
+  std::optional<std::size_t> OpenStep;
+  std::size_t LastCompleted = 0;
 };
 
-void follow(Waiting &trainer, const Trace &from, std::size_t at) {
-  const TimelineEvent &what = from.Events[at];
-  if (what.Kind == "step.open") {
-    if (trainer.Begun == 0)
-      trainer.Begun = what.At.Wall;
-    // A successor opens the same step again: the wait began with the first.
-    if (!trainer.Open)
-      trainer.Open = at;
+void applyStepEvent(TrainerWaits &trainer, const Trace &trace,
+                    std::size_t index) {
+  const TimelineEvent &event = trace.Events[index];
+  if (event.Kind == "step.open") {
+    if (trainer.FirstOpenedAt == 0)
+      trainer.FirstOpenedAt = event.At.Wall;
+    // A new owner may open the same step again; the wait began with the first
+    // event.
+    if (!trainer.OpenStep)
+      trainer.OpenStep = index;
     return;
   }
-  if (!trainer.Open)
+  if (!trainer.OpenStep)
     return;
-  trainer.Idle += what.At.Wall - from.Events[*trainer.Open].At.Wall;
-  trainer.Last = what.At.Wall;
-  trainer.LastWhole = at;
-  trainer.Open.reset();
+  trainer.IdleMicros += event.At.Wall - trace.Events[*trainer.OpenStep].At.Wall;
+  trainer.LastCompletedAt = event.At.Wall;
+  trainer.LastCompleted = index;
+  trainer.OpenStep.reset();
 }
 
 } // namespace
 
-std::optional<RuleViolation> checkIdleShare(const Trace &From,
+std::optional<RuleViolation> checkIdleShare(const Trace &Input,
                                             const Bounds &Limits) {
   if (!Limits.IdleShare)
     return std::nullopt;
-  std::map<std::string, Waiting> trainers;
-  for (std::size_t at = 0; at < From.Events.size(); ++at) {
-    const TimelineEvent &what = From.Events[at];
-    if (what.Kind == "step.open" || what.Kind == "step.whole")
-      follow(trainers[std::string(what.field("trainer"))], From, at);
+  std::map<std::string, TrainerWaits> trainers;
+  for (std::size_t index = 0; index < Input.Events.size(); ++index) {
+    const TimelineEvent &event = Input.Events[index];
+    if (event.Kind == "step.open" || event.Kind == "step.whole")
+      applyStepEvent(trainers[std::string(event.field("trainer"))], Input,
+                     index);
   }
   for (const auto &[name, it] : trainers) {
-    if (it.Last <= it.Begun)
+    if (it.LastCompletedAt <= it.FirstOpenedAt)
       continue;
     const double share =
-        static_cast<double>(it.Idle) / static_cast<double>(it.Last - it.Begun);
+        static_cast<double>(it.IdleMicros) /
+        static_cast<double>(it.LastCompletedAt - it.FirstOpenedAt);
     if (share > *Limits.IdleShare)
       return RuleViolation{"trainer " + name + " waited for samples " +
                                std::to_string(share) + " of its time",
-                           {it.LastWhole}};
+                           {it.LastCompleted}};
   }
   return std::nullopt;
 }
--- a/Wasabi/Replay/LabelReader.cpp
+++ b/Wasabi/Replay/LabelReader.cpp
@@ -7,23 +7,24 @@
 
 namespace {
 
-std::optional<std::uint32_t> readIndex(std::string_view text) {
-  const std::optional<std::uint64_t> number = readNumber(text);
+std::optional<std::uint32_t> parseIndex(std::string_view text) {
+  const std::optional<std::uint64_t> number = parseDecimal(text);
   if (!number || *number > std::numeric_limits<std::uint32_t>::max())
     return std::nullopt;
   return static_cast<std::uint32_t>(*number);
 }
 
-std::optional<VersionSpan> readSpan(std::string_view text) {
+std::optional<VersionSpan> parseSpan(std::string_view text) {
   const std::size_t dash = text.find('-');
-  const std::size_t at = text.find('@');
-  if (dash == std::string_view::npos || at == std::string_view::npos ||
-      at < dash)
+  const std::size_t atSign = text.find('@');
+  if (dash == std::string_view::npos || atSign == std::string_view::npos ||
+      atSign < dash)
     return std::nullopt;
-  const std::optional<std::uint32_t> from = readIndex(text.substr(0, dash));
+  const std::optional<std::uint32_t> from = parseIndex(text.substr(0, dash));
   const std::optional<std::uint32_t> to =
-      readIndex(text.substr(dash + 1, at - dash - 1));
-  const std::optional<std::uint64_t> version = readNumber(text.substr(at + 1));
+      parseIndex(text.substr(dash + 1, atSign - dash - 1));
+  const std::optional<std::uint64_t> version =
+      parseDecimal(text.substr(atSign + 1));
   if (!from || !to || !version)
     return std::nullopt;
   return VersionSpan{*from, *to, *version};
@@ -31,11 +32,12 @@
 
 } // namespace
 
-std::optional<std::uint64_t> readNumber(std::string_view Text) {
+std::optional<std::uint64_t> parseDecimal(std::string_view Text) {
   std::uint64_t number = 0;
   const char *end = Text.data() + Text.size();
-  const std::from_chars_result read = std::from_chars(Text.data(), end, number);
-  if (Text.empty() || read.ec != std::errc() || read.ptr != end)
+  const std::from_chars_result result =
+      std::from_chars(Text.data(), end, number);
+  if (Text.empty() || result.ec != std::errc() || result.ptr != end)
     return std::nullopt;
   return number;
 }
@@ -44,7 +46,7 @@
   Label label;
   while (true) {
     const std::size_t comma = Text.find(',');
-    const std::optional<VersionSpan> span = readSpan(Text.substr(0, comma));
+    const std::optional<VersionSpan> span = parseSpan(Text.substr(0, comma));
     if (!span)
       return std::nullopt;
     label.push_back(*span);
--- a/Wasabi/Replay/LabelReader.h
+++ b/Wasabi/Replay/LabelReader.h
@@ -1,5 +1,6 @@
 /// \file
-/// Reads what the time line writes: labels as `0-12@3,12-40@4`, and numbers.
+/// Parses labels such as `0-12@3,12-40@4`, and decimal numbers, as written in
+/// the timeline.
 #ifndef WASABI_REPLAY_LABELREADER_H
 #define WASABI_REPLAY_LABELREADER_H
 
@@ -11,12 +12,13 @@
 
 namespace wasabi::replay {
 
-/// Reads a label, the reverse of `toText(Label)`. Empty when it is malformed,
-/// or does not cover its tokens from the first on. Pure, thread-safe.
+/// Parses a label, the reverse of `toText(Label)`. Returns nothing if it is
+/// malformed or does not cover all tokens from the first on. Pure, thread-safe.
 std::optional<Label> readLabel(std::string_view Text);
 
-/// Reads a decimal number; empty for anything else. Pure, thread-safe.
-std::optional<std::uint64_t> readNumber(std::string_view Text);
+/// Parses a decimal number. Returns nothing for any other text. Pure,
+/// thread-safe.
+std::optional<std::uint64_t> parseDecimal(std::string_view Text);
 
 } // namespace wasabi::replay
 
--- a/Wasabi/Replay/LeavingRules.cpp
+++ b/Wasabi/Replay/LeavingRules.cpp
@@ -9,87 +9,87 @@
 
 namespace {
 
-/// Whose leaving an event tells of; empty for other events.
-std::string leavingInstance(const TimelineEvent &what) {
-  if (what.Kind == "process.leaving")
-    return what.Instance;
-  if (what.Kind == "member.leaving")
-    return std::string(what.field("member"));
+/// Returns the instance whose leaving an event reports; empty for other events.
+std::string leavingInstance(const TimelineEvent &event) {
+  if (event.Kind == "process.leaving")
+    return event.Instance;
+  if (event.Kind == "member.leaving")
+    return std::string(event.field("member"));
   return {};
 }
 
-/// Whether an event hands new work to an upstream: admission is where work
-/// enters; a forward without one enters there.
-bool takesNewWork(const TimelineEvent &what,
+/// Returns true if an event gives new work to an upstream: an admission, or a
+/// forward without an earlier admission.
+bool takesNewWork(const TimelineEvent &event,
                   const std::unordered_set<std::string> &admitted) {
-  if (what.Kind == "attempt.admit")
+  if (event.Kind == "attempt.admit")
     return true;
-  return what.Kind == "attempt.forward" &&
-         admitted.count(what.Instance + makeAttemptKey(what)) == 0;
+  return event.Kind == "attempt.forward" &&
+         admitted.count(event.Instance + makeAttemptKey(event)) == 0;
 }
 
-/// What a process has begun and not ended: position by identity.
+/// Positions of the start events of unfinished work, by identity.
 using OpenWork = std::unordered_map<std::string, std::size_t>;
 
-/// Follows one event of a process' work.
-void follow(OpenWork &open, const TimelineEvent &what, std::size_t at) {
-  if (what.Kind == "attempt.admit" || what.Kind == "attempt.forward")
-    open.emplace("attempt\n" + makeAttemptKey(what), at);
-  else if (what.Kind == "attempt.end" || what.Kind == "attempt.refuse")
-    open.erase("attempt\n" + makeAttemptKey(what));
-  else if (what.Kind == "request.received")
-    open.emplace("request\n" + joinFieldValues(what, {"request"}), at);
-  else if (what.Kind == "request.done")
-    open.erase("request\n" + joinFieldValues(what, {"request"}));
-  else if (what.Kind == "process.start")
+/// Updates the unfinished work of a process with one event.
+void trackWork(OpenWork &open, const TimelineEvent &event, std::size_t index) {
+  if (event.Kind == "attempt.admit" || event.Kind == "attempt.forward")
+    open.emplace("attempt\n" + makeAttemptKey(event), index);
+  else if (event.Kind == "attempt.end" || event.Kind == "attempt.refuse")
+    open.erase("attempt\n" + makeAttemptKey(event));
+  else if (event.Kind == "request.received")
+    open.emplace("request\n" + joinFieldValues(event, {"request"}), index);
+  else if (event.Kind == "request.done")
+    open.erase("request\n" + joinFieldValues(event, {"request"}));
+  else if (event.Kind == "process.start")
     open.clear();
 }
 
 } // namespace
 
-std::optional<RuleViolation> checkLeavingGetsNoNewWork(const Trace &From,
+std::optional<RuleViolation> checkLeavingGetsNoNewWork(const Trace &Input,
                                                        const Bounds &Limits) {
   const std::uint64_t grace =
       static_cast<std::uint64_t>(Micros(Limits.LeavingGracePeriod).count());
   std::unordered_map<std::string, std::size_t> leaving;
   std::unordered_set<std::string> admitted;
-  for (std::size_t at = 0; at < From.Events.size(); ++at) {
-    const TimelineEvent &what = From.Events[at];
-    const std::string who = leavingInstance(what);
-    if (!who.empty())
-      leaving.emplace(who, at);
-    // A new process in the same slot is not leaving.
-    if (what.Kind == "process.start")
-      leaving.erase(what.Instance);
-    if (!takesNewWork(what, admitted))
+  for (std::size_t index = 0; index < Input.Events.size(); ++index) {
+    const TimelineEvent &event = Input.Events[index];
+    const std::string instance = leavingInstance(event);
+    if (!instance.empty())
+      leaving.emplace(instance, index);
+    // A restarted instance is not leaving.
+    if (event.Kind == "process.start")
+      leaving.erase(event.Instance);
+    if (!takesNewWork(event, admitted))
       continue;
-    admitted.insert(what.Instance + makeAttemptKey(what));
-    const auto found = leaving.find(what.Instance);
+    admitted.insert(event.Instance + makeAttemptKey(event));
+    const auto found = leaving.find(event.Instance);
     if (found != leaving.end() &&
-        what.At.Wall > From.Events[found->second].At.Wall + grace)
-      return RuleViolation{what.Instance +
-                               " took new work after it was leaving",
-                           {found->second, at}};
+        event.At.Wall > Input.Events[found->second].At.Wall + grace)
+      return RuleViolation{
+          event.Instance + " accepted new work after its leaving was announced",
+          {found->second, index}};
   }
   return std::nullopt;
 }
 
-std::optional<RuleViolation> checkPlannedStopCutsNothing(const Trace &From,
+std::optional<RuleViolation> checkPlannedStopCutsNothing(const Trace &Input,
                                                          const Bounds &) {
   std::unordered_map<std::string, OpenWork> open;
-  for (std::size_t at = 0; at < From.Events.size(); ++at) {
-    const TimelineEvent &what = From.Events[at];
-    OpenWork &mine = open[what.Instance];
-    follow(mine, what, at);
-    if (what.Kind != "process.stop" || mine.empty())
+  for (std::size_t index = 0; index < Input.Events.size(); ++index) {
+    const TimelineEvent &event = Input.Events[index];
+    OpenWork &openWork = open[event.Instance];
+    trackWork(openWork, event, index);
+    if (event.Kind != "process.stop" || openWork.empty())
       continue;
-    std::size_t first = at;
-    for (const auto &[key, begun] : mine)
-      first = std::min(first, begun);
-    return RuleViolation{what.Instance + " stopped with " +
-                             std::to_string(mine.size()) +
-                             " of its work not ended",
-                         {first, at}};
+    std::size_t first = index;
+    for (const auto &[key, startIndex] : openWork)
+      first = std::min(first, startIndex);
+    return RuleViolation{event.Instance + " stopped with " +
+                             std::to_string(openWork.size()) +
+                             " unfinished requests or attempts",
+                         {first, index}};
   }
   return std::nullopt;
 }
--- a/Wasabi/Replay/RequestRules.cpp
+++ b/Wasabi/Replay/RequestRules.cpp
@@ -13,58 +13,64 @@
 constexpr std::uint64_t FirstSuccess = 200;
 constexpr std::uint64_t LastSuccess = 299;
 
-bool isSuccess(const TimelineEvent &what) {
-  const std::optional<std::uint64_t> status = readNumber(what.field("status"));
+bool isSuccess(const TimelineEvent &event) {
+  const std::optional<std::uint64_t> status =
+      parseDecimal(event.field("status"));
   return status && *status >= FirstSuccess && *status <= LastSuccess;
 }
 
-std::string nameRequest(const TimelineEvent &what) {
-  return "request " + std::string(what.field("request"));
+std::string describeRequest(const TimelineEvent &event) {
+  return "request " + std::string(event.field("request"));
 }
 
-/// The position of a cut attempt of a request of which none ended whole.
-std::optional<std::size_t> onlyCut(const Trace &from,
-                                   const std::vector<Forward> &forwards) {
-  std::optional<std::size_t> cut;
-  for (const Forward &it : forwards) {
+/// Returns the end of the last attempt if all attempts of a request ended and
+/// none was complete.
+std::optional<std::size_t>
+findIncompleteEnd(const Trace &trace,
+                  const std::vector<ForwardedAttempt> &forwards) {
+  std::optional<std::size_t> incompleteEnd;
+  for (const ForwardedAttempt &it : forwards) {
     if (!it.End)
       return std::nullopt;
-    if (from.Events[*it.End].field("whole") == "true")
+    if (trace.Events[*it.End].field("whole") == "true")
       return std::nullopt;
-    cut = it.End;
+    incompleteEnd = it.End;
   }
-  return cut;
+  return incompleteEnd;
 }
 
-/// The first forward of a request that may have reached its upstream.
-std::optional<std::size_t> mayHaveRun(const std::vector<Forward> &forwards,
-                                      std::string_view attempt,
-                                      const Trace &from) {
-  for (const Forward &it : forwards) {
-    const bool asked =
-        attempt.empty() || from.Events[it.At].field("attempt") == attempt;
-    if (asked && !it.ProvedNotRun)
+/// Returns the first forwarded attempt that may have run. An empty `attempt`
+/// selects all attempts.
+std::optional<std::size_t>
+findPossibleRun(const std::vector<ForwardedAttempt> &forwards,
+                std::string_view attempt, const Trace &trace) {
+  for (const ForwardedAttempt &it : forwards) {
+    const bool selected =
+        attempt.empty() || trace.Events[it.At].field("attempt") == attempt;
+    if (selected && !it.ProvedNotRun)
       return it.At;
   }
   return std::nullopt;
 }
 
-/// Which attempt a "not run" speaks of: empty for the whole request. Empty
-/// optional when the event says no such thing.
-std::optional<std::string_view> saidNotRun(const TimelineEvent &what) {
-  if (what.field("verdict") != "not-run")
+/// Returns the attempt that an event reports as not run, empty text for the
+/// whole request, or nothing if the event does not report this.
+std::optional<std::string_view>
+attemptReportedNotRun(const TimelineEvent &event) {
+  if (event.field("verdict") != "not-run")
     return std::nullopt;
-  if (what.Kind == "request.done")
+  if (event.Kind == "request.done")
     return std::string_view();
-  if (what.Kind == "request.retry" || what.Kind == "attempt.refuse")
-    return what.field("attempt");
+  if (event.Kind == "request.retry" || event.Kind == "attempt.refuse")
+    return event.field("attempt");
   return std::nullopt;
 }
 
-/// Who sent a request, by request: an idempotency key is its caller's own.
-std::unordered_map<std::string, std::string> findCallers(const Trace &from) {
+/// Returns the caller and service of each request. Idempotency keys are scoped
+/// to them.
+std::unordered_map<std::string, std::string> findCallers(const Trace &trace) {
   std::unordered_map<std::string, std::string> callers;
-  for (const TimelineEvent &it : from.Events) {
+  for (const TimelineEvent &it : trace.Events) {
     if (it.Kind == "request.received")
       callers.emplace(std::string(it.field("request")),
                       joinFieldValues(it, {"caller", "service"}));
@@ -74,85 +80,91 @@
 
 } // namespace
 
-std::optional<RuleViolation> checkAnswerWhole(const Trace &From,
+std::optional<RuleViolation> checkAnswerWhole(const Trace &Input,
                                               const Bounds &) {
-  const ForwardsByRequest forwards = findForwards(From);
-  for (std::size_t at = 0; at < From.Events.size(); ++at) {
-    const TimelineEvent &what = From.Events[at];
-    if (what.Kind != "request.done" || !isSuccess(what))
+  const ForwardsByRequest forwards = findForwards(Input);
+  for (std::size_t index = 0; index < Input.Events.size(); ++index) {
+    const TimelineEvent &event = Input.Events[index];
+    if (event.Kind != "request.done" || !isSuccess(event))
       continue;
-    if (what.field("whole") != "true") {
-      // An answer broken off says so; one without a verdict looks whole.
-      if (what.field("verdict").empty())
-        return RuleViolation{
-            nameRequest(what) + " ended short without a verdict", {at}};
+    if (event.field("whole") != "true") {
+      // An aborted response has a verdict; without one it appears complete.
+      if (event.field("verdict").empty())
+        return RuleViolation{describeRequest(event) +
+                                 " ended incomplete without a verdict",
+                             {index}};
       continue;
     }
-    const auto found = forwards.find(std::string(what.field("request")));
+    const auto found = forwards.find(std::string(event.field("request")));
     if (found == forwards.end())
       continue;
-    const std::optional<std::size_t> cut = onlyCut(From, found->second);
-    if (cut)
-      return RuleViolation{nameRequest(what) + " was cut and called whole",
-                           {*cut, at}};
+    const std::optional<std::size_t> incompleteEnd =
+        findIncompleteEnd(Input, found->second);
+    if (incompleteEnd)
+      return RuleViolation{describeRequest(event) +
+                               " was truncated but reported as complete",
+                           {*incompleteEnd, index}};
   }
   return std::nullopt;
 }
 
-std::optional<RuleViolation> checkNotRunIsTrue(const Trace &From,
+std::optional<RuleViolation> checkNotRunIsTrue(const Trace &Input,
                                                const Bounds &) {
-  const ForwardsByRequest forwards = findForwards(From);
-  for (std::size_t at = 0; at < From.Events.size(); ++at) {
-    const TimelineEvent &what = From.Events[at];
-    const std::optional<std::string_view> attempt = saidNotRun(what);
+  const ForwardsByRequest forwards = findForwards(Input);
+  for (std::size_t index = 0; index < Input.Events.size(); ++index) {
+    const TimelineEvent &event = Input.Events[index];
+    const std::optional<std::string_view> attempt =
+        attemptReportedNotRun(event);
     if (!attempt)
       continue;
-    const auto found = forwards.find(std::string(what.field("request")));
+    const auto found = forwards.find(std::string(event.field("request")));
     if (found == forwards.end())
       continue;
     const std::optional<std::size_t> ran =
-        mayHaveRun(found->second, *attempt, From);
+        findPossibleRun(found->second, *attempt, Input);
     if (ran)
-      return RuleViolation{nameRequest(what) +
-                               " was called not run, but was forwarded",
-                           {*ran, at}};
+      return RuleViolation{describeRequest(event) +
+                               " was reported as not run, but was forwarded",
+                           {*ran, index}};
   }
   return std::nullopt;
 }
 
-std::optional<RuleViolation> checkAtMostOnce(const Trace &From,
+std::optional<RuleViolation> checkAtMostOnce(const Trace &Input,
                                              const Bounds &) {
-  const ForwardsByRequest forwards = findForwards(From);
+  const ForwardsByRequest forwards = findForwards(Input);
   const std::unordered_map<std::string, std::string> callers =
-      findCallers(From);
+      findCallers(Input);
   std::unordered_map<std::string, std::size_t> ran;
-  for (std::size_t at = 0; at < From.Events.size(); ++at) {
-    const TimelineEvent &what = From.Events[at];
-    if (what.Kind != "attempt.forward" || what.field("idempotent") == "true")
+  for (std::size_t index = 0; index < Input.Events.size(); ++index) {
+    const TimelineEvent &event = Input.Events[index];
+    if (event.Kind != "attempt.forward" || event.field("idempotent") == "true")
       continue;
-    const std::string request(what.field("request"));
+    const std::string request(event.field("request"));
     const auto found = forwards.find(request);
-    bool proved = false;
-    for (const Forward &it : found->second)
-      proved = proved || (it.At == at && it.ProvedNotRun);
-    if (proved)
+    bool provedNotRun = false;
+    for (const ForwardedAttempt &it : found->second)
+      provedNotRun = provedNotRun || (it.At == index && it.ProvedNotRun);
+    if (provedNotRun)
       continue;
-    const auto [one, isOne] = ran.emplace("request\n" + request, at);
-    if (!isOne)
-      return RuleViolation{nameRequest(what) +
+    const auto [firstRun, isFirstRun] =
+        ran.emplace("request\n" + request, index);
+    if (!isFirstRun)
+      return RuleViolation{describeRequest(event) +
                                " is not idempotent and ran twice",
-                           {one->second, at}};
-    const std::string key(what.field("key"));
+                           {firstRun->second, index}};
+    const std::string key(event.field("key"));
     if (key.empty())
       continue;
     const auto caller = callers.find(request);
-    std::string mark = "key\n";
-    mark += caller == callers.end() ? std::string() : caller->second;
-    mark += key;
-    const auto [other, isOther] = ran.emplace(std::move(mark), at);
-    if (!isOther)
+    std::string keyIdentity = "key\n";
+    keyIdentity += caller == callers.end() ? std::string() : caller->second;
+    keyIdentity += key;
+    const auto [firstKeyRun, isFirstKeyRun] =
+        ran.emplace(std::move(keyIdentity), index);
+    if (!isFirstKeyRun)
       return RuleViolation{"idempotency key " + key + " ran twice",
-                           {other->second, at}};
+                           {firstKeyRun->second, index}};
   }
   return std::nullopt;
 }
--- a/Wasabi/Replay/Rules.h
+++ b/Wasabi/Replay/Rules.h
@@ -1,6 +1,6 @@
 /// \file
-/// The promises as rules over a trace. Each is a pure function: the first event
-/// by which the promise is broken, with the earlier events that it contradicts.
+/// The service's guarantees as rules over a trace. Each rule is a pure function
+/// that returns the first violation.
 #ifndef WASABI_REPLAY_RULES_H
 #define WASABI_REPLAY_RULES_H
 
@@ -15,57 +15,58 @@
 
 namespace wasabi::replay {
 
-/// How a promise was broken. An immutable value.
+/// A violation of a rule. An immutable value.
 struct RuleViolation {
-  /// Why, for a person.
+  /// Reason, in plain text.
   std::string Reason;
-  /// Positions in the trace, the one that broke the promise last. Empty when
-  /// it is the absence of an event that breaks it.
+  /// Positions of the contradicting events in the trace; the violating event is
+  /// last. Empty if an expected event is missing.
   std::vector<std::size_t> Events;
   bool operator==(const RuleViolation &) const = default;
 };
 
-/// Pure, thread-safe.
+/// Checks one rule; empty if it holds. Pure, thread-safe.
 using RuleFunction = std::optional<RuleViolation> (*)(const Trace &,
                                                       const Bounds &);
 
 /// `sample-once`: no slot of a trainer is delivered twice.
 std::optional<RuleViolation> checkSampleOnce(const Trace &, const Bounds &);
-/// `label-true`: a label is whole, and the same when generated, committed and
-/// delivered.
+/// `label-true`: a label is well-formed, and the same when generated, committed
+/// and delivered.
 std::optional<RuleViolation> checkLabelTrue(const Trace &, const Bounds &);
-/// `fresh`: no sample is committed or delivered beyond the staleness bound.
+/// `fresh`: no sample beyond the staleness bound is committed or delivered.
 std::optional<RuleViolation> checkFresh(const Trace &, const Bounds &);
-/// `config-never-reverts`: in one process offsets only grow, and an offset
-/// means the same everywhere.
+/// `config-never-reverts`: offsets only grow within one process, and an offset
+/// has the same preset in all processes.
 std::optional<RuleViolation> checkConfigNeverReverts(const Trace &,
                                                      const Bounds &);
-/// `answer-whole`: no answer is called whole that was cut, nor ends short
-/// without a verdict.
+/// `answer-whole`: no truncated response is reported as complete, and none ends
+/// incomplete without a verdict.
 std::optional<RuleViolation> checkAnswerWhole(const Trace &, const Bounds &);
-/// `not-run-is-true`: what was refused as not run was not forwarded.
+/// `not-run-is-true`: a request or attempt that is reported as not run may not
+/// have run at an upstream.
 std::optional<RuleViolation> checkNotRunIsTrue(const Trace &, const Bounds &);
-/// `at-most-once`: a request that is not idempotent, and an idempotency key,
-/// is forwarded at most once.
+/// `at-most-once`: a non-idempotent request, or an idempotency key, runs at
+/// most once.
 std::optional<RuleViolation> checkAtMostOnce(const Trace &, const Bounds &);
-/// `leaving-gets-no-new-work`: nothing is admitted on an instance longer than
-/// the grace after the first word of its leaving.
+/// `leaving-gets-no-new-work`: an instance accepts no new work after the grace
+/// period that follows the first report of its leaving.
 std::optional<RuleViolation> checkLeavingGetsNoNewWork(const Trace &,
                                                        const Bounds &);
-/// `planned-stop-cuts-nothing`: what a leaving process began has ended before
-/// the process stops.
+/// `planned-stop-cuts-nothing`: all requests and attempts of a process have
+/// ended before it stops.
 std::optional<RuleViolation> checkPlannedStopCutsNothing(const Trace &,
                                                          const Bounds &);
-/// `fences-never-go-back`: no daemon takes an order with an older token than
-/// one it took before.
+/// `fences-never-go-back`: no daemon executes an order with an older token than
+/// a previous order.
 std::optional<RuleViolation> checkFencesNeverGoBack(const Trace &,
                                                     const Bounds &);
-/// `idle-share`: no trainer waits for samples more than its bound.
+/// `idle-share`: no trainer waits for samples longer than the bound allows.
 std::optional<RuleViolation> checkIdleShare(const Trace &, const Bounds &);
 
-/// The rule of a name, or null. Thread-safe.
+/// Returns the rule with this name, or null. Thread-safe.
 RuleFunction findRule(std::string_view Name);
-/// All names, joined by commas. Thread-safe.
+/// Returns all rule names, joined by commas. Thread-safe.
 std::string listRuleNames();
 
 } // namespace wasabi::replay
--- a/Wasabi/Replay/Trace.cpp
+++ b/Wasabi/Replay/Trace.cpp
@@ -38,12 +38,12 @@
   return makeTrace(std::move(events));
 }
 
-std::string describeEvent(const TimelineEvent &What) {
-  std::string text = std::to_string(What.At.Wall);
-  text += "." + std::to_string(What.At.Count);
-  text += " " + What.Instance + "#" + std::to_string(What.Sequence);
-  text += " " + What.Kind;
-  for (const EventField &it : What.Fields)
+std::string describeEvent(const TimelineEvent &Event) {
+  std::string text = std::to_string(Event.At.Wall);
+  text += "." + std::to_string(Event.At.Count);
+  text += " " + Event.Instance + "#" + std::to_string(Event.Sequence);
+  text += " " + Event.Kind;
+  for (const EventField &it : Event.Fields)
     text += " " + it.Key + "=" + it.Value;
   return text;
 }
--- a/Wasabi/Replay/TraceExpectations.h
+++ b/Wasabi/Replay/TraceExpectations.h
@@ -1,6 +1,6 @@
 /// \file
-/// What a replayed trace is held against: rules by name, their bounds, and
-/// events that must be there.
+/// Expected outcomes of a trace: rules by name, their bounds, and required
+/// events.
 #ifndef WASABI_REPLAY_TRACEEXPECTATIONS_H
 #define WASABI_REPLAY_TRACEEXPECTATIONS_H
 
@@ -16,40 +16,40 @@
 
 namespace wasabi::replay {
 
-/// The numbers that rules compare with. An immutable value.
+/// Bounds that rules use. An immutable value.
 struct Bounds {
-  /// Largest share of its time that a trainer may wait for samples, 0 to 1.
+  /// Maximum share of its time that a trainer may wait for samples, 0 to 1.
   std::optional<double> IdleShare;
-  /// Most versions that a delivered sample may be behind; without it, the
-  /// bound that each event names.
-  std::optional<std::uint64_t> StalenessMax;
-  /// How long after the first word of its leaving an instance may still be
-  /// given work.
+  /// Maximum number of versions that a delivered sample may be behind. If
+  /// unset, the bound in each event applies.
+  std::optional<std::uint64_t> MaxStaleness;
+  /// Time after the first report of its leaving during which an instance may
+  /// still accept new work.
   Millis LeavingGracePeriod{3000};
   bool operator==(const Bounds &) const = default;
 };
 
-/// An event that must be in the trace. An immutable value.
+/// An event that the trace must contain. An immutable value.
 struct ExpectedEvent {
   std::string Kind;
-  /// Each must be there with this value; others may be there too.
+  /// Fields that the event must have with these values; it may have others.
   std::vector<EventField> Fields;
-  /// The fewest such events.
+  /// Minimum number of matching events.
   std::uint64_t MinCount = 1;
   bool operator==(const ExpectedEvent &) const = default;
 };
 
-/// All that a trace is held against. An immutable value.
+/// All expected outcomes of a trace. An immutable value.
 struct TraceExpectations {
   std::vector<std::string> Rules;
   Bounds Limits;
-  std::vector<ExpectedEvent> Expect;
+  std::vector<ExpectedEvent> Events;
   bool operator==(const TraceExpectations &) const = default;
 };
 
-/// Reads `{"rules":[…],"bounds":{…},"expect":[…]}`, each member optional.
-/// Errors: `BadInput`, place `File: /json/path`, for what is malformed, for
-/// unknown members and for rules that do not exist. Thread-safe.
+/// Parses `{"rules":[…],"bounds":{…},"expect":[…]}`, each member optional.
+/// Errors: `BadInput`, place `File: /json/path`, for malformed JSON, unknown
+/// members and unknown rules. Thread-safe.
 Result<TraceExpectations> readExpectations(std::string_view File,
                                            std::string_view Text);
 
