--- a/IntegrationTests/Cases/ChaosJudgeTest.cpp
+++ b/IntegrationTests/Cases/ChaosJudgeTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The judge of chaos runs finds what is wrong: records are made up, each with
-/// one broken promise.
+/// Checks that the outcome checks of chaos runs find each violation, on made-up
+/// records with one violation each.
 #include "IntegrationTests/Chaos/AnswerCheck.h"
 #include "IntegrationTests/Chaos/Tally.h"
 
@@ -35,7 +35,7 @@
 
 } // namespace
 
-TEST_CASE("A chaos judge counts what callers saw", "[judge]") {
+TEST_CASE("The chaos check counts the outcomes of callers", "[judge]") {
   const Tally sum =
       judged({ask(CallKind::Read, CallOutcome::Whole, Begin),
               ask(CallKind::Write, CallOutcome::MayHaveRun, Begin),
@@ -48,12 +48,14 @@
   CHECK(hasNoViolations(sum));
 }
 
-TEST_CASE("A false not-run is found, also one that runs later", "[judge]") {
+TEST_CASE("A false not-run is found, also if the request runs later",
+          "[judge]") {
   const CallerRecord said = ask(CallKind::Write, CallOutcome::NotRun, Begin);
   CHECK(judged({said}, {run(Begin + 10)}).FalseNotRun == 1);
   CHECK(judged({said}, {run(Begin + 9000000)}).FalseNotRun == 1);
   CHECK_FALSE(hasNoViolations(judged({said}, {run(Begin + 10)})));
-  // A second ask with the key may run it; the first must not have.
+  // A repeat with the key may run the request; the refused attempt must not
+  // have.
   const CallerRecord again =
       ask(CallKind::KeyedWrite, CallOutcome::Whole, Begin + 5000);
   const CallerRecord first =
@@ -62,7 +64,8 @@
   CHECK(judged({first, again}, {run(Begin + 500)}).FalseNotRun == 1);
 }
 
-TEST_CASE("A second run counts only where it may not be repeated", "[judge]") {
+TEST_CASE("A second run is a violation only if repeats are not allowed",
+          "[judge]") {
   const std::vector<UpstreamRun> twice = {run(Begin), run(Begin + 5)};
   CHECK(judged({ask(CallKind::Write, CallOutcome::MayHaveRun, Begin)}, twice)
             .DoubleRuns == 1);
@@ -73,19 +76,20 @@
             .DoubleRuns == 0);
 }
 
-TEST_CASE("A planned stop answers for what it cuts and takes late", "[judge]") {
+TEST_CASE("Requests that a planned stop cuts off or takes late are found",
+          "[judge]") {
   PlannedStop stop{Begin, Begin + 9000000, true, true, {"lease-desk-1"}};
   const std::vector<CallerRecord> cut = {
       ask(CallKind::Read, CallOutcome::MayHaveRun, Begin + 100)};
   Tally sum;
   checkPlannedStops(sum, {stop}, cut, {});
   CHECK(sum.InterruptedByPlannedStop == 1);
-  // Beside other faults nobody can say whose it was.
+  // Together with other faults, the stop cannot be identified as the cause.
   stop.WithoutOtherFaults = false;
   Tally other;
   checkPlannedStops(other, {stop}, cut, {});
   CHECK(other.InterruptedByPlannedStop == 0);
-  // Work within the grace is in order, later it is not.
+  // Work that arrives within the grace period is correct, later work is not.
   Tally late;
   checkPlannedStops(
       late, {stop}, {},
@@ -100,7 +104,7 @@
   CHECK_FALSE(hasNoViolations(hung));
 }
 
-TEST_CASE("A trainer's record is taken as it is", "[judge]") {
+TEST_CASE("The figures of a trainer's record are read unchanged", "[judge]") {
   Tally sum;
   checkTrainerTruth(sum, TrainerTruth{64, 0, 0, 0, 5, 4});
   CHECK(hasNoViolations(sum));
@@ -112,7 +116,7 @@
   CHECK(sum.Missing == 1);
 }
 
-TEST_CASE("Another request's answer and a cut one are found", "[judge]") {
+TEST_CASE("Wrong and truncated answers are found", "[judge]") {
   const std::string answer =
       R"({"service":"s","method":"GET","path":"/items/1",)"
       R"("body_hash":"ef46db3751d8e999","run":3})";
--- a/IntegrationTests/Cases/ChaosTest.cpp
+++ b/IntegrationTests/Cases/ChaosTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The chaos program: its schedule is the seed's, and a few short fixed seeds
-/// hold every promise. Longer ones run by `./run chaos`.
+/// Checks that a chaos schedule depends on its seed only, and that short runs
+/// with fixed seeds find no violation. Longer ones run by `./run chaos`.
 #include "IntegrationTests/Harness/Process.h"
 
 #include <catch2/catch.hpp>
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE("A chaos schedule is its seed's alone", "[chaos]") {
+TEST_CASE("A chaos schedule depends on its seed only", "[chaos]") {
   const std::vector<std::string> seven = {"--seed=7", "--seconds=60",
                                           "--schedule_only"};
   const ChaosEnd first = runChaos(seven);
@@ -50,7 +50,7 @@
   CHECK(first.Output != other.Output);
 }
 
-TEST_CASE("Short chaos runs hold every promise", "[chaos]") {
+TEST_CASE("Short chaos runs have no violations", "[chaos]") {
   const std::string deployment = GENERATE("lindqvist", "balikbayan");
   const std::string seed = deployment == "lindqvist" ? "73" : "64";
   const ChaosEnd end =
@@ -65,11 +65,11 @@
     INFO(zero);
     CHECK(line.find(zero) != std::string::npos);
   }
-  // Callers and the trainer were served meanwhile.
+  // Callers and the trainer were served during the run.
   CHECK(line.find(" whole=0 ") == std::string::npos);
   CHECK(line.find(" samples=0 ") == std::string::npos);
 }
 
-TEST_CASE("A chaos setting that is wrong is named", "[chaos]") {
+TEST_CASE("An invalid chaos setting is named", "[chaos]") {
   CHECK(runChaos({"--deployment=lund", "--schedule_only"}).Code == 2);
 }
--- a/IntegrationTests/Cases/CustomerTest.cpp
+++ b/IntegrationTests/Cases/CustomerTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Customers and their keys: who may call, whose request a server is told it
-/// is, and whose batch job it stays.
+/// Checks which callers are admitted by their keys, which customer a server
+/// sees with a request, and which customer owns a batch job.
 #include "IntegrationTests/Harness/Waiting.h"
 #include "IntegrationTests/Platform/PlatformFixture.h"
 
@@ -19,9 +19,9 @@
 constexpr unsigned Unauthorized = 401;
 constexpr unsigned NotFound = 404;
 constexpr unsigned ServiceUnavailable = 503;
-constexpr Millis Patience{20000};
+constexpr Millis WaitTimeout{20000};
 
-// Nothing else that a process writes has these words in it.
+// Unique texts that no other output of a process contains.
 constexpr const char *KeyOfAnna = "k3y0fanna";
 constexpr const char *SecondKeyOfAnna = "k3y2fanna";
 constexpr const char *KeyOfBert = "k3y0fbert";
@@ -30,7 +30,7 @@
   return {{"anna", {KeyOfAnna, SecondKeyOfAnna}, 1}, {"bert", {KeyOfBert}, 1}};
 }
 
-/// A world whose newest configuration, the second, has customers.
+/// A fixture whose newest configuration, the second, has customers.
 std::unique_ptr<PlatformFixture> customerWorld(std::size_t Edges) {
   std::unique_ptr<PlatformFixture> world =
       std::make_unique<PlatformFixture>(Edges);
@@ -39,7 +39,8 @@
   return world;
 }
 
-/// Checks that no key was passed on and whom each run was told to be for.
+/// Checks that no key was forwarded and that each run names the expected
+/// customer.
 void checkRuns(const std::vector<ServerCall> &Runs,
                const std::string &Customer) {
   CHECK_FALSE(Runs.empty());
@@ -60,7 +61,7 @@
     http::Request ask;
     ask.Method = "POST";
     ask.Target = "/desk/x";
-    // A caller may say what it likes of whose request it is.
+    // Headers of the caller that name a customer are ignored.
     ask.Headers = {{"Host", "host.example"},
                    {"Wasabisail-Request-Id", key},
                    {"Wasabisail-Tenant", "bert"},
@@ -85,7 +86,7 @@
   CHECK(world->endJob(0, "job") == Unauthorized);
   CHECK(world->getItemBodyStatus(0, "job", "job-0") == Unauthorized);
   CHECK(world->postRequest(0, "/nowhere/", "r4").Status == NotFound);
-  // Two keys are no key.
+  // A request with two keys is refused like one without a key.
   http::Request two;
   two.Method = "POST";
   two.Target = "/desk/x";
@@ -98,13 +99,13 @@
   CHECK(world->engineRuns().empty());
 }
 
-TEST_CASE("Customers: a public route asks for no key and passes on none") {
+TEST_CASE("Customers: a public route requires and forwards no key") {
   std::unique_ptr<PlatformFixture> world = customerWorld(1);
   CHECK(world->postRequest(0, "/open/x", "r1").Status == Ok);
   world->setCustomerKey("nobodys");
   CHECK(world->postRequest(0, "/open/x", "r2").Status == Ok);
   checkRuns(world->plainServerRuns(), "");
-  // Whose request it is stays true where somebody's key comes with it.
+  // The customer is still identified if a request carries a valid key.
   world->setCustomerKey(KeyOfBert);
   CHECK(world->postRequest(0, "/open/x", "r3").Status == Ok);
   ServerCall last;
@@ -127,8 +128,9 @@
                      KeyOfBert +
                      "\r\nContent-Length: 0\r\n"
                      "Wasabisail-Request-Id: ";
-  std::string first = world->sendRaw(
-      0, head + "r2\r\n\r\n" + head + "r3\r\n\r\n", Patience, "answer to r3");
+  std::string first =
+      world->sendRaw(0, head + "r2\r\n\r\n" + head + "r3\r\n\r\n", WaitTimeout,
+                     "answer to r3");
   CHECK(first.find("answer to r3") != std::string::npos);
   world->configureCustomers(3, {{"anna", {KeyOfAnna}, 1}, {"bert", {}, 1}});
   CHECK(world->postRequest(0, "/desk/x", "r4").Status == Unauthorized);
@@ -152,29 +154,29 @@
         return world->postRequest(0, "/desk/x", "r1").Status ==
                ServiceUnavailable;
       },
-      Patience));
+      WaitTimeout));
   CHECK(world->postRequest(0, "/nowhere/", "r2").Status == ServiceUnavailable);
-  // No configuration makes a request without a key a good one.
+  // A request without a key is invalid under every configuration.
   world->setCustomerKey("");
   CHECK(world->postRequest(0, "/desk/x", "r3").Status == Unauthorized);
   world->setCustomerKey(KeyOfAnna);
   CHECK(world->postRequest(0, "/desk/x", "r4").Status == Ok);
 }
 
-TEST_CASE("Customers: a job is its customer's, and nobody else learns of it") {
+TEST_CASE("Customers: a job is visible to its customer only") {
   constexpr std::size_t Items = 4;
   std::unique_ptr<PlatformFixture> world = customerWorld(2);
   world->setCustomerKey(KeyOfAnna);
   REQUIRE(world->submit(0, "job", Items) == Accepted);
   REQUIRE(world->waitForResults(0, "job", Items));
   unsigned status = 0;
-  // The other key of the same customer does as well.
+  // Another key of the same customer gives access too.
   world->setCustomerKey(SecondKeyOfAnna);
   world->results(1, "job", status);
   CHECK(status == Ok);
   CHECK(world->submit(1, "job", Items) == Accepted);
   checkRuns(world->engineRuns(), "anna");
-  // Scoring calls are the system's own.
+  // Scoring calls are made by the system itself.
   checkRuns(world->plainServerRuns(), "");
 
   world->setCustomerKey(KeyOfBert);
@@ -184,7 +186,7 @@
     CHECK(world->getItemBodyStatus(0, job, "job-0") == NotFound);
     CHECK(world->endJob(0, job) == NotFound);
   }
-  // Under the same name he gets a job of his own.
+  // Another customer's job with the same name is a separate job.
   REQUIRE(world->submit(1, "job", 2) == Accepted);
   REQUIRE(world->waitForResults(0, "job", 2));
   CHECK(world->endJob(0, "job") == Ok);
@@ -207,7 +209,7 @@
   world->configureCustomers(3, {{"anna", {KeyOfAnna}, 1}});
   for (std::size_t i = 0; i < world->edges(); ++i) {
     world->edge(i).Running->signal(SIGKILL);
-    REQUIRE(world->edge(i).Running->wait(Patience));
+    REQUIRE(world->edge(i).Running->wait(WaitTimeout));
     world->startEdge(i);
   }
   REQUIRE(world->waitUntilAllReady());
@@ -216,10 +218,10 @@
     world->engine(1).RefusesAsFull = false;
   });
   REQUIRE(harness::waitUntil(
-      [&] { return world->plainServerRuns().size() == Items; }, Patience));
+      [&] { return world->plainServerRuns().size() == Items; }, WaitTimeout));
   checkRuns(world->engineRuns(), "bert");
   CHECK(world->endJob(0, "job") == Unauthorized);
-  // With another key of his he sees his job again.
+  // With a new key the customer sees the job again.
   world->configureCustomers(
       4, {{"anna", {KeyOfAnna}, 1}, {"bert", {"k3y9fbert"}, 1}});
   world->setCustomerKey("k3y9fbert");
@@ -238,7 +240,7 @@
     world->getItemBodyStatus(0, "job", "job-0");
     world->endJob(0, "job");
   }
-  // Neither of a job that carries keys in its items' headers.
+  // Nor is a key in the headers of a job's items written.
   http::Request submission;
   submission.Method = "POST";
   submission.Target = "/rollout/keyed";
@@ -256,7 +258,7 @@
     CHECK_FALSE(it.KeyForwarded);
     CHECK((it.Id != "keyed-0" || it.Customer == "anna"));
   }
-  // Nor of a configuration that can't be read.
+  // Nor is a key in an invalid configuration written.
   world->runOnPlatformThread([&] {
     world->store().write("keyed.op", "config",
                          R"({"version":9,"routes":[],"services":[],"tenants":
@@ -264,7 +266,7 @@
   });
   REQUIRE(harness::waitUntil(
       [&] { return world->output().find("api_keys") != std::string::npos; },
-      Patience));
+      WaitTimeout));
   std::string written =
       world->output() + world->runOnPlatformThread<std::string>(
                             [&] { return world->store().content(); });
--- a/IntegrationTests/Cases/DeploymentTests.cpp
+++ b/IntegrationTests/Cases/DeploymentTests.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr Millis StopLimit{20000};
+constexpr Millis StopTimeout{20000};
 
-std::unique_ptr<Deployment> deploy(const std::string &Example) {
+std::unique_ptr<Deployment> startDeployment(const std::string &Example) {
   Outcome<std::unique_ptr<Deployment>> made =
       wasabi::toOutcome<std::unique_ptr<Deployment>>([&] {
         return Deployment::start({Example, 1, false, {}});
@@ -29,18 +29,18 @@
 
 TEST_CASE("An example starts, takes its declarations and stops in order") {
   std::string example = GENERATE("lindqvist", "balikbayan");
-  std::unique_ptr<Deployment> running = deploy(example);
+  std::unique_ptr<Deployment> running = startDeployment(example);
   CtlResult applied = running->control({"apply", running->declarations()});
   INFO(applied.Output << applied.Errors);
   REQUIRE(applied.Code == 0);
   CHECK(running->readyEntries().size() >= 3);
 
-  // All at once: each must end by itself also when its peers are leaving.
+  // Stop all at once: each must exit although its peers are leaving.
   for (WasabiProcess &it : running->nodes())
-    it.Running->signal(SIGTERM);
+    it.Child->signal(SIGTERM);
   for (WasabiProcess &it : running->nodes()) {
     INFO(it.Name);
-    std::optional<ProcessExit> end = it.Running->wait(StopLimit);
+    std::optional<ProcessExit> end = it.Child->wait(StopTimeout);
     REQUIRE(end);
     CHECK(end->Code == 0);
   }
--- a/IntegrationTests/Cases/DrainTest.cpp
+++ b/IntegrationTests/Cases/DrainTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Graceful stops: what is in flight ends whole, and nothing new is lost.
+/// Checks that planned stops complete the requests in flight and lose no new
+/// ones.
 #include "IntegrationTests/Cases/RequestFixture.h"
 
 #include <catch2/catch.hpp>
@@ -25,22 +26,23 @@
   }
 };
 
-bool isReady(const Member &Who) {
+bool isReady(const MemberProcess &Who) {
   Outcome<std::string> ready = harness::getText(Who.Admin, "/readyz");
   return static_cast<bool>(ready);
 }
 
 } // namespace
 
-TEST_CASE("Drain: an entry is not ready first, and still takes callers") {
+TEST_CASE("Drain: a stopping entry reports not ready and still serves") {
   SlowWorld world;
-  Member &entry = world.member("n1");
+  MemberProcess &entry = world.member("n1");
   REQUIRE(isReady(entry));
   std::future<Outcome<http::Response>> before = world.askLater();
-  REQUIRE(harness::waitUntil([&] { return world.runs("a") == 1; }, Patience));
+  REQUIRE(
+      harness::waitUntil([&] { return world.runs("a") == 1; }, WaitTimeout));
   entry.Child->signal(SIGTERM);
-  REQUIRE(harness::waitUntil([&] { return !isReady(entry); }, Patience));
-  // The balancer has not seen it yet and sends one more.
+  REQUIRE(harness::waitUntil([&] { return !isReady(entry); }, WaitTimeout));
+  // The balancer has not noticed yet and sends one more request.
   std::future<Outcome<http::Response>> meanwhile = world.askLater();
   entry.Child->signal(SIGTERM);
   for (std::future<Outcome<http::Response>> *it : {&before, &meanwhile}) {
@@ -48,28 +50,29 @@
     REQUIRE(told);
     CHECK(told->Status == 200);
   }
-  std::optional<harness::ProcessExit> end = entry.Child->wait(Patience);
+  std::optional<harness::ProcessExit> end = entry.Child->wait(WaitTimeout);
   REQUIRE(end);
   CHECK(end->Code == 0);
   CHECK(world.runs("a") == 2);
 }
 
-TEST_CASE("Drain: a daemon ends its work while the log is down") {
+TEST_CASE("Drain: a daemon completes its work while the log is down") {
   SlowWorld world;
-  Member &daemon = world.member("d1");
+  MemberProcess &daemon = world.member("d1");
   std::future<Outcome<http::Response>> before = world.askLater();
-  REQUIRE(harness::waitUntil([&] { return world.runs("a") == 1; }, Patience));
+  REQUIRE(
+      harness::waitUntil([&] { return world.runs("a") == 1; }, WaitTimeout));
   REQUIRE(world.log().setFaults(R"({"outage":true})"));
   daemon.Child->signal(SIGTERM);
   Outcome<http::Response> told = before.get();
   REQUIRE(told);
   CHECK(told->Status == 200);
-  std::optional<harness::ProcessExit> end = daemon.Child->wait(Patience);
+  std::optional<harness::ProcessExit> end = daemon.Child->wait(WaitTimeout);
   REQUIRE(end);
   CHECK(end->Code == 0);
 }
 
-TEST_CASE("Drain: a leaving daemon gets nothing new, its peer takes all") {
+TEST_CASE("Drain: new requests go to the peer of a leaving daemon") {
   RequestFixture world;
   for (const char *it : {"a", "b"})
     world.addServer(it, "service");
@@ -78,7 +81,7 @@
   world.addEntry("n1", "lulea-hall");
   world.publish(R"([{"kind":"service","name":"desk","type":"plain"}])");
   world.waitForServers(2);
-  // No request fails on the way, whenever the entry learns of it.
+  // No request fails, regardless of when the entry notices the stop.
   constexpr int Callers = 8;
   constexpr int Each = 50;
   std::vector<std::future<int>> whole;
@@ -88,7 +91,7 @@
       int good = 0;
       for (int m = 0; m < Each; ++m) {
         Outcome<http::Response> told =
-            world.ask("n1", plainRequest("desk", "POST", "/quotes"));
+            world.sendRequest("n1", plainRequest("desk", "POST", "/quotes"));
         good += told && told->Status == 200 ? 1 : 0;
       }
       return good;
@@ -98,7 +101,7 @@
     CHECK(it.get() == Each);
   CHECK(world.runs("a") + world.runs("b") == std::size_t{Callers} * Each);
   std::optional<harness::ProcessExit> end =
-      world.member("d1").Child->wait(Patience);
+      world.member("d1").Child->wait(WaitTimeout);
   REQUIRE(end);
   CHECK(end->Code == 0);
 }
--- a/IntegrationTests/Cases/HostilePeerTest.cpp
+++ b/IntegrationTests/Cases/HostilePeerTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Peers that hang, pause, starve or hoard connections.
+/// Checks that peers which hang, pause, read slowly or hold idle connections do
+/// not affect others.
 #include "IntegrationTests/Cases/RequestFixture.h"
 
 #include <boost/asio/connect.hpp>
@@ -31,7 +32,7 @@
   return socket;
 }
 
-/// Two servers before two daemons of two failure domains, and an entry.
+/// Two servers, two daemons in different failure domains, and an entry.
 struct TwoServers : RequestFixture {
   TwoServers() {
     for (const char *it : {"a", "b"})
@@ -46,27 +47,27 @@
 
 } // namespace
 
-TEST_CASE("Hostile: a daemon that is paused loses no request, and comes back") {
+TEST_CASE("Hostile: a paused daemon loses no request and rejoins") {
   TwoServers world;
   world.member("d1").Child->signal(SIGSTOP);
-  // Idempotent work is answered by the other once the pause is noticed.
+  // The other daemon answers idempotent work once the pause is noticed.
   for (int n = 0; n < 3; ++n) {
-    Outcome<http::Response> told = world.ask("n1", lookUp());
-    REQUIRE(told);
-    CHECK(told->Status == 200);
+    Outcome<http::Response> answer = world.sendRequest("n1", lookUp());
+    REQUIRE(answer);
+    CHECK(answer->Status == 200);
   }
   world.member("d1").Child->signal(SIGCONT);
   world.waitForServers(2);
   bool back = harness::waitUntil(
       [&] {
-        world.ask("n1", lookUp());
+        world.sendRequest("n1", lookUp());
         return world.runs("a") > 0;
       },
-      Patience);
+      WaitTimeout);
   CHECK(back);
 }
 
-TEST_CASE("Hostile: a half-open way to a server ends with its deadline") {
+TEST_CASE("Hostile: a half-open connection fails at its deadline") {
   RequestFixture world;
   world.addServer("a", "service");
   harness::StandIn::Settings proxy;
@@ -78,22 +79,22 @@
   world.addEntry("n1", "lulea-hall");
   world.publish(PlainService);
   world.waitForServers(1);
-  REQUIRE(world.ask("n1", lookUp())->Status == 200);
+  REQUIRE(world.sendRequest("n1", lookUp())->Status == 200);
   REQUIRE(way->setFaults(R"({"half_open":true})"));
   http::Request late = lookUp();
   late.Headers.push_back({"X-Deadline-Ms", "300"});
-  Outcome<http::Response> told = world.ask("n1", late);
-  REQUIRE(told);
-  CHECK(told->Status == 504);
-  CHECK(told->header("X-Wasabi-Verdict") == "may-have-run");
-  // The whole way heals: the next one is answered.
+  Outcome<http::Response> answer = world.sendRequest("n1", late);
+  REQUIRE(answer);
+  CHECK(answer->Status == 504);
+  CHECK(answer->header("X-Wasabi-Verdict") == "may-have-run");
+  // After the connection recovers, the next request is answered.
   REQUIRE(way->setFaults(R"({"half_open":false,"cut_now":true})"));
   bool healed = harness::waitUntil(
       [&] {
-        Outcome<http::Response> again = world.ask("n1", lookUp());
+        Outcome<http::Response> again = world.sendRequest("n1", lookUp());
         return again && again->Status == 200;
       },
-      Patience);
+      WaitTimeout);
   CHECK(healed);
 }
 
@@ -114,10 +115,10 @@
                      std::to_string(big.Body.size()) + "\r\n\r\n" + big.Body;
   asio::write(lazy, asio::buffer(text));
   for (int n = 0; n < 20; ++n) {
-    Outcome<http::Response> told =
-        world.ask("n1", completion("m", "other", 20, true, n));
-    REQUIRE(told);
-    CHECK(told->Status == 200);
+    Outcome<http::Response> answer =
+        world.sendRequest("n1", completion("m", "other", 20, true, n));
+    REQUIRE(answer);
+    CHECK(answer->Status == 200);
   }
 }
 
@@ -128,12 +129,12 @@
   constexpr std::size_t Connections = 2000;
   for (std::size_t n = 0; n < Connections; ++n)
     idle.push_back(connectTo(context, world.member("n1").ListenAddress));
-  Outcome<http::Response> told = world.ask("n1", lookUp());
-  REQUIRE(told);
-  CHECK(told->Status == 200);
+  Outcome<http::Response> answer = world.sendRequest("n1", lookUp());
+  REQUIRE(answer);
+  CHECK(answer->Status == 200);
 }
 
-TEST_CASE("Hostile: a third of the daemons killed at once") {
+TEST_CASE("Hostile: requests succeed after a third of the daemons dies") {
   RequestFixture world;
   std::map<int, std::string> names;
   for (int n = 0; n < 3; ++n) {
@@ -147,9 +148,9 @@
   world.waitForServers(3);
   world.kill("d0");
   for (int n = 0; n < 100; ++n) {
-    Outcome<http::Response> told = world.ask("n1", lookUp());
-    REQUIRE(told);
-    CHECK(told->Status == 200);
+    Outcome<http::Response> answer = world.sendRequest("n1", lookUp());
+    REQUIRE(answer);
+    CHECK(answer->Status == 200);
   }
 }
 
--- a/IntegrationTests/Cases/IdempotencyKeyTest.cpp
+++ b/IntegrationTests/Cases/IdempotencyKeyTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Repeats with an `Idempotency-Key`, through any entry and past crashes,
-/// against the upstream's own record of what ran.
+/// Checks repeats with an `Idempotency-Key` through any entry and after crashes
+/// against the upstream's own record of runs.
 #include "IntegrationTests/Cases/RequestFixture.h"
 
 #include <catch2/catch.hpp>
@@ -11,7 +11,7 @@
 namespace wasabi::test {
 namespace {
 
-/// Two servers before two daemons, and two entries.
+/// Two servers, two daemons, and two entries.
 struct IdempotencyKeyFixture : RequestFixture {
   explicit IdempotencyKeyFixture(const std::vector<std::string> &Flags = {}) {
     for (const char *it : {"a", "b"})
@@ -37,8 +37,8 @@
   IdempotencyKeyFixture world;
   for (int n = 0; n < 8; ++n) {
     std::string key = "key-" + std::to_string(n);
-    Outcome<http::Response> first = world.ask("n1", bid(key));
-    Outcome<http::Response> again = world.ask("n2", bid(key));
+    Outcome<http::Response> first = world.sendRequest("n1", bid(key));
+    Outcome<http::Response> again = world.sendRequest("n2", bid(key));
     REQUIRE(first);
     REQUIRE(again);
     CHECK(first->Status == 200);
@@ -48,12 +48,13 @@
   CHECK(world.allRuns() == 8);
 }
 
-TEST_CASE("Key: two at once run once, and the second gets the answer") {
+TEST_CASE("Key: concurrent duplicates run once and get one answer") {
   IdempotencyKeyFixture world({"--latency_ms=300"});
   std::vector<std::future<Outcome<http::Response>>> told;
   for (const char *it : {"n1", "n2", "n1", "n2"})
-    told.push_back(std::async(
-        std::launch::async, [&world, it] { return world.ask(it, bid("k")); }));
+    told.push_back(std::async(std::launch::async, [&world, it] {
+      return world.sendRequest(it, bid("k"));
+    }));
   std::string body;
   for (std::future<Outcome<http::Response>> &it : told) {
     Outcome<http::Response> one = it.get();
@@ -66,10 +67,10 @@
   CHECK(world.allRuns() == 1);
 }
 
-TEST_CASE("Key: another request with the same key did not run") {
+TEST_CASE("Key: a different request with the same key does not run") {
   IdempotencyKeyFixture world;
-  REQUIRE(world.ask("n1", bid("k")));
-  Outcome<http::Response> other = world.ask("n2", bid("k", "another"));
+  REQUIRE(world.sendRequest("n1", bid("k")));
+  Outcome<http::Response> other = world.sendRequest("n2", bid("k", "another"));
   REQUIRE(other);
   CHECK(other->Status == 409);
   CHECK(other->header("X-Wasabi-Verdict") == "not-run");
@@ -78,20 +79,20 @@
 
 TEST_CASE("Key: after its daemon is killed a repeat never runs again") {
   IdempotencyKeyFixture world;
-  // Keys of both daemons.
+  // Use keys that were run by both daemons.
   std::vector<std::string> keys;
   for (int n = 0; n < 8; ++n) {
     keys.push_back("key-" + std::to_string(n));
-    Outcome<http::Response> first = world.ask("n1", bid(keys.back()));
+    Outcome<http::Response> first = world.sendRequest("n1", bid(keys.back()));
     REQUIRE(first);
     REQUIRE(first->Status == 200);
   }
   std::size_t before = world.runs("b");
   REQUIRE(world.allRuns() == 8);
   world.kill("d1");
-  // Whoever is left tells what is known, and does not run them again.
+  // The remaining daemon answers from its records and does not run them again.
   for (const std::string &it : keys) {
-    Outcome<http::Response> again = world.ask("n2", bid(it));
+    Outcome<http::Response> again = world.sendRequest("n2", bid(it));
     REQUIRE(again);
     INFO(again->Body);
     bool told = again->Status == 200 ||
@@ -100,7 +101,7 @@
   }
   world.waitForServers(1);
   for (const std::string &it : keys) {
-    Outcome<http::Response> again = world.ask("n2", bid(it));
+    Outcome<http::Response> again = world.sendRequest("n2", bid(it));
     REQUIRE(again);
     INFO(again->Body);
     bool known = again->Status == 200 ||
@@ -110,27 +111,27 @@
   CHECK(world.runs("b") == before);
 }
 
-TEST_CASE("Key: planned stops of all daemons in turn forget no key") {
+TEST_CASE("Key: keys survive planned stops of all daemons in turn") {
   IdempotencyKeyFixture world;
   std::vector<std::string> keys;
   for (int n = 0; n < 8; ++n) {
     keys.push_back("key-" + std::to_string(n));
-    Outcome<http::Response> first = world.ask("n1", bid(keys.back()));
+    Outcome<http::Response> first = world.sendRequest("n1", bid(keys.back()));
     REQUIRE(first);
     REQUIRE(first->Status == 200);
   }
   REQUIRE(world.allRuns() == 8);
-  // One after the other is replaced, so that no daemon is left that ran a key
-  // or was told of it by the one that did.
+  // Replace the daemons one by one, so that no daemon remains that ran a key or
+  // received it from the daemon that ran it.
   for (const char *server : {"a", "b"}) {
     std::string old = server == std::string("a") ? "d1" : "d2";
     world.member(old).Child->signal(SIGTERM);
-    REQUIRE(world.member(old).Child->wait(Patience));
+    REQUIRE(world.member(old).Child->wait(WaitTimeout));
     world.addDaemon(old + "-next", "pasig-a", {{server, "bids"}});
     world.waitForServers(2);
   }
   for (const std::string &it : keys) {
-    Outcome<http::Response> again = world.ask("n2", bid(it));
+    Outcome<http::Response> again = world.sendRequest("n2", bid(it));
     REQUIRE(again);
     INFO(again->Body);
     CHECK(again->header("X-Wasabi-Verdict") == "may-have-run");
@@ -140,8 +141,8 @@
 
 TEST_CASE("Key: an entry that dies mid-answer leaves the answer to a repeat") {
   IdempotencyKeyFixture world({"--latency_ms=1000"});
-  std::future<Outcome<http::Response>> lost =
-      std::async(std::launch::async, [&] { return world.ask("n1", bid("k")); });
+  std::future<Outcome<http::Response>> lost = std::async(
+      std::launch::async, [&] { return world.sendRequest("n1", bid("k")); });
   REQUIRE(harness::waitUntil(
       [&] {
         Outcome<std::string> counts =
@@ -149,7 +150,7 @@
         return counts && counts->find("wasabi_entry_attempts_total 1") !=
                              std::string::npos;
       },
-      Patience));
+      WaitTimeout));
   REQUIRE(harness::waitUntil(
       [&] {
         std::int64_t running = 0;
@@ -162,10 +163,10 @@
         }
         return running == 1;
       },
-      Patience));
+      WaitTimeout));
   world.kill("n1");
   CHECK_FALSE(lost.get());
-  Outcome<http::Response> again = world.ask("n2", bid("k"));
+  Outcome<http::Response> again = world.sendRequest("n2", bid("k"));
   REQUIRE(again);
   CHECK(again->Status == 200);
   CHECK(again->header("X-Idempotent-Replay") == "true");
--- a/IntegrationTests/Cases/MembershipTest.cpp
+++ b/IntegrationTests/Cases/MembershipTest.cpp
@@ -24,25 +24,28 @@
 
 namespace json = boost::json;
 
-/// Only a fault reaches it; it is well below the list's lag.
-constexpr Millis Limit{25000};
+/// Only reached on a fault; well below the lag of the list.
+constexpr Millis WaitTimeout{25000};
 constexpr char LaggingList[] = R"({"lag_ms":30000})";
 constexpr char Snapshots[] = "snapshots";
 
-std::unique_ptr<Deployment> deploy() {
+std::unique_ptr<Deployment> startDeployment() {
   Outcome<std::unique_ptr<Deployment>> made =
       wasabi::toOutcome<std::unique_ptr<Deployment>>([&] {
         return Deployment::start({"lindqvist", 1, false, {}});
       });
   if (!made)
     FAIL(wasabi::describe(made.failure()));
-  REQUIRE(waitUntil([&] { return (*made)->areAllUpstreamsKnown(); }, Limit));
+  REQUIRE(
+      waitUntil([&] { return (*made)->areAllUpstreamsKnown(); }, WaitTimeout));
   return std::move(*made);
 }
 
-/// What a process holds a member for; empty when it does not answer or know.
-std::string healthSeen(const WasabiProcess &By, const std::string &Instance) {
-  Outcome<json::value> status = getJson(By.Admin, "/status");
+/// Returns the state of a member as a process sees it; empty if the process
+/// does not answer or does not know the member.
+std::string observedState(const WasabiProcess &Observer,
+                          const std::string &Instance) {
+  Outcome<json::value> status = getJson(Observer.Admin, "/status");
   if (!status)
     return {};
   for (const json::value &it : status->at("members").as_array()) {
@@ -52,22 +55,23 @@
   return {};
 }
 
-/// Whether all other running processes hold a member for one of these.
+/// Returns true if all other running processes see a member in one of these
+/// states.
 bool allSee(Deployment &All, const std::string &Instance,
-            const std::set<std::string> &Healths) {
+            const std::set<std::string> &States) {
   for (WasabiProcess &it : All.nodes()) {
-    if (it.Name == Instance || !it.Running->running())
+    if (it.Name == Instance || !it.Child->running())
       continue;
-    if (!Healths.contains(healthSeen(it, Instance)))
+    if (!States.contains(observedState(it, Instance)))
       return false;
   }
   return true;
 }
 
-/// The token of a claim that a process holds now.
-std::optional<std::uint64_t> tokenAt(const WasabiProcess &By,
+/// Returns the token of a claim that a process holds now.
+std::optional<std::uint64_t> tokenAt(const WasabiProcess &Observer,
                                      const std::string &Resource) {
-  Outcome<json::value> status = getJson(By.Admin, "/status");
+  Outcome<json::value> status = getJson(Observer.Admin, "/status");
   if (!status)
     return std::nullopt;
   for (const json::value &it : status->at("claims").as_array()) {
@@ -77,11 +81,12 @@
   return std::nullopt;
 }
 
-/// A running process that holds a claim, other than `Not`; null for none.
+/// Returns a running process other than `Excluded` that holds a claim; null if
+/// there is none.
 WasabiProcess *holder(Deployment &All, const std::string &Resource,
-                      const WasabiProcess *Not = nullptr) {
+                      const WasabiProcess *Excluded = nullptr) {
   for (WasabiProcess &it : All.nodes()) {
-    if (&it != Not && it.Running->running() && tokenAt(it, Resource))
+    if (&it != Excluded && it.Child->running() && tokenAt(it, Resource))
       return &it;
   }
   return nullptr;
@@ -91,24 +96,25 @@
 
 TEST_CASE("Who leaves is known everywhere though the platform's list lags",
           "[membership]") {
-  std::unique_ptr<Deployment> all = deploy();
+  std::unique_ptr<Deployment> all = startDeployment();
   REQUIRE(all->instances().setFaults(LaggingList));
   WasabiProcess &leaver = all->nodes().front();
-  leaver.Running->signal(SIGTERM);
+  leaver.Child->signal(SIGTERM);
   CHECK(waitUntil(
       [&] {
         return allSee(*all, leaver.Name, {"leaving", "dead"});
       },
-      Limit));
+      WaitTimeout));
 }
 
 TEST_CASE("A crash is found out by peers, and nobody else is held for dead",
           "[membership]") {
-  std::unique_ptr<Deployment> all = deploy();
+  std::unique_ptr<Deployment> all = startDeployment();
   REQUIRE(all->instances().setFaults(LaggingList));
   WasabiProcess &crashed = all->nodes().front();
-  crashed.Running->signal(SIGKILL);
-  CHECK(waitUntil([&] { return allSee(*all, crashed.Name, {"dead"}); }, Limit));
+  crashed.Child->signal(SIGKILL);
+  CHECK(waitUntil([&] { return allSee(*all, crashed.Name, {"dead"}); },
+                  WaitTimeout));
   for (WasabiProcess &it : all->nodes()) {
     if (it.Name != crashed.Name)
       CHECK(allSee(*all, it.Name, {"alive", "suspect"}));
@@ -117,28 +123,29 @@
 
 TEST_CASE("A holder that was stopped past its term finds out on waking",
           "[membership]") {
-  std::unique_ptr<Deployment> all = deploy();
+  std::unique_ptr<Deployment> all = startDeployment();
   WasabiProcess *first = nullptr;
   REQUIRE(waitUntil(
       [&] {
         first = holder(*all, Snapshots);
         return first != nullptr;
       },
-      Limit));
+      WaitTimeout));
   std::uint64_t token = tokenAt(*first, Snapshots).value_or(0);
-  // Its status must not be asked while it stands still.
-  first->Running->signal(SIGSTOP);
+  // A stopped process does not answer status requests.
+  first->Child->signal(SIGSTOP);
   WasabiProcess *next = nullptr;
   CHECK(waitUntil(
       [&] {
         next = holder(*all, Snapshots, first);
         return next != nullptr;
       },
-      Limit));
-  first->Running->signal(SIGCONT);
+      WaitTimeout));
+  first->Child->signal(SIGCONT);
   REQUIRE(next != nullptr);
   CHECK(tokenAt(*next, Snapshots).value_or(0) > token);
   CHECK(!tokenAt(*first, Snapshots));
-  // It comes back as a member: to have stood still is no death.
-  CHECK(waitUntil([&] { return allSee(*all, first->Name, {"alive"}); }, Limit));
+  // It rejoins as a member: a paused process is not dead.
+  CHECK(waitUntil([&] { return allSee(*all, first->Name, {"alive"}); },
+                  WaitTimeout));
 }
--- a/IntegrationTests/Cases/OperatorTests.cpp
+++ b/IntegrationTests/Cases/OperatorTests.cpp
@@ -23,7 +23,7 @@
 
 namespace {
 
-constexpr Millis RunLimit{60000};
+constexpr Millis RunTimeout{60000};
 
 std::string readFile(const std::string &Path) {
   std::ifstream file(Path);
@@ -32,21 +32,21 @@
   return out.str();
 }
 
-/// What must be made for a test to begin.
-template <typename T, typename Body> T make(const Body &Start) {
+/// Returns a value that a test requires; fails the test if it is missing.
+template <typename T, typename Body> T require(const Body &Start) {
   Outcome<T> made = wasabi::toOutcome<T>(Start);
   if (!made)
     FAIL(wasabi::describe(made.failure()));
   return std::move(*made);
 }
 
-/// One `wasabictl` that runs.
-struct Running {
+/// A running `wasabictl`.
+struct RunningClient {
   std::unique_ptr<Process> Child;
   std::string ErrorFile;
 
   CtlResult finish() {
-    std::optional<ProcessExit> end = Child->waitAndRead(RunLimit);
+    std::optional<ProcessExit> end = Child->waitAndRead(RunTimeout);
     CtlResult out;
     out.Code = end ? end->Code : -1;
     out.Output = Child->output();
@@ -55,19 +55,19 @@
   }
 };
 
-/// A log and a list, with operators' clients and no other process.
-class Desk {
+/// A log and an instance list, with operators' clients and no other process.
+class OperatorFixture {
 public:
-  Desk()
-      : Folder(make<std::unique_ptr<TestFolder>>(
+  OperatorFixture()
+      : Folder(require<std::unique_ptr<TestFolder>>(
             [] { return TestFolder::create(); })),
-        Log(startStandIn("log")), List(startStandIn("instances")) {}
+        Log(startStandIn("log")), Instances(startStandIn("instances")) {}
 
   const std::unique_ptr<TestFolder> Folder;
   const std::unique_ptr<StandIn> Log;
-  const std::unique_ptr<StandIn> List;
+  const std::unique_ptr<StandIn> Instances;
 
-  /// A folder that declares some limits.
+  /// Creates a folder that declares some limits.
   std::string declare(const std::string &Name,
                       const std::vector<std::pair<std::string, int>> &Limits) {
     std::filesystem::path path = Folder->path() / Name;
@@ -81,14 +81,14 @@
     return path;
   }
 
-  Running start(const std::string &Operator,
-                std::vector<std::string> Arguments) {
+  RunningClient start(const std::string &Operator,
+                      std::vector<std::string> Arguments) {
     Arguments.push_back("--log=" + toText(Log->address()));
-    Arguments.push_back("--instances=" + toText(List->address()));
+    Arguments.push_back("--instances=" + toText(Instances->address()));
     Arguments.push_back("--operator=" + Operator);
     std::string errors =
         Folder->file("ctl" + std::to_string(++Started) + ".err");
-    return {make<std::unique_ptr<Process>>([&] {
+    return {require<std::unique_ptr<Process>>([&] {
               return Process::start(
                   {"wasabictl", std::move(Arguments), {}, errors});
             }),
@@ -103,7 +103,7 @@
     REQUIRE(Log->setFaults(Faults));
   }
 
-  /// Appends that the log took.
+  /// Returns the number of appends that the log accepted.
   std::int64_t appends() const {
     Outcome<boost::json::value> truth = Log->truth();
     REQUIRE(truth);
@@ -116,12 +116,12 @@
   static std::unique_ptr<StandIn> startStandIn(const std::string &Role) {
     StandIn::Settings setup;
     setup.Role = Role;
-    return make<std::unique_ptr<StandIn>>(
+    return require<std::unique_ptr<StandIn>>(
         [&] { return StandIn::start(setup); });
   }
 };
 
-/// The id that a client printed before it sent its change.
+/// Returns the id that a client printed before it sent its change.
 std::string printedId(const std::string &Errors) {
   std::size_t begin = Errors.find("id ");
   if (begin == std::string::npos)
@@ -130,7 +130,7 @@
   return Errors.substr(begin, Errors.find('\n', begin) - begin);
 }
 
-std::size_t countOf(const std::string &Text, const std::string &Part) {
+std::size_t countMatches(const std::string &Text, const std::string &Part) {
   std::size_t out = 0;
   for (std::size_t at = Text.find(Part); at != std::string::npos;
        at = Text.find(Part, at + 1))
@@ -140,60 +140,62 @@
 
 } // namespace
 
-TEST_CASE("Looking, and bad declarations, write nothing to the log") {
-  Desk desk;
-  std::string good = desk.declare("good", {{"a", 1}});
-  std::string bad = desk.declare("bad", {{"a", 0}});
-  CHECK(desk.run({"validate", good}).Code == 0);
-  CtlResult planned = desk.run({"plan", good});
+TEST_CASE("Queries and invalid declarations write nothing to the log") {
+  OperatorFixture fixture;
+  std::string good = fixture.declare("good", {{"a", 1}});
+  std::string bad = fixture.declare("bad", {{"a", 0}});
+  CHECK(fixture.run({"validate", good}).Code == 0);
+  CtlResult planned = fixture.run({"plan", good});
   CHECK(planned.Code == 0);
   CHECK_THAT(planned.Output, Contains("+ limit/a"));
   for (const char *command : {"validate", "plan", "apply"}) {
-    CtlResult refused = desk.run({command, bad});
+    CtlResult refused = fixture.run({command, bad});
     CHECK(refused.Code == 2);
     CHECK_THAT(refused.Errors,
                Contains("limits.json: /0/burst: must be a whole number"));
   }
-  CHECK(desk.run({"preset", "none"}).Code == 2);
-  CHECK(desk.appends() == 0);
+  CHECK(fixture.run({"preset", "none"}).Code == 2);
+  CHECK(fixture.appends() == 0);
 }
 
 TEST_CASE("A change whose answers are lost is applied once") {
-  Desk desk;
-  std::string folder = desk.declare("d", {{"a", 1}});
+  OperatorFixture fixture;
+  std::string folder = fixture.declare("d", {{"a", 1}});
   // Reads show an older tail until the change was appended twice.
-  desk.setFaults(R"({"lose_answers":2,"stale_tail":1000000})");
-  Running applying = desk.start("anna", {"apply", folder});
-  REQUIRE(
-      wasabi::harness::waitUntil([&] { return desk.appends() > 1; }, RunLimit));
-  desk.setFaults(R"({"stale_tail":0})");
+  fixture.setFaults(R"({"lose_answers":2,"stale_tail":1000000})");
+  RunningClient applying = fixture.start("anna", {"apply", folder});
+  REQUIRE(wasabi::harness::waitUntil([&] { return fixture.appends() > 1; },
+                                     RunTimeout));
+  fixture.setFaults(R"({"stale_tail":0})");
   CtlResult applied = applying.finish();
   INFO(applied.Output << applied.Errors);
   CHECK(applied.Code == 0);
   CHECK_THAT(applied.Output, Contains("accepted at offset 0"));
-  CHECK(countOf(desk.run({"history"}).Output, "offset") == 1);
-  CHECK_THAT(desk.run({"apply", folder}).Output, Contains("nothing to change"));
+  CHECK(countMatches(fixture.run({"history"}).Output, "offset") == 1);
+  CHECK_THAT(fixture.run({"apply", folder}).Output,
+             Contains("nothing to change"));
 }
 
-TEST_CASE("Of operators who race only those in conflict are refused") {
-  Desk desk;
-  // A slow log makes it likely that all read before any appends.
-  desk.setFaults(R"({"slow_ms":200})");
-  std::vector<Running> rivals;
-  std::vector<Running> others;
+TEST_CASE("Of concurrent changes only conflicting ones are refused") {
+  OperatorFixture fixture;
+  // A slow log makes it likely that all clients read before any of them
+  // appends.
+  fixture.setFaults(R"({"slow_ms":200})");
+  std::vector<RunningClient> rivals;
+  std::vector<RunningClient> others;
   for (int i = 1; i <= 4; ++i) {
     std::string number = std::to_string(i);
-    rivals.push_back(desk.start(
+    rivals.push_back(fixture.start(
         "rival" + number,
-        {"apply", desk.declare("shared" + number, {{"shared", i}})}));
-    others.push_back(desk.start(
+        {"apply", fixture.declare("shared" + number, {{"shared", i}})}));
+    others.push_back(fixture.start(
         "other" + number,
-        {"apply", desk.declare("own" + number, {{"own" + number, i}})}));
+        {"apply", fixture.declare("own" + number, {{"own" + number, i}})}));
   }
-  for (Running &it : others)
+  for (RunningClient &it : others)
     CHECK(it.finish().Code == 0);
   std::size_t accepted = 0;
-  for (Running &it : rivals) {
+  for (RunningClient &it : rivals) {
     CtlResult end = it.finish();
     INFO(end.Output << end.Errors);
     accepted += end.Code == 0 ? 1 : 0;
@@ -205,78 +207,80 @@
                                Contains(" by rival"));
   }
   CHECK(accepted >= 1);
-  desk.setFaults(R"({"slow_ms":0})");
-  std::string history = desk.run({"history"}).Output;
-  CHECK(countOf(history, "accepted by other") == 4);
-  CHECK(countOf(history, "accepted by rival") == accepted);
+  fixture.setFaults(R"({"slow_ms":0})");
+  std::string history = fixture.run({"history"}).Output;
+  CHECK(countMatches(history, "accepted by other") == 4);
+  CHECK(countMatches(history, "accepted by rival") == accepted);
 }
 
-TEST_CASE("A client killed before its answer is settled by its id") {
-  Desk desk;
-  // Neither the answer nor the record itself can be seen.
-  desk.setFaults(R"({"lose_answers":1000000,"stale_tail":1000000})");
-  Running killed = desk.start("anna", {"apply", desk.declare("d", {{"a", 1}})});
-  REQUIRE(
-      wasabi::harness::waitUntil([&] { return desk.appends() > 0; }, RunLimit));
+TEST_CASE("The change of a killed client is resolved by its id") {
+  OperatorFixture fixture;
+  // Neither the answer nor the record is visible.
+  fixture.setFaults(R"({"lose_answers":1000000,"stale_tail":1000000})");
+  RunningClient killed =
+      fixture.start("anna", {"apply", fixture.declare("d", {{"a", 1}})});
+  REQUIRE(wasabi::harness::waitUntil([&] { return fixture.appends() > 0; },
+                                     RunTimeout));
   killed.Child->signal(SIGKILL);
   CtlResult end = killed.finish();
   std::string id = printedId(end.Errors);
   REQUIRE_FALSE(id.empty());
 
-  desk.setFaults(R"({"lose_answers":0,"stale_tail":0})");
-  CtlResult settled = desk.run({"apply", "--resume", id});
+  fixture.setFaults(R"({"lose_answers":0,"stale_tail":0})");
+  CtlResult settled = fixture.run({"apply", "--resume", id});
   INFO(settled.Output << settled.Errors);
   CHECK(settled.Code == 0);
   CHECK_THAT(settled.Output, Contains("accepted at offset 0"));
 }
 
-TEST_CASE("A change that stays unknown is settled for good") {
-  Desk desk;
-  std::string folder = desk.declare("d", {{"a", 1}});
-  desk.setFaults(R"({"stale_tail":1000000})");
-  CtlResult unknown = desk.run({"apply", folder, "--wait_ms=300"});
+TEST_CASE("A change of unknown outcome is resolved permanently") {
+  OperatorFixture fixture;
+  std::string folder = fixture.declare("d", {{"a", 1}});
+  fixture.setFaults(R"({"stale_tail":1000000})");
+  CtlResult unknown = fixture.run({"apply", folder, "--wait_ms=300"});
   CHECK(unknown.Code == 6);
   CHECK_THAT(unknown.Output,
              Contains("wasabictl apply --resume " + printedId(unknown.Errors)));
-  desk.setFaults(R"({"stale_tail":0})");
-  CHECK(desk.run({"apply", "--resume", printedId(unknown.Errors)}).Code == 0);
+  fixture.setFaults(R"({"stale_tail":0})");
+  CHECK(fixture.run({"apply", "--resume", printedId(unknown.Errors)}).Code ==
+        0);
 
-  // One that never reached the log, and comes late.
-  CtlResult never = desk.run({"apply", "--resume", "late:1:1"});
+  // A change that has not reached the log and arrives late.
+  CtlResult never = fixture.run({"apply", "--resume", "late:1:1"});
   CHECK(never.Code == 1);
   CHECK_THAT(never.Output, Contains("never will be"));
   wasabi::ConfigChange change{
       1000, {}, {{"limit/z", R"({"kind":"limit","name":"z"})"}}, "bo", ""};
-  change.Base = static_cast<wasabi::Offset>(desk.appends());
+  change.Base = static_cast<wasabi::Offset>(fixture.appends());
   REQUIRE(wasabi::harness::postJson(
-      desk.Log->address(), "/v1/streams/control/records",
+      fixture.Log->address(), "/v1/streams/control/records",
       wasabi::encodeRecord({{"late", 1, 1}, change})));
-  CHECK_THAT(desk.run({"history"}).Output, !Contains("limit/z"));
+  CHECK_THAT(fixture.run({"history"}).Output, !Contains("limit/z"));
 }
 
-TEST_CASE("With the log down nothing is sent, and it is said so") {
-  Desk desk;
-  std::string folder = desk.declare("d", {{"a", 1}});
-  desk.setFaults(R"({"outage":true})");
-  CHECK(desk.run({"apply", folder, "--wait_ms=300"}).Code == 3);
-  desk.setFaults(R"({"outage":false})");
-  CHECK(desk.appends() == 0);
+TEST_CASE("With the log down nothing is sent and an error is printed") {
+  OperatorFixture fixture;
+  std::string folder = fixture.declare("d", {{"a", 1}});
+  fixture.setFaults(R"({"outage":true})");
+  CHECK(fixture.run({"apply", folder, "--wait_ms=300"}).Code == 3);
+  fixture.setFaults(R"({"outage":false})");
+  CHECK(fixture.appends() == 0);
 }
 
-TEST_CASE("A rollback is a change of its own") {
-  Desk desk;
-  desk.run({"apply", desk.declare("one", {{"a", 1}, {"b", 1}})});
-  desk.run({"apply", desk.declare("two", {{"a", 2}}), "--prune"});
-  CtlResult back = desk.run({"rollback", "0", "--message", "too slow"});
+TEST_CASE("A rollback is a separate change") {
+  OperatorFixture fixture;
+  fixture.run({"apply", fixture.declare("one", {{"a", 1}, {"b", 1}})});
+  fixture.run({"apply", fixture.declare("two", {{"a", 2}}), "--prune"});
+  CtlResult back = fixture.run({"rollback", "0", "--message", "too slow"});
   CHECK(back.Code == 0);
   CHECK_THAT(back.Output, Contains("/burst: 2 -> 1") && Contains("+ limit/b"));
   CHECK_THAT(
-      desk.run({"history"}).Output,
+      fixture.run({"history"}).Output,
       Contains("offset 2 accepted by anna limit/a limit/b \"too slow\""));
 }
 
 TEST_CASE("An operator sees a change in force on all, and their time line") {
-  std::unique_ptr<Deployment> made = make<std::unique_ptr<Deployment>>([] {
+  std::unique_ptr<Deployment> made = require<std::unique_ptr<Deployment>>([] {
     return Deployment::start({"lindqvist", 1, false, {}});
   });
   Deployment &running = *made;
@@ -303,12 +307,12 @@
   CHECK_THAT(busy.Output, Contains("admits callers"));
   CHECK(running.control({"preset", "maintenance"}).Code == 0);
   CHECK(wasabi::harness::waitUntil(
-      [&] { return running.control({"drain-check"}).Code == 0; }, RunLimit));
+      [&] { return running.control({"drain-check"}).Code == 0; }, RunTimeout));
 
-  // One that is gone, and that the platform still lists, is named.
+  // A process that is gone but still listed by the platform is named.
   wasabi::harness::WasabiProcess &gone = running.nodes().front();
-  gone.Running->signal(SIGKILL);
-  gone.Running->wait(RunLimit);
+  gone.Child->signal(SIGKILL);
+  gone.Child->wait(RunTimeout);
   CtlResult partly = running.control({"preset", "ordinary", "--wait_ms=2000"});
   INFO(partly.Output << partly.Errors);
   CHECK(partly.Code == 5);
--- a/IntegrationTests/Cases/PlatformPathTest.cpp
+++ b/IntegrationTests/Cases/PlatformPathTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The real processes on a stand-in of the users' platform.
+/// Checks the real processes against a stand-in of the users' platform.
 #include "IntegrationTests/Harness/Waiting.h"
 #include "IntegrationTests/Platform/PlatformFixture.h"
 
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr Millis Patience{20000};
+constexpr Millis WaitTimeout{20000};
 constexpr unsigned Ok = 200;
 constexpr unsigned Accepted = 202;
 
@@ -25,8 +25,8 @@
   return text;
 }
 
-/// Checks that a job's results are whole, scored and each item's once, and
-/// gives them.
+/// Checks that a job's results are complete, scored and unique for each item,
+/// and returns them.
 json::array checkWhole(PlatformFixture &World, std::size_t Edge,
                        const std::string &Job, std::size_t Items,
                        std::uint64_t Length) {
@@ -70,7 +70,7 @@
   CHECK(world.postRequest(0, "/nowhere/", "r2").Status == 404);
 }
 
-TEST_CASE("Platform: full servers make a refusal that says when to come back") {
+TEST_CASE("Platform: full servers cause a refusal with a retry time") {
   PlatformFixture world(1);
   REQUIRE(world.waitUntilAllReady());
   world.runOnPlatformThread([&] {
@@ -82,7 +82,7 @@
   CHECK_FALSE(got.header("Retry-After").empty());
 }
 
-TEST_CASE("Platform: a job is run, scored and read alike at every process") {
+TEST_CASE("Platform: every process returns the same results of a job") {
   constexpr std::size_t Items = 12;
   PlatformFixture world(3);
   REQUIRE(world.waitUntilAllReady());
@@ -97,7 +97,7 @@
   CHECK(world.endJob(2, "no-job") == 404);
 }
 
-TEST_CASE("Platform: texts that break off go on, and none is joined wrongly") {
+TEST_CASE("Platform: interrupted texts resume and are joined correctly") {
   constexpr std::size_t Items = 8;
   PlatformFixture world(1);
   REQUIRE(world.waitUntilAllReady());
@@ -110,7 +110,7 @@
   checkWhole(world, 0, "job", Items, 6);
 }
 
-TEST_CASE("Platform: named weights reach the engines, by one holder each") {
+TEST_CASE("Platform: one holder loads named weights on each engine") {
   PlatformFixture world(2);
   REQUIRE(world.waitUntilAllReady());
   world.nameVersion(2);
@@ -120,7 +120,7 @@
              world.engine(1).Models["model"] == 2;
     });
   };
-  bool done = harness::waitUntil(loaded, Patience);
+  bool done = harness::waitUntil(loaded, WaitTimeout);
   INFO(world.sidecar(0).output() + world.sidecar(1).output() +
        world.edge(0).Running->output() + world.edge(1).Running->output());
   REQUIRE(done);
@@ -138,7 +138,7 @@
   }
 }
 
-TEST_CASE("Platform: a server that starts again under its id serves on") {
+TEST_CASE("Platform: a server restarted with its id continues to serve") {
   constexpr std::size_t Items = 24;
   PlatformFixture world(2);
   REQUIRE(world.waitUntilAllReady());
@@ -149,10 +149,10 @@
              world.engine(1).Models["model"] == Version;
     });
   };
-  REQUIRE(harness::waitUntil([&] { return holds(2); }, Patience));
+  REQUIRE(harness::waitUntil([&] { return holds(2); }, WaitTimeout));
   REQUIRE(world.submit(0, "job", Items, 2) == Accepted);
-  // It is back before its registration lapses, with the weights that it had and
-  // a count of orders that starts anew; in the middle of its work, twice.
+  // The server restarts before its registration lapses, with the same weights
+  // and an order count that starts at zero; twice during its work.
   for (int i = 0; i < 2; ++i) {
     world.runOnPlatformThread(
         [&] { world.engine(0).restart(world.engine(0).id()); });
@@ -160,9 +160,9 @@
   }
   REQUIRE(world.waitForResults(0, "job", Items));
   checkWhole(world, 0, "job", Items, 6);
-  // The new start takes orders and items.
+  // The restarted server takes orders and items.
   world.nameVersion(3);
-  bool done = harness::waitUntil([&] { return holds(3); }, Patience);
+  bool done = harness::waitUntil([&] { return holds(3); }, WaitTimeout);
   INFO(world.sidecar(0).output() + world.edge(0).Running->output() +
        world.edge(1).Running->output());
   REQUIRE(done);
@@ -173,7 +173,7 @@
       [&] { return !world.engine(0).Runs.empty(); }));
 }
 
-TEST_CASE("Platform: entries of other writers name no server, others hold") {
+TEST_CASE("Platform: invalid server entries are ignored") {
   constexpr std::size_t Items = 8;
   PlatformFixture world(1);
   REQUIRE(world.waitUntilAllReady());
@@ -188,9 +188,10 @@
     for (std::size_t i = 0; i < std::size(entries); ++i)
       world.store().write("keyed.servers", "x-" + std::to_string(i),
                           entries[i]);
-    // One over a server's own: it is not used until it registers again.
+    // A foreign record replaces a server's own, so the server is not used until
+    // it registers again.
     world.store().write("keyed.servers", world.plainServer(1).id(), odd);
-    // What the topic's whole reading tells is the same.
+    // A full read of the topic gives the same result.
     world.store().compact("keyed.servers");
   });
   auto rejected = [&] {
@@ -201,7 +202,7 @@
       ++count;
     return count;
   };
-  REQUIRE(harness::waitUntil([&] { return rejected() == 6; }, Patience));
+  REQUIRE(harness::waitUntil([&] { return rejected() == 6; }, WaitTimeout));
   world.runOnPlatformThread([&] { world.plainServer(1).Runs.clear(); });
   for (int i = 0; i < 6; ++i)
     CHECK(world.postRequest(0, "/desk/x", "r" + std::to_string(i)).Status ==
@@ -210,16 +211,16 @@
       [&] { return world.plainServer(1).Runs.empty(); }));
   REQUIRE(world.submit(0, "job", Items) == Accepted);
   REQUIRE(world.waitForResults(0, "job", Items));
-  // It registers again, and is the only one that has room.
+  // It registers again, and is the only server with capacity.
   world.registerServer(3, false);
   world.runOnPlatformThread([&] { world.plainServer(0).RefusesAsFull = true; });
   auto served = [&] {
     return world.postRequest(0, "/desk/x", "again").Status == Ok;
   };
-  CHECK(harness::waitUntil(served, Patience));
+  CHECK(harness::waitUntil(served, WaitTimeout));
 }
 
-TEST_CASE("Platform: every process killed, nothing accepted or read is lost") {
+TEST_CASE("Platform: killing every process loses no accepted work") {
   constexpr std::size_t Items = 10;
   PlatformFixture world(2);
   REQUIRE(world.waitUntilAllReady());
@@ -233,7 +234,7 @@
   REQUIRE(world.submit(1, "after", Items) == Accepted);
   for (std::size_t i = 0; i < 2; ++i) {
     world.edge(i).Running->signal(SIGKILL);
-    world.edge(i).Running->wait(Patience);
+    world.edge(i).Running->wait(WaitTimeout);
   }
   for (std::size_t i = 0; i < 2; ++i)
     world.startEdge(i);
@@ -243,7 +244,7 @@
   checkWhole(world, 0, "after", Items, 20);
 }
 
-TEST_CASE("Platform: a dispatcher that stops hands its work over") {
+TEST_CASE("Platform: a stopping dispatcher hands over its work") {
   constexpr std::size_t Items = 6;
   PlatformFixture world(2);
   REQUIRE(world.waitUntilAllReady());
@@ -259,15 +260,15 @@
       return world.engine(0).Runs.size() + world.engine(1).Runs.size() == Items;
     });
   };
-  REQUIRE(harness::waitUntil(running, Patience));
-  // Whoever dispatches says so in its log.
+  REQUIRE(harness::waitUntil(running, WaitTimeout));
+  // The new dispatcher logs that it dispatches.
   std::size_t holder =
       world.edge(0).Running->output().find("duty.gained") != std::string::npos
           ? 0
           : 1;
   world.edge(holder).Running->signal(SIGTERM);
   std::optional<harness::ProcessExit> end =
-      world.edge(holder).Running->wait(Patience);
+      world.edge(holder).Running->wait(WaitTimeout);
   REQUIRE(end.has_value());
   CHECK(end->Code == 0);
   std::size_t other = 1 - holder;
@@ -297,7 +298,8 @@
     REQUIRE(world.waitUntilAllReady());
     world.results(1, job, read);
     INFO("mood " << static_cast<int>(mood) << " status " << status);
-    // A promise that nothing was taken must hold; an acceptance too.
+    // An answer that nothing was accepted must be true, and so must an
+    // acceptance.
     if (promise)
       CHECK(read == 404);
     if (status == Accepted)
@@ -308,18 +310,18 @@
   checkWhole(world, 1, "known", 2, 6);
 }
 
-TEST_CASE("Platform: a configuration is in force soon and never reverts") {
+TEST_CASE("Platform: a configuration takes effect and never reverts") {
   PlatformFixture world(2);
   REQUIRE(world.waitUntilAllReady());
   world.configure(2);
   auto served = [&](std::size_t Edge, const std::string &Path) {
     return harness::waitUntil(
         [&] { return world.postRequest(Edge, Path, "r").Status == Ok; },
-        Patience);
+        WaitTimeout);
   };
   for (std::size_t i = 0; i < 2; ++i)
     CHECK(served(i, "/desk-2/"));
-  // An older version, and a gap in what can be read.
+  // An older version, and a gap in the readable records.
   world.configure(1);
   world.runOnPlatformThread([&] { world.store().compact("keyed.op"); });
   world.configure(4);
@@ -343,9 +345,9 @@
     return log.find("draining") != std::string::npos &&
            log.find("server.unregistered") != std::string::npos;
   };
-  REQUIRE(harness::waitUntil(noted, Patience));
-  // A registration that vanishes right after the start may have lapsed in an
-  // outage; it is kept for a moment.
+  REQUIRE(harness::waitUntil(noted, WaitTimeout));
+  // A registration that disappears right after the start may have lapsed in an
+  // outage, so it is kept for a short time.
   harness::waitUntil([] { return false; }, Millis(2500));
   world.runOnPlatformThread([&] {
     world.plainServer(0).Runs.clear();
@@ -360,7 +362,7 @@
   }) == 0);
 }
 
-TEST_CASE("Platform: a planned stop answers what it has taken") {
+TEST_CASE("Platform: a stopping process answers accepted requests") {
   PlatformFixture world(1);
   REQUIRE(world.waitUntilAllReady());
   world.runOnPlatformThread([&] {
@@ -377,18 +379,18 @@
              1;
     });
   };
-  REQUIRE(harness::waitUntil(running, Patience));
+  REQUIRE(harness::waitUntil(running, WaitTimeout));
   world.edge(0).Running->signal(SIGTERM);
   CHECK(answer.get().Status == Ok);
   std::optional<harness::ProcessExit> end =
-      world.edge(0).Running->wait(Patience);
+      world.edge(0).Running->wait(WaitTimeout);
   REQUIRE(end.has_value());
   CHECK(end->Code == 0);
 }
 
 namespace {
 
-/// A request for a stream of the engines, as bytes.
+/// Builds the bytes of a streaming request to the engines.
 std::string streamRequest(const std::string &Id, const std::string &Extra) {
   return "POST /stream/x HTTP/1.1\r\nHost: host.example\r\n"
          "Wasabisail-Request-Id: " +
@@ -407,7 +409,7 @@
 
 } // namespace
 
-TEST_CASE("Platform: a stream comes through, and goes on at another server") {
+TEST_CASE("Platform: an interrupted stream continues at another server") {
   PlatformFixture world(1);
   REQUIRE(world.waitUntilAllReady());
   world.runOnPlatformThread([&] {
@@ -426,11 +428,11 @@
     CHECK(got.find(event, at + 1) == std::string::npos);
     from = at;
   }
-  // The end of the last chunk: the stream is whole.
+  // The last chunk shows that the stream is complete.
   CHECK(got.ends_with("0\r\n\r\n"));
 }
 
-TEST_CASE("Platform: a stream that its caller resumes begins where it says") {
+TEST_CASE("Platform: a resumed stream begins at the requested event") {
   PlatformFixture world(1);
   REQUIRE(world.waitUntilAllReady());
   std::string got = world.sendRaw(0, streamRequest("s", "Last-Event-Id: 4\r\n"),
@@ -440,7 +442,7 @@
   CHECK(got.find("data: s:6\n") != std::string::npos);
 }
 
-TEST_CASE("Platform: a caller who leaves stops the work for it") {
+TEST_CASE("Platform: a caller's disconnect cancels its request") {
   PlatformFixture world(1);
   REQUIRE(world.waitUntilAllReady());
   world.runOnPlatformThread([&] {
@@ -462,7 +464,7 @@
   CHECK(harness::waitUntil([&] { return running(world) == 0; }, UsersBound));
 }
 
-TEST_CASE("Platform: a body in chunks reaches its server whole") {
+TEST_CASE("Platform: a chunked body reaches its server complete") {
   PlatformFixture world(1);
   REQUIRE(world.waitUntilAllReady());
   std::string got = world.sendRaw(
@@ -481,7 +483,7 @@
   CHECK(runs[0].Body == "first second");
 }
 
-TEST_CASE("Platform: settings that change, in good or bad ways, stop nothing") {
+TEST_CASE("Platform: valid and invalid settings changes stop nothing") {
   PlatformFixture world(1);
   REQUIRE(world.waitUntilAllReady());
   for (const char *text : {"", "{", R"({"node_name":3})"}) {
@@ -501,11 +503,11 @@
         return world.edge(0).Running->output().find("process.reload") !=
                std::string::npos;
       },
-      Patience));
+      WaitTimeout));
   CHECK(world.ready(0));
 }
 
-TEST_CASE("Platform: an edge process without an address for callers says so") {
+TEST_CASE("Platform: a missing caller address is reported") {
   PlatformFixture world(1);
   harness::Process::Settings setup;
   setup.Program = "wasabi-edge";
@@ -513,7 +515,7 @@
                         world.writeSettingsFile("bare", "\"listen\":{},", 0)}};
   std::unique_ptr<harness::Process> process =
       harness::Process::start(std::move(setup)).value();
-  std::optional<harness::ProcessExit> end = process->waitAndRead(Patience);
+  std::optional<harness::ProcessExit> end = process->waitAndRead(WaitTimeout);
   REQUIRE(end.has_value());
   CHECK(end->Code == 2);
 }
--- a/IntegrationTests/Cases/ProcessTests.cpp
+++ b/IntegrationTests/Cases/ProcessTests.cpp
@@ -14,14 +14,14 @@
 
 namespace {
 
-constexpr Millis Limit{20000};
+constexpr Millis WaitTimeout{20000};
 
 } // namespace
 
 TEST_CASE("A process is run, read and waited for") {
   std::unique_ptr<Process> child =
       Process::start({"wasabi-replay", {"--version"}, {}, ""}).value();
-  std::optional<ProcessExit> end = child->waitAndRead(Limit);
+  std::optional<ProcessExit> end = child->waitAndRead(WaitTimeout);
   REQUIRE(end);
   CHECK(end->Code == 0);
   CHECK(child->output() == "wasabi-replay " WASABI_VERSION "\n");
@@ -31,12 +31,12 @@
 TEST_CASE("A wrong setting ends a program with the usage code") {
   std::unique_ptr<Process> child =
       Process::start({"wasabi-replay", {"--no-such-flag"}, {}, ""}).value();
-  std::optional<ProcessExit> end = child->wait(Limit);
+  std::optional<ProcessExit> end = child->wait(WaitTimeout);
   REQUIRE(end);
   CHECK(end->Code == 2);
 }
 
-TEST_CASE("A process that announces nothing is told of with its errors") {
+TEST_CASE("A process without an address is reported with its stderr") {
   std::unique_ptr<TestFolder> folder = TestFolder::create().value();
   Outcome<wasabi::Address> none = wasabi::toOutcome<wasabi::Address>(
       [&]() -> wasabi::Result<wasabi::Address> {
@@ -44,17 +44,17 @@
                                                {"--no-such-flag"},
                                                {},
                                                folder->file("errors")}));
-        return child->waitForAddress("listening", Limit);
+        return child->waitForAddress("listening", WaitTimeout);
       });
   REQUIRE_FALSE(none);
   CHECK_THAT(none.failure().Reason, Catch::Contains("no-such-flag"));
 }
 
-TEST_CASE("A program that is not there is an error at the start") {
+TEST_CASE("Starting a missing program fails") {
   CHECK_FALSE(Process::start({"no-such-program", {}, {}, ""}));
 }
 
-TEST_CASE("A test's folder is there during the test only") {
+TEST_CASE("A test folder is removed after the test") {
   std::filesystem::path path;
   {
     std::unique_ptr<TestFolder> folder = TestFolder::create().value();
@@ -66,7 +66,7 @@
 
 TEST_CASE("Waiting ends when the condition holds or the limit has passed") {
   int asked = 0;
-  CHECK(wasabi::harness::waitUntil([&] { return ++asked == 3; }, Limit));
+  CHECK(wasabi::harness::waitUntil([&] { return ++asked == 3; }, WaitTimeout));
   CHECK(asked == 3);
   CHECK_FALSE(wasabi::harness::waitUntil([] { return false; }, Millis(1)));
 }
--- a/IntegrationTests/Cases/RequestFixture.cpp
+++ b/IntegrationTests/Cases/RequestFixture.cpp
@@ -24,11 +24,11 @@
   return harness::StandIn::start(std::move(setup)).value();
 }
 
-/// The servers that an entry sees in service.
-std::size_t servingSeen(const json::value &Status) {
+/// Returns the servers that an entry sees in service.
+std::size_t countServing(const json::value &Status) {
   std::size_t count = 0;
   for (const json::value &member : Status.at("members").as_array()) {
-    // A suspect is still given work.
+    // A suspected member still receives requests.
     std::string_view state = member.at("state").as_string();
     if (state != "alive" && state != "suspect")
       continue;
@@ -63,22 +63,22 @@
   return flags;
 }
 
-Member &
+MemberProcess &
 RequestFixture::addDaemon(const std::string &Name, const std::string &Domain,
-                          const std::map<std::string, std::string> &Behind,
-                          const std::map<std::string, Address> &Through) {
+                          const std::map<std::string, std::string> &Servers,
+                          const std::map<std::string, Address> &Proxies) {
   std::string upstreams;
-  for (const std::pair<const std::string, std::string> &it : Behind) {
-    std::map<std::string, Address>::const_iterator through =
-        Through.find(it.first);
-    Address where = through == Through.end() ? Servers[it.first]->address()
-                                             : through->second;
+  for (const std::pair<const std::string, std::string> &it : Servers) {
+    std::map<std::string, Address>::const_iterator proxy =
+        Proxies.find(it.first);
+    Address where =
+        proxy == Proxies.end() ? Servers[it.first]->address() : proxy->second;
     upstreams += (upstreams.empty() ? "" : ",") + it.first + "=" + it.second +
                  "@" + toText(where);
   }
   std::vector<std::string> flags = platformFlags(Name, Domain);
   flags.push_back("--upstreams=" + upstreams);
-  Member &made = Members[Name];
+  MemberProcess &made = Members[Name];
   made.Child =
       harness::Process::start({"wasabi-daemon", flags, {}, ""}).value();
   made.ListenAddress = made.Child->waitForAddress("frames").value();
@@ -88,12 +88,12 @@
   return made;
 }
 
-Member &RequestFixture::addEntry(const std::string &Name,
-                                 const std::string &Domain,
-                                 std::vector<std::string> Flags) {
+MemberProcess &RequestFixture::addEntry(const std::string &Name,
+                                        const std::string &Domain,
+                                        std::vector<std::string> Flags) {
   std::vector<std::string> flags = platformFlags(Name, Domain);
   flags.insert(flags.end(), Flags.begin(), Flags.end());
-  Member &made = Members[Name];
+  MemberProcess &made = Members[Name];
   made.Child = harness::Process::start({"wasabi-entry", flags, {}, ""}).value();
   made.ListenAddress = made.Child->waitForAddress("listening").value();
   made.Admin = made.Child->waitForAddress("admin").value();
@@ -108,7 +108,7 @@
   change.Operator = "test";
   for (const std::pair<const std::string, std::string> &it : texts)
     change.Writes.push_back(ObjectWrite{it.first, it.second});
-  Record record{RecordId{"test", 1, ++Published}, change};
+  Record record{RecordId{"test", 1, ++PublishedRecords}, change};
   Outcome<http::Response> appended = harness::postJson(
       Log->address(), "/v1/streams/control/records", encodeRecord(record));
   REQUIRE(appended);
@@ -117,7 +117,7 @@
 }
 
 void RequestFixture::waitForServers(std::size_t Count) {
-  for (const std::pair<const std::string, Member> &it : Members) {
+  for (const std::pair<const std::string, MemberProcess> &it : Members) {
     bool entry =
         it.second.Child->output().find("listening") != std::string::npos;
     bool seen = harness::waitUntil(
@@ -130,9 +130,9 @@
             return false;
           std::uint64_t next = status->at("next").to_number<std::uint64_t>();
           return next >= PublishedEnd &&
-                 (!entry || servingSeen(*status) == Count);
+                 (!entry || countServing(*status) == Count);
         },
-        Patience);
+        WaitTimeout);
     INFO(it.first);
     REQUIRE(seen);
   }
@@ -146,12 +146,14 @@
 
 void RequestFixture::kill(const std::string &Name) {
   Members[Name].Child->signal(SIGKILL);
-  REQUIRE(Members[Name].Child->wait(Patience));
+  REQUIRE(Members[Name].Child->wait(WaitTimeout));
 }
 
-Outcome<http::Response> RequestFixture::ask(const std::string &Entry,
-                                            http::Request What, Millis Limit) {
-  return harness::call(Members[Entry].ListenAddress, std::move(What), Limit);
+Outcome<http::Response> RequestFixture::sendRequest(const std::string &Entry,
+                                                    http::Request Request,
+                                                    Millis Timeout) {
+  return harness::call(Members[Entry].ListenAddress, std::move(Request),
+                       Timeout);
 }
 
 http::Request plainRequest(const std::string &Service,
--- a/IntegrationTests/Cases/RolloutTests.cpp
+++ b/IntegrationTests/Cases/RolloutTests.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// Rollouts with real daemons and stand-ins: each sample once, fresh and
-/// truthfully labelled by the trainers' own records, whatever fails.
+/// Checks by the trainers' own records that rollouts with real daemons and
+/// stand-ins deliver each sample once, fresh and correctly labelled under
+/// faults.
 #include "IntegrationTests/Harness/RolloutCluster.h"
 #include "IntegrationTests/Harness/TestFolder.h"
 #include "IntegrationTests/Harness/Waiting.h"
@@ -13,7 +14,7 @@
 
 namespace {
 
-constexpr Millis Limit{60000};
+constexpr Millis WaitTimeout{60000};
 constexpr std::uint64_t SamplesPerStep = 12;
 
 std::unique_ptr<RolloutCluster> startCluster(RolloutCluster::Settings Setup) {
@@ -31,7 +32,7 @@
   return setup;
 }
 
-/// What must hold in every run.
+/// Checks the invariants of every run.
 void checkTruth(const RolloutCluster &Of, std::size_t Trainer) {
   Outcome<TrainerTruth> truth = Of.truth(Trainer);
   REQUIRE(truth);
@@ -48,7 +49,7 @@
         Outcome<TrainerTruth> now = Of.truth(0);
         return now && now->Taken >= Count;
       },
-      Limit);
+      WaitTimeout);
 }
 
 } // namespace
@@ -60,13 +61,13 @@
       trainer.ChecksFences = checks;
       std::unique_ptr<RolloutCluster> cluster =
           startCluster(withTrainer(trainer));
-      CHECK(cluster->waitForSteps(0, 3, Limit));
+      CHECK(cluster->waitForSteps(0, 3, WaitTimeout));
       checkTruth(*cluster, 0);
     }
   }
 }
 
-TEST_CASE("An owner killed amid a step is followed by another", "[rollout]") {
+TEST_CASE("A killed owner is replaced during a step", "[rollout]") {
   for (bool checks : {true, false}) {
     DYNAMIC_SECTION((checks ? "tokens checked" : "nothing checked")) {
       ClusterTrainer trainer;
@@ -78,7 +79,7 @@
       REQUIRE(owner);
       std::uint64_t before = cluster->truth(0)->StepsTrained;
       cluster->killDaemon(*owner);
-      CHECK(cluster->waitForSteps(0, before + 2, Limit));
+      CHECK(cluster->waitForSteps(0, before + 2, WaitTimeout));
       checkTruth(*cluster, 0);
     }
   }
@@ -93,25 +94,25 @@
   REQUIRE(owner);
   std::uint64_t before = cluster->truth(0)->StepsTrained;
   cluster->daemon(*owner).signal(SIGSTOP);
-  CHECK(cluster->waitForSteps(0, before + 2, Limit));
+  CHECK(cluster->waitForSteps(0, before + 2, WaitTimeout));
   cluster->daemon(*owner).signal(SIGCONT);
-  CHECK(cluster->waitForSteps(0, before + 4, Limit));
+  CHECK(cluster->waitForSteps(0, before + 4, WaitTimeout));
   checkTruth(*cluster, 0);
 }
 
-TEST_CASE("A crashed engine's samples go on elsewhere", "[rollout]") {
+TEST_CASE("A crashed engine's samples continue on other engines", "[rollout]") {
   std::unique_ptr<RolloutCluster> cluster =
       startCluster(withTrainer(ClusterTrainer()));
   REQUIRE(waitForSamples(*cluster, 2));
   REQUIRE(cluster->engine(0).setFaults(R"({"crash_after_tokens":20})"));
-  CHECK(cluster->waitForSteps(0, 3, Limit));
+  CHECK(cluster->waitForSteps(0, 3, WaitTimeout));
   cluster->replaceEngine(0);
   std::uint64_t before = cluster->truth(0)->StepsTrained;
-  CHECK(cluster->waitForSteps(0, before + 2, Limit));
+  CHECK(cluster->waitForSteps(0, before + 2, WaitTimeout));
   checkTruth(*cluster, 0);
 }
 
-TEST_CASE("Lost delivery answers repeat nothing", "[rollout]") {
+TEST_CASE("Lost delivery answers cause no duplicates", "[rollout]") {
   for (bool checks : {true, false}) {
     DYNAMIC_SECTION((checks ? "tokens checked" : "nothing checked")) {
       ClusterTrainer trainer;
@@ -119,7 +120,7 @@
       std::unique_ptr<RolloutCluster> cluster =
           startCluster(withTrainer(trainer));
       REQUIRE(cluster->trainer(0).setFaults(R"({"lose_answers":6})"));
-      CHECK(cluster->waitForSteps(0, 3, Limit));
+      CHECK(cluster->waitForSteps(0, 3, WaitTimeout));
       checkTruth(*cluster, 0);
     }
   }
@@ -132,7 +133,7 @@
   REQUIRE(cluster->engine(0).setFaults(R"({"wrong_version_next_load":2})"));
   REQUIRE(cluster->engine(1).setFaults(R"({"fail_next_load":1})"));
   REQUIRE(cluster->engine(2).setFaults(R"({"lose_order_answers":1})"));
-  CHECK(cluster->waitForSteps(0, 4, Limit));
+  CHECK(cluster->waitForSteps(0, 4, WaitTimeout));
   checkTruth(*cluster, 0);
 }
 
@@ -140,7 +141,7 @@
   std::unique_ptr<RolloutCluster> cluster =
       startCluster(withTrainer(ClusterTrainer()));
   REQUIRE(cluster->engine(0).setFaults(R"({"no_version_report":true})"));
-  CHECK(cluster->waitForSteps(0, 3, Limit));
+  CHECK(cluster->waitForSteps(0, 3, WaitTimeout));
   checkTruth(*cluster, 0);
 }
 
@@ -148,14 +149,15 @@
           "[rollout]") {
   std::unique_ptr<RolloutCluster> cluster =
       startCluster(withTrainer(ClusterTrainer()));
-  REQUIRE(cluster->waitForSteps(0, 1, Limit));
+  REQUIRE(cluster->waitForSteps(0, 1, WaitTimeout));
   REQUIRE(cluster->log().setFaults(R"({"outage":true})"));
   std::uint64_t before = cluster->truth(0)->StepsTrained;
-  // One version more than the bound would need new weights, whose orders wait
-  // for the claim; within it, steps go on without the log.
-  CHECK(cluster->waitForSteps(0, before + 2, Limit));
+  // A further version would exceed the staleness bound and need new weights,
+  // whose orders wait for the claim. Within the bound, steps continue without
+  // the log.
+  CHECK(cluster->waitForSteps(0, before + 2, WaitTimeout));
   REQUIRE(cluster->log().setFaults(R"({"outage":false})"));
-  CHECK(cluster->waitForSteps(0, before + 4, Limit));
+  CHECK(cluster->waitForSteps(0, before + 4, WaitTimeout));
   checkTruth(*cluster, 0);
 }
 
@@ -167,8 +169,8 @@
   other.ChecksFences = false;
   setup.Trainers = {ClusterTrainer(), other};
   std::unique_ptr<RolloutCluster> cluster = startCluster(std::move(setup));
-  CHECK(cluster->waitForSteps(0, 2, Limit));
-  CHECK(cluster->waitForSteps(1, 2, Limit));
+  CHECK(cluster->waitForSteps(0, 2, WaitTimeout));
+  CHECK(cluster->waitForSteps(1, 2, WaitTimeout));
   checkTruth(*cluster, 0);
   checkTruth(*cluster, 1);
 }
@@ -177,12 +179,13 @@
           "[rollout]") {
   std::unique_ptr<RolloutCluster> cluster =
       startCluster(withTrainer(ClusterTrainer()));
-  REQUIRE(cluster->waitForSteps(0, 1, Limit));
+  REQUIRE(cluster->waitForSteps(0, 1, WaitTimeout));
   REQUIRE(cluster->declarePreset(R"(,"admit_rollouts":false)"));
-  REQUIRE(waitUntil([&] { return cluster->runningSamples("t") == 0; }, Limit));
+  REQUIRE(waitUntil([&] { return cluster->runningSamples("t") == 0; },
+                    WaitTimeout));
   std::uint64_t drained = cluster->truth(0)->StepsTrained;
   REQUIRE(cluster->declarePreset(""));
-  CHECK(cluster->waitForSteps(0, drained + 2, Limit));
+  CHECK(cluster->waitForSteps(0, drained + 2, WaitTimeout));
   checkTruth(*cluster, 0);
 }
 
@@ -193,11 +196,11 @@
   std::optional<std::size_t> owner = cluster->findOwner("t");
   REQUIRE(owner);
   cluster->daemon(*owner).signal(SIGTERM);
-  std::optional<ProcessExit> end = cluster->daemon(*owner).wait(Limit);
+  std::optional<ProcessExit> end = cluster->daemon(*owner).wait(WaitTimeout);
   REQUIRE(end);
   CHECK(end->Code == 0);
   std::uint64_t before = cluster->truth(0)->StepsTrained;
-  CHECK(cluster->waitForSteps(0, before + 2, Limit));
+  CHECK(cluster->waitForSteps(0, before + 2, WaitTimeout));
   checkTruth(*cluster, 0);
 }
 
@@ -206,13 +209,14 @@
   ClusterTrainer trainer;
   trainer.ChecksFences = false;
   std::unique_ptr<RolloutCluster> cluster = startCluster(withTrainer(trainer));
-  REQUIRE(cluster->waitForSteps(0, 1, Limit));
+  REQUIRE(cluster->waitForSteps(0, 1, WaitTimeout));
   REQUIRE(cluster->log().setFaults(R"({"outage":true})"));
-  // All that can be done without the log is done.
-  REQUIRE(waitUntil([&] { return cluster->runningSamples("t") == 0; }, Limit));
+  // All work that is possible without the log is done.
+  REQUIRE(waitUntil([&] { return cluster->runningSamples("t") == 0; },
+                    WaitTimeout));
   std::uint64_t before = cluster->truth(0)->StepsTrained;
   REQUIRE(cluster->log().setFaults(R"({"outage":false})"));
-  CHECK(cluster->waitForSteps(0, before + 2, Limit));
+  CHECK(cluster->waitForSteps(0, before + 2, WaitTimeout));
   checkTruth(*cluster, 0);
 }
 
@@ -221,10 +225,10 @@
   ClusterTrainer trainer;
   trainer.ChecksFences = false;
   std::unique_ptr<RolloutCluster> cluster = startCluster(withTrainer(trainer));
-  REQUIRE(cluster->waitForSteps(0, 1, Limit));
+  REQUIRE(cluster->waitForSteps(0, 1, WaitTimeout));
   REQUIRE(cluster->log().setFaults(R"({"lose_answers":10,"slow_ms":20})"));
   std::uint64_t before = cluster->truth(0)->StepsTrained;
-  CHECK(cluster->waitForSteps(0, before + 2, Limit));
+  CHECK(cluster->waitForSteps(0, before + 2, WaitTimeout));
   checkTruth(*cluster, 0);
 }
 
@@ -233,7 +237,7 @@
       startCluster(withTrainer(ClusterTrainer()));
   REQUIRE(cluster->scorer().setFaults(
       R"({"fail_next":5,"lose_answers":5,"slow_ms":20})"));
-  CHECK(cluster->waitForSteps(0, 3, Limit));
+  CHECK(cluster->waitForSteps(0, 3, WaitTimeout));
   checkTruth(*cluster, 0);
 }
 
@@ -241,12 +245,12 @@
           "[rollout]") {
   std::unique_ptr<RolloutCluster> cluster =
       startCluster(withTrainer(ClusterTrainer()));
-  REQUIRE(cluster->waitForSteps(0, 1, Limit));
+  REQUIRE(cluster->waitForSteps(0, 1, WaitTimeout));
   REQUIRE(cluster->weights().setFaults(R"({"outage":true})"));
   REQUIRE(waitForSamples(*cluster, 2 * SamplesPerStep));
   REQUIRE(cluster->weights().setFaults(R"({"outage":false})"));
   std::uint64_t before = cluster->truth(0)->StepsTrained;
-  CHECK(cluster->waitForSteps(0, before + 3, Limit));
+  CHECK(cluster->waitForSteps(0, before + 3, WaitTimeout));
   checkTruth(*cluster, 0);
 }
 
@@ -256,7 +260,7 @@
   REQUIRE(waitForSamples(*cluster, 2));
   REQUIRE(cluster->engine(0).setFaults(R"({"hang":true})"));
   std::uint64_t before = cluster->truth(0)->StepsTrained;
-  CHECK(cluster->waitForSteps(0, before + 3, Limit));
+  CHECK(cluster->waitForSteps(0, before + 3, WaitTimeout));
   checkTruth(*cluster, 0);
 }
 
--- a/IntegrationTests/Cases/SoakTest.cpp
+++ b/IntegrationTests/Cases/SoakTest.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// The soak: its plan is the seed's, its judge finds each broken promise, and
-/// short fixed seeds hold every one. Longer ones run by `./run soak`.
+/// Checks that a soak's plan depends on its seed only, that its outcome checks
+/// find each violation, and that short runs with fixed seeds have none. Longer
+/// ones run by `./run soak`.
 #include "IntegrationTests/Harness/Process.h"
 #include "IntegrationTests/Soak/SoakClients.h"
 #include "IntegrationTests/Soak/SoakCustomers.h"
@@ -57,7 +58,7 @@
   return job;
 }
 
-/// Whether the judge finds exactly one fault, and one that says so.
+/// Returns true if the checks find exactly one violation and its text matches.
 bool finds(const SoakObservations &Seen, const SoakGroundTruth &Truth,
            const std::string &What) {
   std::vector<std::string> faults = findViolations(Seen, Truth);
@@ -72,19 +73,19 @@
 };
 
 SoakEnd runSoak(std::vector<std::string> Arguments) {
-  constexpr Millis Limit{150000};
+  constexpr Millis WaitTimeout{150000};
   harness::Process::Settings setup;
   setup.Program = "wasabi-soak";
   setup.Arguments = std::move(Arguments);
   std::unique_ptr<harness::Process> process =
       harness::Process::start(std::move(setup)).value();
-  std::optional<harness::ProcessExit> end = process->waitAndRead(Limit);
+  std::optional<harness::ProcessExit> end = process->waitAndRead(WaitTimeout);
   return {end ? end->Code : -1, process->output()};
 }
 
 } // namespace
 
-TEST_CASE("Soak judge: a request that says it has not run, and has", "[soak]") {
+TEST_CASE("Soak judge: a false not-run is found", "[soak]") {
   SoakObservations seen;
   SoakGroundTruth truth;
   seen.Requests = {asked(ClientRequestKind::Once, 0, 10, 503)};
@@ -93,7 +94,7 @@
   CHECK(finds(seen, truth, "was answered 503 and has run"));
 }
 
-TEST_CASE("Soak judge: what may run once and ran twice", "[soak]") {
+TEST_CASE("Soak judge: a forbidden second run is found", "[soak]") {
   SoakObservations seen;
   SoakGroundTruth truth;
   seen.Requests = {asked(ClientRequestKind::Once, 0, 10, 200)};
@@ -117,7 +118,7 @@
   CHECK(finds(seen, truth, "nobody asked for stranger"));
 }
 
-TEST_CASE("Soak judge: items of refused and of ended jobs", "[soak]") {
+TEST_CASE("Soak judge: runs of refused and ended jobs are found", "[soak]") {
   SoakObservations seen;
   SoakGroundTruth truth;
   seen.Jobs = {endedJob()};
@@ -125,7 +126,7 @@
   CHECK(findViolations(seen, truth).empty());
   truth.EngineRuns = {runAt(4500, "i")};
   CHECK(finds(seen, truth, "after its job had ended"));
-  // Under a fault the time does not count.
+  // The time does not count during a fault.
   truth.Faults = {{SoakFault::StoreBusy, at(4400), at(4450)}};
   CHECK(findViolations(seen, truth).empty());
   seen.Jobs[0].Accepted = false;
@@ -137,7 +138,7 @@
   CHECK(finds(seen, truth, "position 1 changed"));
 }
 
-TEST_CASE("Soak judge: work that reaches a leaving server", "[soak]") {
+TEST_CASE("Soak judge: work sent to a leaving server is found", "[soak]") {
   SoakObservations seen;
   SoakGroundTruth truth;
   seen.Requests = {asked(ClientRequestKind::Repeatable, 0, 5000, 200)};
@@ -148,12 +149,13 @@
   CHECK(finds(seen, truth, "reached the leaving"));
 }
 
-TEST_CASE("Soak judge: what a planned stop cuts off", "[soak]") {
+TEST_CASE("Soak judge: requests cut off by a planned stop are found",
+          "[soak]") {
   SoakObservations seen;
   SoakGroundTruth truth;
   truth.Stops = {{0, 0, at(100)}};
   seen.Requests = {asked(ClientRequestKind::Repeatable, 50, 150, 0)};
-  // A request that crossed the close and reached nobody is sent again.
+  // A request that crossed the close and reached no server is sent again.
   CHECK(findViolations(seen, truth).empty());
   seen.Requests[0].Done = at(400);
   CHECK(finds(seen, truth, "cut off by a planned stop"));
@@ -212,7 +214,7 @@
   CHECK_FALSE(findTextError("i:1:v2\ni:1:v2\ni:2:v2", "i", 3, {2}).empty());
 }
 
-TEST_CASE("A soak's plan is its seed's alone and ends in time", "[soak]") {
+TEST_CASE("A soak plan depends on its seed only and ends in time", "[soak]") {
   constexpr Millis Length{20000};
   for (std::uint64_t seed = 0; seed < 30; ++seed) {
     std::vector<ScheduledFault> plan = makeSoakPlan(seed, Length);
@@ -220,7 +222,7 @@
     CHECK_FALSE(plan == makeSoakPlan(seed + 3, Length));
     for (const ScheduledFault &it : plan)
       CHECK(it.At + it.Duration <= Length);
-    // Each third plan has planned work only.
+    // Every third plan has planned work only.
     bool planned =
         std::all_of(plan.begin(), plan.end(), [](const ScheduledFault &It) {
           return isPlanned(It.Kind);
@@ -229,7 +231,8 @@
   }
 }
 
-TEST_CASE("Soak judge: a request that goes on ending servers", "[soak]") {
+TEST_CASE("Soak judge: a request that keeps crashing servers is found",
+          "[soak]") {
   SoakObservations seen;
   SoakGroundTruth truth;
   auto endAt = [&](int Ms) {
@@ -246,14 +249,14 @@
   CHECK(findViolations(seen, truth).empty());
   endAt(5030);
   CHECK(finds(seen, truth, "4 of them long after it was known"));
-  // A process that was ill just before need not have known.
+  // A process that was faulty just before may not know of it.
   truth.Faults = {{SoakFault::KillEdge, at(4000), at(4500)}};
   CHECK(findViolations(seen, truth).empty());
 }
 
 namespace {
 
-/// One customer's request that ran and was reported.
+/// A request of one customer that ran and was reported.
 struct CustomerCase {
   SoakObservations Seen;
   SoakGroundTruth Truth;
@@ -292,7 +295,7 @@
 
 } // namespace
 
-TEST_CASE("Soak judge: whose request a server is told it is", "[soak]") {
+TEST_CASE("Soak judge: a wrong customer of a request is found", "[soak]") {
   CustomerCase it;
   CHECK(findCustomerViolations(it.Seen, it.Truth, {}).empty());
   it.Truth.PlainRuns[0].Customer = "customer-1";
@@ -329,7 +332,7 @@
   CHECK(it.finds("2 requests of customer-0 were reported, 1 ran"));
   it.Truth.Reports[0].Counts["customer-0"] = 0;
   CHECK(it.finds("0 requests of customer-0 were reported, 1 ran"));
-  // A process that was killed then may have lost it.
+  // A process that was killed at that time may have lost it.
   it.Truth.Kills = {{0, 0, at(10200)}};
   CHECK(findCustomerViolations(it.Seen, it.Truth, {}).empty());
   CustomerCase gap;
@@ -343,7 +346,8 @@
   CHECK(findCustomerViolations(twice.Seen, twice.Truth, {}).empty());
 }
 
-TEST_CASE("Soak judge: tokens and turns of holders", "[soak]") {
+TEST_CASE("Soak judge: violations of the single-holder rule are found",
+          "[soak]") {
   CustomerCase it;
   auto add = [&it](int Ms, std::uint64_t Window, std::uint64_t Token,
                    const std::string &Holder) {
@@ -354,7 +358,7 @@
   CHECK(findCustomerViolations(it.Seen, it.Truth, {}).empty());
   add(15500, 9, 4, "edge-1");
   CHECK(it.finds("token 4 came after 5"));
-  // What was held up by a cut may arrive when it heals.
+  // Calls delayed by a disconnection may arrive when it ends.
   it.Truth.ReportDelaySpans = {{at(15400), at(15600)}};
   CHECK(findCustomerViolations(it.Seen, it.Truth, {}).empty());
   it.Truth.ReportDelaySpans.clear();
@@ -369,7 +373,7 @@
   CHECK(findCustomerViolations(it.Seen, it.Truth, {}).empty());
 }
 
-TEST_CASE("A short soak with customers holds every promise", "[soak]") {
+TEST_CASE("A short soak with customers has no violations", "[soak]") {
   std::string seed = GENERATE("900", "901");
   SoakEnd end = runSoak({"--seed=" + seed, "--seconds=10", "--customers=5"});
   INFO(end.Output);
@@ -388,7 +392,7 @@
         std::string::npos);
 }
 
-TEST_CASE("Short soaks hold every promise", "[soak]") {
+TEST_CASE("Short soaks have no violations", "[soak]") {
   std::string seed = GENERATE("8", "10", "17");
   SoakEnd end = runSoak({"--seed=" + seed, "--seconds=8"});
   INFO(end.Output);
--- a/IntegrationTests/Cases/UsageTest.cpp
+++ b/IntegrationTests/Cases/UsageTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Usage of customers: counted by the real processes, reported once for each
-/// window, whatever befalls those that count and the one that reports.
+/// Checks that usage of customers is counted by the real processes and reported
+/// once for each window, also if the counting or the reporting process fails.
 #include "IntegrationTests/Harness/Waiting.h"
 #include "IntegrationTests/Platform/PlatformFixture.h"
 
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr unsigned Ok = 200;
-constexpr Millis Patience{30000};
+constexpr Millis WaitTimeout{30000};
 constexpr Millis Lease{3000};
 
 using Sums = std::map<std::string, std::uint64_t>;
@@ -42,7 +42,7 @@
 
 bool reported(PlatformFixture &World, const Sums &What) {
   return harness::waitUntil(
-      [&] { return sumReportedUsage(calls(World)) == What; }, Patience);
+      [&] { return sumReportedUsage(calls(World)) == What; }, WaitTimeout);
 }
 
 void checkCalls(PlatformFixture &World) {
@@ -50,7 +50,7 @@
     FAIL_CHECK(it);
 }
 
-/// The edge process that reports; empty if none has.
+/// Returns the edge process that reports; empty if none has reported.
 std::optional<std::size_t> reporter(PlatformFixture &World) {
   std::vector<ReportCall> all = calls(World);
   if (all.empty())
@@ -68,25 +68,25 @@
 
 void restart(PlatformFixture &World, std::size_t Edge) {
   World.edge(Edge).Running->signal(SIGKILL);
-  REQUIRE(World.edge(Edge).Running->wait(Patience));
+  REQUIRE(World.edge(Edge).Running->wait(WaitTimeout));
   World.startEdge(Edge);
 }
 
 } // namespace
 
-TEST_CASE("Usage: each customer's requests are reported, and nobody else's") {
+TEST_CASE("Usage: only requests of customers are reported") {
   std::unique_ptr<PlatformFixture> world = usageWorld(2);
   askTimes(*world, "key-a", 5, 0);
   askTimes(*world, "key-a", 2, 1);
   askTimes(*world, "key-b", 3, 1);
   CHECK(world->postRequest(0, "/stream/s", "s1").Status == Ok);
-  // Public requests, batch items and their scoring calls count for nobody.
+  // Public requests, batch items and their scoring calls are not counted.
   world->setCustomerKey("");
   CHECK(world->postRequest(0, "/open/x", "o1").Status == Ok);
   world->setCustomerKey("key-a");
   CHECK(world->submit(0, "job", 2) == 202);
   CHECK(world->waitForResults(0, "job", 2));
-  // Nor what no server began to run.
+  // Requests that no server began to run are not counted either.
   world->runOnPlatformThread([&] {
     world->plainServer(0).RefusesAsFull = true;
     world->plainServer(1).RefusesAsFull = true;
@@ -98,11 +98,11 @@
   checkCalls(*world);
 }
 
-TEST_CASE("Usage: what a process has served counts though it is killed then") {
+TEST_CASE("Usage: requests served by a killed process are counted") {
   std::unique_ptr<PlatformFixture> world = usageWorld(3);
   for (std::size_t i = 0; i < world->edges(); ++i) {
     askTimes(*world, "key-a", 2, i);
-    // An append takes some milliseconds.
+    // Wait for the asynchronous append.
     std::this_thread::sleep_for(Millis(100));
     restart(*world, i);
   }
@@ -118,7 +118,7 @@
   std::uint64_t asked = 0;
   for (int signal : {SIGKILL, SIGSTOP, SIGTERM}) {
     REQUIRE(harness::waitUntil([&] { return reporter(*world).has_value(); },
-                               Patience));
+                               WaitTimeout));
     std::size_t now = *reporter(*world);
     std::size_t other = (now + 1) % world->edges();
     askTimes(*world, "key-a", 2, other);
@@ -126,12 +126,12 @@
     world->edge(now).Running->signal(signal);
     askTimes(*world, "key-a", 2, other);
     asked += 2;
-    REQUIRE(
-        harness::waitUntil([&] { return reporter(*world) != now; }, Patience));
+    REQUIRE(harness::waitUntil([&] { return reporter(*world) != now; },
+                               WaitTimeout));
     if (signal == SIGSTOP)
       world->edge(now).Running->signal(SIGCONT);
     else {
-      REQUIRE(world->edge(now).Running->wait(Patience));
+      REQUIRE(world->edge(now).Running->wait(WaitTimeout));
       world->startEdge(now);
     }
     REQUIRE(world->waitUntilAllReady());
@@ -144,20 +144,20 @@
           "reaches the platform") {
   std::unique_ptr<PlatformFixture> world = usageWorld(2, true);
   REQUIRE(harness::waitUntil([&] { return reporter(*world).has_value(); },
-                             Patience));
+                             WaitTimeout));
   std::size_t first = *reporter(*world);
   std::size_t other = 1 - first;
   world->setFaults(world->storeLink(first), {{"half_open", true}});
   askTimes(*world, "key-a", 3, other);
-  REQUIRE(
-      harness::waitUntil([&] { return reporter(*world) == other; }, Patience));
+  REQUIRE(harness::waitUntil([&] { return reporter(*world) == other; },
+                             WaitTimeout));
   world->setFaults(world->storeLink(first), {{"half_open", false}});
   CHECK(reported(*world, {{"anna", 3}}));
   std::this_thread::sleep_for(Millis(1500));
   checkCalls(*world);
 }
 
-TEST_CASE("Usage: wasabictl shows who reports and which windows are told") {
+TEST_CASE("Usage: wasabictl shows the reporter and reported windows") {
   std::unique_ptr<PlatformFixture> world = usageWorld(2);
   askTimes(*world, "key-a", 3, 0);
   REQUIRE(reported(*world, {{"anna", 3}}));
@@ -167,7 +167,7 @@
     setup.Arguments = std::move(Arguments);
     std::unique_ptr<harness::Process> process =
         harness::Process::start(std::move(setup)).value();
-    std::optional<harness::ProcessExit> end = process->waitAndRead(Patience);
+    std::optional<harness::ProcessExit> end = process->waitAndRead(WaitTimeout);
     return std::make_pair(end ? end->Code : -1, process->output());
   };
   auto [code, text] =
@@ -200,7 +200,7 @@
     CHECK(reported(*world, {{"anna", asked}}));
   }
   checkCalls(*world);
-  // No window is left out between the first and the last one.
+  // No window between the first and the last one is missing.
   std::set<std::uint64_t> windows;
   for (const ReportCall &it : calls(*world)) {
     if (it.Taken)
--- a/IntegrationTests/Cases/VerdictTest.cpp
+++ b/IntegrationTests/Cases/VerdictTest.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// Each failure point of docs/design/verdicts.md with real processes: what the
-/// caller is told, against the upstream's own record of what ran.
+/// Checks the caller's response at each failure point of
+/// docs/design/verdicts.md with real processes against the upstream's own
+/// record of runs.
 #include "IntegrationTests/Cases/RequestFixture.h"
 
 #include <boost/json/parse.hpp>
@@ -18,28 +19,28 @@
 const std::string EngineService =
     R"([{"kind":"service","name":"llm","type":"engines","model":"m"}])";
 
-/// The refusal of a caller's request.
-void checkRefusal(const Outcome<http::Response> &Told, unsigned Status,
+/// Checks the refusal of a caller's request.
+void checkRefusal(const Outcome<http::Response> &Answer, unsigned Status,
                   const std::string &Run) {
-  REQUIRE(Told);
-  INFO(Told->Body);
-  CHECK(Told->Status == Status);
-  CHECK(Told->header("X-Wasabi-Verdict") == Run);
-  CHECK(Told->header("Content-Type") == "application/problem+json");
-  CHECK(boost::json::parse(Told->Body).at("verdict").as_string() == Run);
-  // Only what may pass with time is worth coming back for.
+  REQUIRE(Answer);
+  INFO(Answer->Body);
+  CHECK(Answer->Status == Status);
+  CHECK(Answer->header("X-Wasabi-Verdict") == Run);
+  CHECK(Answer->header("Content-Type") == "application/problem+json");
+  CHECK(boost::json::parse(Answer->Body).at("verdict").as_string() == Run);
+  // Only transient refusals carry a time to retry.
   bool passes = Run == "not-run" && Status != 400;
-  CHECK(Told->header("Retry-After").empty() != passes);
+  CHECK(Answer->header("Retry-After").empty() != passes);
 }
 
-void checkWhole(const Outcome<http::Response> &Told) {
-  REQUIRE(Told);
-  INFO(Told->Body);
-  CHECK(Told->Status == 200);
-  CHECK(Told->header("X-Wasabi-Verdict") == "ran");
+void checkWhole(const Outcome<http::Response> &Answer) {
+  REQUIRE(Answer);
+  INFO(Answer->Body);
+  CHECK(Answer->Status == 200);
+  CHECK(Answer->header("X-Wasabi-Verdict") == "ran");
 }
 
-/// One plain server behind one daemon, and an entry.
+/// One plain server with one daemon, and an entry.
 struct OneServer : RequestFixture {
   explicit OneServer(std::vector<std::string> Flags = {}) {
     addServer("a", "service", std::move(Flags));
@@ -50,7 +51,8 @@
   }
 };
 
-/// Two plain servers, a daemon and a failure domain each, and an entry.
+/// Two plain servers, each with a daemon and failure domain of its own, and an
+/// entry.
 struct TwoServers : RequestFixture {
   TwoServers() {
     for (const char *it : {"a", "b"})
@@ -83,15 +85,15 @@
 
 } // namespace
 
-TEST_CASE("Verdict: a request that the entry does not take did not run") {
+TEST_CASE("Verdict: a request refused by the entry did not run") {
   OneServer world;
   SECTION("it names no service") {
-    checkRefusal(world.ask("n1", http::Request{"GET", "/", {}, ""}), 400,
-                 "not-run");
+    checkRefusal(world.sendRequest("n1", http::Request{"GET", "/", {}, ""}),
+                 400, "not-run");
   }
   SECTION("its service is not declared") {
-    checkRefusal(world.ask("n1", plainRequest("other", "GET", "/")), 503,
-                 "not-run");
+    checkRefusal(world.sendRequest("n1", plainRequest("other", "GET", "/")),
+                 503, "not-run");
   }
   SECTION("the preset takes no callers") {
     world.publish(R"([{"kind":"preset","name":"maintenance",
@@ -99,15 +101,15 @@
                       {"kind":"switch","name":"preset",
                        "preset":"maintenance"}])");
     world.waitForServers(1);
-    checkRefusal(world.ask("n1", quote()), 503, "not-run");
+    checkRefusal(world.sendRequest("n1", quote()), 503, "not-run");
   }
   SECTION("its caller is beyond its limit") {
     world.publish(R"([{"kind":"limit","name":"buyer",
                        "requests_per_second":1,"burst":1}])");
     world.waitForServers(1);
     std::vector<http::Header> buyer = {{"X-Caller", "buyer"}};
-    checkWhole(world.ask("n1", quote(buyer)));
-    checkRefusal(world.ask("n1", quote(buyer)), 503, "not-run");
+    checkWhole(world.sendRequest("n1", quote(buyer)));
+    checkRefusal(world.sendRequest("n1", quote(buyer)), 503, "not-run");
     CHECK(world.runs("a") == 1);
     return;
   }
@@ -117,15 +119,15 @@
 TEST_CASE("Verdict: an upstream that refuses the connection did not run it") {
   TwoServers world;
   world.server("a").process().signal(SIGKILL);
-  REQUIRE(world.server("a").process().wait(Patience));
+  REQUIRE(world.server("a").process().wait(WaitTimeout));
   SECTION("another server answers, also what may not be repeated") {
-    checkWhole(world.ask("n1", quote()));
+    checkWhole(world.sendRequest("n1", quote()));
     CHECK(world.runs("b") == 1);
   }
   SECTION("without another server the caller is told at once") {
     world.server("b").process().signal(SIGKILL);
-    REQUIRE(world.server("b").process().wait(Patience));
-    checkRefusal(world.ask("n1", quote()), 503, "not-run");
+    REQUIRE(world.server("b").process().wait(WaitTimeout));
+    checkRefusal(world.sendRequest("n1", quote()), 503, "not-run");
   }
 }
 
@@ -134,12 +136,12 @@
   for (const char *it : {"a", "b"})
     REQUIRE(world.server(it).setFaults(R"({"reset_before_answer":1})"));
   SECTION("non-idempotent work is tried once") {
-    checkRefusal(world.ask("n1", quote()), 502, "may-have-run");
+    checkRefusal(world.sendRequest("n1", quote()), 502, "may-have-run");
     CHECK(world.runs("a") + world.runs("b") == 1);
   }
   SECTION("idempotent work is tried on the other failure domain") {
     REQUIRE(world.server("b").setFaults(R"({"reset_before_answer":0})"));
-    checkWhole(world.ask("n1", lookUp()));
+    checkWhole(world.sendRequest("n1", lookUp()));
   }
 }
 
@@ -148,56 +150,56 @@
   for (const char *it : {"a", "b"})
     REQUIRE(world.server(it).setFaults(R"({"reset_mid_answer":1})"));
   SECTION("non-idempotent work is tried once") {
-    checkRefusal(world.ask("n1", quote()), 502, "ran");
+    checkRefusal(world.sendRequest("n1", quote()), 502, "ran");
     CHECK(world.runs("a") + world.runs("b") == 1);
   }
   SECTION("idempotent work is answered whole by the other") {
     REQUIRE(world.server("b").setFaults(R"({"reset_mid_answer":0})"));
-    checkWhole(world.ask("n1", lookUp()));
+    checkWhole(world.sendRequest("n1", lookUp()));
   }
 }
 
 TEST_CASE("Verdict: an upstream that never answers may have run it") {
   OneServer world;
   REQUIRE(world.server("a").setFaults(R"({"hang":true})"));
-  checkRefusal(world.ask("n1", quote({{"X-Deadline-Ms", "300"}})), 504,
+  checkRefusal(world.sendRequest("n1", quote({{"X-Deadline-Ms", "300"}})), 504,
                "may-have-run");
 }
 
 TEST_CASE("Verdict: a daemon that is gone did not run it") {
   TwoServers world;
   world.kill("d1");
-  checkWhole(world.ask("n1", quote()));
+  checkWhole(world.sendRequest("n1", quote()));
   CHECK(world.runs("b") == 1);
 }
 
 TEST_CASE("Verdict: a daemon killed while its server runs may have run it") {
   OneServer world({"--latency_ms=60000"});
-  std::future<Outcome<http::Response>> told =
-      std::async(std::launch::async, [&] { return world.ask("n1", quote()); });
+  std::future<Outcome<http::Response>> answer = std::async(
+      std::launch::async, [&] { return world.sendRequest("n1", quote()); });
   REQUIRE(harness::waitUntil(
       [&] {
         Outcome<boost::json::value> status =
             harness::getJson(world.member("d1").Admin, "/status");
         return status && status->at("in_flight").as_int64() == 1;
       },
-      Patience));
+      WaitTimeout));
   world.kill("d1");
-  checkRefusal(told.get(), 502, "may-have-run");
+  checkRefusal(answer.get(), 502, "may-have-run");
 }
 
-TEST_CASE("Verdict: a full server refuses as not run, with a time") {
+TEST_CASE("Verdict: a full server refuses as not run with a retry time") {
   OneServer world({"--latency_ms=60000"});
-  // More than limit and queue hold.
+  // More requests than the limit and the queue admit.
   constexpr std::size_t Requests = 64;
-  std::vector<std::future<Outcome<http::Response>>> told;
-  told.reserve(Requests);
+  std::vector<std::future<Outcome<http::Response>>> answer;
+  answer.reserve(Requests);
   for (std::size_t n = 0; n < Requests; ++n)
-    told.push_back(std::async(std::launch::async, [&] {
-      return world.ask("n1", quote({{"X-Deadline-Ms", "2000"}}));
+    answer.push_back(std::async(std::launch::async, [&] {
+      return world.sendRequest("n1", quote({{"X-Deadline-Ms", "2000"}}));
     }));
   std::size_t refused = 0;
-  for (std::future<Outcome<http::Response>> &it : told) {
+  for (std::future<Outcome<http::Response>> &it : answer) {
     Outcome<http::Response> one = it.get();
     REQUIRE(one);
     if (one->header("X-Wasabi-Verdict") == "not-run") {
@@ -208,26 +210,27 @@
     }
   }
   CHECK(refused > 0);
-  // What was refused is not in the server's own record.
-  CHECK(world.runs("a") <= told.size() - refused);
+  // A refused request is not in the server's own record.
+  CHECK(world.runs("a") <= answer.size() - refused);
 }
 
 TEST_CASE("Verdict: a leaving daemon refuses as not run, and ends its work") {
   OneServer world({"--latency_ms=500"});
-  std::future<Outcome<http::Response>> told =
-      std::async(std::launch::async, [&] { return world.ask("n1", quote()); });
-  REQUIRE(harness::waitUntil([&] { return world.runs("a") == 1; }, Patience));
+  std::future<Outcome<http::Response>> answer = std::async(
+      std::launch::async, [&] { return world.sendRequest("n1", quote()); });
+  REQUIRE(
+      harness::waitUntil([&] { return world.runs("a") == 1; }, WaitTimeout));
   world.member("d1").Child->signal(SIGTERM);
   REQUIRE(harness::waitUntil(
       [&] {
-        Outcome<http::Response> late = world.ask("n1", quote());
+        Outcome<http::Response> late = world.sendRequest("n1", quote());
         return late && late->header("X-Wasabi-Verdict") == "not-run";
       },
-      Patience));
+      WaitTimeout));
   world.member("d1").Child->signal(SIGTERM);
-  checkWhole(told.get());
+  checkWhole(answer.get());
   std::optional<harness::ProcessExit> end =
-      world.member("d1").Child->wait(Patience);
+      world.member("d1").Child->wait(WaitTimeout);
   REQUIRE(end);
   CHECK(end->Code == 0);
 }
@@ -239,25 +242,25 @@
       harness::call(world.server("b").address(), whole);
   REQUIRE(expected);
   std::string text(boost::json::parse(expected->Body).at("text").as_string());
-  // Both crash once; the entry goes on with what is left each time.
+  // Both crash once; each time the entry continues with the remaining text.
   REQUIRE(world.server("a").setFaults(R"({"crash_after_tokens":10})"));
-  Outcome<http::Response> told =
-      world.ask("n1", completion("m", "permit", 400, true));
-  checkWhole(told);
-  CHECK(streamedText(told->Body) == text);
-  CHECK(told->Body.ends_with("data: [DONE]\n\n"));
+  Outcome<http::Response> answer =
+      world.sendRequest("n1", completion("m", "permit", 400, true));
+  checkWhole(answer);
+  CHECK(streamedText(answer->Body) == text);
+  CHECK(answer->Body.ends_with("data: [DONE]\n\n"));
   CHECK_FALSE(world.server("a").process().running());
 }
 
-TEST_CASE("Verdict: a stream that nobody can resume is broken off") {
+TEST_CASE("Verdict: a stream that cannot be resumed is reset") {
   TwoEngines world;
   for (const char *it : {"a", "b"})
     REQUIRE(world.server(it).setFaults(R"({"crash_after_tokens":3})"));
-  Outcome<http::Response> told =
-      world.ask("n1", completion("m", "permit", 400, true));
-  // The caller's connection was reset: nothing that could be taken for whole.
-  REQUIRE_FALSE(told);
-  CHECK(told.failure().Code == FailureCode::ConnectionLost);
+  Outcome<http::Response> answer =
+      world.sendRequest("n1", completion("m", "permit", 400, true));
+  // The caller's connection was reset, so the answer cannot pass as complete.
+  REQUIRE_FALSE(answer);
+  CHECK(answer.failure().Code == FailureCode::ConnectionLost);
 }
 
 TEST_CASE("Verdict: an engine that refuses did not run it") {
@@ -268,7 +271,7 @@
   world.addEntry("n1", "lulea-hall");
   world.publish(EngineService);
   world.waitForServers(1);
-  // Somebody else holds its only slot, past the daemon.
+  // Another client holds its only slot without passing through the daemon.
   std::future<Outcome<http::Response>> other =
       std::async(std::launch::async, [&] {
         return harness::call(world.server("e").address(),
@@ -281,8 +284,8 @@
             harness::getJson(world.server("e").address(), "/v1/state");
         return state && state->at("running").as_int64() == 1;
       },
-      Patience));
-  checkRefusal(world.ask("n1", completion("m", "mine", 20, false)), 503,
+      WaitTimeout));
+  checkRefusal(world.sendRequest("n1", completion("m", "mine", 20, false)), 503,
                "not-run");
   Outcome<boost::json::value> truth = world.server("e").truth();
   REQUIRE(truth);
@@ -290,17 +293,17 @@
   other.get();
 }
 
-TEST_CASE("Verdict: an engine that hangs is left for another") {
+TEST_CASE("Verdict: a request moves from a hung engine to another") {
   TwoEngines world;
   REQUIRE(world.server("a").setFaults(R"({"hang":true})"));
-  checkWhole(world.ask("n1", completion("m", "permit", 20, false)));
+  checkWhole(world.sendRequest("n1", completion("m", "permit", 20, false)));
 }
 
-TEST_CASE("Verdict: a caller that leaves cancels the engine's work") {
+TEST_CASE("Verdict: a caller's disconnect cancels the engine's work") {
   TwoEngines world;
-  Outcome<http::Response> told =
-      world.ask("n1", completion("m", "long", 4000, false, 3), Millis(300));
-  REQUIRE_FALSE(told);
+  Outcome<http::Response> answer = world.sendRequest(
+      "n1", completion("m", "long", 4000, false, 3), Millis(300));
+  REQUIRE_FALSE(answer);
   bool cancelled = harness::waitUntil(
       [&] {
         std::size_t running = 0;
--- a/IntegrationTests/Demo/Demo.cpp
+++ b/IntegrationTests/Demo/Demo.cpp
@@ -13,16 +13,16 @@
 
 namespace {
 
-constexpr Millis AnswersLimit{60000};
-constexpr Millis StepsLimit{120000};
-constexpr Millis StopLimit{30000};
-constexpr Millis ReadyLimit{20000};
-constexpr Millis DrainLimit{30000};
-/// Within this a change must be in force everywhere.
-constexpr Millis InForceLimit{13000};
-/// How often a caller sends again what was refused as not run.
+constexpr Millis AnswersTimeout{60000};
+constexpr Millis StepsTimeout{120000};
+constexpr Millis StopTimeout{30000};
+constexpr Millis ReadyTimeout{20000};
+constexpr Millis DrainTimeout{30000};
+/// Maximum time until a change is in force on all processes.
+constexpr Millis InForceTimeout{13000};
+/// Maximum number of repeats of a request that was refused as not run.
 constexpr std::uint32_t MaxDelayedRetries = 10;
-/// Characters of a refusal's reason that are shown.
+/// Maximum number of characters shown of a refusal's reason.
 constexpr std::size_t MaxReason = 120;
 
 std::string flag(const std::string &Name, std::uint64_t Value) {
@@ -40,9 +40,9 @@
             "--max_tokens=64"}}};
 }
 
-/// The example's service of a kind; each has one.
-const ServiceDeclaration &serviceOf(const Configuration &Declared,
-                                    ServiceKind Kind) {
+/// Returns the example's service of a kind; each example has one.
+const ServiceDeclaration &findService(const Configuration &Declared,
+                                      ServiceKind Kind) {
   auto it = std::find_if(
       Declared.Services.begin(), Declared.Services.end(),
       [&](const std::pair<const ServiceName, ServiceDeclaration> &Entry) {
@@ -51,10 +51,10 @@
   return it->second;
 }
 
-void say(const std::string &Text) { std::cout << Text << std::endl; }
+void print(const std::string &Text) { std::cout << Text << std::endl; }
 
-/// A refusal's `detail`, which says why.
-std::string reasonOf(const chaos::CallerRecord &Record) {
+/// Returns the `detail` of a refusal, which explains it.
+std::string findReason(const chaos::CallerRecord &Record) {
   constexpr std::string_view Key = "\"detail\":\"";
   std::size_t detail = Record.Note.find(Key);
   if (detail == std::string::npos)
@@ -65,29 +65,31 @@
 
 using Sends = std::vector<chaos::CallerRecord>;
 
-/// Each request with its sends, in their order.
-std::map<std::string, Sends> byRequest(const Sends &Records) {
+/// Groups the sends by request, in the order in which they were sent.
+std::map<std::string, Sends> groupByRequest(const Sends &Records) {
   std::map<std::string, Sends> requests;
   for (const chaos::CallerRecord &it : Records)
     requests[it.Mark].push_back(it);
   return requests;
 }
 
-/// A request that never got its whole answer, with what its caller was told.
-void sayLost(const std::string &Mark, const Sends &Told) {
-  say("FAULT: never whole: " + Mark);
-  for (const chaos::CallerRecord &it : Told)
-    say("  " + std::to_string(it.Begun) + " to " + std::to_string(it.Ended) +
-        " us, status " + std::to_string(it.Status) + ": " + it.Note);
+/// Prints a request that never got its whole answer, with the responses that
+/// its caller received.
+void printIncomplete(const std::string &Mark, const Sends &Answers) {
+  print("FAULT: never whole: " + Mark);
+  for (const chaos::CallerRecord &it : Answers)
+    print("  " + std::to_string(it.Begun) + " to " + std::to_string(it.Ended) +
+          " us, status " + std::to_string(it.Status) + ": " + it.Note);
 }
 
-/// Sends that a stop may have cut off: the last of each request, and all that
-/// broke without an answer. A keyed write that was answered "may have run" and
-/// then, sent again, answered whole was not cut off.
-Sends endsOf(const Sends &Records) {
+/// Returns the sends that a stop may have cut off: the last send of each
+/// request, and all that failed without an answer. A keyed write that was
+/// answered "may have run" and got a whole answer when repeated was not cut
+/// off.
+Sends findCutOffSends(const Sends &Records) {
   Sends ends;
   for (const std::pair<const std::string, Sends> &request :
-       byRequest(Records)) {
+       groupByRequest(Records)) {
     for (const chaos::CallerRecord &it : request.second) {
       if (it.Status == 0 || &it == &request.second.back())
         ends.push_back(it);
@@ -96,16 +98,16 @@
   return ends;
 }
 
-/// Why callers were refused, and how often.
-void sayRefusals(const std::vector<chaos::CallerRecord> &Records) {
+/// Prints the number of refusals of callers by reason.
+void printRefusals(const std::vector<chaos::CallerRecord> &Records) {
   std::map<std::string, std::uint64_t> reasons;
   for (const chaos::CallerRecord &it : Records) {
     if (it.End == chaos::CallOutcome::NotRun)
-      ++reasons[reasonOf(it)];
+      ++reasons[findReason(it)];
   }
   for (const std::pair<const std::string, std::uint64_t> &it : reasons)
-    say("refused, not run, " + std::to_string(it.second) +
-        " times: " + it.first);
+    print("refused, not run, " + std::to_string(it.second) +
+          " times: " + it.first);
 }
 
 } // namespace
@@ -114,7 +116,7 @@
   bool answered = Report.Requests > 0 && Report.Whole == Report.Requests;
   bool delivered =
       Report.Samples > 0 && Report.Trainer.Samples == Report.Samples;
-  bool spread = Report.InForce <= InForceLimit;
+  bool spread = Report.MaxInForceTime <= InForceTimeout;
   return answered && delivered && spread &&
          chaos::hasNoViolations(Report.Callers) && Report.Faults.empty();
 }
@@ -132,7 +134,7 @@
          field("mislabelled", Report.Trainer.Mislabelled) +
          field("stale", Report.Trainer.Stale) +
          field("config_in_force_ms",
-               static_cast<std::uint64_t>(Report.InForce.count()));
+               static_cast<std::uint64_t>(Report.MaxInForceTime.count()));
 }
 
 Result<std::unique_ptr<Demo>> Demo::start(Settings Setup) {
@@ -143,13 +145,13 @@
   return std::unique_ptr<Demo>(new Demo(std::move(Setup), std::move(running)));
 }
 
-Demo::Demo(Settings Setup, std::unique_ptr<harness::Deployment> Running)
-    : Setup(std::move(Setup)), Running(std::move(Running)) {}
+Demo::Demo(Settings Setup, std::unique_ptr<harness::Deployment> System)
+    : Setup(std::move(Setup)), System(std::move(System)) {}
 
 DemoReport Demo::run() {
-  say("started: " + std::to_string(Running->upstreams().size()) +
-      " upstreams, " + std::to_string(Running->nodes().size()) +
-      " processes of the system");
+  print("started: " + std::to_string(System->upstreams().size()) +
+        " upstreams, " + std::to_string(System->nodes().size()) +
+        " processes of the system");
   publish();
   startCallerLoad();
   waitForFirstStep();
@@ -158,22 +160,23 @@
   waitForAllSteps();
   enterMaintenance();
   showTimeline();
-  judge();
+  checkOutcome();
   return Report;
 }
 
-bool Demo::await(const std::function<bool()> &Condition, Millis Limit) {
+bool Demo::waitWithCallers(const std::function<bool()> &Condition,
+                           Millis Timeout) {
   return harness::waitUntil(
       [&] {
         if (Load)
-          Load->setEntries(Running->readyEntries());
+          Load->setEntries(System->readyEntries());
         return Condition();
       },
-      Limit);
+      Timeout);
 }
 
 harness::CtlResult Demo::control(const std::vector<std::string> &Arguments) {
-  harness::CtlResult run = Running->control(Arguments);
+  harness::CtlResult run = System->control(Arguments);
   std::string command;
   for (const std::string &it : Arguments)
     command += " " + it;
@@ -183,74 +186,75 @@
   return run;
 }
 
-void Demo::expect(bool Holds, const std::string &What) {
-  if (Holds)
+void Demo::expect(bool Condition, const std::string &Description) {
+  if (Condition)
     return;
-  say("FAULT: " + What);
-  Report.Faults.push_back(What);
+  print("FAULT: " + Description);
+  Report.Faults.push_back(Description);
 }
 
 chaos::TrainerTruth Demo::trainerTruth() const {
   Outcome<boost::json::value> truth =
-      Running->trainers().begin()->second->truth();
+      System->trainers().begin()->second->truth();
   return truth ? chaos::parseTrainerTruth(*truth) : chaos::TrainerTruth{};
 }
 
 void Demo::publish() {
-  harness::CtlResult run = control({"apply", Running->declarations()});
-  Report.InForce = std::max(Report.InForce, run.Took);
-  bool known =
-      await([&] { return Running->areAllUpstreamsKnown(); }, ReadyLimit);
+  harness::CtlResult run = control({"apply", System->declarations()});
+  Report.MaxInForceTime = std::max(Report.MaxInForceTime, run.Duration);
+  bool known = waitWithCallers([&] { return System->areAllUpstreamsKnown(); },
+                               ReadyTimeout);
   expect(known, "not all processes know all upstreams");
-  say("published: declarations in force everywhere after " +
-      std::to_string(run.Took.count()) + " ms");
+  print("published: declarations in force everywhere after " +
+        std::to_string(run.Duration.count()) + " ms");
 }
 
 void Demo::startCallerLoad() {
-  const Configuration &declared = Running->example().Declared;
-  const ServiceDeclaration &engines = serviceOf(declared, ServiceKind::Engines);
+  const Configuration &declared = System->example().Declared;
+  const ServiceDeclaration &engines =
+      findService(declared, ServiceKind::Engines);
   chaos::CallerLoad::Settings load;
   load.Seed = Setup.Seed;
   load.Callers = Setup.Callers;
   load.EngineService = engines.Name.Text;
   load.Model = engines.Model.Text;
-  load.PlainService = serviceOf(declared, ServiceKind::Plain).Name.Text;
+  load.PlainService = findService(declared, ServiceKind::Plain).Name.Text;
   load.MaxDelayedRetries = MaxDelayedRetries;
   Load = chaos::CallerLoad::start(load);
-  bool enough =
-      await([&] { return Load->completeAnswerCount() >= Setup.FirstAnswers; },
-            AnswersLimit);
+  bool enough = waitWithCallers(
+      [&] { return Load->completeAnswerCount() >= Setup.FirstAnswers; },
+      AnswersTimeout);
   expect(enough, "callers got too few answers");
-  say("path 1, callers: " + std::to_string(Load->completeAnswerCount()) +
-      " whole answers from " + load.EngineService + " and " +
-      load.PlainService);
+  print("path 1, callers: " + std::to_string(Load->completeAnswerCount()) +
+        " whole answers from " + load.EngineService + " and " +
+        load.PlainService);
 }
 
 void Demo::waitForFirstStep() {
-  bool whole =
-      await([&] { return trainerTruth().StepsComplete >= 1; }, StepsLimit);
+  bool whole = waitWithCallers(
+      [&] { return trainerTruth().StepsComplete >= 1; }, StepsTimeout);
   expect(whole, "the trainer's first step did not become whole");
-  say("path 2, trainer: first step whole, " +
-      std::to_string(trainerTruth().Samples) + " samples delivered");
+  print("path 2, trainer: first step whole, " +
+        std::to_string(trainerTruth().Samples) + " samples delivered");
 }
 
 void Demo::runOperatorCommands() {
   for (const std::string preset : {"peak", "ordinary"}) {
     harness::CtlResult run = control({"preset", preset});
-    Report.InForce = std::max(Report.InForce, run.Took);
-    say("path 3, operator: preset " + preset + " in force everywhere after " +
-        std::to_string(run.Took.count()) + " ms");
+    Report.MaxInForceTime = std::max(Report.MaxInForceTime, run.Duration);
+    print("path 3, operator: preset " + preset + " in force everywhere after " +
+          std::to_string(run.Duration.count()) + " ms");
   }
-  control({"plan", Running->declarations()});
+  control({"plan", System->declarations()});
   control({"status"});
   control({"history"});
 }
 
 void Demo::restartEachProcess() {
-  for (harness::WasabiProcess &it : Running->nodes())
+  for (harness::WasabiProcess &it : System->nodes())
     restartOne(it);
-  say("path 4, planned stops: " + std::to_string(Stops.size()) +
-      " processes stopped and replaced under load");
+  print("path 4, planned stops: " + std::to_string(Stops.size()) +
+        " processes stopped and replaced under load");
 }
 
 void Demo::restartOne(harness::WasabiProcess &Node) {
@@ -258,57 +262,59 @@
   stop.WithoutOtherFaults = true;
   stop.SignalMicros = wallMicros();
   if (!Node.isEntry())
-    stop.Servers.push_back(Running->upstreams()[*Node.Upstream].Name);
-  Node.Running->signal(SIGTERM);
-  bool ended = await([&] { return !Node.Running->running(); }, StopLimit);
+    stop.Servers.push_back(System->upstreams()[*Node.Upstream].Name);
+  Node.Child->signal(SIGTERM);
+  bool ended =
+      waitWithCallers([&] { return !Node.Child->running(); }, StopTimeout);
   stop.Ended = wallMicros();
-  std::optional<harness::ProcessExit> end = Node.Running->wait(Millis(0));
+  std::optional<harness::ProcessExit> end = Node.Child->wait(Millis(0));
   stop.ExitedCleanly = ended && end && end->Code == 0;
   Stops.push_back(stop);
   expect(stop.ExitedCleanly, Node.Name + " did not end in order");
-  say("  " + Node.Name + " ended after " +
-      std::to_string((stop.Ended - stop.SignalMicros) / 1000) + " ms");
+  print("  " + Node.Name + " ended after " +
+        std::to_string((stop.Ended - stop.SignalMicros) / 1000) + " ms");
   if (!ended)
-    Running->kill(Node);
+    System->kill(Node);
 
-  Outcome<Done> again = toOutcome<Done>([&] { return Running->restart(Node); });
+  Outcome<Done> again = toOutcome<Done>([&] { return System->restart(Node); });
   expect(static_cast<bool>(again),
          again ? "" : wasabi::describe(again.failure()));
-  bool ready =
-      await([&] { return harness::Deployment::isReady(Node); }, ReadyLimit);
+  bool ready = waitWithCallers(
+      [&] { return harness::Deployment::isReady(Node); }, ReadyTimeout);
   expect(ready, Node.Name + " did not become ready again");
-  // An operator replaces the next one when the last one is back.
-  bool known =
-      await([&] { return Running->areAllUpstreamsKnown(); }, ReadyLimit);
+  // Replace the next process only after the last one is back.
+  bool known = waitWithCallers([&] { return System->areAllUpstreamsKnown(); },
+                               ReadyTimeout);
   expect(known, Node.Name + " is not known to all others:\n" +
-                    (known ? "" : Running->describeIncompleteViews()));
+                    (known ? "" : System->describeIncompleteViews()));
 }
 
 void Demo::waitForAllSteps() {
-  bool whole = await(
-      [&] { return trainerTruth().StepsComplete >= Setup.Steps; }, StepsLimit);
+  bool whole = waitWithCallers(
+      [&] { return trainerTruth().StepsComplete >= Setup.Steps; },
+      StepsTimeout);
   expect(whole, "the trainer has " +
                     std::to_string(trainerTruth().StepsComplete) +
                     " whole steps of " + std::to_string(Setup.Steps));
-  say("path 2, trainer: " + std::to_string(trainerTruth().StepsComplete) +
-      " steps whole");
+  print("path 2, trainer: " + std::to_string(trainerTruth().StepsComplete) +
+        " steps whole");
 }
 
 void Demo::enterMaintenance() {
-  // Callers go home first, so that what is refused then is not their concern.
+  // Stop the callers first, so that they see no refusals of the shutdown.
   Records = Load->finish();
   Load.reset();
   harness::CtlResult run = control({"preset", "maintenance"});
-  Report.InForce = std::max(Report.InForce, run.Took);
-  bool drained = await(
-      [&] { return Running->control({"drain-check"}).Code == 0; }, DrainLimit);
+  Report.MaxInForceTime = std::max(Report.MaxInForceTime, run.Duration);
+  bool drained = waitWithCallers(
+      [&] { return System->control({"drain-check"}).Code == 0; }, DrainTimeout);
   expect(drained, "the maintenance preset did not drain");
-  say("path 3, operator: maintenance in force, nothing in flight");
+  print("path 3, operator: maintenance in force, nothing in flight");
 }
 
-void Demo::judge() {
+void Demo::checkOutcome() {
   std::vector<chaos::UpstreamRun> runs;
-  for (const harness::UpstreamProcess &it : Running->upstreams()) {
+  for (const harness::UpstreamProcess &it : System->upstreams()) {
     Outcome<boost::json::value> truth = it.Server->truth();
     expect(static_cast<bool>(truth), it.Name + " tells no truth");
     if (!truth)
@@ -318,32 +324,34 @@
     runs.insert(runs.end(), found.begin(), found.end());
   }
   chaos::checkCallers(Report.Callers, Records, runs);
-  chaos::checkPlannedStops(Report.Callers, Stops, endsOf(Records), runs);
+  chaos::checkPlannedStops(Report.Callers, Stops, findCutOffSends(Records),
+                           runs);
   Report.Trainer = trainerTruth();
   chaos::checkTrainerTruth(Report.Callers, Report.Trainer);
   checkRequests();
-  sayRefusals(Records);
+  printRefusals(Records);
   Report.Samples = Setup.Steps * Setup.Groups * Setup.GroupSize;
   for (const std::string &it : Report.Callers.Violations)
-    say("FAULT: " + it);
+    print("FAULT: " + it);
 }
 
 void Demo::checkRequests() {
-  for (const std::pair<const std::string, Sends> &it : byRequest(Records)) {
+  for (const std::pair<const std::string, Sends> &it :
+       groupByRequest(Records)) {
     ++Report.Requests;
     if (it.second.back().End == chaos::CallOutcome::Whole)
       ++Report.Whole;
     else
-      sayLost(it.first, it.second);
+      printIncomplete(it.first, it.second);
   }
   Report.Refused = Report.Callers.NotRun;
 }
 
 void Demo::showTimeline() {
   harness::CtlResult run = control({"timeline"});
-  say("time line, highlights:");
+  print("time line, highlights:");
   for (const std::string &it : selectHighlights(run.Output))
-    say("  " + it);
+    print("  " + it);
 }
 
 } // namespace wasabi::demo
--- a/IntegrationTests/Demo/Demo.h
+++ b/IntegrationTests/Demo/Demo.h
@@ -1,6 +1,6 @@
 /// \file
-/// The demo: an example under load, its planned stops, and the verdict from the
-/// stand-ins' own records.
+/// The demo: runs an example under load, performs planned stops, and checks the
+/// outcome against the records of the stand-ins.
 #ifndef WASABI_INTEGRATIONTESTS_DEMO_DEMO_H
 #define WASABI_INTEGRATIONTESTS_DEMO_DEMO_H
 
@@ -16,52 +16,55 @@
 
 namespace wasabi::demo {
 
-/// What the demo found. An immutable value.
+/// Results of a demo run. An immutable value.
 struct DemoReport {
-  /// What the stand-ins' records say of the callers' sends.
+  /// The callers' sends as the records of the stand-ins show them.
   chaos::Tally Callers;
-  /// Requests, each sent until it was whole; and refusals on the way.
+  /// Requests, each repeated until its answer was whole, and the refusals
+  /// received.
   std::uint64_t Requests = 0;
   std::uint64_t Whole = 0;
   std::uint64_t Refused = 0;
   chaos::TrainerTruth Trainer;
-  /// Samples that the whole steps have by the trainer's settings.
+  /// Number of samples in the completed steps according to the trainer's
+  /// settings.
   std::uint64_t Samples = 0;
-  /// Longest time that a change took until in force everywhere.
-  Millis InForce{0};
-  /// What did not go as it must, one line each.
+  /// Longest time from a change until it was in force on all processes.
+  Millis MaxInForceTime{0};
+  /// Violated expectations, one line each.
   std::vector<std::string> Faults;
 };
 
-/// Whether everything that the demo shows holds. Pure.
+/// Returns true if all expectations of the demo hold. Pure.
 bool holds(const DemoReport &Report);
 
-/// The demo's last line. Pure.
+/// Returns the last line of the demo's output. Pure.
 std::string describe(const DemoReport &Report);
 
-/// Runs one example through the four paths. Not thread-safe.
+/// Runs one example through the paths of a caller, a trainer, an operator and
+/// planned stops. Not thread-safe.
 class Demo {
 public:
   struct Settings {
     std::string Example = "lindqvist";
-    /// Training steps, and their samples.
+    /// Number of training steps, and of samples in each.
     std::uint64_t Steps = 4;
     std::uint64_t Groups = 4;
     std::uint64_t GroupSize = 4;
     std::uint32_t Callers = 12;
-    /// Whole answers to wait for before the first stop.
+    /// Number of whole answers to wait for before the first stop.
     std::uint64_t FirstAnswers = 200;
     std::uint64_t Seed = 1;
   };
 
-  /// Starts the processes. Errors as of `Deployment::start`.
+  /// Starts the processes. Errors are those of `Deployment::start`.
   static Result<std::unique_ptr<Demo>> start(Settings Setup);
 
-  /// Runs all paths, with progress on stdout.
+  /// Runs all paths and prints progress to stdout.
   DemoReport run();
 
 private:
-  Demo(Settings Setup, std::unique_ptr<harness::Deployment> Running);
+  Demo(Settings Setup, std::unique_ptr<harness::Deployment> System);
 
   void publish();
   void startCallerLoad();
@@ -71,18 +74,19 @@
   void restartOne(harness::WasabiProcess &Node);
   void waitForAllSteps();
   void enterMaintenance();
-  void judge();
+  void checkOutcome();
   void checkRequests();
   void showTimeline();
 
-  /// Waits, and sends callers to the entries that are ready meanwhile.
-  bool await(const std::function<bool()> &Condition, Millis Limit);
+  /// Waits for a condition, and directs callers to the entries that are ready
+  /// meanwhile.
+  bool waitWithCallers(const std::function<bool()> &Condition, Millis Timeout);
   harness::CtlResult control(const std::vector<std::string> &Arguments);
   chaos::TrainerTruth trainerTruth() const;
-  void expect(bool Holds, const std::string &What);
+  void expect(bool Condition, const std::string &Description);
 
   const Settings Setup;
-  const std::unique_ptr<harness::Deployment> Running;
+  const std::unique_ptr<harness::Deployment> System;
   std::unique_ptr<chaos::CallerLoad> Load;
   std::vector<chaos::PlannedStop> Stops;
   std::vector<chaos::CallerRecord> Records;
--- a/IntegrationTests/Demo/Highlights.h
+++ b/IntegrationTests/Demo/Highlights.h
@@ -1,5 +1,5 @@
 /// \file
-/// The few lines of a merged time line that tell its story.
+/// Selects the most informative lines of a merged time line.
 #ifndef WASABI_INTEGRATIONTESTS_DEMO_HIGHLIGHTS_H
 #define WASABI_INTEGRATIONTESTS_DEMO_HIGHLIGHTS_H
 
@@ -9,8 +9,8 @@
 
 namespace wasabi::demo {
 
-/// The first and last lines of each kind that matters, in their order, and how
-/// many there are in all. Pure.
+/// Returns the first and last line of each relevant kind in their order,
+/// followed by the total number of lines. Pure.
 std::vector<std::string> selectHighlights(std::string_view Timeline);
 
 } // namespace wasabi::demo
--- a/IntegrationTests/Demo/Main.cpp
+++ b/IntegrationTests/Demo/Main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// wasabi-demo: one example as real processes, driven through the paths of a
+/// wasabi-demo: runs one example as real processes through the paths of a
 /// caller, a trainer, an operator and planned stops.
 #include "IntegrationTests/Demo/Demo.h"
 #include "Wasabi/Core/Program.h"
@@ -34,7 +34,7 @@
   setup.Seed = FLAGS_seed;
   BOOST_LEAF_AUTO(demo, Demo::start(std::move(setup)));
   DemoReport report = demo->run();
-  // The last line comes after all children have ended.
+  // Print the last line only after all child processes have exited.
   demo.reset();
   std::cout << wasabi::demo::describe(report) << std::endl;
   return wasabi::demo::holds(report) ? ExitCode::Success
--- a/IntegrationTests/Harness/Deployment.cpp
+++ b/IntegrationTests/Harness/Deployment.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-const Address Anywhere{"127.0.0.1", 0};
-constexpr Millis ReadyLimit{30000};
+const Address AnyPort{"127.0.0.1", 0};
+constexpr Millis ReadyTimeout{30000};
 
 std::string flag(std::string_view Name, std::string_view Value) {
   return "--" + std::string(Name) + "=" + std::string(Value);
@@ -43,7 +43,7 @@
   return text.str();
 }
 
-std::set<DomainName> domainsOf(const Configuration &Declared) {
+std::set<DomainName> findDomains(const Configuration &Declared) {
   std::set<DomainName> domains;
   for (const std::pair<const ServiceName, ServiceDeclaration> &service :
        Declared.Services) {
@@ -53,8 +53,8 @@
   return domains;
 }
 
-/// Whether a process' status names a member as alive at this control address,
-/// with all of its servers serving.
+/// Returns true if a process' status lists a member with this control address
+/// as alive and all of its servers as serving.
 bool isServing(const boost::json::object &Member, const Address &Control) {
   namespace json = boost::json;
   if (Member.at("state") != "alive" ||
@@ -90,7 +90,8 @@
       Folder(std::move(Folder)) {}
 
 Deployment::~Deployment() {
-  // The product goes first, so that it does not see its platform vanish.
+  // Stop the product first, so that it does not observe an outage of the
+  // platform.
   Nodes.clear();
 }
 
@@ -117,11 +118,11 @@
 }
 
 Result<Done> Deployment::startPlatform() {
-  BOOST_LEAF_ASSIGN(Log, startStandIn("log", "log", {}, Anywhere));
+  BOOST_LEAF_ASSIGN(Log, startStandIn("log", "log", {}, AnyPort));
   BOOST_LEAF_ASSIGN(Instances,
-                    startStandIn("instances", "instances", {}, Anywhere));
-  BOOST_LEAF_ASSIGN(Weights, startStandIn("weights", "weights", {}, Anywhere));
-  BOOST_LEAF_ASSIGN(Scorer, startStandIn("scorer", "scorer", {}, Anywhere));
+                    startStandIn("instances", "instances", {}, AnyPort));
+  BOOST_LEAF_ASSIGN(Weights, startStandIn("weights", "weights", {}, AnyPort));
+  BOOST_LEAF_ASSIGN(Scorer, startStandIn("scorer", "scorer", {}, AnyPort));
   return Done{};
 }
 
@@ -138,7 +139,7 @@
              flag("staleness_bound", std::to_string(declared.StalenessBound)),
              flag("checks_fences", declared.ChecksFences ? "true" : "false"),
              flag("store", Weights->address())},
-            Anywhere));
+            AnyPort));
     addresses[it.first] = trainer->address();
     Trainers[it.first] = std::move(trainer);
   }
@@ -174,7 +175,7 @@
 }
 
 Result<Done> Deployment::restart(UpstreamProcess &Node) {
-  Address listen = Node.Server ? Node.Server->address() : Anywhere;
+  Address listen = Node.Server ? Node.Server->address() : AnyPort;
   Node.Server.reset();
   bool plain =
       Source.Declared.Services.at(Node.Service).Kind == ServiceKind::Plain;
@@ -192,7 +193,7 @@
     node.Upstream = i;
     Nodes.push_back(std::move(node));
   }
-  for (const DomainName &domain : domainsOf(Source.Declared)) {
+  for (const DomainName &domain : findDomains(Source.Declared)) {
     for (std::size_t i = 1; i <= Setup.EntriesPerDomain; ++i) {
       WasabiProcess node;
       node.Name = "entry-" + domain.Text + "-" + std::to_string(i);
@@ -200,14 +201,14 @@
       Nodes.push_back(std::move(node));
     }
   }
-  // The first one is the others' seed; those start side by side.
+  // The first process is the seed of the others, which start in parallel.
   BOOST_LEAF_CHECK(restart(Nodes.front()));
   for (std::size_t i = 1; i < Nodes.size(); ++i)
     BOOST_LEAF_CHECK(launch(Nodes[i]));
   for (std::size_t i = 1; i < Nodes.size(); ++i)
     BOOST_LEAF_CHECK(readAddresses(Nodes[i]));
   for (const WasabiProcess &it : Nodes) {
-    if (!waitUntil([&] { return isReady(it); }, ReadyLimit))
+    if (!waitUntil([&] { return isReady(it); }, ReadyTimeout))
       return unavailable(it.Name, "it did not become ready: " +
                                       readFile(Folder->file(it.Name + ".err")));
   }
@@ -221,7 +222,7 @@
       flag("log", Log->address()), flag("instances", Instances->address())};
   std::string seeds;
   for (const WasabiProcess &it : Nodes) {
-    if (seeds.empty() && it.Running && it.Name != Node.Name &&
+    if (seeds.empty() && it.Child && it.Name != Node.Name &&
         !it.Control.empty())
       seeds = toText(it.Control);
   }
@@ -242,9 +243,9 @@
   std::vector<std::string> arguments = nodeArguments(Node);
   if (Setup.UsesFaultProxies && !Node.isEntry())
     BOOST_LEAF_CHECK(launchBehindProxy(Node, arguments));
-  Node.Running.reset();
+  Node.Child.reset();
   BOOST_LEAF_ASSIGN(
-      Node.Running,
+      Node.Child,
       Process::start({Node.isEntry() ? "wasabi-entry" : "wasabi-daemon",
                       std::move(arguments),
                       {},
@@ -256,13 +257,13 @@
 Deployment::launchBehindProxy(WasabiProcess &Node,
                               std::vector<std::string> &Arguments) {
   if (!Node.Proxy) {
-    // The proxy needs the daemon's port before there is a daemon, and stays
-    // when the daemon is replaced.
+    // The proxy needs the daemon's port before the daemon starts, and outlives
+    // a replaced daemon.
     BOOST_LEAF_ASSIGN(Node.ListenAddress, freePort());
     BOOST_LEAF_ASSIGN(Node.Proxy,
                       startStandIn("faultproxy", "proxy-" + Node.Name,
                                    {flag("upstream", Node.ListenAddress)},
-                                   Anywhere));
+                                   AnyPort));
   }
   Arguments.push_back(flag("frames", Node.ListenAddress));
   Arguments.push_back(flag("advertise_frames", Node.Proxy->address()));
@@ -270,11 +271,11 @@
 }
 
 Result<Done> Deployment::readAddresses(WasabiProcess &Node) {
-  BOOST_LEAF_ASSIGN(Node.Control, Node.Running->waitForAddress("control"));
-  BOOST_LEAF_ASSIGN(Node.Admin, Node.Running->waitForAddress("admin"));
+  BOOST_LEAF_ASSIGN(Node.Control, Node.Child->waitForAddress("control"));
+  BOOST_LEAF_ASSIGN(Node.Admin, Node.Child->waitForAddress("admin"));
   BOOST_LEAF_ASSIGN(
       Node.ListenAddress,
-      Node.Running->waitForAddress(Node.isEntry() ? "listening" : "frames"));
+      Node.Child->waitForAddress(Node.isEntry() ? "listening" : "frames"));
   return Done{};
 }
 
@@ -284,7 +285,7 @@
 }
 
 bool Deployment::isReady(const WasabiProcess &Node) {
-  return Node.Running && Node.Running->running() &&
+  return Node.Child && Node.Child->running() &&
          static_cast<bool>(getText(Node.Admin, "/readyz"));
 }
 
@@ -327,13 +328,13 @@
 }
 
 CtlResult Deployment::control(std::vector<std::string> Arguments,
-                              Millis Limit) {
+                              Millis Timeout) {
   Arguments.push_back(flag("log", Log->address()));
   Arguments.push_back(flag("instances", Instances->address()));
   Arguments.push_back(flag("operator", "harness"));
   std::string errors = Folder->file("wasabictl.err");
   std::ofstream(errors).close();
-  TimePoint begun = monotonicNow();
+  TimePoint started = monotonicNow();
   CtlResult run;
   Outcome<std::unique_ptr<Process>> child =
       toOutcome<std::unique_ptr<Process>>([&] {
@@ -341,27 +342,29 @@
       });
   if (!child)
     return {-1, "", describe(child.failure()), Millis(0)};
-  std::optional<ProcessExit> end = (*child)->waitAndRead(Limit);
+  std::optional<ProcessExit> end = (*child)->waitAndRead(Timeout);
   run.Code = end ? end->Code : -1;
   run.Output = (*child)->output();
   run.Errors = readFile(errors);
-  run.Took = std::chrono::duration_cast<Millis>(monotonicNow() - begun);
+  run.Duration = std::chrono::duration_cast<Millis>(monotonicNow() - started);
   return run;
 }
 
 void Deployment::kill(WasabiProcess &Node) {
-  Node.Running->signal(SIGKILL);
-  Node.Running->wait(ProcessStartTimeout);
+  Node.Child->signal(SIGKILL);
+  Node.Child->wait(ProcessStartTimeout);
   http::Request ask;
   ask.Method = "DELETE";
   ask.Target = "/v1/instances/" + Node.Name;
-  // A list that is down learns of it later, as the platform's own does.
+  // An instance list that is down receives the change later, as the platform's
+  // own does.
   call(Instances->address(), std::move(ask));
 }
 
-std::optional<ProcessExit> Deployment::stop(WasabiProcess &Node, Millis Limit) {
-  Node.Running->signal(SIGTERM);
-  return Node.Running->wait(Limit);
+std::optional<ProcessExit> Deployment::stop(WasabiProcess &Node,
+                                            Millis Timeout) {
+  Node.Child->signal(SIGTERM);
+  return Node.Child->wait(Timeout);
 }
 
 } // namespace wasabi::harness
--- a/IntegrationTests/Harness/Deployment.h
+++ b/IntegrationTests/Harness/Deployment.h
@@ -1,6 +1,6 @@
 /// \file
-/// A whole example as real processes on loopback: the platform's stand-ins, a
-/// daemon beside each upstream server, and entries.
+/// Runs a whole example as real processes on loopback: the platform's
+/// stand-ins, a daemon for each upstream server, and entries.
 #ifndef WASABI_INTEGRATIONTESTS_HARNESS_DEPLOYMENT_H
 #define WASABI_INTEGRATIONTESTS_HARNESS_DEPLOYMENT_H
 
@@ -25,47 +25,47 @@
   std::unique_ptr<StandIn> Server;
 };
 
-/// One process of the product, which may be ended and started again.
+/// One process of the product, which can be stopped and restarted.
 struct WasabiProcess {
   std::string Name;
   DomainName Domain;
-  /// Index of the server that a daemon stands in front of.
+  /// Index of the server that a daemon serves.
   std::optional<std::size_t> Upstream;
-  std::unique_ptr<Process> Running;
+  std::unique_ptr<Process> Child;
   Address Control;
   Address Admin;
-  /// An entry's address for callers, a daemon's for frames.
+  /// Address for callers of an entry, or for frames of a daemon.
   Address ListenAddress;
-  /// The fault proxy between the entries and a daemon, if there is one.
+  /// The fault proxy between the entries and a daemon; null without one.
   std::unique_ptr<StandIn> Proxy;
 
   bool isEntry() const { return !Upstream.has_value(); }
 };
 
-/// How a `wasabictl` ended. An immutable value.
+/// Outcome of a `wasabictl` run. An immutable value.
 struct CtlResult {
   int Code = 0;
   std::string Output;
   std::string Errors;
-  Millis Took{0};
+  Millis Duration{0};
 };
 
-/// All processes end when it is destroyed. Not thread-safe, but for what only
-/// reads.
+/// The processes of one example; the destructor stops them all. Not thread-safe
+/// except for const methods.
 class Deployment {
 public:
   struct Settings {
-    /// A folder of `examples/`.
+    /// Name of a folder in `examples/`.
     std::string Example = "lindqvist";
     std::size_t EntriesPerDomain = 1;
-    /// Whether a fault proxy stands in front of each daemon's frames.
+    /// True if a fault proxy is placed in front of each daemon's frame address.
     bool UsesFaultProxies = false;
-    /// Flags of the stand-ins by role, besides addresses and names.
+    /// Flags of the stand-ins by role, in addition to addresses and names.
     std::map<std::string, std::vector<std::string>> Flags;
   };
 
-  /// Starts everything and waits until all entries and daemons are ready; no
-  /// configuration is published yet. Errors: `Unavailable`, `BadInput`.
+  /// Starts all processes and waits until all entries and daemons are ready.
+  /// Publishes no configuration. Errors: `Unavailable`, `BadInput`.
   static Result<std::unique_ptr<Deployment>> start(Settings Setup);
   ~Deployment();
   Deployment(const Deployment &) = delete;
@@ -79,33 +79,35 @@
     return Trainers;
   }
   std::vector<UpstreamProcess> &upstreams() { return Upstreams; }
-  /// Daemons, in the order of `upstreams`, then entries.
+  /// Daemons, in the order of `upstreams`, followed by the entries.
   std::vector<WasabiProcess> &nodes() { return Nodes; }
   const Example &example() const { return Source; }
-  /// The declarations with real endpoints, for `wasabictl apply`.
+  /// The declarations with the real endpoints, for `wasabictl apply`.
   std::string declarations() const { return Folder->file("declarations"); }
   TestFolder &folder() { return *Folder; }
 
-  /// Where callers may ask: the entries that run and call themselves ready.
+  /// Returns the addresses of the entries that run and report themselves ready.
   std::vector<Address> readyEntries() const;
-  /// Whether a process says that it is ready.
+  /// Returns true if a process reports itself ready.
   static bool isReady(const WasabiProcess &Node);
-  /// Whether every ready process knows all upstreams as serving, behind the
-  /// daemons that run now.
+  /// Returns true if every ready process sees all upstreams as serving through
+  /// the daemons that run now.
   bool areAllUpstreamsKnown() const;
-  /// The view of each ready process that lacks one, for a person.
+  /// Returns a readable view of each ready process that does not see all
+  /// upstreams as serving.
   std::string describeIncompleteViews() const;
-  /// Runs `wasabictl` to its end with the platform's addresses.
+  /// Runs `wasabictl` with the platform's addresses and waits for its exit.
   CtlResult control(std::vector<std::string> Arguments,
-                    Millis Limit = Millis(60000));
-  /// Starts a node's process anew, after it ended. Errors: `Unavailable`.
+                    Millis Timeout = Millis(60000));
+  /// Restarts a node's process after it exited. Errors: `Unavailable`.
   Result<Done> restart(WasabiProcess &Node);
-  /// Starts an upstream anew on the address that it had. Errors: `Unavailable`.
+  /// Restarts an upstream on its previous address. Errors: `Unavailable`.
   Result<Done> restart(UpstreamProcess &Node);
-  /// SIGKILL, and the platform takes the instance off its list.
+  /// Sends SIGKILL and removes the instance from the platform's list.
   void kill(WasabiProcess &Node);
-  /// SIGTERM, and how it ended; empty when it still runs after `Limit`.
-  static std::optional<ProcessExit> stop(WasabiProcess &Node, Millis Limit);
+  /// Sends SIGTERM and returns the exit; empty if the process still runs after
+  /// `Timeout`.
+  static std::optional<ProcessExit> stop(WasabiProcess &Node, Millis Timeout);
 
 private:
   explicit Deployment(Settings Setup, Example Source,
--- a/IntegrationTests/Harness/Example.cpp
+++ b/IntegrationTests/Harness/Example.cpp
@@ -24,9 +24,9 @@
   return text.str();
 }
 
-/// An object's text with the endpoint of the trainer that it declares.
-std::string withEndpoint(const std::string &Text,
-                         const std::map<TrainerName, Address> &Trainers) {
+/// Returns an object's text with the endpoint of the declared trainer replaced.
+std::string replaceEndpoint(const std::string &Text,
+                            const std::map<TrainerName, Address> &Trainers) {
   json::object object = json::parse(Text).as_object();
   if (object["kind"] != "trainer")
     return Text;
@@ -56,30 +56,30 @@
   fs::path folder = fs::path(WASABI_SOURCE_DIR) / "examples" / Name;
   if (!fs::is_directory(folder))
     return badInput(folder.string(), "there is no such example");
-  Example read;
+  Example example;
   for (const fs::directory_entry &it : fs::directory_iterator(folder)) {
     if (it.path().extension() != ".json")
       continue;
     BOOST_LEAF_AUTO(objects,
                     parseDeclarations(it.path().string(), readFile(it.path())));
-    read.Objects.merge(objects);
+    example.Objects.merge(objects);
   }
-  BOOST_LEAF_ASSIGN(read.Declared, buildConfiguration(read.Objects));
-  return read;
+  BOOST_LEAF_ASSIGN(example.Declared, buildConfiguration(example.Objects));
+  return example;
 }
 
-Result<Done> writeDeclarations(const Example &From,
+Result<Done> writeDeclarations(const Example &Source,
                                const std::map<TrainerName, Address> &Trainers,
                                const std::string &Folder) {
   std::error_code ec;
   fs::create_directories(Folder, ec);
-  for (const std::pair<const std::string, std::string> &it : From.Objects) {
+  for (const std::pair<const std::string, std::string> &it : Source.Objects) {
     std::string file = it.first + ".json";
     std::replace(file.begin(), file.end(), '/', '-');
-    // A limit may be called "*".
+    // A limit may be named "*".
     std::replace(file.begin(), file.end(), '*', '_');
-    BOOST_LEAF_CHECK(
-        writeFile(fs::path(Folder) / file, withEndpoint(it.second, Trainers)));
+    BOOST_LEAF_CHECK(writeFile(fs::path(Folder) / file,
+                               replaceEndpoint(it.second, Trainers)));
   }
   return Done{};
 }
--- a/IntegrationTests/Harness/Example.h
+++ b/IntegrationTests/Harness/Example.h
@@ -1,6 +1,6 @@
 /// \file
-/// An example of the repository: its declarations, and the same declarations
-/// with the addresses that a test's trainers really have.
+/// Reads the declarations of an example of the repository and writes them with
+/// the real addresses of a test's trainers.
 #ifndef WASABI_INTEGRATIONTESTS_HARNESS_EXAMPLE_H
 #define WASABI_INTEGRATIONTESTS_HARNESS_EXAMPLE_H
 
@@ -11,19 +11,19 @@
 
 namespace wasabi::harness {
 
-/// The declarations of a folder. An immutable value.
+/// The declarations in a folder. An immutable value.
 struct Example {
   ObjectTexts Objects;
   Configuration Declared;
   bool operator==(const Example &) const = default;
 };
 
-/// Reads `examples/NAME`. Errors: `BadInput` naming file and place.
+/// Reads `examples/NAME`. Errors: `BadInput` naming the file and the position.
 Result<Example> readExample(const std::string &Name);
 
-/// Writes the declarations, a file an object, with the trainers' endpoints
-/// replaced. Errors: `Unavailable` when a file cannot be written.
-Result<Done> writeDeclarations(const Example &From,
+/// Writes the declarations, one file for each object, with the endpoints of the
+/// trainers replaced. Errors: `Unavailable` if a file cannot be written.
+Result<Done> writeDeclarations(const Example &Source,
                                const std::map<TrainerName, Address> &Trainers,
                                const std::string &Folder);
 
--- a/IntegrationTests/Harness/FreePort.cpp
+++ b/IntegrationTests/Harness/FreePort.cpp
@@ -11,17 +11,17 @@
 
 namespace {
 
-/// Below the range from which the kernel takes ports of its own accord, for
-/// outgoing connections and for listeners without a port: none of these can
-/// take the port between here and its use.
+/// Start of a range below the kernel's ephemeral ports, so that no outgoing
+/// connection or listener without a fixed port takes the port before it is
+/// used.
 constexpr unsigned FirstPort = 12000;
 constexpr unsigned LastPort = 32000;
-/// Ports of one process lie together, apart from those of processes that run
-/// beside it: two that drew at random could draw the same.
+/// Number of consecutive ports of one process. Separate ranges keep concurrent
+/// processes from choosing the same port.
 constexpr unsigned PortsPerProcess = 16;
-constexpr unsigned MostTries = 400;
+constexpr unsigned MaxAttempts = 400;
 
-unsigned firstOfProcess() {
+unsigned firstPortOfProcess() {
   unsigned blocks = (LastPort - FirstPort) / PortsPerProcess;
   return static_cast<unsigned>(getpid()) % blocks * PortsPerProcess;
 }
@@ -41,9 +41,9 @@
 } // namespace
 
 Result<Address> freePort() {
-  static std::atomic<unsigned> next{firstOfProcess()};
+  static std::atomic<unsigned> next{firstPortOfProcess()};
   boost::system::error_code ec;
-  for (unsigned i = 0; i < MostTries; ++i) {
+  for (unsigned i = 0; i < MaxAttempts; ++i) {
     auto port =
         static_cast<std::uint16_t>(FirstPort + next++ % (LastPort - FirstPort));
     ec = tryPort(port);
--- a/IntegrationTests/Harness/FreePort.h
+++ b/IntegrationTests/Harness/FreePort.h
@@ -1,5 +1,6 @@
 /// \file
-/// A port for two processes that must know each other before either runs.
+/// Finds a port for processes that must know each other's address before they
+/// start.
 #ifndef WASABI_INTEGRATIONTESTS_HARNESS_FREEPORT_H
 #define WASABI_INTEGRATIONTESTS_HARNESS_FREEPORT_H
 
@@ -7,8 +8,8 @@
 
 namespace wasabi::harness {
 
-/// A loopback port that was free a moment ago, another one at each call;
-/// nothing keeps another process from taking it. Errors: `Unavailable`.
+/// Returns a loopback port that was free at the time of the call, a different
+/// one for each call. Another process may still take it. Errors: `Unavailable`.
 /// Thread-safe.
 Result<Address> freePort();
 
--- a/IntegrationTests/Harness/HttpCall.cpp
+++ b/IntegrationTests/Harness/HttpCall.cpp
@@ -34,8 +34,8 @@
 
 } // namespace
 
-Outcome<http::Response> call(const Address &Where, http::Request Ask,
-                             Millis Limit) {
+Outcome<http::Response> call(const Address &Where, http::Request Request,
+                             Millis Timeout) {
   boost::asio::io_context context(1);
   std::shared_ptr<http::Client> client =
       http::Client::create(context.get_executor(), {});
@@ -43,8 +43,10 @@
   boost::asio::co_spawn(
       context,
       [&]() -> boost::asio::awaitable<void> {
-        answer.emplace(co_await client->call(Where, std::move(Ask), Limit));
-        // Nothing more is to be read: idle connections must not hold `run`.
+        answer.emplace(
+            co_await client->call(Where, std::move(Request), Timeout));
+        // The answer is complete: close idle connections, so that `run`
+        // returns.
         context.stop();
       },
       boost::asio::detached);
@@ -59,8 +61,8 @@
 }
 
 Outcome<std::string> getText(const Address &Where, std::string_view Path,
-                             Millis Limit) {
-  Outcome<http::Response> answer = call(Where, request("GET", Path), Limit);
+                             Millis Timeout) {
+  Outcome<http::Response> answer = call(Where, request("GET", Path), Timeout);
   if (!answer)
     return answer.failure();
   if (answer->Status != 200)
@@ -69,8 +71,8 @@
 }
 
 Outcome<boost::json::value> getJson(const Address &Where, std::string_view Path,
-                                    Millis Limit) {
-  Outcome<std::string> text = getText(Where, Path, Limit);
+                                    Millis Timeout) {
+  Outcome<std::string> text = getText(Where, Path, Timeout);
   if (!text)
     return text.failure();
   boost::system::error_code ec;
@@ -85,11 +87,11 @@
 }
 
 Outcome<http::Response> postJson(const Address &Where, std::string_view Path,
-                                 std::string Body, Millis Limit) {
+                                 std::string Body, Millis Timeout) {
   http::Request ask = request("POST", Path);
   ask.Headers.push_back({"Content-Type", "application/json"});
   ask.Body = std::move(Body);
-  Outcome<http::Response> answer = call(Where, std::move(ask), Limit);
+  Outcome<http::Response> answer = call(Where, std::move(ask), Timeout);
   if (answer && answer->Status >= FirstFailingStatus)
     return statusFailure(Where, Path, *answer);
   return answer;
--- a/IntegrationTests/Harness/HttpCall.h
+++ b/IntegrationTests/Harness/HttpCall.h
@@ -1,5 +1,5 @@
 /// \file
-/// One HTTP request and its whole answer, waited for by the calling thread.
+/// Sends one HTTP request and blocks until its whole answer has arrived.
 #ifndef WASABI_INTEGRATIONTESTS_HARNESS_HTTPCALL_H
 #define WASABI_INTEGRATIONTESTS_HARNESS_HTTPCALL_H
 
@@ -12,27 +12,29 @@
 
 namespace wasabi::harness {
 
-/// How long a control call of a test may take.
+/// Time limit of a test's control call.
 constexpr Millis ControlCallTimeout{10000};
 
-/// Sends `Ask` on a connection of its own. Failures as of `http::Client::call`.
-/// Thread-safe.
-Outcome<http::Response> call(const Address &Where, http::Request Ask,
-                             Millis Limit = ControlCallTimeout);
+/// Sends the request on a new connection. Errors are those of
+/// `http::Client::call`. Thread-safe.
+Outcome<http::Response> call(const Address &Where, http::Request Request,
+                             Millis Timeout = ControlCallTimeout);
 
-/// GET of a path, the body read as JSON. Any status but 200, and a body that is
-/// no JSON, are failures. Thread-safe.
+/// Sends a GET and returns the body parsed as JSON. Fails for any status but
+/// 200 and for a body that is not JSON. Thread-safe.
 Outcome<boost::json::value> getJson(const Address &Where, std::string_view Path,
-                                    Millis Limit = ControlCallTimeout);
+                                    Millis Timeout = ControlCallTimeout);
 
-/// GET of a path as text. Any status but 200 is a failure. Thread-safe.
+/// Sends a GET and returns the body as text. Fails for any status but 200.
+/// Thread-safe.
 Outcome<std::string> getText(const Address &Where, std::string_view Path,
-                             Millis Limit = ControlCallTimeout);
+                             Millis Timeout = ControlCallTimeout);
 
-/// POST of a JSON body. A status of 300 or more is a failure. Thread-safe.
+/// Sends a POST with a JSON body. Fails for a status of 300 or more.
+/// Thread-safe.
 Outcome<http::Response> postJson(const Address &Where, std::string_view Path,
                                  std::string Body,
-                                 Millis Limit = ControlCallTimeout);
+                                 Millis Timeout = ControlCallTimeout);
 
 } // namespace wasabi::harness
 
--- a/IntegrationTests/Harness/Process.cpp
+++ b/IntegrationTests/Harness/Process.cpp
@@ -18,11 +18,11 @@
 namespace {
 
 constexpr int SignalBase = 128;
-/// How much of a failed process' stderr is told.
+/// Maximum length of a failed process' stderr in an error message.
 constexpr std::size_t MaxErrorText = 2000;
 
 std::vector<std::string>
-environmentWith(const std::vector<EnvironmentVariable> &Added) {
+makeEnvironment(const std::vector<EnvironmentVariable> &Added) {
   std::vector<std::string> all;
   for (char **it = environ; it != nullptr && *it != nullptr; ++it) {
     if (!std::string_view(*it).starts_with("WASABI_"))
@@ -39,11 +39,11 @@
       Verdict::NotRun, FailureCode::Unavailable, Place, std::move(Reason), {}});
 }
 
-std::optional<std::string> valueOfLine(const std::string &Text,
-                                       std::string_view Key) {
+std::optional<std::string> findValue(const std::string &Text,
+                                     std::string_view Key) {
   std::istringstream lines(Text);
   std::string line;
-  // Only whole lines count: the last one may still be on its way.
+  // Use complete lines only: the last one may still be arriving.
   while (std::getline(lines, line) && !lines.eof()) {
     if (line.size() > Key.size() && line.starts_with(Key) &&
         line[Key.size()] == ' ')
@@ -71,7 +71,7 @@
   request.Arguments.push_back(Setup.Program);
   request.Arguments.insert(request.Arguments.end(), Setup.Arguments.begin(),
                            Setup.Arguments.end());
-  request.Environment = environmentWith(Setup.Environment);
+  request.Environment = makeEnvironment(Setup.Environment);
   request.Output = ends[1];
   request.Errors = file;
   pid_t child = spawn(request);
@@ -85,43 +85,43 @@
       new Process(std::move(Setup), child, ends[0]));
 }
 
-Process::Process(Settings Setup, pid_t Pid, int Output)
+Process::Process(Settings Setup, pid_t Pid, int Descriptor)
     : Setup(std::move(Setup)), Pid(Pid),
-      Reader([this, Output] { readOutput(Output); }) {}
+      Reader([this, Descriptor] { readOutput(Descriptor); }) {}
 
 Process::~Process() {
   signal(SIGKILL);
-  // A killed child ends in a moment, whatever state it was in.
+  // A killed child exits promptly in any state.
   while (!wait(ProcessStartTimeout)) {
   }
   Reader.join();
 }
 
-void Process::readOutput(int Output) {
+void Process::readOutput(int Descriptor) {
   std::array<char, 4096> buf{};
   while (true) {
-    ssize_t n = read(Output, buf.data(), buf.size());
+    ssize_t n = read(Descriptor, buf.data(), buf.size());
     if (n < 0 && errno == EINTR)
       continue;
     std::lock_guard<std::mutex> lock(Guard);
     if (n <= 0) {
-      Closed = true;
+      OutputClosed = true;
       Changed.notify_all();
       break;
     }
-    Read.append(buf.data(), static_cast<std::size_t>(n));
+    OutputText.append(buf.data(), static_cast<std::size_t>(n));
     Changed.notify_all();
   }
-  close(Output);
+  close(Descriptor);
 }
 
-Result<Address> Process::waitForAddress(std::string_view Key, Millis Limit) {
+Result<Address> Process::waitForAddress(std::string_view Key, Millis Timeout) {
   std::optional<std::string> found;
   {
     std::unique_lock<std::mutex> lock(Guard);
-    Changed.wait_for(lock, Limit, [&] {
-      found = valueOfLine(Read, Key);
-      return found.has_value() || Closed;
+    Changed.wait_for(lock, Timeout, [&] {
+      found = findValue(OutputText, Key);
+      return found.has_value() || OutputClosed;
     });
   }
   std::string place = Setup.Program + " (" + std::string(Key) + ")";
@@ -132,7 +132,7 @@
 
 std::string Process::output() const {
   std::lock_guard<std::mutex> lock(Guard);
-  return Read;
+  return OutputText;
 }
 
 std::string Process::lastErrors() const {
@@ -146,35 +146,35 @@
 
 void Process::signal(int Number) {
   std::lock_guard<std::mutex> lock(Guard);
-  // Once waited for, the id may belong to another process.
-  if (!End)
+  // After the wait, the id may belong to another process.
+  if (!Exit)
     kill(Pid, Number);
 }
 
 bool Process::running() {
   std::lock_guard<std::mutex> lock(Guard);
-  if (End)
+  if (Exit)
     return false;
   int status = 0;
   if (waitpid(Pid, &status, WNOHANG) != Pid)
     return true;
-  End = ProcessExit{WIFSIGNALED(status) ? SignalBase + WTERMSIG(status)
-                                        : WEXITSTATUS(status)};
+  Exit = ProcessExit{WIFSIGNALED(status) ? SignalBase + WTERMSIG(status)
+                                         : WEXITSTATUS(status)};
   return false;
 }
 
-std::optional<ProcessExit> Process::wait(Millis Limit) {
-  waitUntil([this] { return !running(); }, Limit);
+std::optional<ProcessExit> Process::wait(Millis Timeout) {
+  waitUntil([this] { return !running(); }, Timeout);
   std::lock_guard<std::mutex> lock(Guard);
-  return End;
+  return Exit;
 }
 
-std::optional<ProcessExit> Process::waitAndRead(Millis Limit) {
-  std::optional<ProcessExit> end = wait(Limit);
+std::optional<ProcessExit> Process::waitAndRead(Millis Timeout) {
+  std::optional<ProcessExit> end = wait(Timeout);
   if (!end)
     return end;
   std::unique_lock<std::mutex> lock(Guard);
-  Changed.wait_for(lock, Limit, [this] { return Closed; });
+  Changed.wait_for(lock, Timeout, [this] { return OutputClosed; });
   return end;
 }
 
--- a/IntegrationTests/Harness/Process.h
+++ b/IntegrationTests/Harness/Process.h
@@ -1,5 +1,6 @@
 /// \file
-/// A real child process of a test: started, read, signalled and always ended.
+/// A child process of a test: starts it, reads its output, sends signals and
+/// always ends it.
 #ifndef WASABI_INTEGRATIONTESTS_HARNESS_PROCESS_H
 #define WASABI_INTEGRATIONTESTS_HARNESS_PROCESS_H
 
@@ -20,63 +21,67 @@
 
 namespace wasabi::harness {
 
-/// How long a process may take until it has announced its addresses.
+/// Time limit for a process to print its addresses.
 constexpr Millis ProcessStartTimeout{20000};
 
-/// How a process ended. An immutable value.
+/// Exit of a process. An immutable value.
 struct ProcessExit {
-  /// The exit code; 128 plus the signal for one that a signal ended.
+  /// The exit code, or 128 plus the number of the signal that ended the
+  /// process.
   int Code = 0;
   bool operator==(const ProcessExit &) const = default;
 };
 
-/// One child. The kernel kills it when the harness dies, and destroying this
-/// kills it too. Thread-safe.
+/// One child process. It is killed by the kernel when the harness dies, and by
+/// the destructor. Thread-safe.
 class Process {
 public:
   struct Settings {
-    /// A program of the build, as `wasabi-daemon`.
+    /// Name of a program of the build, for example `wasabi-daemon`.
     std::string Program;
     std::vector<std::string> Arguments;
-    /// Set in addition to the harness' own, from which `WASABI_*` is taken out.
+    /// Variables added to the environment of the harness, from which `WASABI_*`
+    /// is removed.
     std::vector<EnvironmentVariable> Environment;
-    /// File that takes stderr; empty throws it away.
+    /// File that receives stderr; if empty, stderr is discarded.
     std::string ErrorFile;
   };
 
-  /// Errors: `Unavailable` when the program is not there or cannot be started.
+  /// Starts the program. Errors: `Unavailable` if it does not exist or cannot
+  /// be started.
   static Result<std::unique_ptr<Process>> start(Settings Setup);
   ~Process();
   Process(const Process &) = delete;
   Process &operator=(const Process &) = delete;
 
-  /// The address that the process printed as `KEY IP:PORT`, waited for. Errors:
-  /// `Unavailable` with the end of its stderr when it ends or stays silent.
+  /// Waits for the address that the process prints as `KEY IP:PORT`. Errors:
+  /// `Unavailable` with the end of its stderr if the process exits or does not
+  /// print the address in time.
   Result<Address> waitForAddress(std::string_view Key,
-                                 Millis Limit = ProcessStartTimeout);
-  /// All that it printed on stdout up to now.
+                                 Millis Timeout = ProcessStartTimeout);
+  /// Returns the stdout read so far.
   std::string output() const;
-  /// Sends a signal; nothing happens once it has ended.
+  /// Sends a signal; has no effect after the process has exited.
   void signal(int Number);
-  /// Waits for the end; empty when it still runs after `Limit`.
-  std::optional<ProcessExit> wait(Millis Limit);
-  /// Waits for the end and for all of stdout to be read.
-  std::optional<ProcessExit> waitAndRead(Millis Limit);
+  /// Waits for the exit; empty if the process still runs after `Timeout`.
+  std::optional<ProcessExit> wait(Millis Timeout);
+  /// Waits for the exit and until all of stdout has been read.
+  std::optional<ProcessExit> waitAndRead(Millis Timeout);
   bool running();
   pid_t pid() const { return Pid; }
 
 private:
-  Process(Settings Setup, pid_t Pid, int Output);
-  void readOutput(int Output);
+  Process(Settings Setup, pid_t Pid, int Descriptor);
+  void readOutput(int Descriptor);
   std::string lastErrors() const;
 
   const Settings Setup;
   const pid_t Pid;
   mutable std::mutex Guard;
   std::condition_variable Changed;
-  std::string Read;
-  bool Closed = false;
-  std::optional<ProcessExit> End;
+  std::string OutputText;
+  bool OutputClosed = false;
+  std::optional<ProcessExit> Exit;
   std::thread Reader;
 };
 
--- a/IntegrationTests/Harness/ProcessSpawner.cpp
+++ b/IntegrationTests/Harness/ProcessSpawner.cpp
@@ -14,54 +14,55 @@
 
 namespace {
 
-constexpr int CannotRun = 127;
+constexpr int ExecFailedCode = 127;
 
-std::vector<char *> pointers(const std::vector<std::string> &Texts) {
-  std::vector<char *> found;
-  found.reserve(Texts.size() + 1);
+std::vector<char *> makePointers(const std::vector<std::string> &Texts) {
+  std::vector<char *> pointers;
+  pointers.reserve(Texts.size() + 1);
   for (const std::string &it : Texts)
-    found.push_back(const_cast<char *>(it.c_str()));
-  found.push_back(nullptr);
-  return found;
+    pointers.push_back(const_cast<char *>(it.c_str()));
+  pointers.push_back(nullptr);
+  return pointers;
 }
 
-/// Becomes the program. Runs between fork and exec in a copy of a process with
-/// threads: only async-signal-safe calls.
-[[noreturn]] void become(const SpawnRequest &Request, char **Arguments,
-                         char **Environment, pid_t Harness) {
+/// Executes the program. Runs between fork and exec in a copy of a
+/// multi-threaded process, so it makes async-signal-safe calls only.
+[[noreturn]] void execProgram(const SpawnRequest &Request, char **Arguments,
+                              char **Environment, pid_t Harness) {
   prctl(PR_SET_PDEATHSIG, SIGKILL);
-  // The harness may have died before the line above.
+  // The harness may have died before the call above.
   if (getppid() != Harness)
-    _exit(CannotRun);
+    _exit(ExecFailedCode);
   int input = open("/dev/null", O_RDONLY);
   dup2(input, STDIN_FILENO);
   dup2(Request.Output, STDOUT_FILENO);
   dup2(Request.Errors, STDERR_FILENO);
-  // The harness' own sockets: a child that held one open would keep its port
-  // in use and its peer connected.
+  // Close the sockets of the harness: a child that inherits one would keep its
+  // port in use and its peer connected.
   close_range(STDERR_FILENO + 1, ~0U, 0);
-  // The harness ignores SIGPIPE; a child begins with the default.
+  // The harness ignores SIGPIPE; restore the default for the child.
   std::signal(SIGPIPE, SIG_DFL);
   execve(Request.Path.c_str(), Arguments, Environment);
-  _exit(CannotRun);
+  _exit(ExecFailedCode);
 }
 
 pid_t forkChild(const SpawnRequest &Request) {
-  std::vector<char *> arguments = pointers(Request.Arguments);
-  std::vector<char *> environment = pointers(Request.Environment);
+  std::vector<char *> arguments = makePointers(Request.Arguments);
+  std::vector<char *> environment = makePointers(Request.Environment);
   pid_t harness = getpid();
   pid_t child = fork();
   if (child == 0)
-    become(Request, arguments.data(), environment.data(), harness);
+    execProgram(Request, arguments.data(), environment.data(), harness);
   return child;
 }
 
-/// The thread and its queue; never destroyed, so that it outlives all children.
+/// The spawner thread and its queue; never destroyed, so that it outlives all
+/// children.
 class Spawner {
 public:
   static Spawner &instance() {
-    static Spawner *only = new Spawner();
-    return *only;
+    static Spawner *spawner = new Spawner();
+    return *spawner;
   }
 
   pid_t spawn(const SpawnRequest &Request) {
--- a/IntegrationTests/Harness/ProcessSpawner.h
+++ b/IntegrationTests/Harness/ProcessSpawner.h
@@ -1,7 +1,7 @@
 /// \file
-/// The one thread that starts children. The kernel's parent-death signal is
-/// sent when the *thread* that forked ends, so that thread must live as long as
-/// the harness.
+/// Starts all children from one thread. The kernel sends the parent-death
+/// signal when the *thread* that forked exits, so that thread must live as long
+/// as the harness.
 #ifndef WASABI_INTEGRATIONTESTS_HARNESS_PROCESSSPAWNER_H
 #define WASABI_INTEGRATIONTESTS_HARNESS_PROCESSSPAWNER_H
 
@@ -12,21 +12,22 @@
 
 namespace wasabi::harness {
 
-/// What a child is made of. An immutable value.
+/// Parameters of a child process. An immutable value.
 struct SpawnRequest {
   /// Path of the program.
   std::string Path;
-  /// With the program's name first.
+  /// Arguments, starting with the program's name.
   std::vector<std::string> Arguments;
-  /// `NAME=value` each; all that the child sees.
+  /// The complete environment, as `NAME=value`.
   std::vector<std::string> Environment;
-  /// Open descriptors that become its stdout and stderr.
+  /// Open descriptors that become stdout and stderr of the child.
   int Output = -1;
   int Errors = -1;
 };
 
-/// Starts a child that dies with the harness; its id, or -1 when there is no
-/// memory for it. A program that cannot be run ends with code 127. Thread-safe.
+/// Starts a child that is killed when the harness dies. Returns its id, or -1
+/// if memory is exhausted. A child whose program cannot be executed exits with
+/// code 127. Thread-safe.
 pid_t spawn(const SpawnRequest &Request);
 
 } // namespace wasabi::harness
--- a/IntegrationTests/Harness/RolloutCluster.cpp
+++ b/IntegrationTests/Harness/RolloutCluster.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr Millis ReadyLimit{30000};
+constexpr Millis ReadyTimeout{30000};
 constexpr char Model[] = "draft";
 constexpr char Service[] = "drafting-llm";
 
@@ -30,32 +30,34 @@
   return "--" + Name + "=" + (Value ? "true" : "false");
 }
 
-std::uint64_t numberOf(const boost::json::value &Of, std::string_view Member) {
-  const boost::json::value *found = Of.as_object().if_contains(Member);
+std::uint64_t findNumber(const boost::json::value &Object,
+                         std::string_view Member) {
+  const boost::json::value *found = Object.as_object().if_contains(Member);
   return found == nullptr ? 0 : found->to_number<std::uint64_t>();
 }
 
-std::string named(const std::string &Kind, const std::string &Name,
-                  const std::string &Members) {
+std::string makeObject(const std::string &Kind, const std::string &Name,
+                       const std::string &Members) {
   return R"({"kind":")" + Kind + R"(","name":")" + Name + R"(")" + Members +
          "}";
 }
 
-/// How far behind the newest the oldest token of a sample was.
-std::uint64_t stalenessOf(const boost::json::value &Sample) {
-  std::uint64_t newest = numberOf(Sample, "newest_at_arrival");
+/// Returns how many versions the oldest token of a sample was behind the
+/// newest.
+std::uint64_t computeStaleness(const boost::json::value &Sample) {
+  std::uint64_t newest = findNumber(Sample, "newest_at_arrival");
   std::uint64_t oldest = newest;
   for (const boost::json::value &it : Sample.at("spans").as_array())
-    oldest = std::min(oldest, numberOf(it, "weights_version"));
+    oldest = std::min(oldest, findNumber(it, "weights_version"));
   return newest - oldest;
 }
 
-void addSample(TrainerTruth &To, const boost::json::value &Sample) {
+void addSample(TrainerTruth &Truth, const boost::json::value &Sample) {
   if (!Sample.at("taken").as_bool())
     return;
-  ++To.Taken;
-  To.Tokens += numberOf(Sample, "tokens");
-  To.Staleness.push_back(stalenessOf(Sample));
+  ++Truth.Taken;
+  Truth.Tokens += findNumber(Sample, "tokens");
+  Truth.Staleness.push_back(computeStaleness(Sample));
 }
 
 } // namespace
@@ -109,19 +111,19 @@
   return StandIn::start(std::move(setup));
 }
 
-Result<void> RolloutCluster::startTrainer(const ClusterTrainer &Of) {
+Result<void> RolloutCluster::startTrainer(const ClusterTrainer &Trainer) {
   StandIn::Settings setup;
   setup.Role = "trainer";
-  setup.Flags = {"--name=" + Of.Name,
+  setup.Flags = {"--name=" + Trainer.Name,
                  std::string("--model=") + Model,
-                 numberFlag("groups", Of.Groups),
-                 numberFlag("group_size", Of.GroupSize),
-                 numberFlag("max_tokens", Of.MaxTokens),
-                 numberFlag("train_ms", Of.TrainMs),
-                 numberFlag("steps", Of.Steps),
-                 numberFlag("staleness_bound", Of.StalenessBound),
-                 boolFlag("checks_fences", Of.ChecksFences),
-                 numberFlag("seed", Of.Seed),
+                 numberFlag("groups", Trainer.Groups),
+                 numberFlag("group_size", Trainer.GroupSize),
+                 numberFlag("max_tokens", Trainer.MaxTokens),
+                 numberFlag("train_ms", Trainer.TrainMs),
+                 numberFlag("steps", Trainer.Steps),
+                 numberFlag("staleness_bound", Trainer.StalenessBound),
+                 boolFlag("checks_fences", Trainer.ChecksFences),
+                 numberFlag("seed", Trainer.Seed),
                  addressFlag("store", Weights->address())};
   BOOST_LEAF_AUTO(trainer, StandIn::start(std::move(setup)));
   Trainers.push_back(std::move(trainer));
@@ -160,33 +162,35 @@
                   std::to_string(Setup.Engines) + "}";
   }
   writes.emplace_back(std::string("service/") + Service,
-                      named("service", Service,
-                            std::string(R"(,"type":"engines","model":")") +
-                                Model + R"(","placements":[)" + placements +
-                                "]"));
+                      makeObject("service", Service,
+                                 std::string(R"(,"type":"engines","model":")") +
+                                     Model + R"(","placements":[)" +
+                                     placements + "]"));
   for (std::size_t at = 0; at < Trainers.size(); ++at) {
     const ClusterTrainer &it = Setup.Trainers[at];
     writes.emplace_back(
         "trainer/" + it.Name,
-        named("trainer", it.Name,
-              std::string(R"(,"model":")") + Model + R"(","endpoint":")" +
-                  toText(Trainers[at]->address()) + R"(","staleness_bound":)" +
-                  std::to_string(it.StalenessBound) + R"(,"checks_fences":)" +
-                  (it.ChecksFences ? "true" : "false")));
+        makeObject(
+            "trainer", it.Name,
+            std::string(R"(,"model":")") + Model + R"(","endpoint":")" +
+                toText(Trainers[at]->address()) + R"(","staleness_bound":)" +
+                std::to_string(it.StalenessBound) + R"(,"checks_fences":)" +
+                (it.ChecksFences ? "true" : "false")));
     writes.emplace_back("attachment/" + it.Name,
-                        named("attachment", it.Name,
-                              R"(,"trainer":")" + it.Name + R"(","service":")" +
-                                  Service + R"(")"));
+                        makeObject("attachment", it.Name,
+                                   R"(,"trainer":")" + it.Name +
+                                       R"(","service":")" + Service + R"(")"));
   }
   writes.emplace_back("preset/ordinary",
-                      named("preset", "ordinary", Setup.PresetMembers));
-  writes.emplace_back("switch/preset",
-                      named("switch", "preset", R"(,"preset":"ordinary")"));
+                      makeObject("preset", "ordinary", Setup.PresetMembers));
+  writes.emplace_back("switch/preset", makeObject("switch", "preset",
+                                                  R"(,"preset":"ordinary")"));
   return change(std::move(writes));
 }
 
 Outcome<Done> RolloutCluster::declarePreset(const std::string &Members) {
-  return change({{"preset/ordinary", named("preset", "ordinary", Members)}});
+  return change(
+      {{"preset/ordinary", makeObject("preset", "ordinary", Members)}});
 }
 
 Outcome<Done> RolloutCluster::change(
@@ -195,13 +199,13 @@
   change.Operator = "test";
   for (std::pair<std::string, std::string> &it : Writes)
     change.Writes.push_back({it.first, it.second});
-  // The newest base there is: the harness is the only operator.
+  // The harness is the only operator, so its base is always the newest.
   Outcome<boost::json::value> truth = Log->truth();
   if (!truth)
     return truth.failure();
   const boost::json::object &streams = truth->at("streams").as_object();
   if (const boost::json::value *control = streams.if_contains(ControlStream))
-    change.Base = numberOf(*control, "end");
+    change.Base = findNumber(*control, "end");
   ++Changes;
   Outcome<http::Response> answer =
       postJson(Log->address(), "/v1/streams/control/records",
@@ -221,10 +225,10 @@
                                    const std::string &Trainer) const {
   if (!Daemons[At].Child->running())
     return {};
-  boost::json::value told = status(At);
-  if (!told.is_object() || !told.as_object().contains("rollouts"))
+  boost::json::value status = status(At);
+  if (!status.is_object() || !status.as_object().contains("rollouts"))
     return {};
-  const boost::json::object &rollouts = told.at("rollouts").as_object();
+  const boost::json::object &rollouts = status.at("rollouts").as_object();
   const boost::json::value *owned = rollouts.if_contains("trainers");
   if (owned == nullptr)
     return {};
@@ -249,15 +253,15 @@
   std::optional<std::size_t> owner = findOwner(Trainer);
   if (!owner)
     return std::nullopt;
-  boost::json::value told = ownedTrainerStatus(*owner, Trainer);
-  if (told.is_null())
+  boost::json::value status = ownedTrainerStatus(*owner, Trainer);
+  if (status.is_null())
     return std::nullopt;
-  return numberOf(told, "running");
+  return findNumber(status, "running");
 }
 
 void RolloutCluster::killDaemon(std::size_t At) {
   Daemons[At].Child->signal(SIGKILL);
-  Daemons[At].Child->wait(ReadyLimit);
+  Daemons[At].Child->wait(ReadyTimeout);
   http::Request ask;
   ask.Method = "DELETE";
   ask.Target = "/v1/instances/" + Daemons[At].Instance;
@@ -267,7 +271,7 @@
 void RolloutCluster::replaceEngine(std::size_t At) {
   Address where = Engines[At]->address();
   Engines[At]->process().signal(SIGKILL);
-  Engines[At]->process().wait(ReadyLimit);
+  Engines[At]->process().wait(ReadyTimeout);
   Outcome<Done> started = toOutcome<Done>([&]() -> Result<Done> {
     BOOST_LEAF_AUTO(engine, startEngine(At, where));
     Engines[At] = std::move(engine);
@@ -277,55 +281,55 @@
 }
 
 Outcome<TrainerTruth> RolloutCluster::truth(std::size_t At) const {
-  Outcome<boost::json::value> told = Trainers[At]->truth();
-  if (!told)
-    return told.failure();
+  Outcome<boost::json::value> status = Trainers[At]->truth();
+  if (!status)
+    return status.failure();
   TrainerTruth truth;
-  truth.IdleUs = numberOf(*told, "idle_us");
-  truth.TrainingUs = numberOf(*told, "training_us");
-  truth.Duplicates = numberOf(*told, "duplicates");
-  truth.Stale = numberOf(*told, "stale");
-  truth.Mislabelled = numberOf(*told, "mislabelled");
-  truth.Unknown = numberOf(*told, "unknown");
-  for (const boost::json::value &it : told->at("steps").as_array()) {
-    truth.StepsTrained += numberOf(it, "trained_us") > 0 ? 1 : 0;
-    if (numberOf(it, "whole_us") > 0)
-      truth.StepUs.push_back(numberOf(it, "whole_us") -
-                             numberOf(it, "opened_us"));
+  truth.IdleUs = findNumber(*status, "idle_us");
+  truth.TrainingUs = findNumber(*status, "training_us");
+  truth.Duplicates = findNumber(*status, "duplicates");
+  truth.Stale = findNumber(*status, "stale");
+  truth.Mislabelled = findNumber(*status, "mislabelled");
+  truth.Unknown = findNumber(*status, "unknown");
+  for (const boost::json::value &it : status->at("steps").as_array()) {
+    truth.StepsTrained += findNumber(it, "trained_us") > 0 ? 1 : 0;
+    if (findNumber(it, "whole_us") > 0)
+      truth.StepUs.push_back(findNumber(it, "whole_us") -
+                             findNumber(it, "opened_us"));
   }
-  for (const boost::json::value &it : told->at("deliveries").as_array())
+  for (const boost::json::value &it : status->at("deliveries").as_array())
     addSample(truth, it);
   return truth;
 }
 
 bool RolloutCluster::waitForSteps(std::size_t At, std::uint64_t Steps,
-                                  Millis Limit) const {
+                                  Millis Timeout) const {
   return waitUntil(
       [&] {
         Outcome<TrainerTruth> now = truth(At);
         return now && now->StepsTrained >= Steps;
       },
-      Limit);
+      Timeout);
 }
 
 std::vector<std::uint64_t> RolloutCluster::weightSwapTimes() const {
   std::vector<std::uint64_t> times;
-  Outcome<boost::json::value> told = Weights->truth();
-  if (!told)
+  Outcome<boost::json::value> status = Weights->truth();
+  if (!status)
     return times;
-  for (const boost::json::value &it : told->at("publications").as_array()) {
+  for (const boost::json::value &it : status->at("publications").as_array()) {
     std::uint64_t last = 0;
     std::uint64_t count = 0;
-    for (const boost::json::value &fetch : told->at("fetches").as_array()) {
-      if (numberOf(fetch, "version") != numberOf(it, "version") ||
+    for (const boost::json::value &fetch : status->at("fetches").as_array()) {
+      if (findNumber(fetch, "version") != findNumber(it, "version") ||
           !fetch.at("whole").as_bool())
         continue;
       ++count;
-      last = std::max(last, numberOf(fetch, "ended_us"));
+      last = std::max(last, findNumber(fetch, "ended_us"));
     }
-    // A version that was overtaken before all had it has no such time.
+    // A version that was superseded before all had fetched it has no such time.
     if (count >= Engines.size())
-      times.push_back(last - numberOf(it, "published_us"));
+      times.push_back(last - findNumber(it, "published_us"));
   }
   return times;
 }
@@ -333,9 +337,9 @@
 std::uint64_t RolloutCluster::generatedTokens() const {
   std::uint64_t tokens = 0;
   for (const std::unique_ptr<StandIn> &it : Engines) {
-    Outcome<boost::json::value> told = it->truth();
-    if (told)
-      tokens += numberOf(*told, "generated");
+    Outcome<boost::json::value> status = it->truth();
+    if (status)
+      tokens += findNumber(*status, "generated");
   }
   return tokens;
 }
--- a/IntegrationTests/Harness/RolloutCluster.h
+++ b/IntegrationTests/Harness/RolloutCluster.h
@@ -1,6 +1,6 @@
 /// \file
-/// Trainers, engines and daemons as real processes with the platform's
-/// stand-ins: what integration tests and the bench of the rollouts run on.
+/// Runs trainers, engines and daemons as real processes with the platform's
+/// stand-ins, for integration tests and the rollout benchmark.
 #ifndef WASABI_INTEGRATIONTESTS_HARNESS_ROLLOUTCLUSTER_H
 #define WASABI_INTEGRATIONTESTS_HARNESS_ROLLOUTCLUSTER_H
 
@@ -17,7 +17,7 @@
 
 namespace wasabi::harness {
 
-/// One trainer's part of a cluster.
+/// Settings of one trainer in a cluster.
 struct ClusterTrainer {
   std::string Name = "t";
   std::uint32_t Groups = 3;
@@ -30,7 +30,7 @@
   std::uint64_t Seed = 1;
 };
 
-/// A trainer's record of the truth, in figures.
+/// Figures from a trainer's own record.
 struct TrainerTruth {
   std::uint64_t IdleUs = 0;
   std::uint64_t TrainingUs = 0;
@@ -40,15 +40,16 @@
   std::uint64_t Stale = 0;
   std::uint64_t Mislabelled = 0;
   std::uint64_t Unknown = 0;
-  /// Versions behind the newest at arrival, one for each sample taken.
+  /// Versions behind the newest on arrival, for each accepted sample.
   std::vector<std::uint64_t> Staleness;
-  /// Microseconds from opening to whole, of each whole step.
+  /// Microseconds from the opening of a step to its completion, for each
+  /// completed step.
   std::vector<std::uint64_t> StepUs;
-  /// Tokens of the samples taken.
+  /// Number of tokens in the accepted samples.
   std::uint64_t Tokens = 0;
 };
 
-/// Not thread-safe.
+/// A cluster of rollout processes. Not thread-safe.
 class RolloutCluster {
 public:
   struct Settings {
@@ -56,22 +57,23 @@
     std::uint32_t Engines = 3;
     std::uint32_t EngineSlots = 4;
     double TokensPerSecond = 200;
-    /// Domains that the daemons, one for each engine, stand in by turns.
+    /// Failure domains, assigned in turn to the daemons; each engine has one
+    /// daemon.
     std::vector<std::string> Domains{"lulea-hall", "umea-hall",
                                      "sundsvall-hall"};
     std::uint64_t BytesPerSecond = 1000000000;
     std::uint64_t BlobBytes = 20000000;
     std::uint32_t Fetches = 64;
-    /// Further members of the preset in force, as `,"hedge_tail":false`.
+    /// Further members of the active preset, for example `,"hedge_tail":false`.
     std::string PresetMembers;
-    /// Further flags of each daemon.
+    /// Additional flags of each daemon.
     std::vector<std::string> DaemonFlags;
-    /// Folder for the processes' stderr; empty throws it away.
+    /// Folder for the processes' stderr; if empty, stderr is discarded.
     std::string ErrorFolder;
   };
 
-  /// Starts the stand-ins and the daemons and declares all. Errors:
-  /// `Unavailable` naming what did not come up.
+  /// Starts the stand-ins and the daemons and declares all objects. Errors:
+  /// `Unavailable` naming the process that did not start.
   static Result<std::unique_ptr<RolloutCluster>> start(Settings Setup);
 
   StandIn &trainer(std::size_t At) { return *Trainers[At]; }
@@ -82,25 +84,28 @@
   Process &daemon(std::size_t At) { return *Daemons[At].Child; }
   std::size_t daemons() const { return Daemons.size(); }
 
-  /// The daemon that owns a trainer, by its own status; empty for none.
+  /// Returns the daemon that owns a trainer according to its own status; empty
+  /// if there is none.
   std::optional<std::size_t> findOwner(const std::string &Trainer) const;
-  /// Attempts that a trainer's owner has under way; empty without an owner.
+  /// Returns the number of attempts in flight at a trainer's owner; empty
+  /// without an owner.
   std::optional<std::uint64_t> runningSamples(const std::string &Trainer) const;
-  /// A daemon's `/status`; null when it does not answer.
+  /// Returns a daemon's `/status`; null if it does not answer.
   boost::json::value status(std::size_t At) const;
-  /// Kills a daemon, and takes it off the platform's list.
+  /// Kills a daemon and removes it from the platform's list.
   void killDaemon(std::size_t At);
-  /// Starts an engine anew on the address it had.
+  /// Restarts an engine on its previous address.
   void replaceEngine(std::size_t At);
-  /// Puts a preset in force.
+  /// Activates a preset.
   Outcome<Done> declarePreset(const std::string &Members);
-  /// What a trainer saw.
+  /// Returns the figures from a trainer's record.
   Outcome<TrainerTruth> truth(std::size_t At) const;
   /// Waits until a trainer has trained on `Steps` steps.
-  bool waitForSteps(std::size_t At, std::uint64_t Steps, Millis Limit) const;
-  /// Microseconds from each version's publication until its last whole fetch.
+  bool waitForSteps(std::size_t At, std::uint64_t Steps, Millis Timeout) const;
+  /// Microseconds from each version's publication until its last complete
+  /// fetch.
   std::vector<std::uint64_t> weightSwapTimes() const;
-  /// Tokens that all engines generated; engines that are gone count nothing.
+  /// Number of tokens that all running engines generated.
   std::uint64_t generatedTokens() const;
 
 private:
@@ -110,13 +115,14 @@
     Address Admin;
   };
 
-  /// What a daemon says of a trainer it owns; null when it does not own it.
+  /// Returns a daemon's status of a trainer; null if the daemon does not own
+  /// it.
   boost::json::value ownedTrainerStatus(std::size_t At,
                                         const std::string &Trainer) const;
   explicit RolloutCluster(Settings Setup) : Setup(std::move(Setup)) {}
   Result<void> startPlatform();
   Result<std::unique_ptr<StandIn>> startEngine(std::size_t At, Address Listen);
-  Result<void> startTrainer(const ClusterTrainer &Of);
+  Result<void> startTrainer(const ClusterTrainer &Trainer);
   Result<void> startDaemon(std::size_t At);
   Outcome<Done> declare();
   Outcome<Done> change(std::vector<std::pair<std::string, std::string>> Writes);
--- a/IntegrationTests/Harness/StandIn.cpp
+++ b/IntegrationTests/Harness/StandIn.cpp
@@ -18,30 +18,30 @@
   child.ErrorFile = Setup.ErrorFile;
 
   BOOST_LEAF_AUTO(process, Process::start(std::move(child)));
-  BOOST_LEAF_AUTO(serves, process->waitForAddress("listening"));
-  Address control = serves;
+  BOOST_LEAF_AUTO(listening, process->waitForAddress("listening"));
+  Address control = listening;
   if (proxy) {
     BOOST_LEAF_ASSIGN(control, process->waitForAddress("control"));
   }
   return std::unique_ptr<StandIn>(
-      new StandIn(std::move(process), serves, control));
+      new StandIn(std::move(process), listening, control));
 }
 
 StandIn::StandIn(std::unique_ptr<Process> Child, Address ListenAddress,
-                 Address Control)
+                 Address ControlAddress)
     : Child(std::move(Child)), ListenAddress(std::move(ListenAddress)),
-      Control(std::move(Control)) {}
+      ControlAddress(std::move(ControlAddress)) {}
 
 Outcome<Done> StandIn::setFaults(std::string Faults) const {
   Outcome<http::Response> answer =
-      postJson(Control, "/faults", std::move(Faults));
+      postJson(ControlAddress, "/faults", std::move(Faults));
   if (!answer)
     return answer.failure();
   return Done{};
 }
 
 Outcome<boost::json::value> StandIn::truth() const {
-  return getJson(Control, "/truth");
+  return getJson(ControlAddress, "/truth");
 }
 
 } // namespace wasabi::harness
--- a/IntegrationTests/Harness/StandIn.h
+++ b/IntegrationTests/Harness/StandIn.h
@@ -1,5 +1,5 @@
 /// \file
-/// A stand-in of the platform as a process of its own (docs/PLATFORM.md).
+/// Runs a stand-in of the platform as a separate process (docs/PLATFORM.md).
 #ifndef WASABI_INTEGRATIONTESTS_HARNESS_STANDIN_H
 #define WASABI_INTEGRATIONTESTS_HARNESS_STANDIN_H
 
@@ -13,41 +13,42 @@
 
 namespace wasabi::harness {
 
-/// One running stand-in. Thread-safe.
+/// A running stand-in. Thread-safe.
 class StandIn {
 public:
   struct Settings {
-    /// `log`, `engine`, `service`, `weights`, `trainer`, `scorer`, `instances`
-    /// or `faultproxy`.
+    /// One of `log`, `engine`, `service`, `weights`, `trainer`, `scorer`,
+    /// `instances` and `faultproxy`.
     std::string Role;
-    /// Its flags, besides the addresses.
+    /// Flags in addition to the addresses.
     std::vector<std::string> Flags;
-    /// File that takes its stderr; empty throws it away.
+    /// File that receives stderr; if empty, stderr is discarded.
     std::string ErrorFile;
-    /// Where it listens; port 0 takes an ephemeral one. A replaced process
-    /// takes the address of the one before it.
+    /// Listen address; port 0 selects an ephemeral port. A restarted process
+    /// uses the address of its predecessor.
     Address Listen{"127.0.0.1", 0};
   };
 
-  /// Starts it and waits until it serves. Errors: `Unavailable`.
+  /// Starts the process and waits until it serves. Errors: `Unavailable`.
   static Result<std::unique_ptr<StandIn>> start(Settings Setup);
 
-  /// Where it serves the product.
+  /// Address that serves the product.
   const Address &address() const { return ListenAddress; }
-  /// Merges faults into what is set, as a JSON object.
+  /// Merges faults, given as a JSON object, into the current ones.
   Outcome<Done> setFaults(std::string Faults) const;
-  /// Its own record of what happened. Errors when it is not there or is hung.
+  /// Returns the stand-in's own record of events. Fails if the process is gone
+  /// or does not respond.
   Outcome<boost::json::value> truth() const;
   Process &process() const { return *Child; }
 
 private:
   StandIn(std::unique_ptr<Process> Child, Address ListenAddress,
-          Address Control);
+          Address ControlAddress);
 
   const std::unique_ptr<Process> Child;
   const Address ListenAddress;
-  /// Where faults are set: a fault proxy's is a port of its own.
-  const Address Control;
+  /// Address for setting faults; a fault proxy has a separate port for it.
+  const Address ControlAddress;
 };
 
 } // namespace wasabi::harness
--- a/IntegrationTests/Harness/TestFolder.h
+++ b/IntegrationTests/Harness/TestFolder.h
@@ -1,5 +1,5 @@
 /// \file
-/// A folder of a test's own under the system's temporary folder.
+/// A folder for one test under the system's temporary folder.
 #ifndef WASABI_INTEGRATIONTESTS_HARNESS_TESTFOLDER_H
 #define WASABI_INTEGRATIONTESTS_HARNESS_TESTFOLDER_H
 
@@ -11,20 +11,20 @@
 
 namespace wasabi::harness {
 
-/// Removed with all it holds when destroyed, unless `keep` was called.
-/// Not thread-safe.
+/// Removes the folder with its contents on destruction, unless `keep` was
+/// called. Not thread-safe.
 class TestFolder {
 public:
-  /// Errors: `Unavailable` when it cannot be made.
+  /// Creates the folder. Errors: `Unavailable` if it cannot be created.
   static Result<std::unique_ptr<TestFolder>> create();
   ~TestFolder();
   TestFolder(const TestFolder &) = delete;
   TestFolder &operator=(const TestFolder &) = delete;
 
   const std::filesystem::path &path() const { return Path; }
-  /// The path of a file in it, as text.
+  /// Returns the path of a file in the folder.
   std::string file(const std::string &Name) const { return Path / Name; }
-  /// Leaves the folder for a person to look at.
+  /// Keeps the folder on destruction, for inspection.
   void keep() { Kept = true; }
 
 private:
--- a/IntegrationTests/Harness/Waiting.cpp
+++ b/IntegrationTests/Harness/Waiting.cpp
@@ -7,19 +7,19 @@
 
 namespace {
 
-constexpr Millis FirstPause{1};
-constexpr Millis LongestPause{20};
+constexpr Millis FirstDelay{1};
+constexpr Millis MaxDelay{20};
 
 } // namespace
 
-bool waitUntil(const std::function<bool()> &Condition, Millis Limit) {
-  TimePoint end = monotonicNow() + Limit;
-  Millis pause = FirstPause;
+bool waitUntil(const std::function<bool()> &Condition, Millis Timeout) {
+  TimePoint deadline = monotonicNow() + Timeout;
+  Millis delay = FirstDelay;
   while (!Condition()) {
-    if (monotonicNow() >= end)
+    if (monotonicNow() >= deadline)
       return false;
-    std::this_thread::sleep_for(pause);
-    pause = std::min(pause * 2, LongestPause);
+    std::this_thread::sleep_for(delay);
+    delay = std::min(delay * 2, MaxDelay);
   }
   return true;
 }
--- a/IntegrationTests/Harness/Waiting.h
+++ b/IntegrationTests/Harness/Waiting.h
@@ -1,5 +1,5 @@
 /// \file
-/// Waiting for a condition with a deadline: what tests do in place of sleeping.
+/// Waits for a condition with a time limit; tests use it instead of sleeping.
 #ifndef WASABI_INTEGRATIONTESTS_HARNESS_WAITING_H
 #define WASABI_INTEGRATIONTESTS_HARNESS_WAITING_H
 
@@ -9,9 +9,9 @@
 
 namespace wasabi::harness {
 
-/// Asks `Condition` again and again until it is true or `Limit` has passed;
-/// whether it became true. Between two questions a few milliseconds pass.
-bool waitUntil(const std::function<bool()> &Condition, Millis Limit);
+/// Evaluates `Condition` every few milliseconds until it is true or `Timeout`
+/// has passed. Returns true if it became true.
+bool waitUntil(const std::function<bool()> &Condition, Millis Timeout);
 
 } // namespace wasabi::harness
 
