--- a/IntegrationTests/Cases/ChaosJudgeTest.cpp
+++ b/IntegrationTests/Cases/ChaosJudgeTest.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::uint64_t Begin = 1000000;
 
-CallerRecord ask(CallKind kind, CallOutcome end, std::uint64_t begun) {
+CallerRecord makeCall(CallKind kind, CallOutcome end, std::uint64_t begun) {
   CallerRecord record;
   record.Mark = kind == CallKind::Read ? "/items/1" : "/bids/1";
   record.Kind = kind;
@@ -26,8 +26,8 @@
   return {"/bids/1", "lease-desk-1", started};
 }
 
-Tally judged(const std::vector<CallerRecord> &seen,
-             const std::vector<UpstreamRun> &runs) {
+Tally check(const std::vector<CallerRecord> &seen,
+            const std::vector<UpstreamRun> &runs) {
   Tally sum;
   checkCallers(sum, seen, runs);
   return sum;
@@ -37,10 +37,10 @@
 
 TEST_CASE("The chaos check counts the outcomes of callers", "[judge]") {
   const Tally sum =
-      judged({ask(CallKind::Read, CallOutcome::Whole, Begin),
-              ask(CallKind::Write, CallOutcome::MayHaveRun, Begin),
-              ask(CallKind::Read, CallOutcome::NotRun, Begin)},
-             {run(Begin + 10)});
+      check({makeCall(CallKind::Read, CallOutcome::Whole, Begin),
+             makeCall(CallKind::Write, CallOutcome::MayHaveRun, Begin),
+             makeCall(CallKind::Read, CallOutcome::NotRun, Begin)},
+            {run(Begin + 10)});
   CHECK(sum.Requests == 3);
   CHECK(sum.Whole == 1);
   CHECK(sum.MayHaveRun == 1);
@@ -50,29 +50,32 @@
 
 TEST_CASE("A false not-run is found, also if the request runs later",
           "[judge]") {
-  const CallerRecord said = ask(CallKind::Write, CallOutcome::NotRun, Begin);
-  CHECK(judged({said}, {run(Begin + 10)}).FalseNotRun == 1);
-  CHECK(judged({said}, {run(Begin + 9000000)}).FalseNotRun == 1);
-  CHECK_FALSE(hasNoViolations(judged({said}, {run(Begin + 10)})));
+  const CallerRecord refused =
+      makeCall(CallKind::Write, CallOutcome::NotRun, Begin);
+  CHECK(check({refused}, {run(Begin + 10)}).FalseNotRun == 1);
+  CHECK(check({refused}, {run(Begin + 9000000)}).FalseNotRun == 1);
+  CHECK_FALSE(hasNoViolations(check({refused}, {run(Begin + 10)})));
   // A repeat with the key may run the request; the refused attempt must not
   // have.
   const CallerRecord again =
-      ask(CallKind::KeyedWrite, CallOutcome::Whole, Begin + 5000);
+      makeCall(CallKind::KeyedWrite, CallOutcome::Whole, Begin + 5000);
   const CallerRecord first =
-      ask(CallKind::KeyedWrite, CallOutcome::NotRun, Begin);
-  CHECK(judged({first, again}, {run(Begin + 5100)}).FalseNotRun == 0);
-  CHECK(judged({first, again}, {run(Begin + 500)}).FalseNotRun == 1);
+      makeCall(CallKind::KeyedWrite, CallOutcome::NotRun, Begin);
+  CHECK(check({first, again}, {run(Begin + 5100)}).FalseNotRun == 0);
+  CHECK(check({first, again}, {run(Begin + 500)}).FalseNotRun == 1);
 }
 
 TEST_CASE("A second run is a violation only if repeats are not allowed",
           "[judge]") {
   const std::vector<UpstreamRun> twice = {run(Begin), run(Begin + 5)};
-  CHECK(judged({ask(CallKind::Write, CallOutcome::MayHaveRun, Begin)}, twice)
-            .DoubleRuns == 1);
-  CHECK(judged({ask(CallKind::KeyedWrite, CallOutcome::Whole, Begin)}, twice)
-            .DoubleRuns == 1);
-  CHECK(judged({ask(CallKind::Read, CallOutcome::Whole, Begin)},
-               {{"/items/1", "a", Begin}, {"/items/1", "b", Begin}})
+  CHECK(
+      check({makeCall(CallKind::Write, CallOutcome::MayHaveRun, Begin)}, twice)
+          .DoubleRuns == 1);
+  CHECK(
+      check({makeCall(CallKind::KeyedWrite, CallOutcome::Whole, Begin)}, twice)
+          .DoubleRuns == 1);
+  CHECK(check({makeCall(CallKind::Read, CallOutcome::Whole, Begin)},
+              {{"/items/1", "a", Begin}, {"/items/1", "b", Begin}})
             .DoubleRuns == 0);
 }
 
@@ -80,7 +83,7 @@
           "[judge]") {
   PlannedStop stop{Begin, Begin + 9000000, true, true, {"lease-desk-1"}};
   const std::vector<CallerRecord> cut = {
-      ask(CallKind::Read, CallOutcome::MayHaveRun, Begin + 100)};
+      makeCall(CallKind::Read, CallOutcome::MayHaveRun, Begin + 100)};
   Tally sum;
   checkPlannedStops(sum, {stop}, cut, {});
   CHECK(sum.InterruptedByPlannedStop == 1);
--- a/IntegrationTests/Cases/CrashingRequestTest.cpp
+++ b/IntegrationTests/Cases/CrashingRequestTest.cpp
@@ -23,55 +23,55 @@
 constexpr std::size_t Processes = 3;
 constexpr PlatformFixtureSettings Shape{Processes, 3, 4, false};
 
-std::string collectOutput(PlatformFixture &World) {
+std::string collectOutput(PlatformFixture &Fixture) {
   std::string all;
-  for (std::size_t i = 0; i < World.edges(); ++i)
-    all += World.edge(i).Running->output();
+  for (std::size_t i = 0; i < Fixture.edges(); ++i)
+    all += Fixture.edge(i).Running->output();
   return all;
 }
 
-/// Returns the listed results of a job.
-std::size_t countResults(PlatformFixture &World, const std::string &Job) {
+/// Returns the number of listed results of a job.
+std::size_t countResults(PlatformFixture &Fixture, const std::string &Job) {
   unsigned status = 0;
-  boost::json::value page = World.results(0, Job, status);
+  boost::json::value page = Fixture.results(0, Job, status);
   return status == Ok ? page.at("results").as_array().size() : 0;
 }
 
 /// Waits long enough for several further attempts.
-void waitForFurtherAttempts(PlatformFixture &World) {
-  harness::waitUntil([&] { return World.crashCount() > MaxCrashes; },
+void waitForFurtherAttempts(PlatformFixture &Fixture) {
+  harness::waitUntil([&] { return Fixture.crashCount() > MaxCrashes; },
                      Millis(2500));
 }
 
 } // namespace
 
 TEST_CASE("Platform: a request that crashes servers is quarantined") {
-  PlatformFixture world(Shape);
-  REQUIRE(world.waitUntilAllReady());
-  world.setCrashMarker("poison");
+  PlatformFixture fixture(Shape);
+  REQUIRE(fixture.waitUntilAllReady());
+  fixture.setCrashMarker("poison");
   for (const char *path : {"/desk/poison", "/once/poison"}) {
-    int before = world.crashCount();
+    int before = fixture.crashCount();
     for (std::size_t i = 0; i < 4 * Processes; ++i) {
       std::string id = path + std::to_string(i);
       // A request of another caller, the same each time, on the same servers.
       std::future<http::Response> beside = std::async(std::launch::async, [&] {
-        return world.sendWithBody(i % Processes, "/desk/steady", "s" + id,
-                                  "same");
+        return fixture.sendWithBody(i % Processes, "/desk/steady", "s" + id,
+                                    "same");
       });
       http::Response got =
-          world.sendWithBody((i + 1) % Processes, path, id, "same");
-      INFO(i << " " << got.Status << " " << got.Body << collectOutput(world));
+          fixture.sendWithBody((i + 1) % Processes, path, id, "same");
+      INFO(i << " " << got.Status << " " << got.Body << collectOutput(fixture));
       CHECK(got.Status >= 502);
       beside.get();
-      REQUIRE(world.waitForRestarts());
-      CHECK(world.crashCount() - before <= MaxCrashes);
+      REQUIRE(fixture.waitForRestarts());
+      CHECK(fixture.crashCount() - before <= MaxCrashes);
     }
-    CHECK(world.crashCount() - before > 0);
+    CHECK(fixture.crashCount() - before > 0);
     for (std::size_t i = 0; i < Processes; ++i) {
-      INFO(collectOutput(world));
+      INFO(collectOutput(fixture));
       CHECK(harness::waitUntil(
           [&] {
-            return world.sendWithBody(i, "/desk/steady", "after", "same")
+            return fixture.sendWithBody(i, "/desk/steady", "after", "same")
                        .Status == Ok;
           },
           WaitTimeout));
@@ -81,41 +81,41 @@
 
 TEST_CASE("Platform: an item that crashes engines is quarantined") {
   constexpr std::size_t Items = 6;
-  PlatformFixture world(Shape);
-  REQUIRE(world.waitUntilAllReady());
-  world.setCrashMarker("job-2");
-  REQUIRE(world.submit(0, "job", Items) == Accepted);
+  PlatformFixture fixture(Shape);
+  REQUIRE(fixture.waitUntilAllReady());
+  fixture.setCrashMarker("job-2");
+  REQUIRE(fixture.submit(0, "job", Items) == Accepted);
   CHECK(harness::waitUntil(
-      [&] { return countResults(world, "job") == Items - 1; }, WaitTimeout));
-  waitForFurtherAttempts(world);
-  INFO(collectOutput(world));
-  CHECK(world.crashCount() <= MaxCrashes);
+      [&] { return countResults(fixture, "job") == Items - 1; }, WaitTimeout));
+  waitForFurtherAttempts(fixture);
+  INFO(collectOutput(fixture));
+  CHECK(fixture.crashCount() <= MaxCrashes);
   // The next dispatcher knows of the quarantine.
   for (std::size_t i = 0; i < Processes; ++i) {
-    world.edge(i).Running->signal(SIGKILL);
-    world.edge(i).Running->wait(WaitTimeout);
-    world.startEdge(i);
+    fixture.edge(i).Running->signal(SIGKILL);
+    fixture.edge(i).Running->wait(WaitTimeout);
+    fixture.startEdge(i);
   }
-  REQUIRE(world.waitUntilAllReady());
-  REQUIRE(world.submit(1, "next", Items) == Accepted);
-  REQUIRE(world.waitForResults(1, "next", Items));
-  waitForFurtherAttempts(world);
-  CHECK(world.crashCount() <= MaxCrashes);
-  CHECK(countResults(world, "job") == Items - 1);
+  REQUIRE(fixture.waitUntilAllReady());
+  REQUIRE(fixture.submit(1, "next", Items) == Accepted);
+  REQUIRE(fixture.waitForResults(1, "next", Items));
+  waitForFurtherAttempts(fixture);
+  CHECK(fixture.crashCount() <= MaxCrashes);
+  CHECK(countResults(fixture, "job") == Items - 1);
 }
 
 TEST_CASE("Platform: a scoring call that crashes servers is quarantined") {
   constexpr std::size_t Items = 4;
-  PlatformFixture world(Shape);
-  REQUIRE(world.waitUntilAllReady());
-  world.setCrashMarker("score job-1");
-  REQUIRE(world.submit(0, "job", Items) == Accepted);
+  PlatformFixture fixture(Shape);
+  REQUIRE(fixture.waitUntilAllReady());
+  fixture.setCrashMarker("score job-1");
+  REQUIRE(fixture.submit(0, "job", Items) == Accepted);
   CHECK(harness::waitUntil(
-      [&] { return countResults(world, "job") == Items - 1; }, WaitTimeout));
-  waitForFurtherAttempts(world);
-  INFO(collectOutput(world));
-  CHECK(world.crashCount() <= MaxCrashes);
-  CHECK(world.endJob(0, "job") == Ok);
+      [&] { return countResults(fixture, "job") == Items - 1; }, WaitTimeout));
+  waitForFurtherAttempts(fixture);
+  INFO(collectOutput(fixture));
+  CHECK(fixture.crashCount() <= MaxCrashes);
+  CHECK(fixture.endJob(0, "job") == Ok);
 }
 
 } // namespace wasabi::test
--- a/IntegrationTests/Cases/DeploymentTests.cpp
+++ b/IntegrationTests/Cases/DeploymentTests.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-TEST_CASE("An example starts, takes its declarations and stops in order") {
+TEST_CASE("An example starts, applies its declarations and stops cleanly") {
   std::string example = GENERATE("lindqvist", "balikbayan");
   std::unique_ptr<Deployment> running = startDeployment(example);
   CtlResult applied = running->control({"apply", running->declarations()});
--- a/IntegrationTests/Cases/HostilePeerTest.cpp
+++ b/IntegrationTests/Cases/HostilePeerTest.cpp
@@ -33,8 +33,8 @@
 }
 
 /// Two servers, two daemons in different failure domains, and an entry.
-struct TwoServers : RequestFixture {
-  TwoServers() {
+struct TwoServersFixture : RequestFixture {
+  TwoServersFixture() {
     for (const char *it : {"a", "b"})
       addServer(it, "service");
     addDaemon("d1", "lulea-hall", {{"a", "desk"}});
@@ -48,42 +48,43 @@
 } // namespace
 
 TEST_CASE("Hostile: a paused daemon loses no request and rejoins") {
-  TwoServers world;
-  world.member("d1").Child->signal(SIGSTOP);
+  TwoServersFixture fixture;
+  fixture.member("d1").Child->signal(SIGSTOP);
   // The other daemon answers idempotent work once the pause is noticed.
   for (int n = 0; n < 3; ++n) {
-    Outcome<http::Response> answer = world.sendRequest("n1", lookUp());
+    Outcome<http::Response> answer = fixture.sendRequest("n1", lookUp());
     REQUIRE(answer);
     CHECK(answer->Status == 200);
   }
-  world.member("d1").Child->signal(SIGCONT);
-  world.waitForServers(2);
+  fixture.member("d1").Child->signal(SIGCONT);
+  fixture.waitForServers(2);
   bool back = harness::waitUntil(
       [&] {
-        world.sendRequest("n1", lookUp());
-        return world.runs("a") > 0;
+        fixture.sendRequest("n1", lookUp());
+        return fixture.runs("a") > 0;
       },
       WaitTimeout);
   CHECK(back);
 }
 
 TEST_CASE("Hostile: a half-open connection fails at its deadline") {
-  RequestFixture world;
-  world.addServer("a", "service");
+  RequestFixture fixture;
+  fixture.addServer("a", "service");
   harness::StandIn::Settings proxy;
   proxy.Role = "faultproxy";
-  proxy.Flags = {"--upstream=" + toText(world.server("a").address())};
+  proxy.Flags = {"--upstream=" + toText(fixture.server("a").address())};
   std::unique_ptr<harness::StandIn> way =
       harness::StandIn::start(proxy).value();
-  world.addDaemon("d1", "lulea-hall", {{"a", "desk"}}, {{"a", way->address()}});
-  world.addEntry("n1", "lulea-hall");
-  world.publish(PlainService);
-  world.waitForServers(1);
-  REQUIRE(world.sendRequest("n1", lookUp())->Status == 200);
+  fixture.addDaemon("d1", "lulea-hall", {{"a", "desk"}},
+                    {{"a", way->address()}});
+  fixture.addEntry("n1", "lulea-hall");
+  fixture.publish(PlainService);
+  fixture.waitForServers(1);
+  REQUIRE(fixture.sendRequest("n1", lookUp())->Status == 200);
   REQUIRE(way->setFaults(R"({"half_open":true})"));
   http::Request late = lookUp();
   late.Headers.push_back({"X-Deadline-Ms", "300"});
-  Outcome<http::Response> answer = world.sendRequest("n1", late);
+  Outcome<http::Response> answer = fixture.sendRequest("n1", late);
   REQUIRE(answer);
   CHECK(answer->Status == 504);
   CHECK(answer->header("X-Wasabi-Verdict") == "may-have-run");
@@ -91,7 +92,7 @@
   REQUIRE(way->setFaults(R"({"half_open":false,"cut_now":true})"));
   bool healed = harness::waitUntil(
       [&] {
-        Outcome<http::Response> again = world.sendRequest("n1", lookUp());
+        Outcome<http::Response> again = fixture.sendRequest("n1", lookUp());
         return again && again->Status == 200;
       },
       WaitTimeout);
@@ -99,16 +100,16 @@
 }
 
 TEST_CASE("Hostile: a caller that does not read slows only itself") {
-  RequestFixture world;
-  world.addServer("e", "engine", {"--model=m", "--tokens_per_s=20000"});
-  world.addDaemon("d1", "lulea-hall", {{"e", "llm"}});
-  world.addEntry("n1", "lulea-hall");
-  world.publish(
+  RequestFixture fixture;
+  fixture.addServer("e", "engine", {"--model=m", "--tokens_per_s=20000"});
+  fixture.addDaemon("d1", "lulea-hall", {{"e", "llm"}});
+  fixture.addEntry("n1", "lulea-hall");
+  fixture.publish(
       R"([{"kind":"service","name":"llm","type":"engines","model":"m"}])");
-  world.waitForServers(1);
+  fixture.waitForServers(1);
   asio::io_context context;
   asio::ip::tcp::socket lazy =
-      connectTo(context, world.member("n1").ListenAddress);
+      connectTo(context, fixture.member("n1").ListenAddress);
   http::Request big = completion("m", "big", 200000, true);
   std::string text = "POST /v1/completions HTTP/1.1\r\nHost: n1\r\n"
                      "Content-Length: " +
@@ -116,39 +117,39 @@
   asio::write(lazy, asio::buffer(text));
   for (int n = 0; n < 20; ++n) {
     Outcome<http::Response> answer =
-        world.sendRequest("n1", completion("m", "other", 20, true, n));
+        fixture.sendRequest("n1", completion("m", "other", 20, true, n));
     REQUIRE(answer);
     CHECK(answer->Status == 200);
   }
 }
 
 TEST_CASE("Hostile: idle connections do not keep callers out") {
-  TwoServers world;
+  TwoServersFixture fixture;
   asio::io_context context;
   std::vector<asio::ip::tcp::socket> idle;
   constexpr std::size_t Connections = 2000;
   for (std::size_t n = 0; n < Connections; ++n)
-    idle.push_back(connectTo(context, world.member("n1").ListenAddress));
-  Outcome<http::Response> answer = world.sendRequest("n1", lookUp());
+    idle.push_back(connectTo(context, fixture.member("n1").ListenAddress));
+  Outcome<http::Response> answer = fixture.sendRequest("n1", lookUp());
   REQUIRE(answer);
   CHECK(answer->Status == 200);
 }
 
 TEST_CASE("Hostile: requests succeed after a third of the daemons dies") {
-  RequestFixture world;
+  RequestFixture fixture;
   std::map<int, std::string> names;
   for (int n = 0; n < 3; ++n) {
     std::string server = "s" + std::to_string(n);
-    world.addServer(server, "service");
-    world.addDaemon("d" + std::to_string(n), "hall-" + std::to_string(n),
-                    {{server, "desk"}});
+    fixture.addServer(server, "service");
+    fixture.addDaemon("d" + std::to_string(n), "hall-" + std::to_string(n),
+                      {{server, "desk"}});
   }
-  world.addEntry("n1", "hall-0");
-  world.publish(PlainService);
-  world.waitForServers(3);
-  world.kill("d0");
+  fixture.addEntry("n1", "hall-0");
+  fixture.publish(PlainService);
+  fixture.waitForServers(3);
+  fixture.kill("d0");
   for (int n = 0; n < 100; ++n) {
-    Outcome<http::Response> answer = world.sendRequest("n1", lookUp());
+    Outcome<http::Response> answer = fixture.sendRequest("n1", lookUp());
     REQUIRE(answer);
     CHECK(answer->Status == 200);
   }
--- a/IntegrationTests/Cases/IdempotencyKeyTest.cpp
+++ b/IntegrationTests/Cases/IdempotencyKeyTest.cpp
@@ -34,29 +34,29 @@
 } // namespace
 
 TEST_CASE("Key: a repeat through another entry gets the first answer") {
-  IdempotencyKeyFixture world;
+  IdempotencyKeyFixture fixture;
   for (int n = 0; n < 8; ++n) {
     std::string key = "key-" + std::to_string(n);
-    Outcome<http::Response> first = world.sendRequest("n1", bid(key));
-    Outcome<http::Response> again = world.sendRequest("n2", bid(key));
+    Outcome<http::Response> first = fixture.sendRequest("n1", bid(key));
+    Outcome<http::Response> again = fixture.sendRequest("n2", bid(key));
     REQUIRE(first);
     REQUIRE(again);
     CHECK(first->Status == 200);
     CHECK(again->Body == first->Body);
     CHECK(again->header("X-Idempotent-Replay") == "true");
   }
-  CHECK(world.allRuns() == 8);
+  CHECK(fixture.allRuns() == 8);
 }
 
 TEST_CASE("Key: concurrent duplicates run once and get one answer") {
-  IdempotencyKeyFixture world({"--latency_ms=300"});
-  std::vector<std::future<Outcome<http::Response>>> told;
+  IdempotencyKeyFixture fixture({"--latency_ms=300"});
+  std::vector<std::future<Outcome<http::Response>>> answers;
   for (const char *it : {"n1", "n2", "n1", "n2"})
-    told.push_back(std::async(std::launch::async, [&world, it] {
-      return world.sendRequest(it, bid("k"));
+    answers.push_back(std::async(std::launch::async, [&fixture, it] {
+      return fixture.sendRequest(it, bid("k"));
     }));
   std::string body;
-  for (std::future<Outcome<http::Response>> &it : told) {
+  for (std::future<Outcome<http::Response>> &it : answers) {
     Outcome<http::Response> one = it.get();
     REQUIRE(one);
     CHECK(one->Status == 200);
@@ -64,89 +64,90 @@
       body = one->Body;
     CHECK(one->Body == body);
   }
-  CHECK(world.allRuns() == 1);
+  CHECK(fixture.allRuns() == 1);
 }
 
 TEST_CASE("Key: a different request with the same key does not run") {
-  IdempotencyKeyFixture world;
-  REQUIRE(world.sendRequest("n1", bid("k")));
-  Outcome<http::Response> other = world.sendRequest("n2", bid("k", "another"));
+  IdempotencyKeyFixture fixture;
+  REQUIRE(fixture.sendRequest("n1", bid("k")));
+  Outcome<http::Response> other =
+      fixture.sendRequest("n2", bid("k", "another"));
   REQUIRE(other);
   CHECK(other->Status == 409);
   CHECK(other->header("X-Wasabi-Verdict") == "not-run");
-  CHECK(world.allRuns() == 1);
+  CHECK(fixture.allRuns() == 1);
 }
 
 TEST_CASE("Key: after its daemon is killed a repeat never runs again") {
-  IdempotencyKeyFixture world;
+  IdempotencyKeyFixture fixture;
   // Use keys that were run by both daemons.
   std::vector<std::string> keys;
   for (int n = 0; n < 8; ++n) {
     keys.push_back("key-" + std::to_string(n));
-    Outcome<http::Response> first = world.sendRequest("n1", bid(keys.back()));
+    Outcome<http::Response> first = fixture.sendRequest("n1", bid(keys.back()));
     REQUIRE(first);
     REQUIRE(first->Status == 200);
   }
-  std::size_t before = world.runs("b");
-  REQUIRE(world.allRuns() == 8);
-  world.kill("d1");
+  std::size_t before = fixture.runs("b");
+  REQUIRE(fixture.allRuns() == 8);
+  fixture.kill("d1");
   // The remaining daemon answers from its records and does not run them again.
   for (const std::string &it : keys) {
-    Outcome<http::Response> again = world.sendRequest("n2", bid(it));
+    Outcome<http::Response> again = fixture.sendRequest("n2", bid(it));
     REQUIRE(again);
     INFO(again->Body);
-    bool told = again->Status == 200 ||
-                again->header("X-Wasabi-Verdict") == "may-have-run";
-    CHECK(told);
+    bool isExpected = again->Status == 200 ||
+                      again->header("X-Wasabi-Verdict") == "may-have-run";
+    CHECK(isExpected);
   }
-  world.waitForServers(1);
+  fixture.waitForServers(1);
   for (const std::string &it : keys) {
-    Outcome<http::Response> again = world.sendRequest("n2", bid(it));
+    Outcome<http::Response> again = fixture.sendRequest("n2", bid(it));
     REQUIRE(again);
     INFO(again->Body);
     bool known = again->Status == 200 ||
                  again->header("X-Wasabi-Verdict") == "may-have-run";
     CHECK(known);
   }
-  CHECK(world.runs("b") == before);
+  CHECK(fixture.runs("b") == before);
 }
 
 TEST_CASE("Key: keys survive planned stops of all daemons in turn") {
-  IdempotencyKeyFixture world;
+  IdempotencyKeyFixture fixture;
   std::vector<std::string> keys;
   for (int n = 0; n < 8; ++n) {
     keys.push_back("key-" + std::to_string(n));
-    Outcome<http::Response> first = world.sendRequest("n1", bid(keys.back()));
+    Outcome<http::Response> first = fixture.sendRequest("n1", bid(keys.back()));
     REQUIRE(first);
     REQUIRE(first->Status == 200);
   }
-  REQUIRE(world.allRuns() == 8);
+  REQUIRE(fixture.allRuns() == 8);
   // Replace the daemons one by one, so that no daemon remains that ran a key or
   // received it from the daemon that ran it.
   for (const char *server : {"a", "b"}) {
     std::string old = server == std::string("a") ? "d1" : "d2";
-    world.member(old).Child->signal(SIGTERM);
-    REQUIRE(world.member(old).Child->wait(WaitTimeout));
-    world.addDaemon(old + "-next", "pasig-a", {{server, "bids"}});
-    world.waitForServers(2);
+    fixture.member(old).Child->signal(SIGTERM);
+    REQUIRE(fixture.member(old).Child->wait(WaitTimeout));
+    fixture.addDaemon(old + "-next", "pasig-a", {{server, "bids"}});
+    fixture.waitForServers(2);
   }
   for (const std::string &it : keys) {
-    Outcome<http::Response> again = world.sendRequest("n2", bid(it));
+    Outcome<http::Response> again = fixture.sendRequest("n2", bid(it));
     REQUIRE(again);
     INFO(again->Body);
     CHECK(again->header("X-Wasabi-Verdict") == "may-have-run");
   }
-  CHECK(world.allRuns() == 8);
+  CHECK(fixture.allRuns() == 8);
 }
 
 TEST_CASE("Key: an entry that dies mid-answer leaves the answer to a repeat") {
-  IdempotencyKeyFixture world({"--latency_ms=1000"});
+  IdempotencyKeyFixture fixture({"--latency_ms=1000"});
   std::future<Outcome<http::Response>> lost = std::async(
-      std::launch::async, [&] { return world.sendRequest("n1", bid("k")); });
+      std::launch::async, [&] { return fixture.sendRequest("n1", bid("k")); });
   REQUIRE(harness::waitUntil(
       [&] {
         Outcome<std::string> counts =
-            harness::getText(world.member("n1").Admin, "/metrics");
+            harness::getText(fixture.member("n1").Admin, "/metrics");
         return counts && counts->find("wasabi_entry_attempts_total 1") !=
                              std::string::npos;
       },
@@ -156,7 +157,7 @@
         std::int64_t running = 0;
         for (const char *it : {"d1", "d2"}) {
           Outcome<std::string> counts =
-              harness::getText(world.member(it).Admin, "/metrics");
+              harness::getText(fixture.member(it).Admin, "/metrics");
           if (counts && counts->find("wasabi_daemon_forwarded_total 1") !=
                             std::string::npos)
             ++running;
@@ -164,13 +165,13 @@
         return running == 1;
       },
       WaitTimeout));
-  world.kill("n1");
+  fixture.kill("n1");
   CHECK_FALSE(lost.get());
-  Outcome<http::Response> again = world.sendRequest("n2", bid("k"));
+  Outcome<http::Response> again = fixture.sendRequest("n2", bid("k"));
   REQUIRE(again);
   CHECK(again->Status == 200);
   CHECK(again->header("X-Idempotent-Replay") == "true");
-  CHECK(world.allRuns() == 1);
+  CHECK(fixture.allRuns() == 1);
 }
 
 } // namespace wasabi::test
--- a/IntegrationTests/Cases/MembershipTest.cpp
+++ b/IntegrationTests/Cases/MembershipTest.cpp
@@ -57,9 +57,9 @@
 
 /// Returns true if all other running processes see a member in one of these
 /// states.
-bool allSee(Deployment &All, const std::string &Instance,
+bool allSee(Deployment &System, const std::string &Instance,
             const std::set<std::string> &States) {
-  for (WasabiProcess &it : All.nodes()) {
+  for (WasabiProcess &it : System.nodes()) {
     if (it.Name == Instance || !it.Child->running())
       continue;
     if (!States.contains(observedState(it, Instance)))
@@ -83,9 +83,9 @@
 
 /// Returns a running process other than `Excluded` that holds a claim; null if
 /// there is none.
-WasabiProcess *holder(Deployment &All, const std::string &Resource,
+WasabiProcess *holder(Deployment &System, const std::string &Resource,
                       const WasabiProcess *Excluded = nullptr) {
-  for (WasabiProcess &it : All.nodes()) {
+  for (WasabiProcess &it : System.nodes()) {
     if (&it != Excluded && it.Child->running() && tokenAt(it, Resource))
       return &it;
   }
@@ -94,40 +94,39 @@
 
 } // namespace
 
-TEST_CASE("Who leaves is known everywhere though the platform's list lags",
+TEST_CASE("All processes see a leaving member despite a lagging list",
           "[membership]") {
-  std::unique_ptr<Deployment> all = startDeployment();
-  REQUIRE(all->instances().setFaults(LaggingList));
-  WasabiProcess &leaver = all->nodes().front();
+  std::unique_ptr<Deployment> system = startDeployment();
+  REQUIRE(system->instances().setFaults(LaggingList));
+  WasabiProcess &leaver = system->nodes().front();
   leaver.Child->signal(SIGTERM);
   CHECK(waitUntil(
       [&] {
-        return allSee(*all, leaver.Name, {"leaving", "dead"});
+        return allSee(*system, leaver.Name, {"leaving", "dead"});
       },
       WaitTimeout));
 }
 
-TEST_CASE("A crash is found out by peers, and nobody else is held for dead",
+TEST_CASE("Peers detect a crash and see no other member as dead",
           "[membership]") {
-  std::unique_ptr<Deployment> all = startDeployment();
-  REQUIRE(all->instances().setFaults(LaggingList));
-  WasabiProcess &crashed = all->nodes().front();
+  std::unique_ptr<Deployment> system = startDeployment();
+  REQUIRE(system->instances().setFaults(LaggingList));
+  WasabiProcess &crashed = system->nodes().front();
   crashed.Child->signal(SIGKILL);
-  CHECK(waitUntil([&] { return allSee(*all, crashed.Name, {"dead"}); },
+  CHECK(waitUntil([&] { return allSee(*system, crashed.Name, {"dead"}); },
                   WaitTimeout));
-  for (WasabiProcess &it : all->nodes()) {
+  for (WasabiProcess &it : system->nodes()) {
     if (it.Name != crashed.Name)
-      CHECK(allSee(*all, it.Name, {"alive", "suspect"}));
+      CHECK(allSee(*system, it.Name, {"alive", "suspect"}));
   }
 }
 
-TEST_CASE("A holder that was stopped past its term finds out on waking",
-          "[membership]") {
-  std::unique_ptr<Deployment> all = startDeployment();
+TEST_CASE("A holder paused past its term loses its claim", "[membership]") {
+  std::unique_ptr<Deployment> system = startDeployment();
   WasabiProcess *first = nullptr;
   REQUIRE(waitUntil(
       [&] {
-        first = holder(*all, Snapshots);
+        first = holder(*system, Snapshots);
         return first != nullptr;
       },
       WaitTimeout));
@@ -137,7 +136,7 @@
   WasabiProcess *next = nullptr;
   CHECK(waitUntil(
       [&] {
-        next = holder(*all, Snapshots, first);
+        next = holder(*system, Snapshots, first);
         return next != nullptr;
       },
       WaitTimeout));
@@ -146,6 +145,6 @@
   CHECK(tokenAt(*next, Snapshots).value_or(0) > token);
   CHECK(!tokenAt(*first, Snapshots));
   // It rejoins as a member: a paused process is not dead.
-  CHECK(waitUntil([&] { return allSee(*all, first->Name, {"alive"}); },
+  CHECK(waitUntil([&] { return allSee(*system, first->Name, {"alive"}); },
                   WaitTimeout));
 }
--- a/IntegrationTests/Cases/OperatorTests.cpp
+++ b/IntegrationTests/Cases/OperatorTests.cpp
@@ -279,7 +279,7 @@
       Contains("offset 2 accepted by anna limit/a limit/b \"too slow\""));
 }
 
-TEST_CASE("An operator sees a change in force on all, and their time line") {
+TEST_CASE("An operator sees a change in force and the time line") {
   std::unique_ptr<Deployment> made = require<std::unique_ptr<Deployment>>([] {
     return Deployment::start({"lindqvist", 1, false, {}});
   });
--- a/IntegrationTests/Cases/ProcessTests.cpp
+++ b/IntegrationTests/Cases/ProcessTests.cpp
@@ -28,7 +28,7 @@
   CHECK_FALSE(child->running());
 }
 
-TEST_CASE("A wrong setting ends a program with the usage code") {
+TEST_CASE("An invalid setting exits with the usage code") {
   std::unique_ptr<Process> child =
       Process::start({"wasabi-replay", {"--no-such-flag"}, {}, ""}).value();
   std::optional<ProcessExit> end = child->wait(WaitTimeout);
--- a/IntegrationTests/Cases/RequestFixture.cpp
+++ b/IntegrationTests/Cases/RequestFixture.cpp
@@ -24,7 +24,7 @@
   return harness::StandIn::start(std::move(setup)).value();
 }
 
-/// Returns the servers that an entry sees in service.
+/// Returns the number of servers that an entry sees as serving.
 std::size_t countServing(const json::value &Status) {
   std::size_t count = 0;
   for (const json::value &member : Status.at("members").as_array()) {
--- a/IntegrationTests/Cases/RequestFixture.h
+++ b/IntegrationTests/Cases/RequestFixture.h
@@ -38,7 +38,7 @@
   /// Starts a stand-in server, `engine` or `service`, with these flags.
   harness::StandIn &addServer(const std::string &Name, const std::string &Role,
                               std::vector<std::string> Flags = {});
-  /// Starts a daemon for servers, given as server name to service. `Through`
+  /// Starts a daemon for servers, given as server name to service. `Proxies`
   /// replaces the address of a server by that of a fault proxy.
   MemberProcess &addDaemon(const std::string &Name, const std::string &Domain,
                            const std::map<std::string, std::string> &Servers,
@@ -54,7 +54,7 @@
   harness::StandIn &log() { return *Log; }
   harness::StandIn &server(const std::string &Name) { return *Servers[Name]; }
   MemberProcess &member(const std::string &Name) { return Members[Name]; }
-  /// Returns the runs in a plain service's own record.
+  /// Returns the number of runs in a plain service's own record.
   std::size_t runs(const std::string &Server);
   /// Kills a member.
   void kill(const std::string &Name);
--- a/IntegrationTests/Cases/RolloutTests.cpp
+++ b/IntegrationTests/Cases/RolloutTests.cpp
@@ -26,15 +26,15 @@
   return std::move(*started);
 }
 
-RolloutCluster::Settings withTrainer(const ClusterTrainer &Of) {
+RolloutCluster::Settings makeSettings(const ClusterTrainer &Cluster) {
   RolloutCluster::Settings setup;
-  setup.Trainers = {Of};
+  setup.Trainers = {Cluster};
   return setup;
 }
 
 /// Checks the invariants of every run.
-void checkTruth(const RolloutCluster &Of, std::size_t Trainer) {
-  Outcome<TrainerTruth> truth = Of.truth(Trainer);
+void checkTruth(const RolloutCluster &Cluster, std::size_t Trainer) {
+  Outcome<TrainerTruth> truth = Cluster.truth(Trainer);
   REQUIRE(truth);
   CHECK(truth->Duplicates == 0);
   CHECK(truth->Stale == 0);
@@ -43,10 +43,10 @@
   CHECK(truth->Taken >= truth->StepsTrained * SamplesPerStep);
 }
 
-bool waitForSamples(const RolloutCluster &Of, std::uint64_t Count) {
+bool waitForSamples(const RolloutCluster &Cluster, std::uint64_t Count) {
   return waitUntil(
       [&] {
-        Outcome<TrainerTruth> now = Of.truth(0);
+        Outcome<TrainerTruth> now = Cluster.truth(0);
         return now && now->Taken >= Count;
       },
       WaitTimeout);
@@ -54,13 +54,13 @@
 
 } // namespace
 
-TEST_CASE("Steps become whole and new weights go out", "[rollout]") {
+TEST_CASE("Steps complete and new weights are published", "[rollout]") {
   for (bool checks : {true, false}) {
     DYNAMIC_SECTION((checks ? "tokens checked" : "nothing checked")) {
       ClusterTrainer trainer;
       trainer.ChecksFences = checks;
       std::unique_ptr<RolloutCluster> cluster =
-          startCluster(withTrainer(trainer));
+          startCluster(makeSettings(trainer));
       CHECK(cluster->waitForSteps(0, 3, WaitTimeout));
       checkTruth(*cluster, 0);
     }
@@ -73,7 +73,7 @@
       ClusterTrainer trainer;
       trainer.ChecksFences = checks;
       std::unique_ptr<RolloutCluster> cluster =
-          startCluster(withTrainer(trainer));
+          startCluster(makeSettings(trainer));
       REQUIRE(waitForSamples(*cluster, SamplesPerStep + 2));
       std::optional<std::size_t> owner = cluster->findOwner("t");
       REQUIRE(owner);
@@ -88,7 +88,7 @@
 TEST_CASE("A paused owner that wakes after its term changes nothing",
           "[rollout]") {
   std::unique_ptr<RolloutCluster> cluster =
-      startCluster(withTrainer(ClusterTrainer()));
+      startCluster(makeSettings(ClusterTrainer()));
   REQUIRE(waitForSamples(*cluster, SamplesPerStep + 2));
   std::optional<std::size_t> owner = cluster->findOwner("t");
   REQUIRE(owner);
@@ -102,7 +102,7 @@
 
 TEST_CASE("A crashed engine's samples continue on other engines", "[rollout]") {
   std::unique_ptr<RolloutCluster> cluster =
-      startCluster(withTrainer(ClusterTrainer()));
+      startCluster(makeSettings(ClusterTrainer()));
   REQUIRE(waitForSamples(*cluster, 2));
   REQUIRE(cluster->engine(0).setFaults(R"({"crash_after_tokens":20})"));
   CHECK(cluster->waitForSteps(0, 3, WaitTimeout));
@@ -118,7 +118,7 @@
       ClusterTrainer trainer;
       trainer.ChecksFences = checks;
       std::unique_ptr<RolloutCluster> cluster =
-          startCluster(withTrainer(trainer));
+          startCluster(makeSettings(trainer));
       REQUIRE(cluster->trainer(0).setFaults(R"({"lose_answers":6})"));
       CHECK(cluster->waitForSteps(0, 3, WaitTimeout));
       checkTruth(*cluster, 0);
@@ -129,7 +129,7 @@
 TEST_CASE("An engine on a wrong version yields true labels or nothing",
           "[rollout]") {
   std::unique_ptr<RolloutCluster> cluster =
-      startCluster(withTrainer(ClusterTrainer()));
+      startCluster(makeSettings(ClusterTrainer()));
   REQUIRE(cluster->engine(0).setFaults(R"({"wrong_version_next_load":2})"));
   REQUIRE(cluster->engine(1).setFaults(R"({"fail_next_load":1})"));
   REQUIRE(cluster->engine(2).setFaults(R"({"lose_order_answers":1})"));
@@ -137,9 +137,9 @@
   checkTruth(*cluster, 0);
 }
 
-TEST_CASE("What no engine attests is generated elsewhere", "[rollout]") {
+TEST_CASE("Unattested samples are generated on other engines", "[rollout]") {
   std::unique_ptr<RolloutCluster> cluster =
-      startCluster(withTrainer(ClusterTrainer()));
+      startCluster(makeSettings(ClusterTrainer()));
   REQUIRE(cluster->engine(0).setFaults(R"({"no_version_report":true})"));
   CHECK(cluster->waitForSteps(0, 3, WaitTimeout));
   checkTruth(*cluster, 0);
@@ -148,7 +148,7 @@
 TEST_CASE("A log outage does not stop a trainer that checks tokens",
           "[rollout]") {
   std::unique_ptr<RolloutCluster> cluster =
-      startCluster(withTrainer(ClusterTrainer()));
+      startCluster(makeSettings(ClusterTrainer()));
   REQUIRE(cluster->waitForSteps(0, 1, WaitTimeout));
   REQUIRE(cluster->log().setFaults(R"({"outage":true})"));
   std::uint64_t before = cluster->truth(0)->StepsTrained;
@@ -178,7 +178,7 @@
 TEST_CASE("A preset without rollouts drains, and switching back resumes",
           "[rollout]") {
   std::unique_ptr<RolloutCluster> cluster =
-      startCluster(withTrainer(ClusterTrainer()));
+      startCluster(makeSettings(ClusterTrainer()));
   REQUIRE(cluster->waitForSteps(0, 1, WaitTimeout));
   REQUIRE(cluster->declarePreset(R"(,"admit_rollouts":false)"));
   REQUIRE(waitUntil([&] { return cluster->runningSamples("t") == 0; },
@@ -191,7 +191,7 @@
 
 TEST_CASE("A planned stop of an owner hands the trainer over", "[rollout]") {
   std::unique_ptr<RolloutCluster> cluster =
-      startCluster(withTrainer(ClusterTrainer()));
+      startCluster(makeSettings(ClusterTrainer()));
   REQUIRE(waitForSamples(*cluster, SamplesPerStep + 2));
   std::optional<std::size_t> owner = cluster->findOwner("t");
   REQUIRE(owner);
@@ -208,7 +208,7 @@
           "[rollout]") {
   ClusterTrainer trainer;
   trainer.ChecksFences = false;
-  std::unique_ptr<RolloutCluster> cluster = startCluster(withTrainer(trainer));
+  std::unique_ptr<RolloutCluster> cluster = startCluster(makeSettings(trainer));
   REQUIRE(cluster->waitForSteps(0, 1, WaitTimeout));
   REQUIRE(cluster->log().setFaults(R"({"outage":true})"));
   // All work that is possible without the log is done.
@@ -220,11 +220,11 @@
   checkTruth(*cluster, 0);
 }
 
-TEST_CASE("A log that loses answers and hides its tail repeats nothing",
+TEST_CASE("Lost log answers and a stale tail cause no duplicates",
           "[rollout]") {
   ClusterTrainer trainer;
   trainer.ChecksFences = false;
-  std::unique_ptr<RolloutCluster> cluster = startCluster(withTrainer(trainer));
+  std::unique_ptr<RolloutCluster> cluster = startCluster(makeSettings(trainer));
   REQUIRE(cluster->waitForSteps(0, 1, WaitTimeout));
   REQUIRE(cluster->log().setFaults(R"({"lose_answers":10,"slow_ms":20})"));
   std::uint64_t before = cluster->truth(0)->StepsTrained;
@@ -232,19 +232,18 @@
   checkTruth(*cluster, 0);
 }
 
-TEST_CASE("A scorer that fails and loses answers is asked again", "[rollout]") {
+TEST_CASE("Failed scorer calls are retried", "[rollout]") {
   std::unique_ptr<RolloutCluster> cluster =
-      startCluster(withTrainer(ClusterTrainer()));
+      startCluster(makeSettings(ClusterTrainer()));
   REQUIRE(cluster->scorer().setFaults(
       R"({"fail_next":5,"lose_answers":5,"slow_ms":20})"));
   CHECK(cluster->waitForSteps(0, 3, WaitTimeout));
   checkTruth(*cluster, 0);
 }
 
-TEST_CASE("A weight store that is out for a while is asked again",
-          "[rollout]") {
+TEST_CASE("Fetches are retried after a weight store outage", "[rollout]") {
   std::unique_ptr<RolloutCluster> cluster =
-      startCluster(withTrainer(ClusterTrainer()));
+      startCluster(makeSettings(ClusterTrainer()));
   REQUIRE(cluster->waitForSteps(0, 1, WaitTimeout));
   REQUIRE(cluster->weights().setFaults(R"({"outage":true})"));
   REQUIRE(waitForSamples(*cluster, 2 * SamplesPerStep));
@@ -256,7 +255,7 @@
 
 TEST_CASE("A hung engine's samples are copied elsewhere", "[rollout]") {
   std::unique_ptr<RolloutCluster> cluster =
-      startCluster(withTrainer(ClusterTrainer()));
+      startCluster(makeSettings(ClusterTrainer()));
   REQUIRE(waitForSamples(*cluster, 2));
   REQUIRE(cluster->engine(0).setFaults(R"({"hang":true})"));
   std::uint64_t before = cluster->truth(0)->StepsTrained;
--- a/IntegrationTests/Cases/SoakTest.cpp
+++ b/IntegrationTests/Cases/SoakTest.cpp
@@ -60,11 +60,11 @@
 
 /// Returns true if the checks find exactly one violation and its text matches.
 bool finds(const SoakObservations &Seen, const SoakGroundTruth &Truth,
-           const std::string &What) {
+           const std::string &Text) {
   std::vector<std::string> faults = findViolations(Seen, Truth);
   for (const std::string &it : faults)
     UNSCOPED_INFO(it);
-  return faults.size() == 1 && faults[0].find(What) != std::string::npos;
+  return faults.size() == 1 && faults[0].find(Text) != std::string::npos;
 }
 
 struct SoakEnd {
@@ -106,7 +106,7 @@
   CHECK(finds(seen, truth, "sent to 4 servers"));
 }
 
-TEST_CASE("Soak judge: a wrong answer, and a run that nobody asked for",
+TEST_CASE("Soak judge: wrong answers and unrequested runs are found",
           "[soak]") {
   SoakObservations seen;
   SoakGroundTruth truth;
@@ -168,7 +168,7 @@
   CHECK(finds(seen, truth, "did not stop"));
 }
 
-TEST_CASE("Soak judge: a configuration that reverts or does not come",
+TEST_CASE("Soak judge: reverted and missing configurations are found",
           "[soak]") {
   SoakObservations seen;
   SoakGroundTruth truth;
@@ -187,8 +187,7 @@
   CHECK(finds(seen, truth, "not in force"));
 }
 
-TEST_CASE("Soak judge: orders of another holder or with an older token",
-          "[soak]") {
+TEST_CASE("Soak judge: orders of a wrong holder or token are found", "[soak]") {
   SoakGroundTruth truth;
   ServerCall order;
   order.Holder = "side-0";
@@ -202,7 +201,7 @@
   CHECK(finds({}, truth, "ordered by side-1"));
 }
 
-TEST_CASE("Soak clients: a text that is not whole, or not truly labelled",
+TEST_CASE("Soak clients: incomplete and mislabelled texts are found",
           "[soak]") {
   const std::string whole = "i:1:v2\ni:2:v2\ni:3:v3";
   CHECK(findTextError(whole, "i", 3, {2, 3}).empty());
@@ -236,11 +235,11 @@
   SoakObservations seen;
   SoakGroundTruth truth;
   auto endAt = [&](int Ms) {
-    ClientRequestRecord ask =
+    ClientRequestRecord request =
         asked(ClientRequestKind::Crashing, Ms - 1, Ms + 1, 502);
-    ask.Id += std::to_string(Ms);
-    seen.Requests.push_back(ask);
-    ServerCall run = runAt(Ms, ask.Id);
+    request.Id += std::to_string(Ms);
+    seen.Requests.push_back(request);
+    ServerCall run = runAt(Ms, request.Id);
     run.Path = std::string(CrashPathPrefix) + "0";
     truth.PlainRuns.push_back(run);
   };
@@ -285,11 +284,11 @@
     call.Taken = true;
     return call;
   }
-  bool finds(const std::string &What) const {
+  bool finds(const std::string &Text) const {
     std::vector<std::string> faults = findCustomerViolations(Seen, Truth, {});
     for (const std::string &it : faults)
       UNSCOPED_INFO(it);
-    return faults.size() == 1 && faults[0].find(What) != std::string::npos;
+    return faults.size() == 1 && faults[0].find(Text) != std::string::npos;
   }
 };
 
@@ -305,8 +304,7 @@
   CHECK(it.finds("brought a key"));
 }
 
-TEST_CASE("Soak judge: a key that is taken away, and one that is good",
-          "[soak]") {
+TEST_CASE("Soak judge: wrong decisions on keys are found", "[soak]") {
   CustomerCase it;
   it.Seen.Requests[0].UsesRevocableKey = true;
   it.Truth.KeyChanges = {{0, true, at(7000)}};
@@ -325,7 +323,7 @@
   CHECK(denied.finds("denied though its key is good"));
 }
 
-TEST_CASE("Soak judge: windows that are missed, wrong or told twice",
+TEST_CASE("Soak judge: missing, wrong and repeated windows are found",
           "[soak]") {
   CustomerCase it;
   it.Truth.Reports[0].Counts["customer-0"] = 2;
@@ -382,8 +380,7 @@
         std::string::npos);
 }
 
-TEST_CASE("A short soak with requests that end servers holds every promise",
-          "[soak]") {
+TEST_CASE("A short soak with crashing requests has no violations", "[soak]") {
   std::string seed = GENERATE("10", "11");
   SoakEnd end = runSoak({"--seed=" + seed, "--seconds=12", "--crashing=2"});
   INFO(end.Output);
--- a/IntegrationTests/Cases/UsageTest.cpp
+++ b/IntegrationTests/Cases/UsageTest.cpp
@@ -19,148 +19,150 @@
 
 using Sums = std::map<std::string, std::uint64_t>;
 
-std::unique_ptr<PlatformFixture> usageWorld(std::size_t Edges,
-                                            bool UsesFaultProxies = false) {
+std::unique_ptr<PlatformFixture>
+makeUsageFixture(std::size_t Edges, bool UsesFaultProxies = false) {
   PlatformFixtureSettings shape;
   shape.Edges = Edges;
   shape.Engines = 1;
   shape.UsesFaultProxies = UsesFaultProxies;
   shape.Reports = true;
   shape.ReportDueSeconds = 6;
-  std::unique_ptr<PlatformFixture> world =
+  std::unique_ptr<PlatformFixture> fixture =
       std::make_unique<PlatformFixture>(shape);
-  REQUIRE(world->waitUntilAllReady());
-  world->configureCustomers(2,
-                            {{"anna", {"key-a"}, 1}, {"bert", {"key-b"}, 1}});
-  return world;
+  REQUIRE(fixture->waitUntilAllReady());
+  fixture->configureCustomers(2,
+                              {{"anna", {"key-a"}, 1}, {"bert", {"key-b"}, 1}});
+  return fixture;
 }
 
-std::vector<ReportCall> calls(PlatformFixture &World) {
-  return World.runOnPlatformThread<std::vector<ReportCall>>(
-      [&] { return World.reports().Calls; });
+std::vector<ReportCall> calls(PlatformFixture &Fixture) {
+  return Fixture.runOnPlatformThread<std::vector<ReportCall>>(
+      [&] { return Fixture.reports().Calls; });
 }
 
-bool reported(PlatformFixture &World, const Sums &What) {
+bool reported(PlatformFixture &Fixture, const Sums &Expected) {
   return harness::waitUntil(
-      [&] { return sumReportedUsage(calls(World)) == What; }, WaitTimeout);
+      [&] { return sumReportedUsage(calls(Fixture)) == Expected; },
+      WaitTimeout);
 }
 
-void checkCalls(PlatformFixture &World) {
-  for (const std::string &it : findCallViolations(calls(World), Lease))
+void checkCalls(PlatformFixture &Fixture) {
+  for (const std::string &it : findCallViolations(calls(Fixture), Lease))
     FAIL_CHECK(it);
 }
 
 /// Returns the edge process that reports; empty if none has reported.
-std::optional<std::size_t> reporter(PlatformFixture &World) {
-  std::vector<ReportCall> all = calls(World);
+std::optional<std::size_t> reporter(PlatformFixture &Fixture) {
+  std::vector<ReportCall> all = calls(Fixture);
   if (all.empty())
     return std::nullopt;
   return std::stoul(all.back().Holder.substr(std::string("edge-").size()));
 }
 
-void askTimes(PlatformFixture &World, const std::string &Key, std::size_t Times,
-              std::size_t Edge) {
-  World.setCustomerKey(Key);
+void askTimes(PlatformFixture &Fixture, const std::string &Key,
+              std::size_t Times, std::size_t Edge) {
+  Fixture.setCustomerKey(Key);
   for (std::size_t i = 0; i < Times; ++i)
-    CHECK(World.postRequest(Edge, "/desk/x", Key + std::to_string(i)).Status ==
-          Ok);
+    CHECK(
+        Fixture.postRequest(Edge, "/desk/x", Key + std::to_string(i)).Status ==
+        Ok);
 }
 
-void restart(PlatformFixture &World, std::size_t Edge) {
-  World.edge(Edge).Running->signal(SIGKILL);
-  REQUIRE(World.edge(Edge).Running->wait(WaitTimeout));
-  World.startEdge(Edge);
+void restart(PlatformFixture &Fixture, std::size_t Edge) {
+  Fixture.edge(Edge).Running->signal(SIGKILL);
+  REQUIRE(Fixture.edge(Edge).Running->wait(WaitTimeout));
+  Fixture.startEdge(Edge);
 }
 
 } // namespace
 
 TEST_CASE("Usage: only requests of customers are reported") {
-  std::unique_ptr<PlatformFixture> world = usageWorld(2);
-  askTimes(*world, "key-a", 5, 0);
-  askTimes(*world, "key-a", 2, 1);
-  askTimes(*world, "key-b", 3, 1);
-  CHECK(world->postRequest(0, "/stream/s", "s1").Status == Ok);
+  std::unique_ptr<PlatformFixture> fixture = makeUsageFixture(2);
+  askTimes(*fixture, "key-a", 5, 0);
+  askTimes(*fixture, "key-a", 2, 1);
+  askTimes(*fixture, "key-b", 3, 1);
+  CHECK(fixture->postRequest(0, "/stream/s", "s1").Status == Ok);
   // Public requests, batch items and their scoring calls are not counted.
-  world->setCustomerKey("");
-  CHECK(world->postRequest(0, "/open/x", "o1").Status == Ok);
-  world->setCustomerKey("key-a");
-  CHECK(world->submit(0, "job", 2) == 202);
-  CHECK(world->waitForResults(0, "job", 2));
+  fixture->setCustomerKey("");
+  CHECK(fixture->postRequest(0, "/open/x", "o1").Status == Ok);
+  fixture->setCustomerKey("key-a");
+  CHECK(fixture->submit(0, "job", 2) == 202);
+  CHECK(fixture->waitForResults(0, "job", 2));
   // Requests that no server began to run are not counted either.
-  world->runOnPlatformThread([&] {
-    world->plainServer(0).RefusesAsFull = true;
-    world->plainServer(1).RefusesAsFull = true;
+  fixture->runOnPlatformThread([&] {
+    fixture->plainServer(0).RefusesAsFull = true;
+    fixture->plainServer(1).RefusesAsFull = true;
   });
-  CHECK(world->postRequest(0, "/desk/x", "full").Status == 503);
-  CHECK(reported(*world, {{"anna", 7}, {"bert", 4}}));
+  CHECK(fixture->postRequest(0, "/desk/x", "full").Status == 503);
+  CHECK(reported(*fixture, {{"anna", 7}, {"bert", 4}}));
   std::this_thread::sleep_for(Millis(2500));
-  CHECK(sumReportedUsage(calls(*world)) == Sums{{"anna", 7}, {"bert", 4}});
-  checkCalls(*world);
+  CHECK(sumReportedUsage(calls(*fixture)) == Sums{{"anna", 7}, {"bert", 4}});
+  checkCalls(*fixture);
 }
 
 TEST_CASE("Usage: requests served by a killed process are counted") {
-  std::unique_ptr<PlatformFixture> world = usageWorld(3);
-  for (std::size_t i = 0; i < world->edges(); ++i) {
-    askTimes(*world, "key-a", 2, i);
+  std::unique_ptr<PlatformFixture> fixture = makeUsageFixture(3);
+  for (std::size_t i = 0; i < fixture->edges(); ++i) {
+    askTimes(*fixture, "key-a", 2, i);
     // Wait for the asynchronous append.
     std::this_thread::sleep_for(Millis(100));
-    restart(*world, i);
+    restart(*fixture, i);
   }
-  REQUIRE(world->waitUntilAllReady());
-  askTimes(*world, "key-b", 1, 0);
-  CHECK(reported(*world, {{"anna", 6}, {"bert", 1}}));
-  checkCalls(*world);
+  REQUIRE(fixture->waitUntilAllReady());
+  askTimes(*fixture, "key-b", 1, 0);
+  CHECK(reported(*fixture, {{"anna", 6}, {"bert", 1}}));
+  checkCalls(*fixture);
 }
 
-TEST_CASE("Usage: a reporter that is killed, frozen or stopped has a successor "
-          "that tells no window otherwise") {
-  std::unique_ptr<PlatformFixture> world = usageWorld(3);
+TEST_CASE("Usage: the successor of a failed or stopped reporter reports no "
+          "window differently") {
+  std::unique_ptr<PlatformFixture> fixture = makeUsageFixture(3);
   std::uint64_t asked = 0;
   for (int signal : {SIGKILL, SIGSTOP, SIGTERM}) {
-    REQUIRE(harness::waitUntil([&] { return reporter(*world).has_value(); },
+    REQUIRE(harness::waitUntil([&] { return reporter(*fixture).has_value(); },
                                WaitTimeout));
-    std::size_t now = *reporter(*world);
-    std::size_t other = (now + 1) % world->edges();
-    askTimes(*world, "key-a", 2, other);
+    std::size_t now = *reporter(*fixture);
+    std::size_t other = (now + 1) % fixture->edges();
+    askTimes(*fixture, "key-a", 2, other);
     asked += 2;
-    world->edge(now).Running->signal(signal);
-    askTimes(*world, "key-a", 2, other);
+    fixture->edge(now).Running->signal(signal);
+    askTimes(*fixture, "key-a", 2, other);
     asked += 2;
-    REQUIRE(harness::waitUntil([&] { return reporter(*world) != now; },
+    REQUIRE(harness::waitUntil([&] { return reporter(*fixture) != now; },
                                WaitTimeout));
     if (signal == SIGSTOP)
-      world->edge(now).Running->signal(SIGCONT);
+      fixture->edge(now).Running->signal(SIGCONT);
     else {
-      REQUIRE(world->edge(now).Running->wait(WaitTimeout));
-      world->startEdge(now);
+      REQUIRE(fixture->edge(now).Running->wait(WaitTimeout));
+      fixture->startEdge(now);
     }
-    REQUIRE(world->waitUntilAllReady());
+    REQUIRE(fixture->waitUntilAllReady());
   }
-  CHECK(reported(*world, {{"anna", asked}}));
-  checkCalls(*world);
+  CHECK(reported(*fixture, {{"anna", asked}}));
+  checkCalls(*fixture);
 }
 
-TEST_CASE("Usage: a reporter cut off from the store calls no more, though it "
+TEST_CASE("Usage: a reporter disconnected from the store stops, though it "
           "reaches the platform") {
-  std::unique_ptr<PlatformFixture> world = usageWorld(2, true);
-  REQUIRE(harness::waitUntil([&] { return reporter(*world).has_value(); },
+  std::unique_ptr<PlatformFixture> fixture = makeUsageFixture(2, true);
+  REQUIRE(harness::waitUntil([&] { return reporter(*fixture).has_value(); },
                              WaitTimeout));
-  std::size_t first = *reporter(*world);
+  std::size_t first = *reporter(*fixture);
   std::size_t other = 1 - first;
-  world->setFaults(world->storeLink(first), {{"half_open", true}});
-  askTimes(*world, "key-a", 3, other);
-  REQUIRE(harness::waitUntil([&] { return reporter(*world) == other; },
+  fixture->setFaults(fixture->storeLink(first), {{"half_open", true}});
+  askTimes(*fixture, "key-a", 3, other);
+  REQUIRE(harness::waitUntil([&] { return reporter(*fixture) == other; },
                              WaitTimeout));
-  world->setFaults(world->storeLink(first), {{"half_open", false}});
-  CHECK(reported(*world, {{"anna", 3}}));
+  fixture->setFaults(fixture->storeLink(first), {{"half_open", false}});
+  CHECK(reported(*fixture, {{"anna", 3}}));
   std::this_thread::sleep_for(Millis(1500));
-  checkCalls(*world);
+  checkCalls(*fixture);
 }
 
 TEST_CASE("Usage: wasabictl shows the reporter and reported windows") {
-  std::unique_ptr<PlatformFixture> world = usageWorld(2);
-  askTimes(*world, "key-a", 3, 0);
-  REQUIRE(reported(*world, {{"anna", 3}}));
+  std::unique_ptr<PlatformFixture> fixture = makeUsageFixture(2);
+  askTimes(*fixture, "key-a", 3, 0);
+  REQUIRE(reported(*fixture, {{"anna", 3}}));
   auto run = [](std::vector<std::string> Arguments) {
     harness::Process::Settings setup;
     setup.Program = "wasabictl";
@@ -171,10 +173,10 @@
     return std::make_pair(end ? end->Code : -1, process->output());
   };
   auto [code, text] =
-      run({"--store=" + toText(world->store().address()), "usage"});
+      run({"--store=" + toText(fixture->store().address()), "usage"});
   INFO(text);
   CHECK(code == 0);
-  CHECK(text.find("reporter: edge-" + std::to_string(*reporter(*world))) !=
+  CHECK(text.find("reporter: edge-" + std::to_string(*reporter(*fixture))) !=
         std::string::npos);
   CHECK(text.find("0 of them not told") != std::string::npos);
   CHECK(text.find("counts: edge-0") != std::string::npos);
@@ -184,49 +186,48 @@
   CHECK(run({"--store=127.0.0.1:1", "usage"}).first != 0);
 }
 
-TEST_CASE("Usage: reports that are refused, unanswered or lost come again as "
-          "they were") {
-  std::unique_ptr<PlatformFixture> world = usageWorld(1);
+TEST_CASE("Usage: refused, unanswered and lost reports are repeated "
+          "unchanged") {
+  std::unique_ptr<PlatformFixture> fixture = makeUsageFixture(1);
   std::uint64_t asked = 0;
   for (ReportBehavior mood :
        {ReportBehavior::Busy, ReportBehavior::LosesAnswers,
         ReportBehavior::Unresponsive}) {
-    world->runOnPlatformThread([&] { world->reports().setBehavior(mood); });
-    askTimes(*world, "key-a", 2, 0);
+    fixture->runOnPlatformThread([&] { fixture->reports().setBehavior(mood); });
+    askTimes(*fixture, "key-a", 2, 0);
     asked += 2;
     std::this_thread::sleep_for(Millis(2500));
-    world->runOnPlatformThread(
-        [&] { world->reports().setBehavior(ReportBehavior::Normal); });
-    CHECK(reported(*world, {{"anna", asked}}));
+    fixture->runOnPlatformThread(
+        [&] { fixture->reports().setBehavior(ReportBehavior::Normal); });
+    CHECK(reported(*fixture, {{"anna", asked}}));
   }
-  checkCalls(*world);
+  checkCalls(*fixture);
   // No window between the first and the last one is missing.
   std::set<std::uint64_t> windows;
-  for (const ReportCall &it : calls(*world)) {
+  for (const ReportCall &it : calls(*fixture)) {
     if (it.Taken)
       windows.insert(it.Window);
   }
   CHECK(windows.size() == *windows.rbegin() - *windows.begin() + 1);
 }
 
-TEST_CASE(
-    "Usage: all processes may end, and nothing is told otherwise or lost") {
-  std::unique_ptr<PlatformFixture> world = usageWorld(2);
-  world->runOnPlatformThread([&] {
-    world->reports().setBehavior(ReportBehavior::LosesAnswers);
-    world->reports().ChecksFences = true;
+TEST_CASE("Usage: killing all processes loses and changes no report") {
+  std::unique_ptr<PlatformFixture> fixture = makeUsageFixture(2);
+  fixture->runOnPlatformThread([&] {
+    fixture->reports().setBehavior(ReportBehavior::LosesAnswers);
+    fixture->reports().ChecksFences = true;
   });
-  askTimes(*world, "key-a", 3, 0);
-  askTimes(*world, "key-b", 2, 1);
+  askTimes(*fixture, "key-a", 3, 0);
+  askTimes(*fixture, "key-b", 2, 1);
   std::this_thread::sleep_for(Millis(1500));
-  for (std::size_t i = 0; i < world->edges(); ++i)
-    restart(*world, i);
-  REQUIRE(world->waitUntilAllReady());
-  world->runOnPlatformThread(
-      [&] { world->reports().setBehavior(ReportBehavior::Normal); });
-  askTimes(*world, "key-b", 1, 0);
-  CHECK(reported(*world, {{"anna", 3}, {"bert", 3}}));
-  checkCalls(*world);
+  for (std::size_t i = 0; i < fixture->edges(); ++i)
+    restart(*fixture, i);
+  REQUIRE(fixture->waitUntilAllReady());
+  fixture->runOnPlatformThread(
+      [&] { fixture->reports().setBehavior(ReportBehavior::Normal); });
+  askTimes(*fixture, "key-b", 1, 0);
+  CHECK(reported(*fixture, {{"anna", 3}, {"bert", 3}}));
+  checkCalls(*fixture);
 }
 
 } // namespace wasabi::test
--- a/IntegrationTests/Cases/VerdictTest.cpp
+++ b/IntegrationTests/Cases/VerdictTest.cpp
@@ -41,8 +41,8 @@
 }
 
 /// One plain server with one daemon, and an entry.
-struct OneServer : RequestFixture {
-  explicit OneServer(std::vector<std::string> Flags = {}) {
+struct OneServerFixture : RequestFixture {
+  explicit OneServerFixture(std::vector<std::string> Flags = {}) {
     addServer("a", "service", std::move(Flags));
     addDaemon("d1", "lulea-hall", {{"a", "desk"}});
     addEntry("n1", "lulea-hall");
@@ -53,8 +53,8 @@
 
 /// Two plain servers, each with a daemon and failure domain of its own, and an
 /// entry.
-struct TwoServers : RequestFixture {
-  TwoServers() {
+struct TwoServersFixture : RequestFixture {
+  TwoServersFixture() {
     for (const char *it : {"a", "b"})
       addServer(it, "service");
     addDaemon("d1", "lulea-hall", {{"a", "desk"}});
@@ -65,8 +65,8 @@
   }
 };
 
-struct TwoEngines : RequestFixture {
-  TwoEngines() {
+struct TwoEnginesFixture : RequestFixture {
+  TwoEnginesFixture() {
     for (const char *it : {"a", "b"})
       addServer(it, "engine", {"--model=m", "--tokens_per_s=200"});
     addDaemon("d1", "lulea-hall", {{"a", "llm"}});
@@ -86,117 +86,117 @@
 } // namespace
 
 TEST_CASE("Verdict: a request refused by the entry did not run") {
-  OneServer world;
+  OneServerFixture fixture;
   SECTION("it names no service") {
-    checkRefusal(world.sendRequest("n1", http::Request{"GET", "/", {}, ""}),
+    checkRefusal(fixture.sendRequest("n1", http::Request{"GET", "/", {}, ""}),
                  400, "not-run");
   }
   SECTION("its service is not declared") {
-    checkRefusal(world.sendRequest("n1", plainRequest("other", "GET", "/")),
+    checkRefusal(fixture.sendRequest("n1", plainRequest("other", "GET", "/")),
                  503, "not-run");
   }
   SECTION("the preset takes no callers") {
-    world.publish(R"([{"kind":"preset","name":"maintenance",
+    fixture.publish(R"([{"kind":"preset","name":"maintenance",
                        "admit_callers":false},
                       {"kind":"switch","name":"preset",
                        "preset":"maintenance"}])");
-    world.waitForServers(1);
-    checkRefusal(world.sendRequest("n1", quote()), 503, "not-run");
+    fixture.waitForServers(1);
+    checkRefusal(fixture.sendRequest("n1", quote()), 503, "not-run");
   }
   SECTION("its caller is beyond its limit") {
-    world.publish(R"([{"kind":"limit","name":"buyer",
+    fixture.publish(R"([{"kind":"limit","name":"buyer",
                        "requests_per_second":1,"burst":1}])");
-    world.waitForServers(1);
+    fixture.waitForServers(1);
     std::vector<http::Header> buyer = {{"X-Caller", "buyer"}};
-    checkWhole(world.sendRequest("n1", quote(buyer)));
-    checkRefusal(world.sendRequest("n1", quote(buyer)), 503, "not-run");
-    CHECK(world.runs("a") == 1);
+    checkWhole(fixture.sendRequest("n1", quote(buyer)));
+    checkRefusal(fixture.sendRequest("n1", quote(buyer)), 503, "not-run");
+    CHECK(fixture.runs("a") == 1);
     return;
   }
-  CHECK(world.runs("a") == 0);
+  CHECK(fixture.runs("a") == 0);
 }
 
 TEST_CASE("Verdict: an upstream that refuses the connection did not run it") {
-  TwoServers world;
-  world.server("a").process().signal(SIGKILL);
-  REQUIRE(world.server("a").process().wait(WaitTimeout));
+  TwoServersFixture fixture;
+  fixture.server("a").process().signal(SIGKILL);
+  REQUIRE(fixture.server("a").process().wait(WaitTimeout));
   SECTION("another server answers, also what may not be repeated") {
-    checkWhole(world.sendRequest("n1", quote()));
-    CHECK(world.runs("b") == 1);
+    checkWhole(fixture.sendRequest("n1", quote()));
+    CHECK(fixture.runs("b") == 1);
   }
   SECTION("without another server the caller is told at once") {
-    world.server("b").process().signal(SIGKILL);
-    REQUIRE(world.server("b").process().wait(WaitTimeout));
-    checkRefusal(world.sendRequest("n1", quote()), 503, "not-run");
+    fixture.server("b").process().signal(SIGKILL);
+    REQUIRE(fixture.server("b").process().wait(WaitTimeout));
+    checkRefusal(fixture.sendRequest("n1", quote()), 503, "not-run");
   }
 }
 
 TEST_CASE("Verdict: a reset before the first byte may have run") {
-  TwoServers world;
+  TwoServersFixture fixture;
   for (const char *it : {"a", "b"})
-    REQUIRE(world.server(it).setFaults(R"({"reset_before_answer":1})"));
+    REQUIRE(fixture.server(it).setFaults(R"({"reset_before_answer":1})"));
   SECTION("non-idempotent work is tried once") {
-    checkRefusal(world.sendRequest("n1", quote()), 502, "may-have-run");
-    CHECK(world.runs("a") + world.runs("b") == 1);
+    checkRefusal(fixture.sendRequest("n1", quote()), 502, "may-have-run");
+    CHECK(fixture.runs("a") + fixture.runs("b") == 1);
   }
   SECTION("idempotent work is tried on the other failure domain") {
-    REQUIRE(world.server("b").setFaults(R"({"reset_before_answer":0})"));
-    checkWhole(world.sendRequest("n1", lookUp()));
+    REQUIRE(fixture.server("b").setFaults(R"({"reset_before_answer":0})"));
+    checkWhole(fixture.sendRequest("n1", lookUp()));
   }
 }
 
 TEST_CASE("Verdict: a reset in the middle of the answer ran") {
-  TwoServers world;
+  TwoServersFixture fixture;
   for (const char *it : {"a", "b"})
-    REQUIRE(world.server(it).setFaults(R"({"reset_mid_answer":1})"));
+    REQUIRE(fixture.server(it).setFaults(R"({"reset_mid_answer":1})"));
   SECTION("non-idempotent work is tried once") {
-    checkRefusal(world.sendRequest("n1", quote()), 502, "ran");
-    CHECK(world.runs("a") + world.runs("b") == 1);
+    checkRefusal(fixture.sendRequest("n1", quote()), 502, "ran");
+    CHECK(fixture.runs("a") + fixture.runs("b") == 1);
   }
   SECTION("idempotent work is answered whole by the other") {
-    REQUIRE(world.server("b").setFaults(R"({"reset_mid_answer":0})"));
-    checkWhole(world.sendRequest("n1", lookUp()));
+    REQUIRE(fixture.server("b").setFaults(R"({"reset_mid_answer":0})"));
+    checkWhole(fixture.sendRequest("n1", lookUp()));
   }
 }
 
 TEST_CASE("Verdict: an upstream that never answers may have run it") {
-  OneServer world;
-  REQUIRE(world.server("a").setFaults(R"({"hang":true})"));
-  checkRefusal(world.sendRequest("n1", quote({{"X-Deadline-Ms", "300"}})), 504,
-               "may-have-run");
+  OneServerFixture fixture;
+  REQUIRE(fixture.server("a").setFaults(R"({"hang":true})"));
+  checkRefusal(fixture.sendRequest("n1", quote({{"X-Deadline-Ms", "300"}})),
+               504, "may-have-run");
 }
 
 TEST_CASE("Verdict: a daemon that is gone did not run it") {
-  TwoServers world;
-  world.kill("d1");
-  checkWhole(world.sendRequest("n1", quote()));
-  CHECK(world.runs("b") == 1);
+  TwoServersFixture fixture;
+  fixture.kill("d1");
+  checkWhole(fixture.sendRequest("n1", quote()));
+  CHECK(fixture.runs("b") == 1);
 }
 
 TEST_CASE("Verdict: a daemon killed while its server runs may have run it") {
-  OneServer world({"--latency_ms=60000"});
+  OneServerFixture fixture({"--latency_ms=60000"});
   std::future<Outcome<http::Response>> answer = std::async(
-      std::launch::async, [&] { return world.sendRequest("n1", quote()); });
+      std::launch::async, [&] { return fixture.sendRequest("n1", quote()); });
   REQUIRE(harness::waitUntil(
       [&] {
         Outcome<boost::json::value> status =
-            harness::getJson(world.member("d1").Admin, "/status");
+            harness::getJson(fixture.member("d1").Admin, "/status");
         return status && status->at("in_flight").as_int64() == 1;
       },
       WaitTimeout));
-  world.kill("d1");
+  fixture.kill("d1");
   checkRefusal(answer.get(), 502, "may-have-run");
 }
 
 TEST_CASE("Verdict: a full server refuses as not run with a retry time") {
-  OneServer world({"--latency_ms=60000"});
+  OneServerFixture fixture({"--latency_ms=60000"});
   // More requests than the limit and the queue admit.
   constexpr std::size_t Requests = 64;
   std::vector<std::future<Outcome<http::Response>>> answer;
   answer.reserve(Requests);
   for (std::size_t n = 0; n < Requests; ++n)
     answer.push_back(std::async(std::launch::async, [&] {
-      return world.sendRequest("n1", quote({{"X-Deadline-Ms", "2000"}}));
+      return fixture.sendRequest("n1", quote({{"X-Deadline-Ms", "2000"}}));
     }));
   std::size_t refused = 0;
   for (std::future<Outcome<http::Response>> &it : answer) {
@@ -211,97 +211,98 @@
   }
   CHECK(refused > 0);
   // A refused request is not in the server's own record.
-  CHECK(world.runs("a") <= answer.size() - refused);
+  CHECK(fixture.runs("a") <= answer.size() - refused);
 }
 
-TEST_CASE("Verdict: a leaving daemon refuses as not run, and ends its work") {
-  OneServer world({"--latency_ms=500"});
+TEST_CASE("Verdict: a leaving daemon refuses as not run and completes work") {
+  OneServerFixture fixture({"--latency_ms=500"});
   std::future<Outcome<http::Response>> answer = std::async(
-      std::launch::async, [&] { return world.sendRequest("n1", quote()); });
+      std::launch::async, [&] { return fixture.sendRequest("n1", quote()); });
   REQUIRE(
-      harness::waitUntil([&] { return world.runs("a") == 1; }, WaitTimeout));
-  world.member("d1").Child->signal(SIGTERM);
+      harness::waitUntil([&] { return fixture.runs("a") == 1; }, WaitTimeout));
+  fixture.member("d1").Child->signal(SIGTERM);
   REQUIRE(harness::waitUntil(
       [&] {
-        Outcome<http::Response> late = world.sendRequest("n1", quote());
+        Outcome<http::Response> late = fixture.sendRequest("n1", quote());
         return late && late->header("X-Wasabi-Verdict") == "not-run";
       },
       WaitTimeout));
-  world.member("d1").Child->signal(SIGTERM);
+  fixture.member("d1").Child->signal(SIGTERM);
   checkWhole(answer.get());
   std::optional<harness::ProcessExit> end =
-      world.member("d1").Child->wait(WaitTimeout);
+      fixture.member("d1").Child->wait(WaitTimeout);
   REQUIRE(end);
   CHECK(end->Code == 0);
 }
 
-TEST_CASE("Verdict: an engine's stream that breaks is resumed elsewhere") {
-  TwoEngines world;
+TEST_CASE("Verdict: a broken stream is resumed on another engine") {
+  TwoEnginesFixture fixture;
   http::Request whole = completion("m", "permit", 400, false);
   Outcome<http::Response> expected =
-      harness::call(world.server("b").address(), whole);
+      harness::call(fixture.server("b").address(), whole);
   REQUIRE(expected);
   std::string text(boost::json::parse(expected->Body).at("text").as_string());
   // Both crash once; each time the entry continues with the remaining text.
-  REQUIRE(world.server("a").setFaults(R"({"crash_after_tokens":10})"));
+  REQUIRE(fixture.server("a").setFaults(R"({"crash_after_tokens":10})"));
   Outcome<http::Response> answer =
-      world.sendRequest("n1", completion("m", "permit", 400, true));
+      fixture.sendRequest("n1", completion("m", "permit", 400, true));
   checkWhole(answer);
   CHECK(streamedText(answer->Body) == text);
   CHECK(answer->Body.ends_with("data: [DONE]\n\n"));
-  CHECK_FALSE(world.server("a").process().running());
+  CHECK_FALSE(fixture.server("a").process().running());
 }
 
 TEST_CASE("Verdict: a stream that cannot be resumed is reset") {
-  TwoEngines world;
+  TwoEnginesFixture fixture;
   for (const char *it : {"a", "b"})
-    REQUIRE(world.server(it).setFaults(R"({"crash_after_tokens":3})"));
+    REQUIRE(fixture.server(it).setFaults(R"({"crash_after_tokens":3})"));
   Outcome<http::Response> answer =
-      world.sendRequest("n1", completion("m", "permit", 400, true));
+      fixture.sendRequest("n1", completion("m", "permit", 400, true));
   // The caller's connection was reset, so the answer cannot pass as complete.
   REQUIRE_FALSE(answer);
   CHECK(answer.failure().Code == FailureCode::ConnectionLost);
 }
 
 TEST_CASE("Verdict: an engine that refuses did not run it") {
-  RequestFixture world;
-  world.addServer("e", "engine",
-                  {"--model=m", "--slots=1", "--queue=0", "--tokens_per_s=20"});
-  world.addDaemon("d1", "lulea-hall", {{"e", "llm"}});
-  world.addEntry("n1", "lulea-hall");
-  world.publish(EngineService);
-  world.waitForServers(1);
+  RequestFixture fixture;
+  fixture.addServer(
+      "e", "engine",
+      {"--model=m", "--slots=1", "--queue=0", "--tokens_per_s=20"});
+  fixture.addDaemon("d1", "lulea-hall", {{"e", "llm"}});
+  fixture.addEntry("n1", "lulea-hall");
+  fixture.publish(EngineService);
+  fixture.waitForServers(1);
   // Another client holds its only slot without passing through the daemon.
   std::future<Outcome<http::Response>> other =
       std::async(std::launch::async, [&] {
-        return harness::call(world.server("e").address(),
+        return harness::call(fixture.server("e").address(),
                              completion("m", "other", 4000, false, 3),
                              Millis(3000));
       });
   REQUIRE(harness::waitUntil(
       [&] {
         Outcome<boost::json::value> state =
-            harness::getJson(world.server("e").address(), "/v1/state");
+            harness::getJson(fixture.server("e").address(), "/v1/state");
         return state && state->at("running").as_int64() == 1;
       },
       WaitTimeout));
-  checkRefusal(world.sendRequest("n1", completion("m", "mine", 20, false)), 503,
-               "not-run");
-  Outcome<boost::json::value> truth = world.server("e").truth();
+  checkRefusal(fixture.sendRequest("n1", completion("m", "mine", 20, false)),
+               503, "not-run");
+  Outcome<boost::json::value> truth = fixture.server("e").truth();
   REQUIRE(truth);
   CHECK(truth->at("completions").as_array().size() == 1);
   other.get();
 }
 
 TEST_CASE("Verdict: a request moves from a hung engine to another") {
-  TwoEngines world;
-  REQUIRE(world.server("a").setFaults(R"({"hang":true})"));
-  checkWhole(world.sendRequest("n1", completion("m", "permit", 20, false)));
+  TwoEnginesFixture fixture;
+  REQUIRE(fixture.server("a").setFaults(R"({"hang":true})"));
+  checkWhole(fixture.sendRequest("n1", completion("m", "permit", 20, false)));
 }
 
 TEST_CASE("Verdict: a caller's disconnect cancels the engine's work") {
-  TwoEngines world;
-  Outcome<http::Response> answer = world.sendRequest(
+  TwoEnginesFixture fixture;
+  Outcome<http::Response> answer = fixture.sendRequest(
       "n1", completion("m", "long", 4000, false, 3), Millis(300));
   REQUIRE_FALSE(answer);
   bool cancelled = harness::waitUntil(
@@ -309,7 +310,7 @@
         std::size_t running = 0;
         for (const char *it : {"a", "b"}) {
           Outcome<boost::json::value> state =
-              harness::getJson(world.server(it).address(), "/v1/state");
+              harness::getJson(fixture.server(it).address(), "/v1/state");
           running += state ? state->at("running").as_int64() : 1;
         }
         return running == 0;
