--- a/IntegrationTests/Cases/RequestFixture.cpp
+++ b/IntegrationTests/Cases/RequestFixture.cpp
@@ -63,12 +63,12 @@
   return flags;
 }
 
-MemberProcess &
-RequestFixture::addDaemon(const std::string &Name, const std::string &Domain,
-                          const std::map<std::string, std::string> &Servers,
-                          const std::map<std::string, Address> &Proxies) {
+MemberProcess &RequestFixture::addDaemon(
+    const std::string &Name, const std::string &Domain,
+    const std::map<std::string, std::string> &ServiceByServer,
+    const std::map<std::string, Address> &Proxies) {
   std::string upstreams;
-  for (const std::pair<const std::string, std::string> &it : Servers) {
+  for (const std::pair<const std::string, std::string> &it : ServiceByServer) {
     std::map<std::string, Address>::const_iterator proxy =
         Proxies.find(it.first);
     Address where =
--- a/IntegrationTests/Cases/RequestFixture.h
+++ b/IntegrationTests/Cases/RequestFixture.h
@@ -40,9 +40,10 @@
                               std::vector<std::string> Flags = {});
   /// Starts a daemon for servers, given as server name to service. `Proxies`
   /// replaces the address of a server by that of a fault proxy.
-  MemberProcess &addDaemon(const std::string &Name, const std::string &Domain,
-                           const std::map<std::string, std::string> &Servers,
-                           const std::map<std::string, Address> &Proxies = {});
+  MemberProcess &
+  addDaemon(const std::string &Name, const std::string &Domain,
+            const std::map<std::string, std::string> &ServiceByServer,
+            const std::map<std::string, Address> &Proxies = {});
   MemberProcess &addEntry(const std::string &Name, const std::string &Domain,
                           std::vector<std::string> Flags = {});
   /// Publishes declarations, given in the format of a declaration file.
--- a/IntegrationTests/Harness/RolloutCluster.cpp
+++ b/IntegrationTests/Harness/RolloutCluster.cpp
@@ -225,10 +225,10 @@
                                    const std::string &Trainer) const {
   if (!Daemons[At].Child->running())
     return {};
-  boost::json::value status = status(At);
-  if (!status.is_object() || !status.as_object().contains("rollouts"))
+  boost::json::value report = status(At);
+  if (!report.is_object() || !report.as_object().contains("rollouts"))
     return {};
-  const boost::json::object &rollouts = status.at("rollouts").as_object();
+  const boost::json::object &rollouts = report.at("rollouts").as_object();
   const boost::json::value *owned = rollouts.if_contains("trainers");
   if (owned == nullptr)
     return {};
@@ -253,10 +253,10 @@
   std::optional<std::size_t> owner = findOwner(Trainer);
   if (!owner)
     return std::nullopt;
-  boost::json::value status = ownedTrainerStatus(*owner, Trainer);
-  if (status.is_null())
+  boost::json::value report = ownedTrainerStatus(*owner, Trainer);
+  if (report.is_null())
     return std::nullopt;
-  return findNumber(status, "running");
+  return findNumber(report, "running");
 }
 
 void RolloutCluster::killDaemon(std::size_t At) {
@@ -281,23 +281,23 @@
 }
 
 Outcome<TrainerTruth> RolloutCluster::truth(std::size_t At) const {
-  Outcome<boost::json::value> status = Trainers[At]->truth();
-  if (!status)
-    return status.failure();
+  Outcome<boost::json::value> report = Trainers[At]->truth();
+  if (!report)
+    return report.failure();
   TrainerTruth truth;
-  truth.IdleUs = findNumber(*status, "idle_us");
-  truth.TrainingUs = findNumber(*status, "training_us");
-  truth.Duplicates = findNumber(*status, "duplicates");
-  truth.Stale = findNumber(*status, "stale");
-  truth.Mislabelled = findNumber(*status, "mislabelled");
-  truth.Unknown = findNumber(*status, "unknown");
-  for (const boost::json::value &it : status->at("steps").as_array()) {
+  truth.IdleUs = findNumber(*report, "idle_us");
+  truth.TrainingUs = findNumber(*report, "training_us");
+  truth.Duplicates = findNumber(*report, "duplicates");
+  truth.Stale = findNumber(*report, "stale");
+  truth.Mislabelled = findNumber(*report, "mislabelled");
+  truth.Unknown = findNumber(*report, "unknown");
+  for (const boost::json::value &it : report->at("steps").as_array()) {
     truth.StepsTrained += findNumber(it, "trained_us") > 0 ? 1 : 0;
     if (findNumber(it, "whole_us") > 0)
       truth.StepUs.push_back(findNumber(it, "whole_us") -
                              findNumber(it, "opened_us"));
   }
-  for (const boost::json::value &it : status->at("deliveries").as_array())
+  for (const boost::json::value &it : report->at("deliveries").as_array())
     addSample(truth, it);
   return truth;
 }
@@ -314,13 +314,13 @@
 
 std::vector<std::uint64_t> RolloutCluster::weightSwapTimes() const {
   std::vector<std::uint64_t> times;
-  Outcome<boost::json::value> status = Weights->truth();
-  if (!status)
+  Outcome<boost::json::value> report = Weights->truth();
+  if (!report)
     return times;
-  for (const boost::json::value &it : status->at("publications").as_array()) {
+  for (const boost::json::value &it : report->at("publications").as_array()) {
     std::uint64_t last = 0;
     std::uint64_t count = 0;
-    for (const boost::json::value &fetch : status->at("fetches").as_array()) {
+    for (const boost::json::value &fetch : report->at("fetches").as_array()) {
       if (findNumber(fetch, "version") != findNumber(it, "version") ||
           !fetch.at("whole").as_bool())
         continue;
@@ -337,9 +337,9 @@
 std::uint64_t RolloutCluster::generatedTokens() const {
   std::uint64_t tokens = 0;
   for (const std::unique_ptr<StandIn> &it : Engines) {
-    Outcome<boost::json::value> status = it->truth();
-    if (status)
-      tokens += findNumber(*status, "generated");
+    Outcome<boost::json::value> report = it->truth();
+    if (report)
+      tokens += findNumber(*report, "generated");
   }
   return tokens;
 }
