--- a/IntegrationTests/Harness/Deployment.cpp
+++ b/IntegrationTests/Harness/Deployment.cpp
@@ -353,12 +353,12 @@
 void Deployment::kill(WasabiProcess &Node) {
   Node.Child->signal(SIGKILL);
   Node.Child->wait(ProcessStartTimeout);
-  http::Request ask;
-  ask.Method = "DELETE";
-  ask.Target = "/v1/instances/" + Node.Name;
+  http::Request req;
+  req.Method = "DELETE";
+  req.Target = "/v1/instances/" + Node.Name;
   // An instance list that is down receives the change later, as the platform's
   // own does.
-  call(Instances->address(), std::move(ask));
+  call(Instances->address(), std::move(req));
 }
 
 std::optional<ProcessExit> Deployment::stop(WasabiProcess &Node,
--- a/IntegrationTests/Harness/HttpCall.cpp
+++ b/IntegrationTests/Harness/HttpCall.cpp
@@ -26,10 +26,10 @@
 }
 
 http::Request request(std::string_view Method, std::string_view Path) {
-  http::Request ask;
-  ask.Method = Method;
-  ask.Target = Path;
-  return ask;
+  http::Request req;
+  req.Method = Method;
+  req.Target = Path;
+  return req;
 }
 
 } // namespace
@@ -88,10 +88,10 @@
 
 Outcome<http::Response> postJson(const Address &Where, std::string_view Path,
                                  std::string Body, Millis Timeout) {
-  http::Request ask = request("POST", Path);
-  ask.Headers.push_back({"Content-Type", "application/json"});
-  ask.Body = std::move(Body);
-  Outcome<http::Response> answer = call(Where, std::move(ask), Timeout);
+  http::Request req = request("POST", Path);
+  req.Headers.push_back({"Content-Type", "application/json"});
+  req.Body = std::move(Body);
+  Outcome<http::Response> answer = call(Where, std::move(req), Timeout);
   if (answer && answer->Status >= FirstFailingStatus)
     return statusFailure(Where, Path, *answer);
   return answer;
--- a/IntegrationTests/Harness/RolloutCluster.cpp
+++ b/IntegrationTests/Harness/RolloutCluster.cpp
@@ -262,10 +262,10 @@
 void RolloutCluster::killDaemon(std::size_t At) {
   Daemons[At].Child->signal(SIGKILL);
   Daemons[At].Child->wait(ReadyTimeout);
-  http::Request ask;
-  ask.Method = "DELETE";
-  ask.Target = "/v1/instances/" + Daemons[At].Instance;
-  call(Instances->address(), std::move(ask));
+  http::Request req;
+  req.Method = "DELETE";
+  req.Target = "/v1/instances/" + Daemons[At].Instance;
+  call(Instances->address(), std::move(req));
 }
 
 void RolloutCluster::replaceEngine(std::size_t At) {
--- a/IntegrationTests/Platform/PlatformFixture.cpp
+++ b/IntegrationTests/Platform/PlatformFixture.cpp
@@ -52,13 +52,13 @@
 http::Request PlatformFixture::request(const std::string &Method,
                                        const std::string &Target,
                                        const std::string &Id) const {
-  http::Request ask;
-  ask.Method = Method;
-  ask.Target = Target;
-  ask.Headers = {{"Host", "host.example"}, {"Wasabisail-Request-Id", Id}};
+  http::Request req;
+  req.Method = Method;
+  req.Target = Target;
+  req.Headers = {{"Host", "host.example"}, {"Wasabisail-Request-Id", Id}};
   if (!CustomerKey.empty())
-    ask.Headers.push_back({"Wasabisail-Key", CustomerKey});
-  return ask;
+    req.Headers.push_back({"Wasabisail-Key", CustomerKey});
+  return req;
 }
 
 PlatformFixture::PlatformFixture(PlatformFixtureSettings Setup)
@@ -317,10 +317,10 @@
                                              const std::string &Path,
                                              const std::string &Id,
                                              const std::string &Body) {
-  http::Request ask = request("POST", Path, Id);
-  ask.Headers.push_back({"Wasabisail-Deadline-Ms", "2000"});
-  ask.Body = Body;
-  return send(Edge, std::move(ask));
+  http::Request req = request("POST", Path, Id);
+  req.Headers.push_back({"Wasabisail-Deadline-Ms", "2000"});
+  req.Body = Body;
+  return send(Edge, std::move(req));
 }
 
 std::string PlatformFixture::sendRaw(std::size_t Edge, const std::string &Bytes,
@@ -385,10 +385,10 @@
   std::vector<std::string> names;
   for (std::size_t i = 0; i < Items; ++i)
     names.push_back(Job + "-" + std::to_string(i));
-  http::Request ask = request("POST", "/rollout/" + Job, Job);
-  ask.Body = makeJobBody(Job, names, MinVersion);
+  http::Request req = request("POST", "/rollout/" + Job, Job);
+  req.Body = makeJobBody(Job, names, MinVersion);
   Outcome<http::Response> got =
-      harness::call(Edges[Edge].CallerAddress, std::move(ask));
+      harness::call(Edges[Edge].CallerAddress, std::move(req));
   return got ? got->Status : 0;
 }
 
