--- a/IntegrationTests/Harness/RolloutCluster.cpp
+++ b/IntegrationTests/Harness/RolloutCluster.cpp
@@ -327,7 +327,7 @@
       ++count;
       last = std::max(last, findNumber(fetch, "ended_us"));
     }
-    // A version that was superseded before all had fetched it has no such time.
+    // A version that was superseded before all had fetched it has no swap time.
     if (count >= Engines.size())
       times.push_back(last - findNumber(it, "published_us"));
   }
--- a/IntegrationTests/Platform/PlatformServers.cpp
+++ b/IntegrationTests/Platform/PlatformServers.cpp
@@ -197,7 +197,7 @@
   if (crashes) {
     std::uint64_t incarnation = Incarnation;
     co_await pauseFor(Context.get_executor(), EventDelay);
-    // Another such request may have crashed the server meanwhile.
+    // Another crashing request may have crashed the server meanwhile.
     if (incarnation == Incarnation)
       asio::co_spawn(
           Context, [this] { return crash(); }, asio::detached);
