--- a/IntegrationTests/Chaos/AnswerCheck.cpp
+++ b/IntegrationTests/Chaos/AnswerCheck.cpp
@@ -23,7 +23,8 @@
   return text;
 }
 
-/// Token `position` of a prompt and seed on a version: docs/PLATFORM.md.
+/// Returns token `position` of the text that a weight version generates for a
+/// prompt and seed: docs/PLATFORM.md.
 std::string tokenText(std::string_view prompt, std::uint64_t seed,
                       std::uint64_t position, std::uint64_t version) {
   std::string key(prompt);
@@ -50,12 +51,12 @@
   return std::string(found->as_string());
 }
 
-std::optional<json::object> objectOf(std::string_view text) {
+std::optional<json::object> parseObject(std::string_view text) {
   json::error_code ec;
-  json::value whole = json::parse(text, ec);
-  if (ec || !whole.is_object())
+  json::value value = json::parse(text, ec);
+  if (ec || !value.is_object())
     return std::nullopt;
-  return std::move(whole.as_object());
+  return std::move(value.as_object());
 }
 
 std::string expectedText(std::string_view prompt, std::uint64_t seed,
@@ -67,15 +68,15 @@
   return text;
 }
 
-/// What a stream has shown so far.
+/// State of a completion's event stream up to the last checked event.
 struct StreamState {
   std::uint64_t Position = 0;
   bool Counted = false;
   bool Done = false;
 };
 
-std::string takeChunk(StreamState &state, const json::object &chunk,
-                      std::string_view prompt, std::uint64_t seed) {
+std::string checkChunk(StreamState &state, const json::object &chunk,
+                       std::string_view prompt, std::uint64_t seed) {
   if (chunk.contains("done")) {
     state.Counted = true;
     if (countAt(chunk, "tokens") != state.Position)
@@ -95,8 +96,8 @@
   return {};
 }
 
-std::string takeEvent(StreamState &state, std::string_view event,
-                      std::string_view prompt, std::uint64_t seed) {
+std::string checkEvent(StreamState &state, std::string_view event,
+                       std::string_view prompt, std::uint64_t seed) {
   if (event.substr(0, EventPrefix.size()) != EventPrefix)
     return "an event without data";
   event.remove_prefix(EventPrefix.size());
@@ -106,10 +107,10 @@
     state.Done = true;
     return {};
   }
-  const std::optional<json::object> chunk = objectOf(event);
+  const std::optional<json::object> chunk = parseObject(event);
   if (!chunk)
     return "an event that is no JSON object";
-  return takeChunk(state, *chunk, prompt, seed);
+  return checkChunk(state, *chunk, prompt, seed);
 }
 
 } // namespace
@@ -117,7 +118,7 @@
 std::string findPlainAnswerError(std::string_view Answer,
                                  std::string_view Method, std::string_view Path,
                                  std::string_view Body) {
-  const std::optional<json::object> answer = objectOf(Answer);
+  const std::optional<json::object> answer = parseObject(Answer);
   if (!answer)
     return "not a JSON object";
   if (textAt(*answer, "method") != Method)
@@ -133,7 +134,7 @@
 
 std::string findCompletionError(std::string_view Answer,
                                 std::string_view Prompt, std::uint64_t Seed) {
-  const std::optional<json::object> answer = objectOf(Answer);
+  const std::optional<json::object> answer = parseObject(Answer);
   if (!answer)
     return "not a JSON object";
   const json::value *spans = answer->if_contains("spans");
@@ -164,7 +165,7 @@
     const std::size_t end = Events.find(EventEnd);
     if (end == std::string_view::npos)
       return "it ends inside an event";
-    std::string fault = takeEvent(state, Events.substr(0, end), Prompt, Seed);
+    std::string fault = checkEvent(state, Events.substr(0, end), Prompt, Seed);
     if (!fault.empty())
       return fault;
     Events.remove_prefix(end + EventEnd.size());
--- a/IntegrationTests/Chaos/AnswerCheck.h
+++ b/IntegrationTests/Chaos/AnswerCheck.h
@@ -1,6 +1,6 @@
 /// \file
-/// Whether an answer is the whole answer to the request that was sent, by what
-/// the stand-ins must say (docs/PLATFORM.md).
+/// Checks that a response is complete and belongs to the request that was sent,
+/// as the platform stand-ins generate it (docs/PLATFORM.md).
 #ifndef WASABI_INTEGRATIONTESTS_CHAOS_ANSWERCHECK_H
 #define WASABI_INTEGRATIONTESTS_CHAOS_ANSWERCHECK_H
 
@@ -10,16 +10,17 @@
 
 namespace wasabi::chaos {
 
-/// Why a plain service's answer is not the one to this request; empty if it is.
+/// Returns the error in a plain service's response to this request; empty if
+/// the response is correct.
 std::string findPlainAnswerError(std::string_view Answer,
                                  std::string_view Method, std::string_view Path,
                                  std::string_view Body);
 
-/// The same for a whole completion.
+/// Returns the error in a non-streamed completion; empty if it is correct.
 std::string findCompletionError(std::string_view Answer,
                                 std::string_view Prompt, std::uint64_t Seed);
 
-/// The same for a completion's event stream.
+/// Returns the error in a completion's event stream; empty if it is correct.
 std::string findStreamError(std::string_view Events, std::string_view Prompt,
                             std::uint64_t Seed);
 
--- a/IntegrationTests/Chaos/CallerLoad.cpp
+++ b/IntegrationTests/Chaos/CallerLoad.cpp
@@ -21,27 +21,27 @@
 
 namespace asio = boost::asio;
 
-/// A caller pauses between two asks for up to this long.
-constexpr std::uint64_t MaxPauseMs = 80;
-/// The balancer goes on to another entry where it cannot connect.
-constexpr int MaxConnects = 4;
-/// How often a keyed write is sent while its fate is in doubt.
+/// Maximum delay between two requests of a caller.
+constexpr std::uint64_t MaxDelayMs = 80;
+/// Maximum number of entries that the balancer tries to connect to.
+constexpr int MaxConnectAttempts = 4;
+/// Maximum number of times that a keyed write is sent while its outcome is
+/// unknown.
 constexpr int MaxKeyedSends = 3;
 constexpr std::uint64_t MaxTokens = 48;
-constexpr Millis ConnectPause{50};
-/// What a patient caller waits before it sends again; refusals ask for up to a
-/// second.
-constexpr Millis RepeatPause{1000};
+constexpr Millis ConnectRetryDelay{50};
+/// Delay before a retry; the longest retry delay that a refusal requests.
+constexpr Millis RetryDelay{1000};
 
-/// One ask as sent.
-struct Ask {
+/// A request as it is sent.
+struct RequestSpec {
   std::string Mark;
   CallKind Kind = CallKind::Read;
   std::uint64_t TokenSeed = 0;
   http::Request Http;
 };
 
-CallKind drawKind(std::mt19937_64 &random) {
+CallKind randomKind(std::mt19937_64 &random) {
   constexpr CallKind Kinds[] = {CallKind::CompletionWhole,
                                 CallKind::CompletionStreamed,
                                 CallKind::Read,
@@ -53,13 +53,13 @@
   return Kinds[random() % std::size(Kinds)];
 }
 
-http::Request completionRequest(const CallerLoad::Settings &setup,
-                                const Ask &ask) {
-  const bool streamed = ask.Kind == CallKind::CompletionStreamed;
+http::Request makeCompletionRequest(const CallerLoad::Settings &setup,
+                                    const RequestSpec &spec) {
+  const bool streamed = spec.Kind == CallKind::CompletionStreamed;
   std::string body = R"({"model":")" + setup.Model + R"(","prompt":")" +
-                     ask.Mark + R"(","max_tokens":)" +
+                     spec.Mark + R"(","max_tokens":)" +
                      std::to_string(MaxTokens) + R"(,"seed":)" +
-                     std::to_string(ask.TokenSeed) + R"(,"stream":)" +
+                     std::to_string(spec.TokenSeed) + R"(,"stream":)" +
                      (streamed ? "true}" : "false}");
   return {"POST",
           "/v1/completions",
@@ -68,59 +68,62 @@
           std::move(body)};
 }
 
-http::Request plainRequest(const CallerLoad::Settings &setup, const Ask &ask) {
+http::Request makePlainRequest(const CallerLoad::Settings &setup,
+                               const RequestSpec &spec) {
   http::Request request;
-  request.Method = ask.Kind == CallKind::Read ? "GET" : "POST";
-  request.Target = ask.Mark;
+  request.Method = spec.Kind == CallKind::Read ? "GET" : "POST";
+  request.Target = spec.Mark;
   request.Headers = {{"X-Service", setup.PlainService}};
-  if (ask.Kind != CallKind::Read)
-    request.Body = "body of " + ask.Mark;
-  if (ask.Kind == CallKind::KeyedWrite)
-    request.Headers.push_back({"Idempotency-Key", ask.Mark});
+  if (spec.Kind != CallKind::Read)
+    request.Body = "body of " + spec.Mark;
+  if (spec.Kind == CallKind::KeyedWrite)
+    request.Headers.push_back({"Idempotency-Key", spec.Mark});
   return request;
 }
 
-Ask makeAsk(const CallerLoad::Settings &setup, std::uint32_t caller,
-            std::uint64_t count, std::mt19937_64 &random) {
-  Ask ask;
-  ask.Kind = drawKind(random);
-  ask.TokenSeed = random() % 1000;
+RequestSpec makeRequestSpec(const CallerLoad::Settings &setup,
+                            std::uint32_t caller, std::uint64_t count,
+                            std::mt19937_64 &random) {
+  RequestSpec spec;
+  spec.Kind = randomKind(random);
+  spec.TokenSeed = random() % 1000;
   const std::string name = std::to_string(caller) + "-" + std::to_string(count);
-  const bool isCompletion = ask.Kind == CallKind::CompletionWhole ||
-                            ask.Kind == CallKind::CompletionStreamed;
-  // Reads and writes have paths of their own, so that a route tells them apart.
-  ask.Mark = isCompletion                 ? "prompt-" + name
-             : ask.Kind == CallKind::Read ? "/items/" + name
-                                          : "/bids/" + name;
-  ask.Http =
-      isCompletion ? completionRequest(setup, ask) : plainRequest(setup, ask);
-  ask.Http.Headers.push_back({"X-Caller", "caller-" + std::to_string(caller)});
-  ask.Http.Headers.push_back(
+  const bool isCompletion = spec.Kind == CallKind::CompletionWhole ||
+                            spec.Kind == CallKind::CompletionStreamed;
+  // Reads and writes have different paths, so that routes can distinguish them.
+  spec.Mark = isCompletion                  ? "prompt-" + name
+              : spec.Kind == CallKind::Read ? "/items/" + name
+                                            : "/bids/" + name;
+  spec.Http = isCompletion ? makeCompletionRequest(setup, spec)
+                           : makePlainRequest(setup, spec);
+  spec.Http.Headers.push_back({"X-Caller", "caller-" + std::to_string(caller)});
+  spec.Http.Headers.push_back(
       {"X-Deadline-Ms", std::to_string(setup.Deadline.count())});
-  return ask;
+  return spec;
 }
 
-std::string faultOf(const Ask &ask, const std::string &answer) {
-  switch (ask.Kind) {
+std::string findResponseError(const RequestSpec &spec,
+                              const std::string &answer) {
+  switch (spec.Kind) {
   case CallKind::CompletionWhole:
-    return findCompletionError(answer, ask.Mark, ask.TokenSeed);
+    return findCompletionError(answer, spec.Mark, spec.TokenSeed);
   case CallKind::CompletionStreamed:
-    return findStreamError(answer, ask.Mark, ask.TokenSeed);
+    return findStreamError(answer, spec.Mark, spec.TokenSeed);
   default:
-    return findPlainAnswerError(answer, ask.Http.Method, ask.Mark,
-                                ask.Http.Body);
+    return findPlainAnswerError(answer, spec.Http.Method, spec.Mark,
+                                spec.Http.Body);
   }
 }
 
-/// What an answer read to its end means to the caller.
-void judgeAnswer(CallerRecord &record, const Ask &ask,
-                 const http::Response &answer) {
+/// Returns the outcome of a response that was read to its end.
+void recordResponse(CallerRecord &record, const RequestSpec &spec,
+                    const http::Response &answer) {
   constexpr unsigned Success = 200;
   record.Status = answer.Status;
   if (answer.Status == Success) {
-    const std::string fault = faultOf(ask, answer.Body);
-    record.End = fault.empty() ? CallOutcome::Whole : CallOutcome::Wrong;
-    record.Note += fault;
+    const std::string error = findResponseError(spec, answer.Body);
+    record.End = error.empty() ? CallOutcome::Whole : CallOutcome::Wrong;
+    record.Note += error;
     return;
   }
   const std::string_view verdict = answer.header("X-Wasabi-Verdict");
@@ -148,7 +151,7 @@
     end();
     return Records;
   }
-  std::uint64_t completeAnswerCount() const override { return Whole; }
+  std::uint64_t completeAnswerCount() const override { return CompleteCount; }
 
 private:
   void end() {
@@ -161,10 +164,13 @@
     co_await timer.async_wait(asio::use_awaitable);
   }
   asio::awaitable<void> runCaller(std::uint32_t caller);
-  asio::awaitable<void> sendAtOnce(const Ask &ask, std::mt19937_64 &random);
-  asio::awaitable<void> sendPatiently(const Ask &ask, std::mt19937_64 &random);
-  asio::awaitable<CallOutcome> send(const Ask &ask, std::mt19937_64 &random);
-  asio::awaitable<bool> trySend(const Ask &ask, Address where,
+  asio::awaitable<void> sendWithoutDelay(const RequestSpec &spec,
+                                         std::mt19937_64 &random);
+  asio::awaitable<void> sendWithRetries(const RequestSpec &spec,
+                                        std::mt19937_64 &random);
+  asio::awaitable<CallOutcome> send(const RequestSpec &spec,
+                                    std::mt19937_64 &random);
+  asio::awaitable<bool> trySend(const RequestSpec &spec, Address where,
                                 CallerRecord &record);
 
   const Settings Setup;
@@ -172,7 +178,7 @@
   std::shared_ptr<http::Client> Client;
   Published<std::vector<Address>> Entries;
   std::atomic<bool> Ending{false};
-  std::atomic<std::uint64_t> Whole{0};
+  std::atomic<std::uint64_t> CompleteCount{0};
   std::vector<CallerRecord> Records;
   std::thread Thread;
 };
@@ -180,72 +186,73 @@
 asio::awaitable<void> Load::runCaller(std::uint32_t caller) {
   std::mt19937_64 random(Setup.Seed * 1000 + caller);
   for (std::uint64_t count = 0; !Ending; ++count) {
-    const Ask ask = makeAsk(Setup, caller, count, random);
+    const RequestSpec spec = makeRequestSpec(Setup, caller, count, random);
     if (Setup.MaxDelayedRetries > 0)
-      co_await sendPatiently(ask, random);
+      co_await sendWithRetries(spec, random);
     else
-      co_await sendAtOnce(ask, random);
-    co_await pause(Millis(random() % MaxPauseMs));
+      co_await sendWithoutDelay(spec, random);
+    co_await pause(Millis(random() % MaxDelayMs));
   }
 }
 
-asio::awaitable<void> Load::sendAtOnce(const Ask &ask,
-                                       std::mt19937_64 &random) {
-  const int sends = ask.Kind == CallKind::KeyedWrite ? MaxKeyedSends : 1;
+asio::awaitable<void> Load::sendWithoutDelay(const RequestSpec &spec,
+                                             std::mt19937_64 &random) {
+  const int sends = spec.Kind == CallKind::KeyedWrite ? MaxKeyedSends : 1;
   for (int n = 0; n < sends && !Ending; ++n) {
-    if (co_await send(ask, random) == CallOutcome::Whole)
+    if (co_await send(spec, random) == CallOutcome::Whole)
       break;
   }
 }
 
-/// Goes on also when the load is ending: a request once begun is seen through.
-asio::awaitable<void> Load::sendPatiently(const Ask &ask,
-                                          std::mt19937_64 &random) {
+/// Continues after the load is stopped, so that a started request is completed.
+asio::awaitable<void> Load::sendWithRetries(const RequestSpec &spec,
+                                            std::mt19937_64 &random) {
   for (std::uint32_t n = 0; n <= Setup.MaxDelayedRetries; ++n) {
-    const CallOutcome end = co_await send(ask, random);
-    const bool mayRepeat =
+    const CallOutcome end = co_await send(spec, random);
+    const bool mayRetry =
         end == CallOutcome::NotRun ||
-        (end == CallOutcome::MayHaveRun && ask.Kind == CallKind::KeyedWrite);
-    if (!mayRepeat)
+        (end == CallOutcome::MayHaveRun && spec.Kind == CallKind::KeyedWrite);
+    if (!mayRetry)
       break;
-    co_await pause(RepeatPause);
+    co_await pause(RetryDelay);
   }
 }
 
-/// One ask through the balancer: where it can't connect, it tries another.
-asio::awaitable<CallOutcome> Load::send(const Ask &ask,
+/// Sends a request through the balancer, which tries another entry if it can't
+/// connect.
+asio::awaitable<CallOutcome> Load::send(const RequestSpec &spec,
                                         std::mt19937_64 &random) {
   CallerRecord record;
-  record.Mark = ask.Mark;
-  record.Kind = ask.Kind;
+  record.Mark = spec.Mark;
+  record.Kind = spec.Kind;
   record.Begun = wallMicros();
   record.End = CallOutcome::NotRun;
-  for (int n = 0; n < MaxConnects; ++n) {
+  for (int n = 0; n < MaxConnectAttempts; ++n) {
     const std::shared_ptr<const std::vector<Address>> ready = Entries.get();
     if (ready->empty()) {
       record.Note = "no entry is ready";
-      co_await pause(ConnectPause);
+      co_await pause(ConnectRetryDelay);
       continue;
     }
-    if (co_await trySend(ask, (*ready)[random() % ready->size()], record))
+    if (co_await trySend(spec, (*ready)[random() % ready->size()], record))
       break;
-    co_await pause(ConnectPause);
+    co_await pause(ConnectRetryDelay);
   }
   record.Ended = wallMicros();
   if (record.End == CallOutcome::Whole)
-    ++Whole;
+    ++CompleteCount;
   Records.push_back(record);
   co_return record.End;
 }
 
-/// False when the entry could not be connected to.
-asio::awaitable<bool> Load::trySend(const Ask &ask, Address where,
+/// Returns false if the entry could not be connected to.
+asio::awaitable<bool> Load::trySend(const RequestSpec &spec, Address where,
                                     CallerRecord &record) {
   record.Note = toText(where) + ": ";
   const Outcome<http::Response> answer =
-      co_await Client->call(where, ask.Http, Setup.CallerTimeout);
+      co_await Client->call(where, spec.Http, Setup.CallerTimeout);
   if (answer) {
-    judgeAnswer(record, ask, *answer);
+    recordResponse(record, spec, *answer);
     co_return true;
   }
   record.Note += describe(answer.failure());
--- a/IntegrationTests/Chaos/CallerLoad.h
+++ b/IntegrationTests/Chaos/CallerLoad.h
@@ -1,6 +1,6 @@
 /// \file
-/// Callers that ask the entries for as long as they are let, and keep a record
-/// of all that they saw.
+/// Callers that send requests to the entries until they are stopped, and record
+/// every outcome.
 #ifndef WASABI_INTEGRATIONTESTS_CHAOS_CALLERLOAD_H
 #define WASABI_INTEGRATIONTESTS_CHAOS_CALLERLOAD_H
 
@@ -13,32 +13,33 @@
 
 namespace wasabi::chaos {
 
-/// A thread with some callers. Thread-safe.
+/// Runs callers on their own thread. Thread-safe.
 class CallerLoad {
 public:
   struct Settings {
     std::uint64_t Seed = 1;
     std::uint32_t Callers = 10;
-    /// The engines' service and model, and the plain service.
+    /// Service and model of the engines, and the plain service.
     std::string EngineService;
     std::string Model;
     std::string PlainService;
-    /// How long an ask may take, as told to the system and as waited for.
+    /// Deadline of a request, sent to the system and enforced by the caller.
     Millis Deadline{5000};
     Millis CallerTimeout{8000};
-    /// Most times that a caller sends again what did not run, or is in doubt
-    /// and has a key, each time after a second. Without, it sends a keyed write
-    /// a few times at once and all else once.
+    /// Maximum number of retries, each after a second, of a request that did
+    /// not run, or that has a key and an unknown outcome. If 0, a keyed write
+    /// is retried a few times immediately and any other request is sent once.
     std::uint32_t MaxDelayedRetries = 0;
   };
 
   static std::unique_ptr<CallerLoad> start(Settings Setup);
   virtual ~CallerLoad() = default;
-  /// The entries that the platform's balancer sends to now.
+  /// Sets the entries that the platform's balancer sends to.
   virtual void setEntries(std::vector<Address> Ready) = 0;
-  /// Lets each caller finish its ask, ends them, and gives their records.
+  /// Lets each caller finish its request, stops the callers and returns their
+  /// records.
   virtual std::vector<CallerRecord> finish() = 0;
-  /// Asks answered whole so far.
+  /// Number of requests with a complete and correct response so far.
   virtual std::uint64_t completeAnswerCount() const = 0;
 };
 
--- a/IntegrationTests/Chaos/CallerRecord.h
+++ b/IntegrationTests/Chaos/CallerRecord.h
@@ -1,6 +1,6 @@
 /// \file
-/// What a caller asked and what it saw: to be held against the upstreams'
-/// truth.
+/// A caller's requests and their outcomes, to be compared with the upstreams'
+/// records.
 #ifndef WASABI_INTEGRATIONTESTS_CHAOS_CALLERRECORD_H
 #define WASABI_INTEGRATIONTESTS_CHAOS_CALLERRECORD_H
 
@@ -10,40 +10,42 @@
 
 namespace wasabi::chaos {
 
-/// What callers send.
+/// Kinds of requests that callers send.
 enum class CallKind : std::uint8_t {
   CompletionWhole,
   CompletionStreamed,
   Read,
   /// Not idempotent, without a key: sent once.
   Write,
-  /// Not idempotent, with an `Idempotency-Key`: sent again when in doubt.
+  /// Not idempotent, with an `Idempotency-Key`: retried if the outcome is
+  /// unknown.
   KeyedWrite,
 };
 
-/// How an ask ended for its caller.
+/// Outcome of a request as its caller sees it.
 enum class CallOutcome : std::uint8_t {
-  /// A whole answer, and the right one.
+  /// A complete and correct response.
   Whole,
-  /// A whole answer that is not its own request's.
+  /// A complete response that belongs to another request.
   Wrong,
-  /// Refused with the word that it did not run, or never sent.
+  /// Refused with the verdict that it did not run, or never sent.
   NotRun,
-  /// Anything else: it may have run.
+  /// Any other outcome: the request may have run.
   MayHaveRun,
 };
 
-/// One ask; a repeat with the same key is another. An immutable value.
+/// One attempt of a request; a retry with the same key has its own record. An
+/// immutable value.
 struct CallerRecord {
-  /// The path or prompt that is this request's alone.
+  /// Path or prompt that identifies this request.
   std::string Mark;
   CallKind Kind = CallKind::Read;
   CallOutcome End = CallOutcome::MayHaveRun;
   unsigned Status = 0;
-  /// Wall microseconds.
+  /// Wall-clock time in microseconds.
   std::uint64_t Begun = 0;
   std::uint64_t Ended = 0;
-  /// For a person: the entry, the reason.
+  /// Entry and reason, for diagnostics only.
   std::string Note;
 };
 
--- a/IntegrationTests/Chaos/Cluster.cpp
+++ b/IntegrationTests/Chaos/Cluster.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-constexpr Millis ReadyLimit{30000};
-constexpr Millis EndLimit{5000};
-constexpr Millis CommandLimit{30000};
+constexpr Millis ReadyTimeout{30000};
+constexpr Millis ExitTimeout{5000};
+constexpr Millis CommandTimeout{30000};
 
 std::string rateLimit(std::uint32_t rate) {
   return R"({"kind":"limit","name":"chaos","requests_per_second":)" +
@@ -32,8 +32,8 @@
          R"({"kind":"switch","name":"preset","preset":"ordinary"})";
 }
 
-/// Domains take turns, as in the users' deployments.
-std::string domainOf(const ClusterPlan &plan, std::size_t which) {
+/// Assigns servers to failure domains in rotation.
+std::string findDomain(const ClusterPlan &plan, std::size_t which) {
   return plan.Domains[which % plan.Domains.size()];
 }
 
@@ -53,7 +53,7 @@
   return text;
 }
 
-/// Nobody answers there: for a link whose process has yet to start.
+/// Refuses connections: the upstream of a link whose process has not started.
 const Address NoAddress{"127.0.0.1", 1};
 
 std::string logFile(const std::string &folder, const std::string &name) {
@@ -102,7 +102,7 @@
 
 Result<void> Cluster::startPlatform() {
   BOOST_LEAF_ASSIGN(Log, standIn("log", {}, "log"));
-  // Small weights: a version is on every engine within a second.
+  // The weights are small, so that every engine loads a version quickly.
   BOOST_LEAF_ASSIGN(Weights, standIn("weights",
                                      {"--bytes_per_s=40000000",
                                       "--blob_bytes=4000000", "--fetches=8"},
@@ -127,8 +127,8 @@
   return {};
 }
 
-std::vector<std::string> Cluster::engineFlags(std::size_t Which) const {
-  return {"--name=" + Plan.EngineService + "-" + std::to_string(Which + 1),
+std::vector<std::string> Cluster::engineFlags(std::size_t Index) const {
+  return {"--name=" + Plan.EngineService + "-" + std::to_string(Index + 1),
           "--model=" + Plan.Model,
           "--slots=8",
           "--tokens_per_s=120",
@@ -155,24 +155,24 @@
   return {};
 }
 
-Result<void> Cluster::prepareSlot(Slot &Which) {
-  BOOST_LEAF_ASSIGN(Which.ControlLink,
-                    link(NoAddress, "link-control-" + Which.Instance));
-  Which.Flags = {
-      "--instance=" + Which.Instance,
-      "--failure_domain=" + Which.Domain,
-      "--advertise_control=" + toText(Which.ControlLink->address()),
+Result<void> Cluster::prepareSlot(ProcessSlot &Slot) {
+  BOOST_LEAF_ASSIGN(Slot.ControlLink,
+                    link(NoAddress, "link-control-" + Slot.Instance));
+  Slot.Flags = {
+      "--instance=" + Slot.Instance,
+      "--failure_domain=" + Slot.Domain,
+      "--advertise_control=" + toText(Slot.ControlLink->address()),
       "--log=" + toText(LogLink->address()),
       "--instances=" + toText(InstancesLink->address()),
   };
-  if (Which.IsEntry)
+  if (Slot.IsEntry)
     return {};
-  BOOST_LEAF_ASSIGN(Which.FramesLink,
-                    link(NoAddress, "link-frames-" + Which.Instance));
-  Which.Flags.push_back("--advertise_frames=" +
-                        toText(Which.FramesLink->address()));
-  Which.Flags.push_back("--weights=" + toText(WeightsLink->address()));
-  Which.Flags.push_back("--scorer=" + toText(Scorer->address()));
+  BOOST_LEAF_ASSIGN(Slot.FramesLink,
+                    link(NoAddress, "link-frames-" + Slot.Instance));
+  Slot.Flags.push_back("--advertise_frames=" +
+                       toText(Slot.FramesLink->address()));
+  Slot.Flags.push_back("--weights=" + toText(WeightsLink->address()));
+  Slot.Flags.push_back("--scorer=" + toText(Scorer->address()));
   return {};
 }
 
@@ -184,8 +184,8 @@
     const std::string &service =
         isEngine ? Plan.EngineService : Plan.PlainService;
     const StandIn &upstream = isEngine ? *Engines[number] : *Services[number];
-    std::unique_ptr<Slot> slot = std::make_unique<Slot>();
-    slot->Domain = domainOf(Plan, n);
+    std::unique_ptr<ProcessSlot> slot = std::make_unique<ProcessSlot>();
+    slot->Domain = findDomain(Plan, n);
     slot->Instance = slot->Domain + "-" + std::to_string(n + 1);
     slot->Server = service + "-" + std::to_string(number + 1);
     BOOST_LEAF_CHECK(prepareSlot(*slot));
@@ -194,9 +194,9 @@
     Daemons.push_back(std::move(slot));
   }
   for (std::size_t n = 0; n < Plan.Entries; ++n) {
-    std::unique_ptr<Slot> slot = std::make_unique<Slot>();
+    std::unique_ptr<ProcessSlot> slot = std::make_unique<ProcessSlot>();
     slot->IsEntry = true;
-    slot->Domain = domainOf(Plan, n);
+    slot->Domain = findDomain(Plan, n);
     slot->Instance = "entry-" + std::to_string(n + 1);
     BOOST_LEAF_CHECK(prepareSlot(*slot));
     Entries.push_back(std::move(slot));
@@ -204,12 +204,12 @@
   return {};
 }
 
-Result<void> Cluster::startSlot(Slot &Which) {
+Result<void> Cluster::startSlot(ProcessSlot &Slot) {
   Process::Settings setup;
-  setup.Program = Which.IsEntry ? "wasabi-entry" : "wasabi-daemon";
-  setup.Arguments = Which.Flags;
+  setup.Program = Slot.IsEntry ? "wasabi-entry" : "wasabi-daemon";
+  setup.Arguments = Slot.Flags;
   setup.ErrorFile =
-      logFile(Folder, Which.Instance + "." + std::to_string(++Which.Starts));
+      logFile(Folder, Slot.Instance + "." + std::to_string(++Slot.Starts));
   BOOST_LEAF_AUTO(started, Process::start(std::move(setup)));
   std::shared_ptr<Process> process(std::move(started));
   BOOST_LEAF_AUTO(controls, process->waitForAddress("control"));
@@ -217,64 +217,65 @@
   const auto point = [](const StandIn &to, const Address &where) {
     to.setFaults(R"({"upstream":")" + toText(where) + R"("})");
   };
-  point(*Which.ControlLink, controls);
+  point(*Slot.ControlLink, controls);
   Address http;
-  if (Which.IsEntry) {
+  if (Slot.IsEntry) {
     BOOST_LEAF_ASSIGN(http, process->waitForAddress("listening"));
   } else {
     BOOST_LEAF_AUTO(frames, process->waitForAddress("frames"));
-    point(*Which.FramesLink, frames);
+    point(*Slot.FramesLink, frames);
   }
-  std::lock_guard<std::mutex> lock(Which.Guard);
-  Which.Process = std::move(process);
-  Which.Admin = admin;
-  Which.Http = http;
+  std::lock_guard<std::mutex> lock(Slot.Mutex);
+  Slot.Process = std::move(process);
+  Slot.Admin = admin;
+  Slot.Http = http;
   return {};
 }
 
-void Cluster::killSlot(Slot &Which) {
+void Cluster::killSlot(ProcessSlot &Slot) {
   std::shared_ptr<Process> process;
   {
-    std::lock_guard<std::mutex> lock(Which.Guard);
-    process = std::move(Which.Process);
-    Which.Process = nullptr;
-    Which.Admin = Address();
-    Which.Http = Address();
+    std::lock_guard<std::mutex> lock(Slot.Mutex);
+    process = std::move(Slot.Process);
+    Slot.Process = nullptr;
+    Slot.Admin = Address();
+    Slot.Http = Address();
   }
   if (!process)
     return;
   process->signal(SIGKILL);
-  process->wait(EndLimit);
-  http::Request forget;
-  forget.Method = "DELETE";
-  forget.Target = "/v1/instances/" + Which.Instance;
-  harness::call(Instances->address(), forget, EndLimit);
+  process->wait(ExitTimeout);
+  http::Request request;
+  request.Method = "DELETE";
+  request.Target = "/v1/instances/" + Slot.Instance;
+  harness::call(Instances->address(), request, ExitTimeout);
 }
 
-void Cluster::killEngine(std::size_t Which) {
+void Cluster::killEngine(std::size_t Index) {
   std::lock_guard<std::mutex> lock(EnginesMutex);
-  Engines[Which]->process().signal(SIGKILL);
-  Engines[Which]->process().wait(EndLimit);
+  Engines[Index]->process().signal(SIGKILL);
+  Engines[Index]->process().wait(ExitTimeout);
 }
 
-Result<void> Cluster::startEngine(std::size_t Which) {
+Result<void> Cluster::startEngine(std::size_t Index) {
   std::lock_guard<std::mutex> lock(EnginesMutex);
-  if (Engines[Which]->process().running())
+  if (Engines[Index]->process().running())
     return {};
-  const Address where = Engines[Which]->address();
-  BOOST_LEAF_AUTO(again, standIn("engine", engineFlags(Which),
-                                 "engine-" + std::to_string(Which + 1), where));
-  Engines[Which] = std::move(again);
+  const Address where = Engines[Index]->address();
+  BOOST_LEAF_AUTO(restarted,
+                  standIn("engine", engineFlags(Index),
+                          "engine-" + std::to_string(Index + 1), where));
+  Engines[Index] = std::move(restarted);
   return {};
 }
 
-std::shared_ptr<StandIn> Cluster::engine(std::size_t Which) const {
+std::shared_ptr<StandIn> Cluster::engine(std::size_t Index) const {
   std::lock_guard<std::mutex> lock(EnginesMutex);
-  return Engines[Which];
+  return Engines[Index];
 }
 
 Cluster::CtlCommandResult
-Cluster::control(std::vector<std::string> Arguments) const {
+Cluster::runCtl(std::vector<std::string> Arguments) const {
   Arguments.push_back("--log=" + toText(Log->address()));
   Arguments.push_back("--instances=" + toText(Instances->address()));
   Process::Settings setup;
@@ -287,7 +288,7 @@
   if (!process)
     return {};
   const std::optional<harness::ProcessExit> end =
-      (*process)->waitAndRead(CommandLimit);
+      (*process)->waitAndRead(CommandTimeout);
   return {end ? end->Code : -1, (*process)->output()};
 }
 
@@ -318,38 +319,38 @@
 std::vector<StandIn *> Cluster::links() {
   std::vector<StandIn *> all = {LogLink.get(), WeightsLink.get(),
                                 InstancesLink.get(), TrainerLink.get()};
-  for (const std::unique_ptr<Slot> &it : Daemons) {
+  for (const std::unique_ptr<ProcessSlot> &it : Daemons) {
     all.push_back(it->FramesLink.get());
     all.push_back(it->ControlLink.get());
   }
-  for (const std::unique_ptr<Slot> &it : Entries)
+  for (const std::unique_ptr<ProcessSlot> &it : Entries)
     all.push_back(it->ControlLink.get());
   return all;
 }
 
-Address Cluster::adminAddress(const Slot &Which) {
-  std::lock_guard<std::mutex> lock(Which.Guard);
-  return Which.Admin;
+Address Cluster::adminAddress(const ProcessSlot &Slot) {
+  std::lock_guard<std::mutex> lock(Slot.Mutex);
+  return Slot.Admin;
 }
 
-Address Cluster::httpAddress(const Slot &Which) {
-  std::lock_guard<std::mutex> lock(Which.Guard);
-  return Which.Http;
+Address Cluster::httpAddress(const ProcessSlot &Slot) {
+  std::lock_guard<std::mutex> lock(Slot.Mutex);
+  return Slot.Http;
 }
 
-std::shared_ptr<Process> Cluster::currentProcess(const Slot &Which) {
-  std::lock_guard<std::mutex> lock(Which.Guard);
-  return Which.Process;
+std::shared_ptr<Process> Cluster::currentProcess(const ProcessSlot &Slot) {
+  std::lock_guard<std::mutex> lock(Slot.Mutex);
+  return Slot.Process;
 }
 
-Result<void> Cluster::startProduct() {
-  for (const std::unique_ptr<Slot> &it : Daemons)
+Result<void> Cluster::startProcesses() {
+  for (const std::unique_ptr<ProcessSlot> &it : Daemons)
     BOOST_LEAF_CHECK(startSlot(*it));
-  for (const std::unique_ptr<Slot> &it : Entries)
+  for (const std::unique_ptr<ProcessSlot> &it : Entries)
     BOOST_LEAF_CHECK(startSlot(*it));
   const CtlCommandResult applied =
-      control({"apply", writeDeclarations("declarations", 1000),
-               "--operator=chaos", "--message=start"});
+      runCtl({"apply", writeDeclarations("declarations", 1000),
+              "--operator=chaos", "--message=start"});
   if (applied.Code != 0)
     return boost::leaf::new_error(Failure{
         Verdict::MayHaveRun,
@@ -357,11 +358,12 @@
         "wasabictl apply",
         "exit code " + std::to_string(applied.Code) + ": " + applied.Output,
         {}});
-  for (const std::vector<std::unique_ptr<Slot>> *of : {&Daemons, &Entries}) {
-    for (const std::unique_ptr<Slot> &it : *of) {
+  for (const std::vector<std::unique_ptr<ProcessSlot>> *slots :
+       {&Daemons, &Entries}) {
+    for (const std::unique_ptr<ProcessSlot> &it : *slots) {
       const bool ready = harness::waitUntil(
           [&] { return bool(harness::getText(adminAddress(*it), "/readyz")); },
-          ReadyLimit);
+          ReadyTimeout);
       if (!ready)
         return boost::leaf::new_error(Failure{Verdict::NotRun,
                                               FailureCode::Unavailable,
@@ -380,7 +382,7 @@
   BOOST_LEAF_CHECK(cluster->startPlatform());
   BOOST_LEAF_CHECK(cluster->startUpstreams());
   BOOST_LEAF_CHECK(cluster->prepareSlots());
-  BOOST_LEAF_CHECK(cluster->startProduct());
+  BOOST_LEAF_CHECK(cluster->startProcesses());
   return cluster;
 }
 
--- a/IntegrationTests/Chaos/Cluster.h
+++ b/IntegrationTests/Chaos/Cluster.h
@@ -1,6 +1,6 @@
 /// \file
-/// The whole product as real processes, with stand-ins for the platform and a
-/// fault proxy on each link.
+/// Runs the whole product as real processes, with stand-ins for the platform
+/// and a fault proxy on each link.
 #ifndef WASABI_INTEGRATIONTESTS_CHAOS_CLUSTER_H
 #define WASABI_INTEGRATIONTESTS_CHAOS_CLUSTER_H
 
@@ -15,7 +15,7 @@
 
 namespace wasabi::chaos {
 
-/// What is started: the users' deployments, made small. An immutable value.
+/// Describes a scaled-down copy of a user's deployment. An immutable value.
 struct ClusterPlan {
   std::string Name;
   std::vector<std::string> Domains;
@@ -24,71 +24,73 @@
   std::string PlainService;
   std::string Trainer;
   std::uint32_t StalenessBound = 1;
-  /// Whether the engines refuse orders with an old fencing token.
+  /// True if the engines refuse orders with an old fencing token.
   bool EnginesCheckFences = true;
   std::uint32_t Engines = 4;
   std::uint32_t PlainServers = 2;
   std::uint32_t Entries = 2;
 };
 
-/// The plan of `lindqvist` or `balikbayan`. Errors: `BadInput`.
+/// Returns the plan of `lindqvist` or `balikbayan`. Errors: `BadInput`.
 Result<ClusterPlan> findClusterPlan(const std::string &Deployment);
 
-/// One slot of the product: a daemon or an entry, replaced at need.
-struct Slot {
+/// A daemon or an entry, whose process may be replaced.
+struct ProcessSlot {
   std::string Instance;
   std::string Domain;
   bool IsEntry = false;
-  /// The server behind a daemon; empty for an entry.
+  /// Server of a daemon; empty for an entry.
   std::string Server;
   std::vector<std::string> Flags;
   std::unique_ptr<harness::StandIn> FramesLink;
   std::unique_ptr<harness::StandIn> ControlLink;
-  /// Held while something is done to the process.
-  std::mutex Busy;
-  /// Guards what is below.
-  mutable std::mutex Guard;
+  /// Held while a fault is applied to the process.
+  std::mutex FaultMutex;
+  /// Guards the members below.
+  mutable std::mutex Mutex;
   std::shared_ptr<harness::Process> Process;
   Address Admin;
   Address Http;
   std::uint32_t Starts = 0;
 };
 
-/// Owns all processes. The members are safe from several threads once started;
-/// what a slot's process is may change, and is read under its guard.
+/// Owns all processes. Thread-safe once started. The process of a slot may be
+/// replaced; read it under the slot's mutex.
 class Cluster {
 public:
   /// Starts the stand-ins, publishes the declarations, starts the product and
-  /// waits until it is ready. Logs go to `Folder`. Errors: `Unavailable`.
+  /// waits until it is ready. Writes logs to `Folder`. Errors: `Unavailable`.
   static Result<std::unique_ptr<Cluster>>
   start(ClusterPlan Plan, std::uint64_t Seed, std::string Folder);
 
-  /// Starts the process of a slot, and points its links at it. Errors:
+  /// Starts the process of a slot and directs its links to it. Errors:
   /// `Unavailable`.
-  Result<void> startSlot(Slot &Which);
-  /// Ends it at once, and has the platform forget it.
-  void killSlot(Slot &Which);
-  /// Ends an engine at once; `startEngine` brings it back where it was, unless
-  /// it runs.
-  void killEngine(std::size_t Which);
-  Result<void> startEngine(std::size_t Which);
-  /// An engine's process now; it may be replaced meanwhile.
-  std::shared_ptr<harness::StandIn> engine(std::size_t Which) const;
-  /// Runs wasabictl to its end; its exit code and what it printed.
+  Result<void> startSlot(ProcessSlot &Slot);
+  /// Kills the process of a slot and removes its instance from the platform.
+  void killSlot(ProcessSlot &Slot);
+  /// Kills an engine; `startEngine` restarts it at the same address, unless it
+  /// is running.
+  void killEngine(std::size_t Index);
+  Result<void> startEngine(std::size_t Index);
+  /// Returns the current process of an engine; it may be replaced at any time.
+  std::shared_ptr<harness::StandIn> engine(std::size_t Index) const;
+  /// Exit code and output of a wasabictl command.
   struct CtlCommandResult {
     int Code = -1;
     std::string Output;
   };
-  CtlCommandResult control(std::vector<std::string> Arguments) const;
+  CtlCommandResult runCtl(std::vector<std::string> Arguments) const;
   /// Writes a folder of declarations in which the limit `chaos` has this rate.
+  /// Returns the folder.
   std::string writeDeclarations(const std::string &Name,
                                 std::uint32_t Rate) const;
-  /// Every fault proxy.
+  /// Returns all fault proxies.
   std::vector<harness::StandIn *> links();
-  /// The address of a slot's part now; empty while it is down.
-  static Address adminAddress(const Slot &Which);
-  static Address httpAddress(const Slot &Which);
-  static std::shared_ptr<harness::Process> currentProcess(const Slot &Which);
+  /// Returns the current address of a slot; empty while its process is down.
+  static Address adminAddress(const ProcessSlot &Slot);
+  static Address httpAddress(const ProcessSlot &Slot);
+  static std::shared_ptr<harness::Process>
+  currentProcess(const ProcessSlot &Slot);
 
   const ClusterPlan Plan;
   const std::uint64_t Seed;
@@ -103,8 +105,8 @@
   std::unique_ptr<harness::StandIn> WeightsLink;
   std::unique_ptr<harness::StandIn> InstancesLink;
   std::unique_ptr<harness::StandIn> TrainerLink;
-  std::vector<std::unique_ptr<Slot>> Daemons;
-  std::vector<std::unique_ptr<Slot>> Entries;
+  std::vector<std::unique_ptr<ProcessSlot>> Daemons;
+  std::vector<std::unique_ptr<ProcessSlot>> Entries;
 
 private:
   Cluster(ClusterPlan Plan, std::uint64_t Seed, std::string Folder)
@@ -117,9 +119,9 @@
   Result<void> startPlatform();
   Result<void> startUpstreams();
   Result<void> prepareSlots();
-  Result<void> prepareSlot(Slot &Which);
-  Result<void> startProduct();
-  std::vector<std::string> engineFlags(std::size_t Which) const;
+  Result<void> prepareSlot(ProcessSlot &Slot);
+  Result<void> startProcesses();
+  std::vector<std::string> engineFlags(std::size_t Index) const;
 
   mutable std::mutex EnginesMutex;
   std::vector<std::shared_ptr<harness::StandIn>> Engines;
--- a/IntegrationTests/Chaos/Injector.cpp
+++ b/IntegrationTests/Chaos/Injector.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// How long a planned stop may take before it counts as out of order.
-constexpr Millis StopLimit{30000};
+/// Maximum duration of a planned stop.
+constexpr Millis StopTimeout{30000};
 
 constexpr char ClearLink[] =
     R"({"delay_ms":0,"jitter_ms":0,"refuse":false,"half_open":false,)"
@@ -26,19 +26,19 @@
 } // namespace
 
 void Injector::waitUntil(TimePoint When) {
-  std::unique_lock<std::mutex> lock(Guard);
-  Never.wait_until(lock, When, [] { return false; });
+  std::unique_lock<std::mutex> lock(Mutex);
+  SleepCondition.wait_until(lock, When, [] { return false; });
 }
 
 void Injector::waitFor(Millis Length) { waitUntil(monotonicNow() + Length); }
 
-void Injector::note(const std::string &Problem) {
-  std::lock_guard<std::mutex> lock(Guard);
+void Injector::recordProblem(const std::string &Problem) {
+  std::lock_guard<std::mutex> lock(Mutex);
   Problems.push_back(Problem);
 }
 
 void Injector::record(const OperatorAction &Act) {
-  std::lock_guard<std::mutex> lock(Guard);
+  std::lock_guard<std::mutex> lock(Mutex);
   OperatorActions.push_back(Act);
 }
 
@@ -52,20 +52,20 @@
     it.join();
 }
 
-void Injector::inject(const Fault &What, TimePoint Begin) {
-  waitUntil(Begin + What.At);
-  switch (What.Kind) {
+void Injector::inject(const Fault &Step, TimePoint Begin) {
+  waitUntil(Begin + Step.At);
+  switch (Step.Kind) {
   case FaultKind::KillDaemon:
   case FaultKind::PauseDaemon:
   case FaultKind::PauseDaemonLong:
   case FaultKind::StopDaemon:
-    return injectProcess(What, *pick(On.Daemons, What.Target));
+    return injectProcess(Step, *pick(Target.Daemons, Step.Target));
   case FaultKind::KillEntry:
   case FaultKind::PauseEntry:
   case FaultKind::StopEntry:
-    return injectProcess(What, *pick(On.Entries, What.Target));
+    return injectProcess(Step, *pick(Target.Entries, Step.Target));
   case FaultKind::KillEngine:
-    return killEngine(What);
+    return killEngine(Step);
   case FaultKind::EngineHang:
   case FaultKind::EngineSlow:
   case FaultKind::EngineSwapFails:
@@ -74,191 +74,197 @@
   case FaultKind::ServiceHang:
   case FaultKind::ServiceResetsBeforeAnswer:
   case FaultKind::ServiceResetsMidAnswer:
-    return injectUpstream(What);
+    return injectUpstream(Step);
   case FaultKind::LinkDelay:
   case FaultKind::LinkCut:
   case FaultKind::LinkHalfOpen:
   case FaultKind::LinkRefuses:
   case FaultKind::LinkLosesAnswers:
   case FaultKind::LinkSlow:
-    return injectLink(What);
+    return injectLink(Step);
   case FaultKind::DomainPartitioned:
-    return partitionDomain(What);
+    return partitionDomain(Step);
   case FaultKind::ConcurrentOperators:
   case FaultKind::SwitchPreset:
-    return injectOperator(What);
+    return injectOperator(Step);
   default:
-    return injectPlatform(What);
+    return injectPlatform(Step);
   }
 }
 
-void Injector::injectProcess(const Fault &What, Slot &Which) {
-  // Two faults of one process come one after the other.
-  std::lock_guard<std::mutex> busy(Which.Busy);
-  const std::shared_ptr<Process> process = Cluster::currentProcess(Which);
+void Injector::injectProcess(const Fault &Step, ProcessSlot &Slot) {
+  // Faults of the same process are applied one after the other.
+  std::lock_guard<std::mutex> busy(Slot.FaultMutex);
+  const std::shared_ptr<Process> process = Cluster::currentProcess(Slot);
   if (!process)
-    return restartSlot(Which);
-  switch (What.Kind) {
+    return restartSlot(Slot);
+  switch (Step.Kind) {
   case FaultKind::PauseDaemon:
   case FaultKind::PauseDaemonLong:
   case FaultKind::PauseEntry:
     process->signal(SIGSTOP);
-    waitFor(What.For);
+    waitFor(Step.Duration);
     process->signal(SIGCONT);
     return;
   case FaultKind::StopDaemon:
   case FaultKind::StopEntry:
-    stopSlot(Which, What.WithoutOtherFaults);
+    stopSlot(Slot, Step.WithoutOtherFaults);
     break;
   default:
-    On.killSlot(Which);
+    Target.killSlot(Slot);
     break;
   }
-  waitFor(What.For);
-  restartSlot(Which);
+  waitFor(Step.Duration);
+  restartSlot(Slot);
 }
 
-void Injector::stopSlot(Slot &Which, bool WithoutOtherFaults) {
-  const std::shared_ptr<Process> process = Cluster::currentProcess(Which);
+void Injector::stopSlot(ProcessSlot &Slot, bool WithoutOtherFaults) {
+  const std::shared_ptr<Process> process = Cluster::currentProcess(Slot);
   PlannedStop stop;
   stop.WithoutOtherFaults = WithoutOtherFaults;
-  if (!Which.Server.empty())
-    stop.Servers.push_back(Which.Server);
+  if (!Slot.Server.empty())
+    stop.Servers.push_back(Slot.Server);
   stop.SignalMicros = wallMicros();
   process->signal(SIGTERM);
-  const std::optional<harness::ProcessExit> end = process->wait(StopLimit);
+  const std::optional<harness::ProcessExit> end = process->wait(StopTimeout);
   stop.Ended = wallMicros();
   stop.ExitedCleanly = end && end->Code == 0;
   if (!stop.ExitedCleanly)
-    note(Which.Instance + " did not stop in order: " +
-         (end ? "exit code " + std::to_string(end->Code) : "still runs"));
-  On.killSlot(Which);
-  std::lock_guard<std::mutex> lock(Guard);
+    recordProblem(
+        Slot.Instance + " did not stop in order: " +
+        (end ? "exit code " + std::to_string(end->Code) : "still runs"));
+  Target.killSlot(Slot);
+  std::lock_guard<std::mutex> lock(Mutex);
   Stops.push_back(stop);
 }
 
-void Injector::restartSlot(Slot &Which) {
+void Injector::restartSlot(ProcessSlot &Slot) {
   const Outcome<Done> started = toOutcome<Done>([&]() -> Result<Done> {
-    BOOST_LEAF_CHECK(On.startSlot(Which));
+    BOOST_LEAF_CHECK(Target.startSlot(Slot));
     return Done{};
   });
   if (!started)
-    note(Which.Instance + " can't be started: " + describe(started.failure()));
+    recordProblem(Slot.Instance +
+                  " can't be started: " + describe(started.failure()));
 }
 
-void Injector::killEngine(const Fault &What) {
-  const std::size_t which = What.Target % On.Plan.Engines;
-  On.killEngine(which);
-  waitFor(What.For);
+void Injector::killEngine(const Fault &Step) {
+  const std::size_t which = Step.Target % Target.Plan.Engines;
+  Target.killEngine(which);
+  waitFor(Step.Duration);
   const Outcome<Done> started = toOutcome<Done>([&]() -> Result<Done> {
-    BOOST_LEAF_CHECK(On.startEngine(which));
+    BOOST_LEAF_CHECK(Target.startEngine(which));
     return Done{};
   });
   if (!started)
-    note("an engine can't be started: " + describe(started.failure()));
+    recordProblem("an engine can't be started: " + describe(started.failure()));
 }
 
-void Injector::applyFaultsFor(StandIn &Which, const std::string &Faults,
-                              Millis Length, const std::string &Undo) {
-  const Outcome<Done> set = Which.setFaults(Faults);
+void Injector::applyFaultsFor(StandIn &Server, const std::string &Faults,
+                              Millis Length, const std::string &UndoFaults) {
+  const Outcome<Done> set = Server.setFaults(Faults);
   if (!set)
-    note("fault " + Faults + ": " + describe(set.failure()));
+    recordProblem("fault " + Faults + ": " + describe(set.failure()));
   waitFor(Length);
-  if (!Undo.empty())
-    Which.setFaults(Undo);
+  if (!UndoFaults.empty())
+    Server.setFaults(UndoFaults);
 }
 
-void Injector::injectUpstream(const Fault &What) {
+void Injector::injectUpstream(const Fault &Step) {
   const std::shared_ptr<StandIn> held =
-      On.engine(What.Target % On.Plan.Engines);
+      Target.engine(Step.Target % Target.Plan.Engines);
   StandIn &engine = *held;
-  StandIn &service = *pick(On.Services, What.Target);
-  switch (What.Kind) {
+  StandIn &service = *pick(Target.Services, Step.Target);
+  switch (Step.Kind) {
   case FaultKind::EngineHang:
-    return applyFaultsFor(engine, R"({"hang":true})", What.For,
+    return applyFaultsFor(engine, R"({"hang":true})", Step.Duration,
                           R"({"hang":false})");
   case FaultKind::EngineSlow:
-    return applyFaultsFor(engine, R"({"slow_factor":10})", What.For,
+    return applyFaultsFor(engine, R"({"slow_factor":10})", Step.Duration,
                           R"({"slow_factor":1})");
   case FaultKind::EngineSwapFails:
-    return applyFaultsFor(engine, R"({"fail_next_load":1})", What.For, "");
+    return applyFaultsFor(engine, R"({"fail_next_load":1})", Step.Duration, "");
   case FaultKind::EngineWrongVersion:
-    return applyFaultsFor(engine, R"({"wrong_version_next_load":1})", What.For,
-                          "");
+    return applyFaultsFor(engine, R"({"wrong_version_next_load":1})",
+                          Step.Duration, "");
   case FaultKind::EngineLosesOrderAnswer:
-    return applyFaultsFor(engine, R"({"lose_order_answers":1})", What.For, "");
+    return applyFaultsFor(engine, R"({"lose_order_answers":1})", Step.Duration,
+                          "");
   case FaultKind::ServiceHang:
-    return applyFaultsFor(service, R"({"hang":true})", What.For,
+    return applyFaultsFor(service, R"({"hang":true})", Step.Duration,
                           R"({"hang":false})");
   case FaultKind::ServiceResetsBeforeAnswer:
-    return applyFaultsFor(service, R"({"reset_before_answer":3})", What.For,
-                          "");
+    return applyFaultsFor(service, R"({"reset_before_answer":3})",
+                          Step.Duration, "");
   default:
-    return applyFaultsFor(service, R"({"reset_mid_answer":3})", What.For, "");
+    return applyFaultsFor(service, R"({"reset_mid_answer":3})", Step.Duration,
+                          "");
   }
 }
 
-void Injector::injectPlatform(const Fault &What) {
-  switch (What.Kind) {
+void Injector::injectPlatform(const Fault &Step) {
+  switch (Step.Kind) {
   case FaultKind::LogOutage:
   case FaultKind::LogOutageLong:
-    return applyFaultsFor(*On.Log, R"({"outage":true})", What.For,
+    return applyFaultsFor(*Target.Log, R"({"outage":true})", Step.Duration,
                           R"({"outage":false})");
   case FaultKind::LogSlow:
-    return applyFaultsFor(*On.Log, R"({"slow_ms":400})", What.For,
+    return applyFaultsFor(*Target.Log, R"({"slow_ms":400})", Step.Duration,
                           R"({"slow_ms":0})");
   case FaultKind::LogLosesAnswers:
-    return applyFaultsFor(*On.Log, R"({"lose_answers":3})", What.For,
+    return applyFaultsFor(*Target.Log, R"({"lose_answers":3})", Step.Duration,
                           R"({"lose_answers":0})");
   case FaultKind::LogStaleTail:
-    return applyFaultsFor(*On.Log, R"({"stale_tail":2})", What.For,
+    return applyFaultsFor(*Target.Log, R"({"stale_tail":2})", Step.Duration,
                           R"({"stale_tail":0})");
   case FaultKind::StoreOutage:
-    return applyFaultsFor(*On.Weights, R"({"outage":true})", What.For,
+    return applyFaultsFor(*Target.Weights, R"({"outage":true})", Step.Duration,
                           R"({"outage":false})");
   case FaultKind::InstancesOutage:
-    return applyFaultsFor(*On.Instances, R"({"outage":true})", What.For,
-                          R"({"outage":false})");
+    return applyFaultsFor(*Target.Instances, R"({"outage":true})",
+                          Step.Duration, R"({"outage":false})");
   case FaultKind::TrainerOutage:
-    return applyFaultsFor(*On.Trainer, R"({"outage":true})", What.For,
+    return applyFaultsFor(*Target.Trainer, R"({"outage":true})", Step.Duration,
                           R"({"outage":false})");
   case FaultKind::TrainerLosesAnswers:
-    return applyFaultsFor(*On.Trainer, R"({"lose_answers":2})", What.For,
-                          R"({"lose_answers":0})");
+    return applyFaultsFor(*Target.Trainer, R"({"lose_answers":2})",
+                          Step.Duration, R"({"lose_answers":0})");
   default:
-    return applyFaultsFor(*On.Scorer, R"({"fail_next":3})", What.For, "");
+    return applyFaultsFor(*Target.Scorer, R"({"fail_next":3})", Step.Duration,
+                          "");
   }
 }
 
-void Injector::injectLink(const Fault &What) {
-  std::vector<StandIn *> links = On.links();
-  StandIn &link = *pick(links, What.Target);
-  switch (What.Kind) {
+void Injector::injectLink(const Fault &Step) {
+  std::vector<StandIn *> links = Target.links();
+  StandIn &link = *pick(links, Step.Target);
+  switch (Step.Kind) {
   case FaultKind::LinkDelay:
-    return applyFaultsFor(link, R"({"delay_ms":60,"jitter_ms":60})", What.For,
-                          ClearLink);
+    return applyFaultsFor(link, R"({"delay_ms":60,"jitter_ms":60})",
+                          Step.Duration, ClearLink);
   case FaultKind::LinkCut:
-    return applyFaultsFor(link, R"({"cut_now":true})", What.For, "");
+    return applyFaultsFor(link, R"({"cut_now":true})", Step.Duration, "");
   case FaultKind::LinkHalfOpen:
-    return applyFaultsFor(link, R"({"half_open":true})", What.For, ClearLink);
-  case FaultKind::LinkRefuses:
-    return applyFaultsFor(link, R"({"refuse":true,"cut_now":true})", What.For,
+    return applyFaultsFor(link, R"({"half_open":true})", Step.Duration,
                           ClearLink);
+  case FaultKind::LinkRefuses:
+    return applyFaultsFor(link, R"({"refuse":true,"cut_now":true})",
+                          Step.Duration, ClearLink);
   case FaultKind::LinkLosesAnswers:
-    return applyFaultsFor(link, R"({"answer_loss":2,"cut_now":true})", What.For,
-                          ClearLink);
+    return applyFaultsFor(link, R"({"answer_loss":2,"cut_now":true})",
+                          Step.Duration, ClearLink);
   default:
-    return applyFaultsFor(link, R"({"bytes_per_s":20000})", What.For,
+    return applyFaultsFor(link, R"({"bytes_per_s":20000})", Step.Duration,
                           ClearLink);
   }
 }
 
-void Injector::partitionDomain(const Fault &What) {
-  const std::string &domain = pick(On.Plan.Domains, What.Target);
+void Injector::partitionDomain(const Fault &Step) {
+  const std::string &domain = pick(Target.Plan.Domains, Step.Target);
   std::vector<StandIn *> links;
-  for (const std::vector<std::unique_ptr<Slot>> *of :
-       {&On.Daemons, &On.Entries}) {
-    for (const std::unique_ptr<Slot> &it : *of) {
+  for (const std::vector<std::unique_ptr<ProcessSlot>> *slots :
+       {&Target.Daemons, &Target.Entries}) {
+    for (const std::unique_ptr<ProcessSlot> &it : *slots) {
       if (it->Domain != domain)
         continue;
       links.push_back(it->ControlLink.get());
@@ -268,34 +274,34 @@
   }
   for (StandIn *it : links)
     it->setFaults(R"({"refuse":true,"cut_now":true})");
-  waitFor(What.For);
+  waitFor(Step.Duration);
   for (StandIn *it : links)
     it->setFaults(ClearLink);
 }
 
-void Injector::injectOperator(const Fault &What) {
-  if (What.Kind == FaultKind::SwitchPreset) {
-    const std::string preset = What.Target % 2 == 0 ? "peak" : "maintenance";
+void Injector::injectOperator(const Fault &Step) {
+  if (Step.Kind == FaultKind::SwitchPreset) {
+    const std::string preset = Step.Target % 2 == 0 ? "peak" : "maintenance";
     const Cluster::CtlCommandResult end =
-        On.control({"preset", preset, "--operator=chaos"});
+        Target.runCtl({"preset", preset, "--operator=chaos"});
     record({0, end.Code, end.Output});
-    waitFor(What.For);
+    waitFor(Step.Duration);
     restorePreset();
     return;
   }
-  // Two operators change the same object from the same state.
+  // Two operators change the same object from the same revision.
   std::vector<std::thread> operators;
   for (const std::string name : {"anna", "benigno"}) {
     std::uint32_t rate = 0;
     {
-      std::lock_guard<std::mutex> lock(Guard);
-      rate = ++Rates;
+      std::lock_guard<std::mutex> lock(Mutex);
+      rate = ++LastRate;
     }
     operators.emplace_back([this, name, rate] {
-      const std::string folder =
-          On.writeDeclarations("declarations-" + std::to_string(rate), rate);
+      const std::string folder = Target.writeDeclarations(
+          "declarations-" + std::to_string(rate), rate);
       const Cluster::CtlCommandResult end =
-          On.control({"apply", folder, "--operator=" + name});
+          Target.runCtl({"apply", folder, "--operator=" + name});
       record({rate, end.Code, end.Output});
     });
   }
@@ -303,48 +309,49 @@
     it.join();
 }
 
-/// An operator whose switch back meets an outage tries again.
+/// Retries, because the switch back may fail during an outage.
 void Injector::restorePreset() {
-  constexpr int Tries = 40;
-  constexpr Millis Pause{500};
+  constexpr int MaxAttempts = 40;
+  constexpr Millis RetryDelay{500};
   constexpr int AcceptedNotSeen = 5;
-  for (int n = 0; n < Tries; ++n) {
+  for (int n = 0; n < MaxAttempts; ++n) {
     const Cluster::CtlCommandResult end =
-        On.control({"preset", "ordinary", "--operator=chaos"});
+        Target.runCtl({"preset", "ordinary", "--operator=chaos"});
     record({0, end.Code, end.Output});
     if (end.Code == 0 || end.Code == AcceptedNotSeen)
       return;
-    waitFor(Pause);
+    waitFor(RetryDelay);
   }
-  note("the preset can't be switched back");
+  recordProblem("the preset can't be switched back");
 }
 
 void Injector::restoreCluster() {
-  for (StandIn *it : On.links())
+  for (StandIn *it : Target.links())
     it->setFaults(ClearLink);
-  On.Log->setFaults(R"({"outage":false,"slow_ms":0,"lose_answers":0,)"
-                    R"("stale_tail":0})");
-  On.Weights->setFaults(R"({"outage":false})");
-  On.Instances->setFaults(R"({"outage":false})");
-  On.Trainer->setFaults(R"({"outage":false,"lose_answers":0})");
-  On.Scorer->setFaults(R"({"fail_next":0})");
-  for (const std::unique_ptr<StandIn> &it : On.Services)
+  Target.Log->setFaults(R"({"outage":false,"slow_ms":0,"lose_answers":0,)"
+                        R"("stale_tail":0})");
+  Target.Weights->setFaults(R"({"outage":false})");
+  Target.Instances->setFaults(R"({"outage":false})");
+  Target.Trainer->setFaults(R"({"outage":false,"lose_answers":0})");
+  Target.Scorer->setFaults(R"({"fail_next":0})");
+  for (const std::unique_ptr<StandIn> &it : Target.Services)
     it->setFaults(R"({"hang":false,"reset_before_answer":0,)"
                   R"("reset_mid_answer":0})");
-  for (std::size_t n = 0; n < On.Plan.Engines; ++n)
-    On.engine(n)->setFaults(
+  for (std::size_t n = 0; n < Target.Plan.Engines; ++n)
+    Target.engine(n)->setFaults(
         R"({"hang":false,"slow_factor":1,"fail_next_load":0,)"
         R"("wrong_version_next_load":0,"lose_order_answers":0})");
   restorePreset();
-  for (std::vector<std::unique_ptr<Slot>> *of : {&On.Daemons, &On.Entries}) {
-    for (const std::unique_ptr<Slot> &it : *of) {
+  for (std::vector<std::unique_ptr<ProcessSlot>> *slots :
+       {&Target.Daemons, &Target.Entries}) {
+    for (const std::unique_ptr<ProcessSlot> &it : *slots) {
       const std::shared_ptr<Process> process = Cluster::currentProcess(*it);
       if (process && process->running())
         continue;
-      // It should not have ended: what it said last is in its log.
+      // Unexpected exit: the log holds the last output.
       if (process)
-        note(it->Instance + " ended by itself");
-      On.killSlot(*it);
+        recordProblem(it->Instance + " ended by itself");
+      Target.killSlot(*it);
       restartSlot(*it);
     }
   }
@@ -352,8 +359,9 @@
 
 void Injector::stopAll() {
   std::vector<std::thread> threads;
-  for (std::vector<std::unique_ptr<Slot>> *of : {&On.Daemons, &On.Entries}) {
-    for (const std::unique_ptr<Slot> &it : *of) {
+  for (std::vector<std::unique_ptr<ProcessSlot>> *slots :
+       {&Target.Daemons, &Target.Entries}) {
+    for (const std::unique_ptr<ProcessSlot> &it : *slots) {
       if (Cluster::currentProcess(*it))
         threads.emplace_back([this, &it] { stopSlot(*it, false); });
     }
--- a/IntegrationTests/Chaos/Injector.h
+++ b/IntegrationTests/Chaos/Injector.h
@@ -1,5 +1,5 @@
 /// \file
-/// Does to a cluster what the schedule says, and undoes it.
+/// Applies the faults of a schedule to a cluster and reverts them.
 #ifndef WASABI_INTEGRATIONTESTS_CHAOS_INJECTOR_H
 #define WASABI_INTEGRATIONTESTS_CHAOS_INJECTOR_H
 
@@ -15,59 +15,61 @@
 
 namespace wasabi::chaos {
 
-/// What operators did, and what came of it. An immutable value.
+/// A change by an operator and its result. An immutable value.
 struct OperatorAction {
-  /// The rate that the limit `chaos` was to have; 0 for a preset.
+  /// Requested rate of the limit `chaos`; 0 for a preset.
   std::uint32_t Rate = 0;
   /// Exit code of wasabictl: 0 or 5 accepted, 1 refused, 6 unknown.
   int Code = -1;
   std::string Output;
 };
 
-/// Injects faults, each on a thread of its own. Not thread-safe itself.
+/// Injects each fault on its own thread. Not thread-safe.
 class Injector {
 public:
-  explicit Injector(Cluster &On) : On(On) {}
+  explicit Injector(Cluster &Target) : Target(Target) {}
 
-  /// Injects all of a schedule, and returns once all of it is undone and every
-  /// process runs again.
+  /// Injects all faults of a schedule. Returns once they are reverted and every
+  /// process is restarted.
   void run(const std::vector<Fault> &Schedule);
-  /// Whatever is still wrong is made right: faults cleared, processes started.
+  /// Clears all faults and restarts all processes that are down.
   void restoreCluster();
   /// Stops every process of the product as planned.
   void stopAll();
 
   const std::vector<PlannedStop> &stops() const { return Stops; }
-  const std::vector<OperatorAction> &acts() const { return OperatorActions; }
-  /// What the harness could not do.
+  const std::vector<OperatorAction> &operatorActions() const {
+    return OperatorActions;
+  }
+  /// Returns the errors of the harness.
   const std::vector<std::string> &problems() const { return Problems; }
 
 private:
-  void inject(const Fault &What, TimePoint Begin);
-  void injectProcess(const Fault &What, Slot &Which);
-  void injectLink(const Fault &What);
-  void partitionDomain(const Fault &What);
-  void injectPlatform(const Fault &What);
-  void injectUpstream(const Fault &What);
-  void injectOperator(const Fault &What);
-  void stopSlot(Slot &Which, bool WithoutOtherFaults);
-  void restartSlot(Slot &Which);
+  void inject(const Fault &Step, TimePoint Begin);
+  void injectProcess(const Fault &Step, ProcessSlot &Slot);
+  void injectLink(const Fault &Step);
+  void partitionDomain(const Fault &Step);
+  void injectPlatform(const Fault &Step);
+  void injectUpstream(const Fault &Step);
+  void injectOperator(const Fault &Step);
+  void stopSlot(ProcessSlot &Slot, bool WithoutOtherFaults);
+  void restartSlot(ProcessSlot &Slot);
   void restorePreset();
-  void killEngine(const Fault &What);
-  void applyFaultsFor(harness::StandIn &Which, const std::string &Faults,
-                      Millis Length, const std::string &Undo);
+  void killEngine(const Fault &Step);
+  void applyFaultsFor(harness::StandIn &Server, const std::string &Faults,
+                      Millis Length, const std::string &UndoFaults);
   void waitFor(Millis Length);
   void waitUntil(TimePoint When);
-  void note(const std::string &Problem);
+  void recordProblem(const std::string &Problem);
   void record(const OperatorAction &Act);
 
-  Cluster &On;
-  std::mutex Guard;
-  std::condition_variable Never;
+  Cluster &Target;
+  std::mutex Mutex;
+  std::condition_variable SleepCondition;
   std::vector<PlannedStop> Stops;
   std::vector<OperatorAction> OperatorActions;
   std::vector<std::string> Problems;
-  std::uint32_t Rates = 1000;
+  std::uint32_t LastRate = 1000;
 };
 
 } // namespace wasabi::chaos
--- a/IntegrationTests/Chaos/Main.cpp
+++ b/IntegrationTests/Chaos/Main.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// wasabi-chaos: real processes of the whole product under faults drawn from a
-/// seed, judged by the stand-ins' own records.
+/// wasabi-chaos: runs the whole product as real processes under faults drawn
+/// from a seed, and checks it against the stand-ins' records.
 #include "IntegrationTests/Chaos/Run.h"
 #include "IntegrationTests/Chaos/Schedule.h"
 #include "Wasabi/Core/Program.h"
@@ -9,10 +9,10 @@
 
 #include <iostream>
 
-DEFINE_uint64(seed, 1, "what every random choice is drawn from");
-DEFINE_uint32(seconds, 20, "how long faults happen, in seconds");
+DEFINE_uint64(seed, 1, "seed of all random choices");
+DEFINE_uint32(seconds, 20, "duration of the faults in seconds");
 DEFINE_string(deployment, "lindqvist", "lindqvist or balikbayan");
-DEFINE_bool(schedule_only, false, "print the schedule of the seed and end");
+DEFINE_bool(schedule_only, false, "print the schedule of the seed and exit");
 
 DEFINE_bool(keep, false, "keep the time line and the logs also of a good run");
 
--- a/IntegrationTests/Chaos/Observer.cpp
+++ b/IntegrationTests/Chaos/Observer.cpp
@@ -8,23 +8,23 @@
 
 namespace {
 
-constexpr Millis BalancerPeriod{100};
-constexpr Millis BalancerPatience{300};
-constexpr Millis GatherPeriod{300};
-constexpr Millis GatherPatience{1000};
+constexpr Millis BalancerInterval{100};
+constexpr Millis ReadinessTimeout{300};
+constexpr Millis TimelineInterval{300};
+constexpr Millis TimelineTimeout{1000};
 
 } // namespace
 
-Observer::Observer(Cluster &Of, CallerLoad &Load)
-    : Of(Of), Load(Load), Balancer([this] { balancerLoop(); }),
+Observer::Observer(Cluster &Target, CallerLoad &Load)
+    : Target(Target), Load(Load), BalancerThread([this] { balancerLoop(); }),
       TimelineThread([this] { timelineLoop(); }) {}
 
 Observer::~Observer() { stop(); }
 
 void Observer::stop() {
   Ending = true;
-  if (Balancer.joinable())
-    Balancer.join();
+  if (BalancerThread.joinable())
+    BalancerThread.join();
   if (TimelineThread.joinable())
     TimelineThread.join();
 }
@@ -32,38 +32,38 @@
 void Observer::balancerLoop() {
   while (!Ending) {
     std::vector<Address> ready;
-    for (const std::unique_ptr<Slot> &it : Of.Entries) {
+    for (const std::unique_ptr<ProcessSlot> &it : Target.Entries) {
       const Address admin = Cluster::adminAddress(*it);
       if (!admin.empty() &&
-          harness::getText(admin, "/readyz", BalancerPatience))
+          harness::getText(admin, "/readyz", ReadinessTimeout))
         ready.push_back(Cluster::httpAddress(*it));
     }
     Load.setEntries(std::move(ready));
-    harness::waitUntil([this] { return Ending.load(); }, BalancerPeriod);
+    harness::waitUntil([this] { return Ending.load(); }, BalancerInterval);
   }
 }
 
 void Observer::timelineLoop() {
   while (!Ending) {
-    for (const std::unique_ptr<Slot> &it : Of.Daemons)
-      gather(*it);
-    for (const std::unique_ptr<Slot> &it : Of.Entries)
-      gather(*it);
-    harness::waitUntil([this] { return Ending.load(); }, GatherPeriod);
+    for (const std::unique_ptr<ProcessSlot> &it : Target.Daemons)
+      readTimeline(*it);
+    for (const std::unique_ptr<ProcessSlot> &it : Target.Entries)
+      readTimeline(*it);
+    harness::waitUntil([this] { return Ending.load(); }, TimelineInterval);
   }
 }
 
-void Observer::gather(const Slot &Which) {
-  const Address admin = Cluster::adminAddress(Which);
+void Observer::readTimeline(const ProcessSlot &Slot) {
+  const Address admin = Cluster::adminAddress(Slot);
   if (admin.empty())
     return;
-  std::uint64_t &next = Next[admin];
+  std::uint64_t &next = NextSequence[admin];
   const Outcome<std::string> text = harness::getText(
-      admin, "/timeline?from=" + std::to_string(next), GatherPatience);
+      admin, "/timeline?from=" + std::to_string(next), TimelineTimeout);
   if (!text)
     return;
   const Outcome<TimelinePage> page = toOutcome<TimelinePage>(
-      [&] { return decodeTimelinePage(*text, Which.Instance); });
+      [&] { return decodeTimelinePage(*text, Slot.Instance); });
   if (!page || page->Events.empty())
     return;
   next = page->Events.back().Sequence + 1;
@@ -72,10 +72,10 @@
 
 std::vector<TimelineEvent> Observer::finish() {
   stop();
-  for (const std::unique_ptr<Slot> &it : Of.Daemons)
-    gather(*it);
-  for (const std::unique_ptr<Slot> &it : Of.Entries)
-    gather(*it);
+  for (const std::unique_ptr<ProcessSlot> &it : Target.Daemons)
+    readTimeline(*it);
+  for (const std::unique_ptr<ProcessSlot> &it : Target.Entries)
+    readTimeline(*it);
   return Events;
 }
 
--- a/IntegrationTests/Chaos/Observer.h
+++ b/IntegrationTests/Chaos/Observer.h
@@ -1,7 +1,6 @@
 /// \file
-/// Watches a running cluster from outside: keeps the balancer's list of ready
-/// entries, and gathers the time lines before a process that is killed takes
-/// its own with it.
+/// Observes a running cluster: updates the balancer's list of ready entries,
+/// and reads the timelines regularly, as a killed process loses its own.
 #ifndef WASABI_INTEGRATIONTESTS_CHAOS_OBSERVER_H
 #define WASABI_INTEGRATIONTESTS_CHAOS_OBSERVER_H
 
@@ -17,30 +16,31 @@
 
 namespace wasabi::chaos {
 
-/// Two threads. Destroy it before the cluster and the load.
+/// Runs two threads. Must be destroyed before the cluster and the load.
 class Observer {
 public:
-  Observer(Cluster &Of, CallerLoad &Load);
+  Observer(Cluster &Target, CallerLoad &Load);
   ~Observer();
   Observer(const Observer &) = delete;
   Observer &operator=(const Observer &) = delete;
 
-  /// Stops watching, after one last look, and gives all events seen.
+  /// Reads all timelines once more, stops, and returns all events.
   std::vector<TimelineEvent> finish();
 
 private:
   void balancerLoop();
   void timelineLoop();
-  void gather(const Slot &Which);
+  void readTimeline(const ProcessSlot &Slot);
   void stop();
 
-  Cluster &Of;
+  Cluster &Target;
   CallerLoad &Load;
   std::atomic<bool> Ending{false};
-  /// The next sequence number, by admin address: each start has its own.
-  std::map<Address, std::uint64_t> Next;
+  /// Next sequence number by admin address; each process start has its own
+  /// address.
+  std::map<Address, std::uint64_t> NextSequence;
   std::vector<TimelineEvent> Events;
-  std::thread Balancer;
+  std::thread BalancerThread;
   std::thread TimelineThread;
 };
 
--- a/IntegrationTests/Chaos/Recovery.cpp
+++ b/IntegrationTests/Chaos/Recovery.cpp
@@ -10,28 +10,28 @@
 
 namespace {
 
-constexpr Millis Patience{2000};
+constexpr Millis RequestTimeout{2000};
 constexpr unsigned Success = 200;
 
-bool isReady(const Slot &which) {
+bool isReady(const ProcessSlot &which) {
   const Address admin = Cluster::adminAddress(which);
-  return !admin.empty() && harness::getText(admin, "/readyz", Patience);
+  return !admin.empty() && harness::getText(admin, "/readyz", RequestTimeout);
 }
 
-bool answers(const Slot &entry, http::Request ask) {
+bool answers(const ProcessSlot &entry, http::Request ask) {
   const Address where = Cluster::httpAddress(entry);
   if (where.empty())
     return false;
   const Outcome<http::Response> answer =
-      harness::call(where, std::move(ask), Patience);
+      harness::call(where, std::move(ask), RequestTimeout);
   return answer && answer->Status == Success;
 }
 
-http::Request plainAsk(const ClusterPlan &plan) {
+http::Request makePlainRequest(const ClusterPlan &plan) {
   return {"GET", "/recovered", {{"X-Service", plan.PlainService}}, ""};
 }
 
-http::Request engineAsk(const ClusterPlan &plan) {
+http::Request makeEngineRequest(const ClusterPlan &plan) {
   return {"POST",
           "/v1/completions",
           {{"X-Service", plan.EngineService}},
@@ -39,10 +39,11 @@
               R"(","prompt":"recovered","max_tokens":4,"seed":1})"};
 }
 
-/// The configuration revision of a slot's process; empty while it is silent.
-std::optional<std::uint64_t> revisionOf(const Slot &which) {
+/// Returns the configuration revision of a slot's process; empty if it does not
+/// respond.
+std::optional<std::uint64_t> findConfigRevision(const ProcessSlot &which) {
   const Outcome<boost::json::value> status =
-      harness::getJson(Cluster::adminAddress(which), "/status", Patience);
+      harness::getJson(Cluster::adminAddress(which), "/status", RequestTimeout);
   if (!status || !status->is_object())
     return std::nullopt;
   const boost::json::value *revision =
@@ -54,51 +55,52 @@
   return ec ? std::nullopt : std::optional<std::uint64_t>(number);
 }
 
-/// What does not work yet; empty when all does.
-std::string missingOf(Cluster &of, std::uint64_t wholeSteps) {
-  for (const std::vector<std::unique_ptr<Slot>> *slots :
-       {&of.Daemons, &of.Entries}) {
-    for (const std::unique_ptr<Slot> &it : *slots) {
+/// Returns the first part that does not work; empty if all parts work.
+std::string findMissing(Cluster &cluster, std::uint64_t completeSteps) {
+  for (const std::vector<std::unique_ptr<ProcessSlot>> *slots :
+       {&cluster.Daemons, &cluster.Entries}) {
+    for (const std::unique_ptr<ProcessSlot> &it : *slots) {
       if (!isReady(*it))
         return it->Instance + " is not ready";
     }
   }
-  // One configuration is in force everywhere.
-  const std::optional<std::uint64_t> revision = revisionOf(*of.Entries.front());
-  for (const std::vector<std::unique_ptr<Slot>> *slots :
-       {&of.Daemons, &of.Entries}) {
-    for (const std::unique_ptr<Slot> &it : *slots) {
-      if (!revision || revisionOf(*it) != revision)
+  // All processes must apply the same configuration.
+  const std::optional<std::uint64_t> revision =
+      findConfigRevision(*cluster.Entries.front());
+  for (const std::vector<std::unique_ptr<ProcessSlot>> *slots :
+       {&cluster.Daemons, &cluster.Entries}) {
+    for (const std::unique_ptr<ProcessSlot> &it : *slots) {
+      if (!revision || findConfigRevision(*it) != revision)
         return it->Instance + " has another configuration in force";
     }
   }
-  for (const std::unique_ptr<Slot> &it : of.Entries) {
-    if (!answers(*it, plainAsk(of.Plan)))
-      return it->Instance + " has no answer of " + of.Plan.PlainService;
-    if (!answers(*it, engineAsk(of.Plan)))
-      return it->Instance + " has no answer of " + of.Plan.EngineService;
+  for (const std::unique_ptr<ProcessSlot> &it : cluster.Entries) {
+    if (!answers(*it, makePlainRequest(cluster.Plan)))
+      return it->Instance + " has no answer of " + cluster.Plan.PlainService;
+    if (!answers(*it, makeEngineRequest(cluster.Plan)))
+      return it->Instance + " has no answer of " + cluster.Plan.EngineService;
   }
-  const Outcome<boost::json::value> truth = of.Trainer->truth();
-  if (!truth || parseTrainerTruth(*truth).StepsComplete <= wholeSteps)
+  const Outcome<boost::json::value> truth = cluster.Trainer->truth();
+  if (!truth || parseTrainerTruth(*truth).StepsComplete <= completeSteps)
     return "the trainer's step is not whole";
   return {};
 }
 
 } // namespace
 
-std::optional<Millis> awaitRecovery(Cluster &Of, std::uint64_t Since,
+std::optional<Millis> awaitRecovery(Cluster &Target, std::uint64_t Since,
                                     std::string &Missing) {
-  // The step that is open now may have been whole but for a moment: one more
-  // must follow.
-  const Outcome<boost::json::value> truth = Of.Trainer->truth();
+  // The open step may have been almost complete already, so one more step must
+  // follow.
+  const Outcome<boost::json::value> truth = Target.Trainer->truth();
   const std::uint64_t before =
       truth ? parseTrainerTruth(*truth).StepsComplete : 0;
   const bool recovered = harness::waitUntil(
       [&] {
-        Missing = missingOf(Of, before);
+        Missing = findMissing(Target, before);
         return Missing.empty();
       },
-      RecoveryPatience);
+      RecoveryTimeout);
   if (!recovered)
     return std::nullopt;
   return Millis((wallMicros() - Since) / 1000);
--- a/IntegrationTests/Chaos/Run.cpp
+++ b/IntegrationTests/Chaos/Run.cpp
@@ -20,12 +20,13 @@
 
 namespace {
 
-/// Most lines of what is wrong that are printed.
+/// Maximum number of violations that are printed.
 constexpr std::size_t MaxPrinted = 20;
 
-std::vector<UpstreamRun> gatherRuns(Cluster &of, Tally &sum) {
+std::vector<UpstreamRun> readUpstreamRuns(Cluster &cluster, Tally &sum) {
   std::vector<UpstreamRun> runs;
-  const auto take = [&](const harness::StandIn &from, const std::string &name) {
+  const auto addRuns = [&](const harness::StandIn &from,
+                           const std::string &name) {
     const Outcome<boost::json::value> truth = from.truth();
     if (!truth) {
       sum.Violations.push_back("no truth of " + name + ": " +
@@ -35,16 +36,18 @@
     const std::vector<UpstreamRun> found = parseUpstreamRuns(*truth, name);
     runs.insert(runs.end(), found.begin(), found.end());
   };
-  for (std::size_t n = 0; n < of.Plan.Engines; ++n)
-    take(*of.engine(n), of.Plan.EngineService + "-" + std::to_string(n + 1));
-  for (std::size_t n = 0; n < of.Services.size(); ++n)
-    take(*of.Services[n], of.Plan.PlainService + "-" + std::to_string(n + 1));
+  for (std::size_t n = 0; n < cluster.Plan.Engines; ++n)
+    addRuns(*cluster.engine(n),
+            cluster.Plan.EngineService + "-" + std::to_string(n + 1));
+  for (std::size_t n = 0; n < cluster.Services.size(); ++n)
+    addRuns(*cluster.Services[n],
+            cluster.Plan.PlainService + "-" + std::to_string(n + 1));
   return runs;
 }
 
-/// Every link must have been used: else faults on it prove nothing.
-void judgeLinks(Tally &sum, Cluster &of) {
-  for (harness::StandIn *it : of.links()) {
+/// Checks that every link was used; faults on an unused link test nothing.
+void checkLinks(Tally &sum, Cluster &cluster) {
+  for (harness::StandIn *it : cluster.links()) {
     const Outcome<boost::json::value> truth = it->truth();
     const bool used = truth && truth->is_object() &&
                       truth->as_object().contains("connections") &&
@@ -55,28 +58,28 @@
   }
 }
 
-void gatherTrainer(Cluster &of, Tally &sum) {
-  const Outcome<boost::json::value> truth = of.Trainer->truth();
+void checkTrainer(Cluster &cluster, Tally &sum) {
+  const Outcome<boost::json::value> truth = cluster.Trainer->truth();
   if (truth)
     checkTrainerTruth(sum, parseTrainerTruth(*truth));
   else
     sum.Violations.push_back("no truth of the trainer");
 }
 
-/// What an operator was told is what is in force in the end: the limit has the
-/// rate of the last act that was accepted.
-void judgeOperators(Tally &sum, Cluster &of,
-                    const std::vector<OperatorAction> &acts) {
+/// Checks that accepted changes are in force: the limit has the rate of the
+/// last accepted change.
+void checkOperators(Tally &sum, Cluster &cluster,
+                    const std::vector<OperatorAction> &actions) {
   constexpr int Accepted = 0;
   constexpr int AcceptedNotSeen = 5;
-  const Cluster::CtlCommandResult history = of.control({"history"});
-  for (const OperatorAction &it : acts) {
+  const Cluster::CtlCommandResult history = cluster.runCtl({"history"});
+  for (const OperatorAction &it : actions) {
     if (it.Code != Accepted && it.Code != AcceptedNotSeen)
       continue;
-    // It was in force already: nothing was accepted.
+    // The configuration was unchanged, so there is no record in the history.
     if (it.Output.find("nothing to change") != std::string::npos)
       continue;
-    // "accepted at offset N…" is found again in the history.
+    // Finds "accepted at offset N…" in the history.
     const std::size_t at = it.Output.find("offset ");
     const std::string offset =
         at == std::string::npos
@@ -92,8 +95,8 @@
   }
 }
 
-/// Holds the gathered time line against the promises.
-void judgeTimeline(Tally &sum, const replay::Trace &trace) {
+/// Checks the collected timeline for violations.
+void checkTimeline(Tally &sum, const replay::Trace &trace) {
   const replay::TraceExpectations config{{"config-never-reverts"}, {}, {}};
   const std::optional<replay::TraceViolation> broken =
       replay::check(trace, config);
@@ -103,15 +106,16 @@
   sum.Violations.push_back(replay::describeViolation(trace, *broken));
 }
 
-/// The other rules say where to look; the stand-ins' records decide.
+/// Prints violations of the other rules as hints; the stand-ins' records decide
+/// the verdict.
 void printTimelineHints(const replay::Trace &trace) {
   for (const std::string rule :
        {"sample-once", "label-true", "fresh", "answer-whole", "not-run-is-true",
         "at-most-once", "leaving-gets-no-new-work", "planned-stop-cuts-nothing",
         "fences-never-go-back"}) {
-    const replay::TraceExpectations against{{rule}, {}, {}};
+    const replay::TraceExpectations expectations{{rule}, {}, {}};
     const std::optional<replay::TraceViolation> broken =
-        replay::check(trace, against);
+        replay::check(trace, expectations);
     if (broken)
       std::cout << "time line: " << replay::describeViolation(trace, *broken);
   }
@@ -132,7 +136,8 @@
          << " ended_us=" << it.Ended << " " << it.Note << "\n";
 }
 
-CallerLoad::Settings loadOf(const ClusterPlan &plan, std::uint64_t seed) {
+CallerLoad::Settings makeLoadSettings(const ClusterPlan &plan,
+                                      std::uint64_t seed) {
   CallerLoad::Settings setup;
   setup.Seed = seed;
   setup.EngineService = plan.EngineService;
@@ -141,7 +146,7 @@
   return setup;
 }
 
-std::string secondsOf(std::optional<Millis> took) {
+std::string formatSeconds(std::optional<Millis> took) {
   constexpr double MillisPerSecond = 1000;
   if (!took)
     return "none";
@@ -151,7 +156,7 @@
   return text;
 }
 
-void printFaults(const Tally &sum) {
+void printViolations(const Tally &sum) {
   for (std::size_t n = 0; n < sum.Violations.size() && n < MaxPrinted; ++n)
     std::cout << "wrong: " << sum.Violations[n] << "\n";
   if (sum.Violations.size() > MaxPrinted)
@@ -181,25 +186,24 @@
         Verdict::NotRun, FailureCode::Unavailable, "cluster", missing, {}});
   }
   const std::unique_ptr<CallerLoad> load =
-      CallerLoad::start(loadOf(cluster.Plan, Seed));
+      CallerLoad::start(makeLoadSettings(cluster.Plan, Seed));
   Observer observer(cluster, *load);
   Injector injector(cluster);
 
-  // Faults, then none, under load throughout.
+  // Injects all faults, then waits for recovery, under load throughout.
   injector.run(Schedule);
   injector.restoreCluster();
-  const std::uint64_t healed = wallMicros();
+  const std::uint64_t faultsEnded = wallMicros();
   const std::optional<Millis> recovered =
-      awaitRecovery(cluster, healed, missing);
+      awaitRecovery(cluster, faultsEnded, missing);
   const std::vector<CallerRecord> seen = load->finish();
 
-  // The verdict.
   Tally sum;
-  const std::vector<UpstreamRun> runs = gatherRuns(cluster, sum);
+  const std::vector<UpstreamRun> runs = readUpstreamRuns(cluster, sum);
   checkCallers(sum, seen, runs);
   checkPlannedStops(sum, injector.stops(), seen, runs);
-  judgeOperators(sum, cluster, injector.acts());
-  judgeLinks(sum, cluster);
+  checkOperators(sum, cluster, injector.operatorActions());
+  checkLinks(sum, cluster);
   for (const std::string &it : injector.problems())
     sum.Violations.push_back(it);
   if (!recovered)
@@ -208,10 +212,10 @@
     sum.Violations.push_back("recovery took too long");
   const replay::Trace trace = replay::makeTrace(observer.finish());
   injector.stopAll();
-  gatherTrainer(cluster, sum);
-  judgeTimeline(sum, trace);
+  checkTrainer(cluster, sum);
+  checkTimeline(sum, trace);
 
-  printFaults(sum);
+  printViolations(sum);
   const bool held = hasNoViolations(sum);
   printTimelineHints(trace);
   if (!held || Keep) {
@@ -221,7 +225,7 @@
     std::cout << "kept: " << folder->path().string() << "\n";
   }
   std::cout << "chaos: seed=" << Seed << " faults=" << Schedule.size() << " "
-            << describe(sum) << " recovered_s=" << secondsOf(recovered)
+            << describe(sum) << " recovered_s=" << formatSeconds(recovered)
             << std::endl;
   return held ? ExitCode::Success : ExitCode::OutcomeNotMet;
 }
--- a/IntegrationTests/Chaos/Run.h
+++ b/IntegrationTests/Chaos/Run.h
@@ -1,5 +1,5 @@
 /// \file
-/// One chaos run from start to verdict.
+/// Runs one chaos test from start to verdict.
 #ifndef WASABI_INTEGRATIONTESTS_CHAOS_RUN_H
 #define WASABI_INTEGRATIONTESTS_CHAOS_RUN_H
 
@@ -12,11 +12,11 @@
 
 namespace wasabi::chaos {
 
-/// Starts the product, loads it, injects the schedule, waits for recovery and
-/// judges; prints what is wrong and the last line. `OutcomeNotMet` when a
-/// promise was broken or recovery took too long; then, and with `Keep`, the
-/// time line and the logs are kept in a folder that is named. Errors:
-/// `Unavailable` when the processes cannot be started.
+/// Starts the product under load, injects the schedule, waits for recovery and
+/// checks the result; prints all violations and a summary line. Returns
+/// `OutcomeNotMet` if a guarantee was violated or recovery took too long; then,
+/// and with `Keep`, the timeline and the logs are kept in a folder whose path
+/// is printed. Errors: `Unavailable` if the processes can't be started.
 Result<ExitCode> runChaosTest(ClusterPlan Plan, std::uint64_t Seed,
                               const std::vector<Fault> &Schedule, bool Keep);
 
--- a/IntegrationTests/Chaos/Schedule.cpp
+++ b/IntegrationTests/Chaos/Schedule.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A kind of fault with its name and how often it is drawn.
+/// A kind of fault with its name and its relative frequency.
 struct FaultRow {
   FaultKind Kind;
   std::string_view Name;
@@ -53,29 +53,29 @@
     {FaultKind::SwitchPreset, "switch-preset", 2},
 };
 
-/// Calm before the first fault, and around a planned stop that is alone.
+/// Fault-free time before the first fault and around an isolated planned stop.
 constexpr Millis Warmup{2000};
 constexpr Millis FaultFreeTime{4000};
-/// The longest stretch between two draws.
+/// Maximum time between two draws.
 constexpr std::uint32_t MaxGapMs = 2500;
 constexpr std::uint32_t MinLengthMs = 300;
 constexpr std::uint32_t MaxLengthMs = 4000;
-/// Added to a long fault: claims are taken for 10 s.
-constexpr Millis LongExtra{11000};
-/// A fault that strikes twice does so after this.
-constexpr Millis Again{700};
-/// Out of a hundred draws.
-constexpr std::uint32_t TogetherPercent = 30;
-constexpr std::uint32_t TwicePercent = 20;
-constexpr std::uint32_t AlonePercent = 60;
+/// Added to a long fault, which must outlast a claim of 10 s.
+constexpr Millis LongFaultExtension{11000};
+/// Delay before a fault is repeated.
+constexpr Millis RepeatDelay{700};
+/// Probabilities in percent of the draws.
+constexpr std::uint32_t ConcurrentPercent = 30;
+constexpr std::uint32_t RepeatPercent = 20;
+constexpr std::uint32_t IsolatedPercent = 60;
 constexpr std::uint32_t MaxTarget = 1000;
 
-/// Draws that are the same with every standard library, unlike its
-/// distributions.
-class Draw {
+/// Random numbers that are the same with every standard library, unlike the
+/// distributions of the standard library.
+class RandomSource {
 public:
-  explicit Draw(std::uint64_t Seed) : Engine(Seed) {}
-  /// From 0 to `limit`, the latter excluded.
+  explicit RandomSource(std::uint64_t Seed) : Engine(Seed) {}
+  /// Returns a number from 0 to `limit`, exclusive.
   std::uint32_t below(std::uint32_t limit) {
     return static_cast<std::uint32_t>(Engine() % limit);
   }
@@ -85,7 +85,7 @@
   std::mt19937_64 Engine;
 };
 
-FaultKind drawKind(Draw &draw) {
+FaultKind drawKind(RandomSource &draw) {
   std::uint32_t total = 0;
   for (const FaultRow &it : FaultRows)
     total += it.Weight;
@@ -98,19 +98,19 @@
   return FaultKind::KillDaemon;
 }
 
-Fault drawFault(Draw &draw, Millis at) {
+Fault drawFault(RandomSource &draw, Millis at) {
   Fault drawn;
   drawn.At = at;
   drawn.Kind = drawKind(draw);
-  drawn.For = Millis(MinLengthMs + draw.below(MaxLengthMs - MinLengthMs));
+  drawn.Duration = Millis(MinLengthMs + draw.below(MaxLengthMs - MinLengthMs));
   if (drawn.Kind == FaultKind::PauseDaemonLong ||
       drawn.Kind == FaultKind::LogOutageLong)
-    drawn.For += LongExtra;
+    drawn.Duration += LongFaultExtension;
   drawn.Target = draw.below(MaxTarget);
   return drawn;
 }
 
-std::vector<Fault> byTime(std::vector<Fault> schedule) {
+std::vector<Fault> sortByTime(std::vector<Fault> schedule) {
   std::stable_sort(
       schedule.begin(), schedule.end(),
       [](const Fault &left, const Fault &right) { return left.At < right.At; });
@@ -137,41 +137,42 @@
 }
 
 std::vector<Fault> makeSchedule(std::uint64_t Seed, Millis Length) {
-  Draw draw(Seed);
+  RandomSource draw(Seed);
   std::vector<Fault> schedule;
   Millis at = Warmup;
   Millis busyUntil = at;
   while (true) {
     at += Millis(draw.below(MaxGapMs));
     Fault drawn = drawFault(draw, at);
-    // Most planned stops come when nothing else is wrong.
-    if (stopsProcess(drawn.Kind) && draw.percent(AlonePercent)) {
+    // Most planned stops are isolated from other faults.
+    if (stopsProcess(drawn.Kind) && draw.percent(IsolatedPercent)) {
       drawn.WithoutOtherFaults = true;
       drawn.At = std::max(at, busyUntil + FaultFreeTime);
-      if (drawn.At + drawn.For <= Length)
-        at = drawn.At + drawn.For + FaultFreeTime;
+      if (drawn.At + drawn.Duration <= Length)
+        at = drawn.At + drawn.Duration + FaultFreeTime;
     }
     if (at >= Length)
-      return byTime(std::move(schedule));
-    if (drawn.At + drawn.For > Length)
+      return sortByTime(std::move(schedule));
+    if (drawn.At + drawn.Duration > Length)
       continue;
-    busyUntil = std::max(busyUntil, drawn.At + drawn.For);
+    busyUntil = std::max(busyUntil, drawn.At + drawn.Duration);
     schedule.push_back(drawn);
     if (drawn.WithoutOtherFaults)
       continue;
-    // The same again, while its first time may still be felt.
-    Fault twice = drawn;
-    twice.At += Again;
-    if (draw.percent(TwicePercent) && twice.At + twice.For <= Length) {
-      busyUntil = std::max(busyUntil, twice.At + twice.For);
-      schedule.push_back(twice);
-      at = twice.At;
+    // Repeats the fault while its first effects may still last.
+    Fault repeated = drawn;
+    repeated.At += RepeatDelay;
+    if (draw.percent(RepeatPercent) &&
+        repeated.At + repeated.Duration <= Length) {
+      busyUntil = std::max(busyUntil, repeated.At + repeated.Duration);
+      schedule.push_back(repeated);
+      at = repeated.At;
     }
-    // Another at the same moment.
-    if (draw.percent(TogetherPercent)) {
+    // Adds another fault at the same time.
+    if (draw.percent(ConcurrentPercent)) {
       Fault other = drawFault(draw, drawn.At);
-      if (other.At + other.For <= Length) {
-        busyUntil = std::max(busyUntil, other.At + other.For);
+      if (other.At + other.Duration <= Length) {
+        busyUntil = std::max(busyUntil, other.At + other.Duration);
         schedule.push_back(other);
       }
     }
@@ -182,7 +183,7 @@
   std::string text;
   for (const Fault &it : Schedule) {
     text += "fault: at_ms=" + std::to_string(it.At.count());
-    text += " for_ms=" + std::to_string(it.For.count()) + " ";
+    text += " for_ms=" + std::to_string(it.Duration.count()) + " ";
     text += toText(it.Kind);
     text += " target=" + std::to_string(it.Target);
     text += it.WithoutOtherFaults ? " alone\n" : "\n";
--- a/IntegrationTests/Chaos/Schedule.h
+++ b/IntegrationTests/Chaos/Schedule.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which faults happen when: drawn from a seed, and from nothing else.
+/// Schedule of faults, fully determined by a seed.
 #ifndef WASABI_INTEGRATIONTESTS_CHAOS_SCHEDULE_H
 #define WASABI_INTEGRATIONTESTS_CHAOS_SCHEDULE_H
 
@@ -12,13 +12,13 @@
 
 namespace wasabi::chaos {
 
-/// All that is done to a running deployment.
+/// Faults and operations that are applied to a running deployment.
 enum class FaultKind : std::uint8_t {
   KillDaemon,
   KillEntry,
   PauseDaemon,
   PauseEntry,
-  /// Longer than a claim's term: its holder wakes up and is no holder.
+  /// Longer than a claim's term, so that its holder resumes without the claim.
   PauseDaemonLong,
   StopDaemon,
   StopEntry,
@@ -48,36 +48,36 @@
   LinkRefuses,
   LinkLosesAnswers,
   LinkSlow,
-  /// No process of a failure domain can be connected to.
+  /// Refuses connections to all processes of a failure domain.
   DomainPartitioned,
   ConcurrentOperators,
   SwitchPreset,
 };
 
-/// The fault's name on the schedule, lower-case with dashes.
+/// Returns the fault's name in a schedule, lower-case with dashes.
 std::string_view toText(FaultKind Kind);
 
-/// Whether it is an operator's ordinary act: nothing may fail because of it.
+/// True for an ordinary operator action, which must not cause failures.
 bool isPlanned(FaultKind Kind);
 
 /// One fault. An immutable value.
 struct Fault {
-  /// Counted from the beginning of the load.
+  /// Time since the start of the load.
   Millis At{0};
-  /// How long it lasts; for a process, until it is started anew.
-  Millis For{0};
+  /// Duration of the fault; for a process, the time until it is restarted.
+  Millis Duration{0};
   FaultKind Kind = FaultKind::KillDaemon;
-  /// Which of its kind of target, modulo how many there are.
+  /// Index of the target, modulo the number of targets of its kind.
   std::uint32_t Target = 0;
-  /// Nothing else is wrong around it: failures then are its own.
+  /// True if no other fault is near, so that failures are caused by this one.
   bool WithoutOtherFaults = false;
   bool operator==(const Fault &) const = default;
 };
 
-/// The faults of a run, by time. All end within `Length`. Pure.
+/// Returns the faults of a run by time. All end within `Length`. Pure.
 std::vector<Fault> makeSchedule(std::uint64_t Seed, Millis Length);
 
-/// One line a fault. Pure.
+/// Returns one line per fault. Pure.
 std::string describe(const std::vector<Fault> &Schedule);
 
 } // namespace wasabi::chaos
--- a/IntegrationTests/Chaos/Tally.cpp
+++ b/IntegrationTests/Chaos/Tally.cpp
@@ -10,28 +10,28 @@
 using RunsByMark =
     std::unordered_map<std::string, std::vector<const UpstreamRun *>>;
 
-RunsByMark byMark(const std::vector<UpstreamRun> &runs) {
+RunsByMark groupByMark(const std::vector<UpstreamRun> &runs) {
   RunsByMark found;
   for (const UpstreamRun &it : runs)
     found[it.Mark].push_back(&it);
   return found;
 }
 
-std::string describe(const CallerRecord &what) {
-  return what.Mark + " status=" + std::to_string(what.Status) +
-         " begun_us=" + std::to_string(what.Begun) +
-         " ended_us=" + std::to_string(what.Ended) + " " + what.Note;
+std::string describe(const CallerRecord &record) {
+  return record.Mark + " status=" + std::to_string(record.Status) +
+         " begun_us=" + std::to_string(record.Begun) +
+         " ended_us=" + std::to_string(record.Ended) + " " + record.Note;
 }
 
-void count(Tally &sum, const CallerRecord &what) {
+void count(Tally &sum, const CallerRecord &record) {
   ++sum.Requests;
-  switch (what.End) {
+  switch (record.End) {
   case CallOutcome::Whole:
     ++sum.Whole;
     break;
   case CallOutcome::Wrong:
     ++sum.WrongAnswers;
-    sum.Violations.push_back("wrong answer: " + describe(what));
+    sum.Violations.push_back("wrong answer: " + describe(record));
     break;
   case CallOutcome::NotRun:
     ++sum.NotRun;
@@ -42,15 +42,15 @@
   }
 }
 
-/// "Not run" is false when the request ran before the caller was told so,
-/// or at any time when it never was in doubt otherwise.
-void judgeNotRun(Tally &sum, const std::vector<const CallerRecord *> &asks,
+/// Counts a false "not run" verdict: the request ran before the caller received
+/// the verdict, or at any time if no other attempt is in doubt.
+void checkNotRun(Tally &sum, const std::vector<const CallerRecord *> &attempts,
                  const std::vector<const UpstreamRun *> &runs) {
-  for (const CallerRecord *it : asks) {
-    // An earlier ask of the same key may run at any time after.
+  for (const CallerRecord *it : attempts) {
+    // An earlier attempt with the same key may run at any later time.
     if (it->End != CallOutcome::NotRun)
       break;
-    const bool isLast = it == asks.back();
+    const bool isLast = it == attempts.back();
     for (const UpstreamRun *run : runs) {
       if (!isLast && run->Started > it->Ended)
         continue;
@@ -67,17 +67,17 @@
 
 void checkCallers(Tally &Sum, const std::vector<CallerRecord> &Seen,
                   const std::vector<UpstreamRun> &Runs) {
-  const RunsByMark runs = byMark(Runs);
-  std::unordered_map<std::string, std::vector<const CallerRecord *>> asks;
+  const RunsByMark runs = groupByMark(Runs);
+  std::unordered_map<std::string, std::vector<const CallerRecord *>> attempts;
   for (const CallerRecord &it : Seen) {
     count(Sum, it);
-    asks[it.Mark].push_back(&it);
+    attempts[it.Mark].push_back(&it);
   }
-  for (const auto &[mark, sent] : asks) {
+  for (const auto &[mark, sent] : attempts) {
     const auto found = runs.find(mark);
     if (found == runs.end())
       continue;
-    judgeNotRun(Sum, sent, found->second);
+    checkNotRun(Sum, sent, found->second);
     if (isIdempotent(sent.front()->Kind) || found->second.size() < 2)
       continue;
     ++Sum.DoubleRuns;
@@ -92,10 +92,10 @@
                        const std::vector<UpstreamRun> &Runs) {
   for (const PlannedStop &stop : Stops) {
     for (const CallerRecord &it : Asked) {
-      const bool isCut = it.End == CallOutcome::MayHaveRun &&
-                         it.Ended >= stop.SignalMicros &&
-                         it.Begun <= stop.Ended;
-      if (!stop.WithoutOtherFaults || !isCut)
+      const bool isInterrupted = it.End == CallOutcome::MayHaveRun &&
+                                 it.Ended >= stop.SignalMicros &&
+                                 it.Begun <= stop.Ended;
+      if (!stop.WithoutOtherFaults || !isInterrupted)
         continue;
       ++Sum.InterruptedByPlannedStop;
       Sum.Violations.push_back("cut by a planned stop: " + describe(it));
@@ -122,7 +122,7 @@
   Sum.Duplicates += Truth.Duplicates;
   Sum.Stale += Truth.Stale;
   Sum.Mislabelled += Truth.Mislabelled;
-  // The step that is open last is under way.
+  // The last step may still be in progress.
   if (Truth.StepsOpened > Truth.StepsComplete + 1)
     Sum.Missing += Truth.StepsOpened - Truth.StepsComplete - 1;
 }
--- a/IntegrationTests/Chaos/Tally.h
+++ b/IntegrationTests/Chaos/Tally.h
@@ -1,5 +1,6 @@
 /// \file
-/// The verdict of a run: what callers saw held against what upstreams ran.
+/// Compares the callers' records with the upstreams' records and computes the
+/// verdict of a run.
 #ifndef WASABI_INTEGRATIONTESTS_CHAOS_TALLY_H
 #define WASABI_INTEGRATIONTESTS_CHAOS_TALLY_H
 
@@ -12,20 +13,20 @@
 
 namespace wasabi::chaos {
 
-/// A stretch in which one process stopped as planned. An immutable value.
+/// A planned stop of one process. An immutable value.
 struct PlannedStop {
-  /// Wall microseconds of the signal and of the process' end.
+  /// Wall-clock microseconds of the signal and of the process exit.
   std::uint64_t SignalMicros = 0;
   std::uint64_t Ended = 0;
-  /// Nothing else was wrong.
+  /// True if no other fault was active.
   bool WithoutOtherFaults = false;
-  /// The process ended by itself and in order.
+  /// True if the process exited by itself with code 0.
   bool ExitedCleanly = false;
-  /// The servers that it was in front of; none for an entry.
+  /// Servers of the stopped process; empty for an entry.
   std::vector<std::string> Servers;
 };
 
-/// All that the last line says. The zeros are the promises.
+/// Counts of the summary line. Each violation count must be 0.
 struct Tally {
   std::uint64_t Requests = 0;
   std::uint64_t Whole = 0;
@@ -42,27 +43,28 @@
   std::uint64_t Stale = 0;
   std::uint64_t ConfigReverts = 0;
   std::uint64_t RunsAfterDrain = 0;
-  /// One line for each thing that is wrong, for a person.
+  /// One line per violation, for diagnostics.
   std::vector<std::string> Violations;
 };
 
-/// How long after the signal an instance may still be given work.
+/// Time after the signal in which an instance may still receive work.
 constexpr std::uint64_t DrainGraceMicros = 3000000;
 
-/// Adds what callers and upstreams say. Pure but for `Sum`.
+/// Adds the callers' and the upstreams' records. Modifies only `Sum`.
 void checkCallers(Tally &Sum, const std::vector<CallerRecord> &Seen,
                   const std::vector<UpstreamRun> &Runs);
-/// Adds what planned stops cut off, and the work that came too late.
+/// Adds requests that planned stops interrupted, and work that arrived too
+/// late.
 void checkPlannedStops(Tally &Sum, const std::vector<PlannedStop> &Stops,
                        const std::vector<CallerRecord> &Seen,
                        const std::vector<UpstreamRun> &Runs);
-/// Adds what a trainer says.
+/// Adds a trainer's record.
 void checkTrainerTruth(Tally &Sum, const TrainerTruth &Truth);
 
-/// Whether all promises hold.
+/// True if no guarantee was violated.
 bool hasNoViolations(const Tally &Sum);
 
-/// The counts, from `requests=` to `late_to_leaving=`.
+/// Returns the counts, from `requests=` to `late_to_leaving=`.
 std::string describe(const Tally &Sum);
 
 } // namespace wasabi::chaos
--- a/IntegrationTests/Chaos/Truth.h
+++ b/IntegrationTests/Chaos/Truth.h
@@ -1,5 +1,5 @@
 /// \file
-/// The stand-ins' own records, as values to judge by.
+/// Parses the records of the stand-ins, which are the ground truth.
 #ifndef WASABI_INTEGRATIONTESTS_CHAOS_TRUTH_H
 #define WASABI_INTEGRATIONTESTS_CHAOS_TRUTH_H
 
@@ -13,15 +13,15 @@
 
 /// One run of a request by an upstream. An immutable value.
 struct UpstreamRun {
-  /// The plain service's path, or the engine's prompt.
+  /// Path at a plain service, or prompt of an engine.
   std::string Mark;
-  /// Which stand-in.
+  /// Name of the stand-in.
   std::string Server;
-  /// Wall microseconds.
+  /// Wall-clock time in microseconds.
   std::uint64_t Started = 0;
 };
 
-/// What the trainers have to say. An immutable value.
+/// Counts from the trainers' records. An immutable value.
 struct TrainerTruth {
   std::uint64_t Samples = 0;
   std::uint64_t Duplicates = 0;
@@ -31,11 +31,11 @@
   std::uint64_t StepsComplete = 0;
 };
 
-/// Runs in a plain service's or an engine's record. Pure.
+/// Returns the runs in the record of a plain service or an engine. Pure.
 std::vector<UpstreamRun> parseUpstreamRuns(const boost::json::value &Truth,
                                            const std::string &Server);
 
-/// A trainer's record. Pure.
+/// Parses a trainer's record. Pure.
 TrainerTruth parseTrainerTruth(const boost::json::value &Truth);
 
 } // namespace wasabi::chaos
--- a/IntegrationTests/Soak/Main.cpp
+++ b/IntegrationTests/Soak/Main.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// wasabi-soak: the real processes of the users' platform under faults drawn
-/// from a seed, judged by what callers, trainers and servers saw.
+/// wasabi-soak: runs the real processes of the users' platform under faults
+/// drawn from a seed, and checks the observations of callers, trainers and
+/// servers.
 #include "IntegrationTests/Soak/SoakCustomers.h"
 #include "IntegrationTests/Soak/SoakRun.h"
 #include "Wasabi/Core/Program.h"
@@ -10,16 +11,16 @@
 
 #include <iostream>
 
-DEFINE_uint64(seed, 1, "what every random choice is drawn from");
-DEFINE_uint32(seeds, 1, "how many seeds are run, from --seed on");
-DEFINE_uint32(seconds, 15, "how long faults happen, in seconds");
+DEFINE_uint64(seed, 1, "seed of all random choices");
+DEFINE_uint32(seeds, 1, "number of consecutive seeds, starting with --seed");
+DEFINE_uint32(seconds, 15, "duration of the faults in seconds");
 DEFINE_uint32(edges, 3, "edge processes");
-DEFINE_uint32(engines, 3, "engines, with a process beside each");
+DEFINE_uint32(engines, 3, "engines, each with a sidecar");
 DEFINE_uint32(callers, 6, "callers at once");
 DEFINE_uint32(trainers, 2, "trainers at once");
-DEFINE_uint32(crashing, 0, "callers whose one request ends servers");
+DEFINE_uint32(crashing, 0, "callers whose request crashes servers");
 DEFINE_uint32(customers, 0, "customers, whose usage is reported");
-DEFINE_bool(plan_only, false, "print the plan of the seed and end");
+DEFINE_bool(plan_only, false, "print the plan of the seed and exit");
 DEFINE_bool(keep, false, "keep the logs of a good run too");
 
 namespace {
@@ -35,7 +36,7 @@
     "every promise held. The logs of a failed run are kept in soak-SEED.log."};
 
 bool runSeed(std::uint64_t Seed) {
-  constexpr std::size_t MostPrinted = 20;
+  constexpr std::size_t MaxPrinted = 20;
   std::vector<wasabi::soak::ScheduledFault> plan =
       wasabi::soak::makeSoakPlan(Seed, std::chrono::seconds(FLAGS_seconds));
   if (FLAGS_customers > 0)
@@ -50,20 +51,21 @@
   size.Engines = FLAGS_engines;
   size.Callers = FLAGS_callers;
   size.Trainers = FLAGS_trainers;
-  size.Crashing = FLAGS_crashing;
+  size.CrashingCallers = FLAGS_crashing;
   size.Customers = FLAGS_customers;
   wasabi::soak::SoakResult got =
       wasabi::soak::runSoakTest(size, Seed, plan, FLAGS_keep);
-  if (!got.Faults.empty())
+  if (!got.Violations.empty())
     std::cout << wasabi::soak::describe(plan);
-  for (std::size_t i = 0; i < got.Faults.size() && i < MostPrinted; ++i)
-    std::cout << "broken: " << got.Faults[i] << '\n';
+  for (std::size_t i = 0; i < got.Violations.size() && i < MaxPrinted; ++i)
+    std::cout << "broken: " << got.Violations[i] << '\n';
   std::cout << fmt::format("soak: seed={} broken={} asks={} served={} jobs={} "
                            "whole_jobs={} recovered_ms={}\n",
-                           Seed, got.Faults.size(), got.Asks, got.Served,
-                           got.Jobs, got.CompleteJobs, got.RecoveryTime.count())
+                           Seed, got.Violations.size(), got.Requests,
+                           got.Served, got.Jobs, got.CompleteJobs,
+                           got.RecoveryTime.count())
             << std::flush;
-  return got.Faults.empty();
+  return got.Violations.empty();
 }
 
 Result<ExitCode> run() {
--- a/IntegrationTests/Soak/SoakClients.h
+++ b/IntegrationTests/Soak/SoakClients.h
@@ -1,6 +1,6 @@
 /// \file
-/// Callers and trainers that use a deployment for as long as they are let, each
-/// over its open connection until that breaks, and write down what they see.
+/// Callers and trainers that use a deployment until they are stopped, over
+/// persistent connections, and record their observations.
 #ifndef WASABI_INTEGRATIONTESTS_SOAK_SOAKCLIENTS_H
 #define WASABI_INTEGRATIONTESTS_SOAK_SOAKCLIENTS_H
 
@@ -17,29 +17,29 @@
 
 namespace wasabi::soak {
 
-/// An edge process as clients know it.
+/// Addresses of an edge process for clients.
 struct EdgeEndpoints {
   Address Callers;
   Address Readiness;
 };
 
-/// Runs on a thread of its own; `record` may be called after `stop`.
+/// Runs all clients on its own thread. Call `record` only after `stop`.
 class SoakClients {
 public:
   struct Settings {
     std::uint64_t Seed = 1;
     std::size_t Callers = 6;
     std::size_t Trainers = 2;
-    /// Callers whose one request ends servers.
-    std::size_t Crashing = 0;
-    /// Customers that callers and trainers belong to; 0 for none.
+    /// Number of callers whose request crashes servers.
+    std::size_t CrashingCallers = 0;
+    /// Number of customers of the callers and trainers; 0 for none.
     std::size_t Customers = 0;
     std::size_t ItemsPerJob = 8;
-    /// How long a caller waits, as it says.
+    /// Deadline that a caller sends and waits for.
     Millis Deadline{2000};
-    /// A trainer ends a job that is older than this.
+    /// Time limit for each phase of a job (submit, read, end).
     Millis JobTimeout{5000};
-    /// Events of an item's or a stream's text.
+    /// Returns the number of events in the text of an item or a stream.
     std::function<std::uint64_t(const std::string &)> ExpectedEventCount;
   };
 
@@ -48,41 +48,41 @@
   SoakClients(const SoakClients &) = delete;
   SoakClients &operator=(const SoakClients &) = delete;
 
-  /// Lets each client finish what it has begun.
+  /// Lets each client finish its current operation, then stops the thread.
   void stop();
   const SoakObservations &record() const { return Record; }
 
-  /// Which start of each edge process runs now.
-  std::vector<std::atomic<std::uint64_t>> Lives;
-  /// The newest configuration and weights that were published.
+  /// Current incarnation of each edge process.
+  std::vector<std::atomic<std::uint64_t>> Incarnations;
+  /// Newest published configuration and weight versions.
   std::atomic<std::uint64_t> LatestConfigVersion{1};
-  std::atomic<std::uint64_t> Named{1};
+  std::atomic<std::uint64_t> LatestNamedVersion{1};
 
 private:
   template <typename T> using Task = boost::asio::awaitable<T>;
 
   void spawn(std::function<Task<void>()> Body);
-  Task<void> watch(std::size_t Edge);
-  Task<void> call(std::size_t Number);
-  Task<void> probe();
-  Task<void> crash(std::size_t Number);
-  Task<void> train(std::size_t Number);
-  Task<void> ask(ClientRequestKind Kind, std::string Path, std::size_t Edge,
-                 std::uint64_t Version);
-  Task<Outcome<http::Response>> sendStreamRequest(http::Request What,
-                                                  Address Where);
-  Task<bool> submit(std::size_t Job, std::string Body);
-  Task<void> follow(std::size_t Job);
-  Task<bool> readOnce(std::size_t Job, std::size_t After);
+  Task<void> readinessLoop(std::size_t Edge);
+  Task<void> callerLoop(std::size_t Number);
+  Task<void> configProbeLoop();
+  Task<void> crashLoop(std::size_t Number);
+  Task<void> trainerLoop(std::size_t Number);
+  Task<void> sendRequest(ClientRequestKind Kind, std::string Path,
+                         std::size_t Edge, std::uint64_t Version);
+  Task<Outcome<http::Response>> sendStreamRequest(http::Request Request,
+                                                  Address Target);
+  Task<bool> submitJob(std::size_t Job, std::string Body);
+  Task<void> pollResults(std::size_t Job);
+  Task<bool> readResultPage(std::size_t Job, std::size_t After);
   std::string findResultError(const JobRecord &Job,
                               const boost::json::value &Result) const;
-  Task<void> end(std::size_t Job);
+  Task<void> endJob(std::size_t Job);
   std::size_t pickEdge();
-  void chooseCustomerKey(ClientRequestRecord &For);
+  void chooseCustomerKey(ClientRequestRecord &Request);
   http::Request makeJobRequest(const JobRecord &Job, const std::string &Method,
                                const std::string &Target);
   Task<void> readAsOtherCustomer(std::size_t Job);
-  std::uint64_t draw(std::uint64_t Below) { return Random() % Below; }
+  std::uint64_t randomBelow(std::uint64_t Below) { return Random() % Below; }
 
   const Settings Setup;
   const std::vector<EdgeEndpoints> Edges;
@@ -96,8 +96,9 @@
   std::thread Thread;
 };
 
-/// What is wrong with a text that is said to be `Item`'s whole one of `Length`
-/// events made by `Versions`; empty if nothing is.
+/// Returns the error in a text that must be the complete text of `Item`, with
+/// `Length` events generated by `Versions`; empty if there is none. Any
+/// versions are accepted if `Versions` is empty.
 std::string findTextError(const std::string &Text, const std::string &Item,
                           std::uint64_t Length,
                           const std::vector<std::uint64_t> &Versions);
--- a/IntegrationTests/Soak/SoakCustomers.cpp
+++ b/IntegrationTests/Soak/SoakCustomers.cpp
@@ -14,31 +14,30 @@
 
 using test::ServerCall;
 
-constexpr Millis Lease{3000};
+constexpr Millis LeaseDuration{3000};
 constexpr unsigned Ok = 200;
 constexpr unsigned Unauthorized = 401;
 
-/// Requests of one customer by what is known of them.
-struct Tally {
+/// Requests of one customer, by certainty of their execution.
+struct UsageTally {
   std::uint64_t Ran = 0;
-  /// Nobody can say whether it counts: its process was killed about then, or no
-  /// server has been seen to begin it, though it was sent.
-  std::uint64_t Unsure = 0;
+  /// Requests that may or may not be counted: the process was killed at about
+  /// that time, or the request was sent and no server recorded a run.
+  std::uint64_t Uncertain = 0;
 };
 
-/// Since when a process had counts that were not written when it was killed: an
-/// append takes some milliseconds, more where a link delays it, and longer
-/// where the store is out of reach.
+/// Returns the time since which a killed process may have had unwritten counts:
+/// an append takes longer if a link delays it or the store is unreachable.
 TimePoint unwrittenSince(const SoakGroundTruth &Truth, const EdgeStop &Kill) {
-  constexpr Millis Append{600};
-  TimePoint since = Kill.At - Append;
+  constexpr Millis AppendTime{600};
+  TimePoint since = Kill.At - AppendTime;
   for (bool more = true; more;) {
     more = false;
     for (const SoakGroundTruth::StoreOutagePeriod &it :
          Truth.StoreOutagePeriods) {
-      bool concerns = !it.Edge || *it.Edge == Kill.Edge;
-      if (!concerns || it.When.From >= since || it.When.From > Kill.At ||
-          it.When.To + Append < since)
+      bool affects = !it.Edge || *it.Edge == Kill.Edge;
+      if (!affects || it.When.From >= since || it.When.From > Kill.At ||
+          it.When.To + AppendTime < since)
         continue;
       since = it.When.From;
       more = true;
@@ -47,19 +46,21 @@
   return since;
 }
 
-bool killedAbout(const SoakGroundTruth &Truth, const ClientRequestRecord &Of) {
-  constexpr Millis Crossing{50};
-  return std::any_of(Truth.Kills.begin(), Truth.Kills.end(),
-                     [&](const EdgeStop &It) {
-                       return It.Edge == Of.Edge && It.Life == Of.Life &&
-                              It.At + Crossing >= Of.Sent &&
-                              unwrittenSince(Truth, It) <= Of.Done;
-                     });
+bool wasKilledNear(const SoakGroundTruth &Truth,
+                   const ClientRequestRecord &Request) {
+  constexpr Millis InFlightTime{50};
+  return std::any_of(
+      Truth.Kills.begin(), Truth.Kills.end(), [&](const EdgeStop &It) {
+        return It.Edge == Request.Edge && It.Life == Request.Life &&
+               It.At + InFlightTime >= Request.Sent &&
+               unwrittenSince(Truth, It) <= Request.Done;
+      });
 }
 
-/// Every server was told the truth, and no key.
-void judgeRuns(const SoakObservations &Seen, const SoakGroundTruth &Truth,
-               std::vector<std::string> &Faults) {
+/// Checks that servers receive the correct customer and no key.
+void checkForwardedCustomers(const SoakObservations &Seen,
+                             const SoakGroundTruth &Truth,
+                             std::vector<std::string> &Violations) {
   std::unordered_map<std::string, std::string> owners;
   for (const ClientRequestRecord &it : Seen.Requests)
     owners[it.Id] = it.Customer;
@@ -71,16 +72,17 @@
        {&Truth.PlainRuns, &Truth.EngineRuns}) {
     for (const ServerCall &it : *runs) {
       if (it.KeyForwarded)
-        Faults.push_back(it.Id + " brought a key to a server");
+        Violations.push_back(it.Id + " brought a key to a server");
       auto owner = owners.find(it.Id);
       if (owner != owners.end() && it.Customer != owner->second)
-        Faults.push_back(fmt::format("{} is {}'s, and a server was told {}",
-                                     it.Id, owner->second, it.Customer));
+        Violations.push_back(fmt::format("{} is {}'s, and a server was told {}",
+                                         it.Id, owner->second, it.Customer));
     }
   }
 }
 
-/// Whether a passing key was taken away before `Since` and stays away.
+/// True if a revocable key was revoked before `Since` and not restored until
+/// `To`.
 bool isRevoked(const SoakGroundTruth &Truth, std::size_t Customer,
                TimePoint Since, TimePoint To) {
   bool revoked = false;
@@ -95,68 +97,71 @@
   return revoked;
 }
 
-void judgeKeys(const SoakObservations &Seen, const SoakGroundTruth &Truth,
-               const SoakBounds &Bounds, std::vector<std::string> &Faults) {
+void checkKeys(const SoakObservations &Seen, const SoakGroundTruth &Truth,
+               const SoakBounds &Bounds, std::vector<std::string> &Violations) {
   for (const ClientRequestRecord &it : Seen.Requests) {
     if (!it.UsesRevocableKey && it.Status == Unauthorized)
-      Faults.push_back(it.Id + " was denied though its key is good");
-    TimePoint since = it.Sent - Bounds.Configure - Bounds.Slack;
+      Violations.push_back(it.Id + " was denied though its key is good");
+    TimePoint since =
+        it.Sent - Bounds.ConfigureTimeout - Bounds.TimingTolerance;
     bool revoked = it.UsesRevocableKey &&
                    isRevoked(Truth, it.CustomerNumber, since, it.Done);
     if (revoked && it.Status == Ok &&
         isFaultFree(Truth, Bounds, since, it.Done))
-      Faults.push_back(it.Id + " was served for a key that is taken away");
+      Violations.push_back(it.Id + " was served for a key that is taken away");
   }
 }
 
-/// What was reported of each customer is what servers began to run.
-void judgeCounts(const SoakObservations &Seen, const SoakGroundTruth &Truth,
-                 std::vector<std::string> &Faults) {
+/// Checks that the reported usage of each customer matches the requests that
+/// servers ran.
+void checkUsageCounts(const SoakObservations &Seen,
+                      const SoakGroundTruth &Truth,
+                      std::vector<std::string> &Violations) {
   std::unordered_map<std::string, std::size_t> runs;
   for (const std::vector<ServerCall> *all :
        {&Truth.PlainRuns, &Truth.EngineRuns}) {
     for (const ServerCall &it : *all)
       ++runs[it.Id];
   }
-  std::map<std::string, Tally> tallies;
+  std::map<std::string, UsageTally> tallies;
   for (const ClientRequestRecord &it : Seen.Requests) {
     bool ran = runs.contains(it.Id);
     bool lost =
         it.Status != Ok && it.Status != 503 && it.Status != Unauthorized;
-    Tally &tally = tallies[it.Customer];
-    if (killedAbout(Truth, it) || (lost && !ran) ||
-        // A stream counts with its first event, which may not have come.
+    UsageTally &tally = tallies[it.Customer];
+    if (wasKilledNear(Truth, it) || (lost && !ran) ||
+        // A stream is counted at its first event, which may not have arrived.
         (lost && it.Kind == ClientRequestKind::Stream))
-      ++tally.Unsure;
+      ++tally.Uncertain;
     else
       tally.Ran += ran ? 1 : 0;
   }
   std::map<std::string, std::uint64_t> reported =
       test::sumReportedUsage(Truth.Reports);
   for (const auto &[customer, tally] : tallies) {
-    std::uint64_t told = reported[customer];
-    if (told < tally.Ran || told > tally.Ran + tally.Unsure)
-      Faults.push_back(
+    std::uint64_t count = reported[customer];
+    if (count < tally.Ran || count > tally.Ran + tally.Uncertain)
+      Violations.push_back(
           fmt::format("{} requests of {} were reported, {} ran and {} may have",
-                      told, customer, tally.Ran, tally.Unsure));
+                      count, customer, tally.Ran, tally.Uncertain));
   }
 }
 
-/// No window is left out between the first and the last one.
-void judgeWindows(const SoakGroundTruth &Truth,
-                  std::vector<std::string> &Faults) {
+/// Checks that every window between the first and the last one was reported.
+void checkReportedWindows(const SoakGroundTruth &Truth,
+                          std::vector<std::string> &Violations) {
   std::set<std::uint64_t> windows;
   for (const test::ReportCall &it : Truth.Reports) {
     if (it.Taken)
       windows.insert(it.Window);
   }
   if (windows.empty()) {
-    Faults.push_back("no window was reported");
+    Violations.push_back("no window was reported");
     return;
   }
   for (std::uint64_t it = *windows.begin(); it < *windows.rbegin(); ++it) {
     if (!windows.contains(it))
-      Faults.push_back(fmt::format("window {} was never reported", it));
+      Violations.push_back(fmt::format("window {} was never reported", it));
   }
 }
 
@@ -189,17 +194,18 @@
 void addCustomerFaults(std::vector<ScheduledFault> &Plan, std::uint64_t Seed,
                        Millis Length) {
   constexpr auto First = static_cast<std::uint64_t>(SoakFault::RevokeKey);
-  constexpr auto Kinds = static_cast<std::uint64_t>(SoakFault::Count) - First;
+  constexpr auto KindCount =
+      static_cast<std::uint64_t>(SoakFault::Count) - First;
   constexpr std::uint64_t Salt = 0x5eed;
   std::mt19937_64 random(Seed ^ Salt);
   Millis at(500);
   while (at < Length) {
     ScheduledFault step;
     step.At = at;
-    step.Kind = static_cast<SoakFault>(First + random() % Kinds);
+    step.Kind = static_cast<SoakFault>(First + random() % KindCount);
     step.Target = static_cast<std::uint32_t>(random() % 1000);
     step.Duration = Millis(300 + static_cast<std::int64_t>(random() % 4000));
-    // Keys are taken away in series.
+    // Several keys are revoked in succession.
     std::uint64_t times =
         step.Kind == SoakFault::RevokeKey ? 1 + random() % 3 : 1;
     for (std::uint64_t i = 0; i < times && step.At + step.Duration < Length;
@@ -219,13 +225,13 @@
 std::vector<std::string> findCustomerViolations(const SoakObservations &Seen,
                                                 const SoakGroundTruth &Truth,
                                                 const SoakBounds &Bounds) {
-  std::vector<std::string> faults =
-      test::findCallViolations(Truth.Reports, Lease, Truth.ReportDelaySpans);
-  judgeRuns(Seen, Truth, faults);
-  judgeKeys(Seen, Truth, Bounds, faults);
-  judgeCounts(Seen, Truth, faults);
-  judgeWindows(Truth, faults);
-  return faults;
+  std::vector<std::string> violations = test::findCallViolations(
+      Truth.Reports, LeaseDuration, Truth.ReportDelaySpans);
+  checkForwardedCustomers(Seen, Truth, violations);
+  checkKeys(Seen, Truth, Bounds, violations);
+  checkUsageCounts(Seen, Truth, violations);
+  checkReportedWindows(Truth, violations);
+  return violations;
 }
 
 } // namespace wasabi::soak
--- a/IntegrationTests/Soak/SoakCustomers.h
+++ b/IntegrationTests/Soak/SoakCustomers.h
@@ -1,6 +1,6 @@
 /// \file
-/// A soak with customers: their keys, faults of keys and of the reporter of
-/// usage, and what must hold of both.
+/// Customers of a soak test: their keys, the faults of keys and of the usage
+/// reporter, and the checks of both.
 #ifndef WASABI_INTEGRATIONTESTS_SOAK_SOAKCUSTOMERS_H
 #define WASABI_INTEGRATIONTESTS_SOAK_SOAKCUSTOMERS_H
 
@@ -18,15 +18,15 @@
 struct SoakGroundTruth;
 struct SoakBounds;
 
-/// A customer by its number, its key for good, and the one that comes and goes.
+/// Return the name, the permanent key and the revocable key of a customer.
 std::string customerName(std::size_t Number);
 std::string permanentKey(std::size_t Number);
 std::string revocableKey(std::size_t Number);
-/// Of the soak's own requests.
+/// Customer and key of the harness's own requests.
 inline constexpr const char *HarnessCustomer = "own";
 inline constexpr const char *HarnessKey = "own-key";
 
-/// All customers; those in `Revoked` are without their passing key.
+/// Returns all customers; those in `Revoked` lack their revocable key.
 std::vector<test::ConfiguredCustomer>
 makeSoakCustomers(std::size_t Count, const std::set<std::size_t> &Revoked);
 
@@ -34,7 +34,8 @@
 void addCustomerFaults(std::vector<ScheduledFault> &Plan, std::uint64_t Seed,
                        Millis Length);
 
-/// Each broken promise of customers and their usage, one line each.
+/// Returns the violated guarantees for customers and their usage, one line
+/// each.
 std::vector<std::string> findCustomerViolations(const SoakObservations &Seen,
                                                 const SoakGroundTruth &Truth,
                                                 const SoakBounds &Bounds);
--- a/IntegrationTests/Soak/SoakInjector.cpp
+++ b/IntegrationTests/Soak/SoakInjector.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-/// An engine's usual pause between events, and a slow one's.
-constexpr Millis UsualPace{15};
-constexpr Millis SlowPace{120};
-/// A registration outlives its server by this.
-constexpr Millis RegistrationLag{1000};
-/// How long a stopped process may take.
-constexpr Millis StopLimit{12000};
-/// A leaving server goes on serving for this long after its report.
+/// Delay between events of a normal engine and of a slow one.
+constexpr Millis NormalEventDelay{15};
+constexpr Millis SlowEventDelay{120};
+/// Time after which the registration of a crashed server expires.
+constexpr Millis RegistrationExpiryDelay{1000};
+/// Maximum duration of a planned stop.
+constexpr Millis StopTimeout{12000};
+/// Time for which a draining server continues to serve.
 constexpr Millis DrainTime{3500};
 
 } // namespace
@@ -24,24 +24,24 @@
                            std::size_t Customers)
     : World(World), Clients(Clients), Customers(Customers) {}
 
-void SoakInjector::later(Millis After, std::function<void()> Act) {
-  Queue.push(QueuedAction{monotonicNow() + After, Orders++, std::move(Act)});
+void SoakInjector::scheduleAction(Millis After, std::function<void()> Run) {
+  Queue.push(QueuedAction{monotonicNow() + After, NextOrder++, std::move(Run)});
 }
 
 void SoakInjector::runPlan(const std::vector<ScheduledFault> &Plan) {
   for (const ScheduledFault &it : Plan)
-    later(it.At, [this, it] { begin(it); });
+    scheduleAction(it.At, [this, it] { inject(it); });
   while (!Queue.empty()) {
     QueuedAction next = Queue.top();
     Queue.pop();
     std::this_thread::sleep_until(next.At);
-    next.Act();
+    next.Run();
   }
 }
 
-void SoakInjector::begin(const ScheduledFault &Step) {
+void SoakInjector::inject(const ScheduledFault &Step) {
   TimePoint now = monotonicNow();
-  Done.Faults.push_back({Step.Kind, now, now + Step.Duration});
+  GroundTruth.Faults.push_back({Step.Kind, now, now + Step.Duration});
   recordStoreOutage(Step, now);
   if (injectPlannedWork(Step) || injectProcessFault(Step) ||
       injectStoreFault(Step) || injectLinkFault(Step) || injectKeyFault(Step) ||
@@ -59,8 +59,8 @@
     publish();
     return true;
   case SoakFault::NameVersion:
-    World.nameVersion(Clients.Named + 1);
-    ++Clients.Named;
+    World.nameVersion(Clients.LatestNamedVersion + 1);
+    ++Clients.LatestNamedVersion;
     return true;
   case SoakFault::StopEdge:
     stopEdge(edge);
@@ -79,32 +79,35 @@
 
 void SoakInjector::publish() {
   World.configure(++Versions);
-  Done.Publications.push_back({Versions, monotonicNow()});
+  GroundTruth.Publications.push_back({Versions, monotonicNow()});
   Clients.LatestConfigVersion = Versions;
 }
 
-/// A stop of the only process that is left is no planned work, so it is left
-/// out.
+/// Does nothing if it would stop the last available process, which would not be
+/// planned work.
 void SoakInjector::stopEdge(std::size_t Edge) {
   if (UnavailableEdges.contains(Edge) ||
       UnavailableEdges.size() + 1 >= World.edges())
     return;
   UnavailableEdges.insert(Edge);
-  Done.Stops.push_back({Edge, Clients.Lives[Edge], monotonicNow()});
+  GroundTruth.Stops.push_back(
+      {Edge, Clients.Incarnations[Edge], monotonicNow()});
   World.edge(Edge).Running->signal(SIGTERM);
-  later(Millis(0),
-        [this, Edge] { checkStopped(Edge, monotonicNow() + StopLimit); });
+  scheduleAction(Millis(0), [this, Edge] {
+    checkStopped(Edge, monotonicNow() + StopTimeout);
+  });
 }
 
 void SoakInjector::checkStopped(std::size_t Edge, TimePoint Until) {
-  constexpr Millis Look{50};
+  constexpr Millis CheckInterval{50};
   harness::Process &process = *World.edge(Edge).Running;
   if (process.running() && monotonicNow() < Until) {
-    later(Look, [this, Edge, Until] { checkStopped(Edge, Until); });
+    scheduleAction(CheckInterval,
+                   [this, Edge, Until] { checkStopped(Edge, Until); });
     return;
   }
   if (process.running())
-    Done.UnstoppedEdges.push_back(Edge);
+    GroundTruth.UnstoppedEdges.push_back(Edge);
   restartEdge(Edge);
 }
 
@@ -115,10 +118,10 @@
   UnavailableServers.insert(Index);
   std::string id = World.server(Index).id();
   World.registerServer(Index, true);
-  Done.Drains.push_back({id, monotonicNow()});
-  later(DrainTime, [this, Index, id] {
+  GroundTruth.Drains.push_back({id, monotonicNow()});
+  scheduleAction(DrainTime, [this, Index, id] {
     World.unregisterServer(id);
-    restartServer(Index, newId());
+    restartServer(Index, makeServerId());
   });
 }
 
@@ -126,7 +129,7 @@
 
 bool SoakInjector::injectProcessFault(const ScheduledFault &Step) {
   std::size_t edge = Step.Target % World.edges();
-  std::size_t side = Step.Target % World.size().Engines;
+  std::size_t sidecar = Step.Target % World.size().Engines;
   switch (Step.Kind) {
   case SoakFault::KillEdge:
     killEdge(edge, Step.Duration);
@@ -139,29 +142,30 @@
     pauseEdge(edge, Step.Duration);
     return true;
   case SoakFault::KillSidecar:
-    if (!UnavailableSidecars.insert(side).second)
+    if (!UnavailableSidecars.insert(sidecar).second)
       return true;
-    World.sidecar(side).signal(SIGKILL);
-    later(Step.Duration, [this, side] {
-      UnavailableSidecars.erase(side);
-      World.startSidecar(side);
+    World.sidecar(sidecar).signal(SIGKILL);
+    scheduleAction(Step.Duration, [this, sidecar] {
+      UnavailableSidecars.erase(sidecar);
+      World.startSidecar(sidecar);
     });
     return true;
   case SoakFault::PauseSidecar:
-    World.sidecar(side).signal(SIGSTOP);
-    later(Step.Duration, [this, side] { World.sidecar(side).signal(SIGCONT); });
+    World.sidecar(sidecar).signal(SIGSTOP);
+    scheduleAction(Step.Duration,
+                   [this, sidecar] { World.sidecar(sidecar).signal(SIGCONT); });
     return true;
   default:
     return false;
   }
 }
 
-/// What it has written before may arrive when it goes on.
-void SoakInjector::pauseEdge(std::size_t Edge, Millis For) {
+/// Reports sent before the pause may arrive after the process resumes.
+void SoakInjector::pauseEdge(std::size_t Edge, Millis Duration) {
   if (UnavailableEdges.contains(Edge))
     return;
   World.edge(Edge).Running->signal(SIGSTOP);
-  later(For, [this, Edge] {
+  scheduleAction(Duration, [this, Edge] {
     World.edge(Edge).Running->signal(SIGCONT);
     recordReportDelay(Millis(0));
   });
@@ -170,23 +174,25 @@
 void SoakInjector::killEdge(std::size_t Edge, Millis Down) {
   if (!UnavailableEdges.insert(Edge).second)
     return;
-  Done.Kills.push_back({Edge, Clients.Lives[Edge], monotonicNow()});
+  GroundTruth.Kills.push_back(
+      {Edge, Clients.Incarnations[Edge], monotonicNow()});
   World.edge(Edge).Running->signal(SIGKILL);
-  later(Down, [this, Edge] { restartEdge(Edge); });
+  scheduleAction(Down, [this, Edge] { restartEdge(Edge); });
 }
 
 void SoakInjector::restartEdge(std::size_t Edge) {
-  Done.Output += World.edge(Edge).Running->output();
-  ++Clients.Lives[Edge];
+  GroundTruth.Output += World.edge(Edge).Running->output();
+  ++Clients.Incarnations[Edge];
   World.startEdge(Edge);
   UnavailableEdges.erase(Edge);
 }
 
 //===--- The store --------------------------------------------------------===//
 
-void SoakInjector::mood(test::StoreBehavior What, Millis For) {
-  World.runOnPlatformThread([&] { World.store().setBehavior(What); });
-  later(For, [this] {
+void SoakInjector::setStoreFault(test::StoreBehavior Behavior,
+                                 Millis Duration) {
+  World.runOnPlatformThread([&] { World.store().setBehavior(Behavior); });
+  scheduleAction(Duration, [this] {
     World.runOnPlatformThread(
         [&] { World.store().setBehavior(test::StoreBehavior::Normal); });
   });
@@ -196,22 +202,22 @@
   using test::StoreBehavior;
   switch (Step.Kind) {
   case SoakFault::StoreBusy:
-    mood(StoreBehavior::Busy, Step.Duration);
+    setStoreFault(StoreBehavior::Busy, Step.Duration);
     return true;
   case SoakFault::StoreSilent:
-    mood(StoreBehavior::Unresponsive, Step.Duration);
+    setStoreFault(StoreBehavior::Unresponsive, Step.Duration);
     return true;
   case SoakFault::StoreResets:
-    mood(StoreBehavior::Reset, Step.Duration);
+    setStoreFault(StoreBehavior::Reset, Step.Duration);
     return true;
   case SoakFault::StoreLosesAnswers:
-    mood(StoreBehavior::LosesAnswers, Step.Duration);
+    setStoreFault(StoreBehavior::LosesAnswers, Step.Duration);
     return true;
   case SoakFault::StoreLate:
-    mood(StoreBehavior::Late, Step.Duration);
+    setStoreFault(StoreBehavior::Late, Step.Duration);
     return true;
   case SoakFault::StoreSlow:
-    mood(StoreBehavior::Slow, Step.Duration);
+    setStoreFault(StoreBehavior::Slow, Step.Duration);
     return true;
   case SoakFault::StoreCompacts:
     World.runOnPlatformThread([&] {
@@ -221,16 +227,16 @@
     writeInvalidRegistrations(Step.Target % World.servers());
     return true;
   case SoakFault::RegistrationsExpire:
-    lapse(Step);
+    expireRegistrations(Step);
     return true;
   default:
     return false;
   }
 }
 
-/// Another writer puts entries among the registrations, one over that of a
-/// server, which registers again a heartbeat later.
-void SoakInjector::writeInvalidRegistrations(std::size_t Over) {
+/// Simulates another writer that adds invalid entries to the registrations and
+/// overwrites one server, which registers again after a heartbeat.
+void SoakInjector::writeInvalidRegistrations(std::size_t ServerIndex) {
   constexpr Millis Heartbeat{600};
   const std::string entries[] = {
       "{", R"({"service":"desk"})", "\xff\xfe bytes",
@@ -240,31 +246,32 @@
     for (std::size_t i = 0; i < std::size(entries); ++i)
       World.store().write("keyed.servers", "x-" + std::to_string(i),
                           entries[i]);
-    if (!UnavailableServers.contains(Over))
-      World.store().write("keyed.servers", World.server(Over).id(), "{}");
+    if (!UnavailableServers.contains(ServerIndex))
+      World.store().write("keyed.servers", World.server(ServerIndex).id(),
+                          "{}");
   });
-  later(Heartbeat, [this, Over] {
-    if (!UnavailableServers.contains(Over))
-      World.registerServer(Over, false);
+  scheduleAction(Heartbeat, [this, ServerIndex] {
+    if (!UnavailableServers.contains(ServerIndex))
+      World.registerServer(ServerIndex, false);
   });
 }
 
-/// The store is away, and registrations lapse meanwhile; the servers are back
-/// in it within two seconds of its return.
-void SoakInjector::lapse(const ScheduledFault &Step) {
-  constexpr Millis BackAfter{1200};
-  mood(test::StoreBehavior::Busy, Step.Duration);
-  std::vector<std::size_t> lapsed;
+/// Registrations expire while the store is unreachable; the servers register
+/// again within two seconds of its return.
+void SoakInjector::expireRegistrations(const ScheduledFault &Step) {
+  constexpr Millis ReturnDelay{1200};
+  setStoreFault(test::StoreBehavior::Busy, Step.Duration);
+  std::vector<std::size_t> expired;
   for (std::size_t i = 0; i < World.servers(); ++i) {
     if (!UnavailableServers.contains(i))
-      lapsed.push_back(i);
+      expired.push_back(i);
   }
-  later(Step.Duration / 2, [this, lapsed] {
-    for (std::size_t it : lapsed)
+  scheduleAction(Step.Duration / 2, [this, expired] {
+    for (std::size_t it : expired)
       World.unregisterServer(World.server(it).id());
   });
-  later(Step.Duration + BackAfter, [this, lapsed] {
-    for (std::size_t it : lapsed) {
+  scheduleAction(Step.Duration + ReturnDelay, [this, expired] {
+    for (std::size_t it : expired) {
       if (!UnavailableServers.contains(it))
         World.registerServer(it, false);
     }
@@ -273,11 +280,15 @@
 
 //===--- Links ------------------------------------------------------------===//
 
-void SoakInjector::fault(const test::PlatformFixture::Proxy &Of,
-                         const char *Name, const boost::json::value &Begin,
-                         const boost::json::value &End, Millis For) {
-  World.setFaults(Of, {{Name, Begin}});
-  later(For, [this, Of, Name, End] { World.setFaults(Of, {{Name, End}}); });
+void SoakInjector::setLinkFault(const test::PlatformFixture::Proxy &Link,
+                                const char *Name,
+                                const boost::json::value &Begin,
+                                const boost::json::value &End,
+                                Millis Duration) {
+  World.setFaults(Link, {{Name, Begin}});
+  scheduleAction(Duration, [this, Link, Name, End] {
+    World.setFaults(Link, {{Name, End}});
+  });
 }
 
 bool SoakInjector::injectLinkFault(const ScheduledFault &Step) {
@@ -289,30 +300,29 @@
   switch (Step.Kind) {
   case SoakFault::StoreLinkRefuses:
     World.setFaults(store, {{"cut_now", true}});
-    fault(store, "refuse", true, false, Step.Duration);
+    setLinkFault(store, "refuse", true, false, Step.Duration);
     return true;
   case SoakFault::StoreLinkSilent:
-    fault(store, "half_open", true, false, Step.Duration);
+    setLinkFault(store, "half_open", true, false, Step.Duration);
     return true;
   case SoakFault::StoreLinkOneWay:
-    fault(store, "one_way", true, false, Step.Duration);
+    setLinkFault(store, "one_way", true, false, Step.Duration);
     return true;
   case SoakFault::StoreLinkDelays:
-    fault(store, "delay_ms", DelayMs, 0.0, Step.Duration);
+    setLinkFault(store, "delay_ms", DelayMs, 0.0, Step.Duration);
     return true;
   case SoakFault::CallerLinkCut:
     World.setFaults(caller, {{"cut_now", true}});
     return true;
   case SoakFault::CallerLinkDelays:
-    fault(caller, "delay_ms", DelayMs, 0.0, Step.Duration);
+    setLinkFault(caller, "delay_ms", DelayMs, 0.0, Step.Duration);
     return true;
   default:
     return false;
   }
 }
 
-//===--- Keys and the reporter
-//---------------------------------------------===//
+//===--- Keys and the reporter --------------------------------------------===//
 
 bool SoakInjector::injectKeyFault(const ScheduledFault &Step) {
   if (Step.Kind != SoakFault::RevokeKey)
@@ -322,17 +332,17 @@
     return true;
   World.setCustomers(makeSoakCustomers(Customers, Revoked));
   publish();
-  Done.KeyChanges.push_back({customer, true, monotonicNow()});
-  later(Step.Duration + Millis(3000), [this, customer] {
+  GroundTruth.KeyChanges.push_back({customer, true, monotonicNow()});
+  scheduleAction(Step.Duration + Millis(3000), [this, customer] {
     Revoked.erase(customer);
     World.setCustomers(makeSoakCustomers(Customers, Revoked));
-    Done.KeyChanges.push_back({customer, false, monotonicNow()});
+    GroundTruth.KeyChanges.push_back({customer, false, monotonicNow()});
     publish();
   });
   return true;
 }
 
-/// Notes for whom the store is out of reach during a step.
+/// Records which processes can't reach the store during a step.
 void SoakInjector::recordStoreOutage(const ScheduledFault &Step,
                                      TimePoint Now) {
   bool ofReporter = Step.Kind >= SoakFault::ReporterStoreRefuses &&
@@ -343,15 +353,16 @@
                Step.Kind <= SoakFault::RegistrationsExpire;
   std::optional<std::size_t> edge;
   if (ofReporter)
-    edge = reporter();
+    edge = findLastReporter();
   if (ofLink)
     edge = Step.Target % (World.edges() + World.size().Engines);
   if (ofAll || edge)
-    Done.StoreOutagePeriods.push_back({edge, {Now, Now + Step.Duration}});
+    GroundTruth.StoreOutagePeriods.push_back(
+        {edge, {Now, Now + Step.Duration}});
 }
 
-/// The edge process that reported last; empty if none has.
-std::optional<std::size_t> SoakInjector::reporter() {
+/// Returns the edge process that reported last; empty if none has.
+std::optional<std::size_t> SoakInjector::findLastReporter() {
   std::string holder = World.runOnPlatformThread<std::string>([&] {
     const std::vector<test::ReportCall> &calls = World.reports().Calls;
     return calls.empty() ? std::string() : calls.back().Holder;
@@ -367,7 +378,7 @@
   if (Step.Kind < SoakFault::KillReporter ||
       Step.Kind > SoakFault::ReporterStoreDelays)
     return false;
-  std::optional<std::size_t> found = reporter();
+  std::optional<std::size_t> found = findLastReporter();
   if (!found)
     return true;
   test::PlatformFixture::Proxy store = World.storeLink(*found);
@@ -383,30 +394,31 @@
     break;
   case SoakFault::ReporterStoreRefuses:
     World.setFaults(store, {{"cut_now", true}});
-    fault(store, "refuse", true, false, Step.Duration);
+    setLinkFault(store, "refuse", true, false, Step.Duration);
     break;
   case SoakFault::ReporterStoreSilent:
-    fault(store, "half_open", true, false, Step.Duration);
+    setLinkFault(store, "half_open", true, false, Step.Duration);
     break;
   default:
-    fault(store, "delay_ms", DelayMs, 0.0, Step.Duration);
+    setLinkFault(store, "delay_ms", DelayMs, 0.0, Step.Duration);
   }
   return true;
 }
 
-void SoakInjector::setReportFault(test::ReportBehavior What, Millis For) {
-  World.runOnPlatformThread([&] { World.reports().setBehavior(What); });
-  later(For, [this] {
+void SoakInjector::setReportFault(test::ReportBehavior Behavior,
+                                  Millis Duration) {
+  World.runOnPlatformThread([&] { World.reports().setBehavior(Behavior); });
+  scheduleAction(Duration, [this] {
     World.runOnPlatformThread(
         [&] { World.reports().setBehavior(test::ReportBehavior::Normal); });
   });
 }
 
-/// Calls that were held up may arrive until shortly after `After` from now.
+/// Records that delayed calls may arrive until shortly after `After` from now.
 void SoakInjector::recordReportDelay(Millis After) {
-  constexpr Millis Thaw{300};
+  constexpr Millis ResumeTime{300};
   TimePoint now = monotonicNow();
-  Done.ReportDelaySpans.push_back({now, now + After + Thaw});
+  GroundTruth.ReportDelaySpans.push_back({now, now + After + ResumeTime});
 }
 
 bool SoakInjector::injectReportFault(const ScheduledFault &Step) {
@@ -424,11 +436,11 @@
     setReportFault(test::ReportBehavior::Unresponsive, Step.Duration);
     return true;
   case SoakFault::ReportLinkSilent:
-    fault(link, "half_open", true, false, Step.Duration);
-    later(Step.Duration, [this] { recordReportDelay(Millis(0)); });
+    setLinkFault(link, "half_open", true, false, Step.Duration);
+    scheduleAction(Step.Duration, [this] { recordReportDelay(Millis(0)); });
     return true;
   case SoakFault::ReportLinkDelays:
-    fault(link, "delay_ms", DelayMs, 0.0, Step.Duration);
+    setLinkFault(link, "delay_ms", DelayMs, 0.0, Step.Duration);
     return true;
   default:
     return false;
@@ -441,34 +453,34 @@
   std::size_t index = Step.Target % World.servers();
   test::PlatformServer &server = World.server(index);
   test::PlatformFixture::Proxy link = World.serverLink(index);
-  constexpr int Few = 3;
+  constexpr int FaultCount = 3;
   switch (Step.Kind) {
   case SoakFault::ServerCrashes:
     crashServer(index, Step.Duration);
     return;
   case SoakFault::ServerSilent:
-    fault(link, "half_open", true, false, Step.Duration);
+    setLinkFault(link, "half_open", true, false, Step.Duration);
     return;
   case SoakFault::ServerOneWay:
-    fault(link, "one_way", true, false, Step.Duration);
+    setLinkFault(link, "one_way", true, false, Step.Duration);
     return;
   case SoakFault::ServerLinkCut:
     World.setFaults(link, {{"cut_now", true}});
     return;
   case SoakFault::ServerLosesAnswers:
-    fault(link, "answer_loss", Few, 0, Step.Duration);
+    setLinkFault(link, "answer_loss", FaultCount, 0, Step.Duration);
     return;
   case SoakFault::ServerSlow:
-    World.runOnPlatformThread([&] { server.EventDelay = SlowPace; });
-    later(Step.Duration, [this, &server] {
-      World.runOnPlatformThread([&] { server.EventDelay = UsualPace; });
+    World.runOnPlatformThread([&] { server.EventDelay = SlowEventDelay; });
+    scheduleAction(Step.Duration, [this, &server] {
+      World.runOnPlatformThread([&] { server.EventDelay = NormalEventDelay; });
     });
     return;
   case SoakFault::ServerBreaksStreams:
-    World.runOnPlatformThread([&] { server.StreamsToBreak = Few; });
+    World.runOnPlatformThread([&] { server.StreamsToBreak = FaultCount; });
     return;
   case SoakFault::ServerFails:
-    World.runOnPlatformThread([&] { server.RequestsToFail = Few; });
+    World.runOnPlatformThread([&] { server.RequestsToFail = FaultCount; });
     return;
   default:
     return;
@@ -481,21 +493,23 @@
   std::string id = World.server(Index).id();
   World.setFaults(World.serverLink(Index), {{"cut_now", true}});
   World.setFaults(World.serverLink(Index), {{"refuse", true}});
-  // One that is back sooner finds its registration as it was.
-  if (Down > RegistrationLag)
-    later(RegistrationLag, [this, id] { World.unregisterServer(id); });
-  // By turns it starts again under a new id and under the one that it had.
-  std::string next = ++Crashes % 2 == 0 ? newId() : id;
-  later(Down, [this, Index, next] { restartServer(Index, next); });
+  // A server that returns sooner finds its registration unchanged.
+  if (Down > RegistrationExpiryDelay)
+    scheduleAction(RegistrationExpiryDelay,
+                   [this, id] { World.unregisterServer(id); });
+  // Alternates between a new id and the previous one.
+  std::string next = ++Crashes % 2 == 0 ? makeServerId() : id;
+  scheduleAction(Down, [this, Index, next] { restartServer(Index, next); });
 }
 
-std::string SoakInjector::newId() {
+std::string SoakInjector::makeServerId() {
   return "i-again-" + std::to_string(++Starts);
 }
 
-/// The server starts anew, as another incarnation at the same address.
+/// Restarts the server as another incarnation at the same address.
 void SoakInjector::restartServer(std::size_t Index, const std::string &Id) {
-  // A request may have ended it meanwhile, and it registered under a new id.
+  // A request may have crashed the server meanwhile, so that it registered
+  // under a new id.
   std::string before = World.server(Index).id();
   if (before != Id)
     World.unregisterServer(before);
--- a/IntegrationTests/Soak/SoakJudge.cpp
+++ b/IntegrationTests/Soak/SoakJudge.cpp
@@ -13,19 +13,19 @@
 
 using test::ServerCall;
 
-/// What the checks share.
-struct Case {
+/// Data that is shared by the checks.
+struct JudgeContext {
   const SoakObservations &Seen;
   const SoakGroundTruth &Truth;
   const SoakBounds &Bounds;
-  /// Runs by request, at all servers.
+  /// Runs at all servers by request id.
   std::unordered_map<std::string, std::vector<const ServerCall *>> Runs;
-  std::vector<std::string> Faults;
+  std::vector<std::string> Violations;
 
-  bool calm(TimePoint From, TimePoint To) const {
+  bool faultFree(TimePoint From, TimePoint To) const {
     return isFaultFree(Truth, Bounds, From, To);
   }
-  std::size_t runsOf(const std::string &Id) const {
+  std::size_t runCount(const std::string &Id) const {
     auto it = Runs.find(Id);
     return it == Runs.end() ? 0 : it->second.size();
   }
@@ -35,166 +35,175 @@
   return Status == 429 || Status == 503 || Status == 408 || Status == 421;
 }
 
-void judgeAsks(Case &Of) {
-  for (const ClientRequestRecord &it : Of.Seen.Requests) {
-    std::size_t runs = Of.runsOf(it.Id);
+void checkRequests(JudgeContext &Context) {
+  for (const ClientRequestRecord &it : Context.Seen.Requests) {
+    std::size_t runs = Context.runCount(it.Id);
     if (!it.Error.empty())
-      Of.Faults.push_back(
+      Context.Violations.push_back(
           fmt::format("wrong answer to {}: {}", it.Id, it.Error));
     if (promisesNotRun(it.Status) && runs > 0)
-      Of.Faults.push_back(
+      Context.Violations.push_back(
           fmt::format("{} was answered {} and has run", it.Id, it.Status));
     if (it.Kind == ClientRequestKind::Once && runs > 1)
-      Of.Faults.push_back(fmt::format("{} ran {} times", it.Id, runs));
-    if (runs > Of.Bounds.MaxAttempts)
-      Of.Faults.push_back(
+      Context.Violations.push_back(fmt::format("{} ran {} times", it.Id, runs));
+    if (runs > Context.Bounds.MaxAttempts)
+      Context.Violations.push_back(
           fmt::format("{} was sent to {} servers", it.Id, runs));
   }
 }
 
-void judgeIds(Case &Of) {
+void checkRequestIds(JudgeContext &Context) {
   std::set<std::string> known;
-  for (const ClientRequestRecord &it : Of.Seen.Requests)
+  for (const ClientRequestRecord &it : Context.Seen.Requests)
     known.insert(it.Id);
-  for (const JobRecord &job : Of.Seen.Jobs) {
+  for (const JobRecord &job : Context.Seen.Jobs) {
     for (const std::string &item : job.Items) {
       known.insert(item);
       known.insert("score-" + item);
     }
   }
-  for (const auto &[id, runs] : Of.Runs) {
+  for (const auto &[id, runs] : Context.Runs) {
     bool own = id.find(HarnessRequestName) != std::string::npos;
     if (!own && !known.contains(id))
-      Of.Faults.push_back("nobody asked for " + id);
+      Context.Violations.push_back("nobody asked for " + id);
   }
 }
 
-void judgeJobs(Case &Of) {
-  for (const JobRecord &job : Of.Seen.Jobs) {
+void checkJobs(JudgeContext &Context) {
+  for (const JobRecord &job : Context.Seen.Jobs) {
     for (const std::string &it : job.Errors)
-      Of.Faults.push_back(job.Id + ": " + it);
+      Context.Violations.push_back(job.Id + ": " + it);
     for (const std::string &item : job.Items) {
-      auto runs = Of.Runs.find(item);
-      if (runs == Of.Runs.end())
+      auto runs = Context.Runs.find(item);
+      if (runs == Context.Runs.end())
         continue;
       if (!job.Accepted && job.RefusalsGuaranteed)
-        Of.Faults.push_back(item + " ran though its job was refused");
+        Context.Violations.push_back(item + " ran though its job was refused");
       TimePoint last = runs->second.back()->At;
-      bool late = job.EndAccepted &&
-                  last > job.EndAcceptedAt + Of.Bounds.Cancel + Of.Bounds.Slack;
-      if (late && Of.calm(job.EndAcceptedAt, last))
-        Of.Faults.push_back(item + " ran after its job had ended");
+      bool late = job.EndAccepted && last > job.EndAcceptedAt +
+                                                Context.Bounds.CancelTimeout +
+                                                Context.Bounds.TimingTolerance;
+      if (late && Context.faultFree(job.EndAcceptedAt, last))
+        Context.Violations.push_back(item + " ran after its job had ended");
     }
   }
 }
 
-void judgeDrains(Case &Of) {
-  for (const ServerDrain &drain : Of.Truth.Drains) {
-    TimePoint latest = drain.At + Of.Bounds.Drain + Of.Bounds.Slack;
-    for (const auto &[id, runs] : Of.Runs) {
+void checkDrains(JudgeContext &Context) {
+  for (const ServerDrain &drain : Context.Truth.Drains) {
+    TimePoint latest =
+        drain.At + Context.Bounds.DrainTimeout + Context.Bounds.TimingTolerance;
+    for (const auto &[id, runs] : Context.Runs) {
       for (const ServerCall *it : runs) {
         if (it->Server == drain.Server && it->At > latest &&
-            Of.calm(drain.At, it->At))
-          Of.Faults.push_back(
+            Context.faultFree(drain.At, it->At))
+          Context.Violations.push_back(
               fmt::format("{} reached the leaving {}", id, drain.Server));
       }
     }
   }
 }
 
-/// A planned stop cuts nothing off that has run or that was sent in good time.
-void checkPlannedStops(Case &Of) {
-  constexpr Millis Crossing{200};
-  for (std::size_t it : Of.Truth.UnstoppedEdges)
-    Of.Faults.push_back("edge " + std::to_string(it) + " did not stop");
-  for (const EdgeStop &stop : Of.Truth.Stops) {
-    for (const ClientRequestRecord &it : Of.Seen.Requests) {
+/// Checks that a planned stop interrupts no request that has run or that was
+/// sent early enough.
+void checkPlannedStops(JudgeContext &Context) {
+  constexpr Millis InFlightTime{200};
+  for (std::size_t it : Context.Truth.UnstoppedEdges)
+    Context.Violations.push_back("edge " + std::to_string(it) +
+                                 " did not stop");
+  for (const EdgeStop &stop : Context.Truth.Stops) {
+    for (const ClientRequestRecord &it : Context.Seen.Requests) {
       bool cut = it.Edge == stop.Edge && it.Life == stop.Life &&
                  it.Status == 0 && !it.CallerTimedOut && it.Done >= stop.At;
-      bool owed = it.Done - it.Sent > Crossing || Of.runsOf(it.Id) > 0;
-      if (cut && owed && Of.calm(it.Sent, it.Done))
-        Of.Faults.push_back(fmt::format(
+      bool owed =
+          it.Done - it.Sent > InFlightTime || Context.runCount(it.Id) > 0;
+      if (cut && owed && Context.faultFree(it.Sent, it.Done))
+        Context.Violations.push_back(fmt::format(
             "{} was cut off by a planned stop after {} ms", it.Id,
             std::chrono::duration_cast<Millis>(it.Done - it.Sent).count()));
     }
   }
 }
 
-/// The answer by a configuration's own route tells whether that is in force.
-void judgeRegress(Case &Of) {
+/// Checks that no process returns to an older configuration. Each configuration
+/// has its own route, whose response shows if it is in force.
+void checkConfigRegress(JudgeContext &Context) {
   constexpr unsigned Ok = 200;
-  /// By edge process and start: the newest in force, and since when it was
-  /// seen.
-  std::map<std::pair<std::size_t, std::uint64_t>, Publication> newest;
-  for (const ClientRequestRecord &it : Of.Seen.Requests) {
+  /// Newest configuration in force and the time when it was observed, by edge
+  /// process and incarnation.
+  std::map<std::pair<std::size_t, std::uint64_t>, ConfigPublication> newest;
+  for (const ClientRequestRecord &it : Context.Seen.Requests) {
     if (it.Kind != ClientRequestKind::Probe || it.Status != Ok)
       continue;
-    Publication &known = newest[{it.Edge, it.Life}];
+    ConfigPublication &known = newest[{it.Edge, it.Life}];
     if (it.Version < known.Version &&
-        it.Sent > known.At + Of.Bounds.ConfigRegressTolerance)
-      Of.Faults.push_back(
+        it.Sent > known.At + Context.Bounds.ConfigRegressTolerance)
+      Context.Violations.push_back(
           fmt::format("{}: edge {} went back from configuration {} to {}",
                       it.Id, it.Edge, known.Version, it.Version));
     if (it.Version > known.Version)
-      known = Publication{it.Version, it.Done};
+      known = ConfigPublication{it.Version, it.Done};
   }
 }
 
-void judgeForce(Case &Of) {
+void checkConfigApplied(JudgeContext &Context) {
   constexpr unsigned Ok = 200;
   constexpr unsigned NotFound = 404;
-  for (const Publication &it : Of.Truth.Publications) {
-    TimePoint latest = it.At + Of.Bounds.Configure + Of.Bounds.Slack;
-    for (const ClientRequestRecord &probe : Of.Seen.Requests) {
+  for (const ConfigPublication &it : Context.Truth.Publications) {
+    TimePoint latest = it.At + Context.Bounds.ConfigureTimeout +
+                       Context.Bounds.TimingTolerance;
+    for (const ClientRequestRecord &probe : Context.Seen.Requests) {
       if (probe.Kind != ClientRequestKind::Probe || probe.Sent < latest ||
-          !Of.calm(it.At, probe.Done))
+          !Context.faultFree(it.At, probe.Done))
         continue;
       bool missing = probe.Version == it.Version && probe.Status == NotFound &&
-                     it.Version == Of.Truth.Publications.back().Version;
+                     it.Version == Context.Truth.Publications.back().Version;
       bool old = probe.Version < it.Version && probe.Status == Ok;
       if (missing || old)
-        Of.Faults.push_back(
+        Context.Violations.push_back(
             fmt::format("{}: configuration {} is not in force at edge {}",
                         probe.Id, it.Version, probe.Edge));
     }
   }
 }
 
-/// A request that ends servers gets none any more, once it has ended some.
-void judgeCrashing(Case &Of) {
+/// Checks that a request that crashes servers is quarantined after a limited
+/// number of crashes.
+void checkCrashingRequests(JudgeContext &Context) {
   std::map<std::string, std::vector<TimePoint>> tries;
-  for (const ServerCall &it : Of.Truth.PlainRuns) {
+  for (const ServerCall &it : Context.Truth.PlainRuns) {
     if (it.Path.starts_with(CrashPathPrefix))
       tries[it.Path].push_back(it.At);
   }
   for (auto &[path, times] : tries) {
-    if (times.size() <= Of.Bounds.Ends)
+    if (times.size() <= Context.Bounds.MaxCrashesPerRequest)
       continue;
     std::sort(times.begin(), times.end());
-    TimePoint latest =
-        times[Of.Bounds.Ends - 1] + Of.Bounds.FaultFreeTime + Of.Bounds.Slack;
+    TimePoint latest = times[Context.Bounds.MaxCrashesPerRequest - 1] +
+                       Context.Bounds.FaultFreeTime +
+                       Context.Bounds.TimingTolerance;
     std::ptrdiff_t late =
         std::count_if(times.begin(), times.end(), [&](TimePoint At) {
-          return At > latest && Of.calm(At, At);
+          return At > latest && Context.faultFree(At, At);
         });
-    if (late > static_cast<std::ptrdiff_t>(Of.Bounds.MaxLateCrashRequests))
-      Of.Faults.push_back(fmt::format(
+    if (late > static_cast<std::ptrdiff_t>(Context.Bounds.MaxLateCrashRequests))
+      Context.Violations.push_back(fmt::format(
           "{} ended servers {} times, {} of them long after it was known", path,
           times.size(), late));
   }
 }
 
-void judgeOrders(Case &Of) {
-  for (std::size_t i = 0; i < Of.Truth.Orders.size(); ++i) {
+void checkEngineOrders(JudgeContext &Context) {
+  for (std::size_t i = 0; i < Context.Truth.Orders.size(); ++i) {
     std::string holder = "side-" + std::to_string(i);
     std::uint64_t token = 0;
-    for (const ServerCall &it : Of.Truth.Orders[i]) {
+    for (const ServerCall &it : Context.Truth.Orders[i]) {
       if (it.Holder != holder)
-        Of.Faults.push_back("engine " + std::to_string(i) + " was ordered by " +
-                            it.Holder);
+        Context.Violations.push_back("engine " + std::to_string(i) +
+                                     " was ordered by " + it.Holder);
       if (it.Token < token)
-        Of.Faults.push_back("engine " + std::to_string(i) +
-                            " got an older fencing token");
+        Context.Violations.push_back("engine " + std::to_string(i) +
+                                     " got an older fencing token");
       token = std::max(token, it.Token);
     }
   }
@@ -214,21 +223,21 @@
 std::vector<std::string> findViolations(const SoakObservations &Seen,
                                         const SoakGroundTruth &Truth,
                                         const SoakBounds &Bounds) {
-  Case all{Seen, Truth, Bounds, {}, {}};
+  JudgeContext all{Seen, Truth, Bounds, {}, {}};
   for (const ServerCall &it : Truth.PlainRuns)
     all.Runs[it.Id].push_back(&it);
   for (const ServerCall &it : Truth.EngineRuns)
     all.Runs[it.Id].push_back(&it);
-  judgeAsks(all);
-  judgeIds(all);
-  judgeJobs(all);
-  judgeDrains(all);
+  checkRequests(all);
+  checkRequestIds(all);
+  checkJobs(all);
+  checkDrains(all);
   checkPlannedStops(all);
-  judgeRegress(all);
-  judgeForce(all);
-  judgeOrders(all);
-  judgeCrashing(all);
-  return all.Faults;
+  checkConfigRegress(all);
+  checkConfigApplied(all);
+  checkEngineOrders(all);
+  checkCrashingRequests(all);
+  return all.Violations;
 }
 
 } // namespace wasabi::soak
--- a/IntegrationTests/Soak/SoakJudge.h
+++ b/IntegrationTests/Soak/SoakJudge.h
@@ -1,5 +1,6 @@
 /// \file
-/// Holds what clients and servers of a soak saw against the promises. Pure.
+/// Checks the observations of clients and servers of a soak test for
+/// violations. Pure.
 #ifndef WASABI_INTEGRATIONTESTS_SOAK_SOAKJUDGE_H
 #define WASABI_INTEGRATIONTESTS_SOAK_SOAKJUDGE_H
 
@@ -13,7 +14,7 @@
 
 namespace wasabi::soak {
 
-/// A step as it was carried out.
+/// Time span in which a fault was active.
 struct FaultWindow {
   SoakFault Kind = SoakFault::Configure;
   TimePoint From;
@@ -23,84 +24,87 @@
 /// A planned stop of an edge process.
 struct EdgeStop {
   std::size_t Edge = 0;
-  /// Which start of it was stopped.
+  /// Incarnation that was stopped.
   std::uint64_t Life = 0;
   TimePoint At;
 };
 
-/// A server that reported that it leaves.
+/// A server that reported that it drains.
 struct ServerDrain {
   std::string Server;
   TimePoint At;
 };
 
-/// A configuration that was published.
-struct Publication {
+/// A published configuration.
+struct ConfigPublication {
   std::uint64_t Version = 0;
   TimePoint At;
 };
 
-/// A customer's passing key was taken away, or is back.
+/// Revocation or restoration of a customer's revocable key.
 struct KeyChange {
   std::size_t Customer = 0;
   bool Revoked = false;
   TimePoint At;
 };
 
-/// Requests that the soak itself makes to see that all is served again.
+/// Contained in the ids of the harness's own requests, which verify the
+/// recovery.
 inline constexpr const char *HarnessRequestName = "soak-own";
 
-/// What really happened, as the servers and the injector know it.
+/// Ground truth recorded by the servers and the injector.
 struct SoakGroundTruth {
   std::vector<test::ServerCall> PlainRuns;
   std::vector<test::ServerCall> EngineRuns;
-  /// By engine.
+  /// Orders by engine.
   std::vector<std::vector<test::ServerCall>> Orders;
   std::vector<FaultWindow> Faults;
   std::vector<EdgeStop> Stops;
   std::vector<ServerDrain> Drains;
-  std::vector<Publication> Publications;
-  /// Edge processes that were killed.
+  std::vector<ConfigPublication> Publications;
+  /// Kills of edge processes.
   std::vector<EdgeStop> Kills;
-  /// When processes could not write to the store; `Edge` is empty for all.
+  /// Time span in which processes could not write to the store; `Edge` is empty
+  /// for all processes.
   struct StoreOutagePeriod {
     std::optional<std::size_t> Edge;
     test::TimeSpan When;
   };
   std::vector<StoreOutagePeriod> StoreOutagePeriods;
   std::vector<KeyChange> KeyChanges;
-  /// Calls that arrived where usage is reported.
+  /// Calls received by the usage report endpoint.
   std::vector<test::ReportCall> Reports;
-  /// When such calls may arrive that were held up.
+  /// Time spans in which delayed calls may arrive.
   std::vector<test::TimeSpan> ReportDelaySpans;
-  /// Edge processes that were still there long after their grace.
+  /// Edge processes that did not exit within the stop timeout.
   std::vector<std::size_t> UnstoppedEdges;
-  /// What processes that are gone had logged.
+  /// Log output of the processes that have exited.
   std::string Output;
 };
 
-/// Bounds of the promises that have a time, as the users' pages set them.
+/// Time limits and counts that are guaranteed to users.
 struct SoakBounds {
-  /// Without a fault for this long, promises with a time hold.
+  /// Fault-free time after which timed guarantees apply.
   Millis FaultFreeTime{3000};
-  Millis Drain{2000};
-  Millis Configure{2000};
+  Millis DrainTimeout{2000};
+  Millis ConfigureTimeout{2000};
   Millis ConfigRegressTolerance{250};
-  Millis Cancel{3000};
-  /// What the machine under the soak may add.
-  Millis Slack{400};
+  Millis CancelTimeout{3000};
+  /// Tolerance for delays of the machine that runs the test.
+  Millis TimingTolerance{400};
   std::size_t MaxAttempts = 3;
-  /// Servers that a request may end, and the tries that may come later than
-  /// `Calm` after the last of these.
-  std::size_t Ends = 3;
+  /// Maximum number of servers that a request may crash, and of attempts later
+  /// than `FaultFreeTime` after the last of these crashes.
+  std::size_t MaxCrashesPerRequest = 3;
   std::size_t MaxLateCrashRequests = 3;
 };
 
-/// Whether nothing unplanned was wrong from `Calm` before `From` to `To`.
+/// True if no unplanned fault was active from `FaultFreeTime` before `From`
+/// until `To`.
 bool isFaultFree(const SoakGroundTruth &Truth, const SoakBounds &Bounds,
                  TimePoint From, TimePoint To);
 
-/// Each broken promise, one line each.
+/// Returns the violated guarantees, one line each.
 std::vector<std::string> findViolations(const SoakObservations &Seen,
                                         const SoakGroundTruth &Truth,
                                         const SoakBounds &Bounds = {});
--- a/IntegrationTests/Soak/SoakObservations.h
+++ b/IntegrationTests/Soak/SoakObservations.h
@@ -1,5 +1,5 @@
 /// \file
-/// What callers and trainers of a soak saw, for the judge.
+/// Observations of the callers and trainers of a soak test.
 #ifndef WASABI_INTEGRATIONTESTS_SOAK_SOAKOBSERVATIONS_H
 #define WASABI_INTEGRATIONTESTS_SOAK_SOAKOBSERVATIONS_H
 
@@ -21,59 +21,58 @@
   Stream,
   /// Shows which configuration is in force.
   Probe,
-  /// Ends each server that begins to run it; the same each time but for its id.
+  /// Crashes each server that starts it; identical each time except for its id.
   Crashing,
 };
 
-/// Requests whose path has this end the servers that begin to run them.
+/// Path prefix of requests that crash servers.
 inline constexpr const char *CrashPathPrefix = "/desk/crash-";
 
-/// One request of a caller and what came of it.
+/// A caller's request and its outcome.
 struct ClientRequestRecord {
   ClientRequestKind Kind = ClientRequestKind::Repeatable;
   std::string Id;
-  /// Of a probe: the configuration whose own route it asks for.
+  /// For a probe: the configuration whose route it requests.
   std::uint64_t Version = 0;
   std::size_t Edge = 0;
-  /// Whose request it is, and whether by the key that comes and goes.
+  /// Customer of the request; `UsesRevocableKey` selects the revocable key.
   std::string Customer;
   std::size_t CustomerNumber = 0;
   bool UsesRevocableKey = false;
-  /// Which start of that edge process took it.
+  /// Incarnation of the edge process that received it.
   std::uint64_t Life = 0;
   TimePoint Sent;
   TimePoint Done;
-  /// 0 when there was no whole answer.
+  /// 0 if there was no complete response.
   unsigned Status = 0;
-  /// The caller's own limit was up.
+  /// True if the caller's own time limit expired.
   bool CallerTimedOut = false;
-  /// What is wrong with an answer that looks whole; empty if nothing is.
+  /// Error in a response that appears complete; empty if there is none.
   std::string Error;
 };
 
-/// One batch job and what its trainer saw.
+/// A batch job and its trainer's observations.
 struct JobRecord {
   std::string Id;
   std::string Customer;
   std::size_t CustomerNumber = 0;
   std::vector<std::string> Items;
   std::uint64_t MinVersion = 0;
-  /// Whether a submission was answered with an acceptance, and when.
+  /// True if a submission was accepted, and the time of the acceptance.
   bool Accepted = false;
   TimePoint AcceptedAt;
-  /// Whether each submission was answered with a promise that nothing was
-  /// taken.
+  /// True if every refusal guaranteed that the job was not accepted.
   bool RefusalsGuaranteed = true;
   bool EndRequested = false;
   bool EndAccepted = false;
   TimePoint EndAcceptedAt;
-  /// Results by position, as they were read first.
-  std::map<std::size_t, std::string> Seen;
-  /// What was read and must not be.
+  /// Results by position, as first read.
+  std::map<std::size_t, std::string> ReadResults;
+  /// Errors in the results that were read.
   std::vector<std::string> Errors;
 };
 
-/// All of a run.
+/// All observations of a run.
 struct SoakObservations {
   std::vector<ClientRequestRecord> Requests;
   std::vector<JobRecord> Jobs;
--- a/IntegrationTests/Soak/SoakPlan.cpp
+++ b/IntegrationTests/Soak/SoakPlan.cpp
@@ -58,38 +58,39 @@
                                                     "report-link-silent",
                                                     "report-link-delays"};
 
-/// Those that each soak draws from: a seed must go on meaning the same plan.
+/// Number of kinds in every plan. It must not change, so that a seed keeps its
+/// plan.
 constexpr std::size_t CommonKinds =
     static_cast<std::size_t>(SoakFault::RevokeKey);
 
-/// Not of the standard library's distributions, whose results differ between
-/// libraries: a seed must mean the same plan everywhere.
-struct Draw {
-  std::mt19937_64 From;
+/// Random numbers that are the same with every standard library, unlike its
+/// distributions, so that a seed gives the same plan everywhere.
+struct RandomSource {
+  std::mt19937_64 Engine;
 
-  std::int64_t between(std::int64_t Least, std::int64_t Most) {
-    auto span = static_cast<std::uint64_t>(Most - Least + 1);
-    return Least + static_cast<std::int64_t>(From() % span);
+  std::int64_t between(std::int64_t Min, std::int64_t Max) {
+    auto span = static_cast<std::uint64_t>(Max - Min + 1);
+    return Min + static_cast<std::int64_t>(Engine() % span);
   }
   bool oneIn(std::int64_t Count) { return between(1, Count) == 1; }
   SoakFault kind(bool PlannedOnly) {
-    std::size_t most =
+    std::size_t kindCount =
         PlannedOnly ? static_cast<std::size_t>(SoakFault::DrainServer) + 1
                     : CommonKinds;
-    return static_cast<SoakFault>(From() % most);
+    return static_cast<SoakFault>(Engine() % kindCount);
   }
 };
 
-/// How a plan is drawn.
+/// Parameters for drawing a plan.
 struct PlanStyle {
   bool PlannedOnly = false;
-  /// Longest fault, and the pauses between two series.
-  std::int64_t LongMs = 4500;
-  std::int64_t LeastGapMs = 200;
-  std::int64_t MostGapMs = 1600;
+  /// Longest fault, and the delays between two series.
+  std::int64_t MaxDurationMs = 4500;
+  std::int64_t MinGapMs = 200;
+  std::int64_t MaxGapMs = 1600;
 };
 
-PlanStyle styleOf(std::uint64_t Seed) {
+PlanStyle selectStyle(std::uint64_t Seed) {
   constexpr PlanStyle Dense;
   constexpr PlanStyle Planned{true, 2000, 300, 2000};
   constexpr PlanStyle Sparse{false, 2000, 2500, 7000};
@@ -97,23 +98,24 @@
   return Styles.at(Seed % Styles.size());
 }
 
-/// The steps of one kind that begin at `At`: one, or a series.
-std::vector<ScheduledFault> drawSeries(Draw &From, const PlanStyle &Style,
-                                       Millis At) {
-  constexpr std::int64_t ShortMs = 300;
+/// Returns the steps of one kind that start at `At`: a single step or a series.
+std::vector<ScheduledFault> drawSeries(RandomSource &Random,
+                                       const PlanStyle &Style, Millis At) {
+  constexpr std::int64_t MinDurationMs = 300;
   ScheduledFault step;
   step.At = At;
-  step.Kind = From.kind(Style.PlannedOnly);
-  step.Target = static_cast<std::uint32_t>(From.between(0, 1000));
-  step.Duration = Millis(From.between(ShortMs, Style.LongMs));
+  step.Kind = Random.kind(Style.PlannedOnly);
+  step.Target = static_cast<std::uint32_t>(Random.between(0, 1000));
+  step.Duration = Millis(Random.between(MinDurationMs, Style.MaxDurationMs));
   std::vector<ScheduledFault> series{step};
-  if (!From.oneIn(4))
+  if (!Random.oneIn(4))
     return series;
-  std::int64_t more = From.between(1, 3);
+  std::int64_t more = Random.between(1, 3);
   for (std::int64_t i = 0; i < more; ++i) {
-    step.At += Millis(From.between(200, 1600));
-    step.Duration = Millis(From.between(ShortMs, Style.LongMs / 2));
-    step.Target += From.oneIn(2) ? 1 : 0;
+    step.At += Millis(Random.between(200, 1600));
+    step.Duration =
+        Millis(Random.between(MinDurationMs, Style.MaxDurationMs / 2));
+    step.Target += Random.oneIn(2) ? 1 : 0;
     series.push_back(step);
   }
   return series;
@@ -130,14 +132,14 @@
 }
 
 std::vector<ScheduledFault> makeSoakPlan(std::uint64_t Seed, Millis Length) {
-  Draw from{std::mt19937_64(Seed)};
+  RandomSource from{std::mt19937_64(Seed)};
   std::vector<ScheduledFault> plan;
-  PlanStyle style = styleOf(Seed);
+  PlanStyle style = selectStyle(Seed);
   Millis at(from.between(300, 1200));
   while (at < Length) {
     std::vector<ScheduledFault> series = drawSeries(from, style, at);
     plan.insert(plan.end(), series.begin(), series.end());
-    at += Millis(from.between(style.LeastGapMs, style.MostGapMs));
+    at += Millis(from.between(style.MinGapMs, style.MaxGapMs));
   }
   std::erase_if(plan, [Length](const ScheduledFault &It) {
     return It.At + It.Duration > Length;
--- a/IntegrationTests/Soak/SoakPlan.h
+++ b/IntegrationTests/Soak/SoakPlan.h
@@ -1,6 +1,5 @@
 /// \file
-/// Which faults befall a deployment when: drawn from a seed, and from nothing
-/// else.
+/// Plan of faults, fully determined by a seed.
 #ifndef WASABI_INTEGRATIONTESTS_SOAK_SOAKPLAN_H
 #define WASABI_INTEGRATIONTESTS_SOAK_SOAKPLAN_H
 
@@ -13,9 +12,10 @@
 
 namespace wasabi::soak {
 
-/// All that is done to a running deployment, from outside of its processes.
+/// Faults and operations that are applied to a running deployment from outside
+/// of its processes.
 enum class SoakFault : std::uint8_t {
-  // Planned work: nothing may fail because of it.
+  // Planned work, which must not cause failures.
   Configure,
   NameVersion,
   StopEdge,
@@ -36,12 +36,12 @@
   StoreSlow,
   StoreCompacts,
   RegistrationsExpire,
-  // One process's way to the store.
+  // The link of one process to the store.
   StoreLinkRefuses,
   StoreLinkSilent,
   StoreLinkOneWay,
   StoreLinkDelays,
-  // Servers and the ways to them.
+  // Servers and the links to them.
   ServerCrashes,
   ServerSilent,
   ServerOneWay,
@@ -50,11 +50,11 @@
   ServerSlow,
   ServerBreaksStreams,
   ServerFails,
-  // Callers' ways to the system.
+  // Links of callers to the system.
   CallerLinkCut,
   CallerLinkDelays,
-  // Of a soak with customers only: their keys, and the process that reports
-  // their usage, at whichever step of it.
+  // For soak tests with customers only: their keys, and the process that
+  // reports usage.
   RevokeKey,
   KillReporter,
   PauseReporter,
@@ -70,30 +70,30 @@
   Count,
 };
 
-/// Its name in a plan, lower-case with dashes.
+/// Returns the name of a fault in a plan, lower-case with dashes.
 std::string_view toText(SoakFault Kind);
 
-/// Whether nothing may fail because of it.
+/// True for planned work, which must not cause failures.
 bool isPlanned(SoakFault Kind);
 
 /// One fault. An immutable value.
 struct ScheduledFault {
-  /// From the beginning of the load.
+  /// Time since the start of the load.
   Millis At{0};
   Millis Duration{0};
   SoakFault Kind = SoakFault::Configure;
-  /// Which of its kind of target, modulo how many there are.
+  /// Index of the target, modulo the number of targets of its kind.
   std::uint32_t Target = 0;
   bool operator==(const ScheduledFault &) const = default;
 };
 
-/// The steps of a run by time, all over by `Length`: single ones, series of the
-/// same kind, and overlaps. By the seed, a third of the plans is dense, a third
-/// has planned work only, and a third leaves calm stretches, since promises
-/// with a time hold only there. Pure.
+/// Returns the steps of a run by time, all finished by `Length`: single steps,
+/// series of the same kind, and overlaps. Depending on the seed, a plan is
+/// dense, has planned work only, or leaves fault-free periods, in which timed
+/// guarantees apply. Pure.
 std::vector<ScheduledFault> makeSoakPlan(std::uint64_t Seed, Millis Length);
 
-/// One line a step. Pure.
+/// Returns one line per step. Pure.
 std::string describe(const std::vector<ScheduledFault> &Plan);
 
 } // namespace wasabi::soak
--- a/IntegrationTests/Soak/SoakRun.cpp
+++ b/IntegrationTests/Soak/SoakRun.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-/// The users' bound for a whole recovery.
-constexpr Millis RecoveryLimit{12000};
+/// Maximum time of a full recovery that users accept.
+constexpr Millis RecoveryTimeout{12000};
 constexpr unsigned Ok = 200;
 constexpr unsigned Accepted = 202;
 
-std::vector<EdgeEndpoints> clientEdges(test::PlatformFixture &World) {
+std::vector<EdgeEndpoints> makeClientEndpoints(test::PlatformFixture &World) {
   std::vector<EdgeEndpoints> edges;
   for (std::size_t i = 0; i < World.edges(); ++i)
     edges.push_back(
@@ -38,28 +38,29 @@
   });
 }
 
-SoakGroundTruth gather(test::PlatformFixture &World, SoakGroundTruth Done) {
+SoakGroundTruth collectGroundTruth(test::PlatformFixture &World,
+                                   SoakGroundTruth Truth) {
   World.runOnPlatformThread([&] {
     for (std::size_t i = 0; i < World.servers(); ++i) {
       test::PlatformServer &it = World.server(i);
       bool engine = i < World.size().Engines;
       std::vector<test::ServerCall> &runs =
-          engine ? Done.EngineRuns : Done.PlainRuns;
+          engine ? Truth.EngineRuns : Truth.PlainRuns;
       runs.insert(runs.end(), it.Runs.begin(), it.Runs.end());
       if (engine)
-        Done.Orders.push_back(it.Orders);
+        Truth.Orders.push_back(it.Orders);
     }
   });
   auto byTime = [](const test::ServerCall &L, const test::ServerCall &R) {
     return L.At < R.At;
   };
-  std::sort(Done.EngineRuns.begin(), Done.EngineRuns.end(), byTime);
-  return Done;
+  std::sort(Truth.EngineRuns.begin(), Truth.EngineRuns.end(), byTime);
+  return Truth;
 }
 
-/// After the last fault everything must be served again, everywhere.
-bool recovers(test::PlatformFixture &World, const std::string &Job,
-              std::uint64_t Version) {
+/// Waits until all edge processes serve requests and jobs after the last fault.
+bool waitForRecovery(test::PlatformFixture &World, const std::string &Job,
+                     std::uint64_t Version) {
   constexpr std::size_t Items = 4;
   std::string route = "/desk-" + std::to_string(Version) + "/";
   auto serves = [&] {
@@ -70,17 +71,19 @@
     }
     return true;
   };
-  if (!harness::waitUntil(serves, RecoveryLimit))
+  if (!harness::waitUntil(serves, RecoveryTimeout))
     return false;
   auto submitted = [&] { return World.submit(0, Job, Items, 1) == Accepted; };
-  if (!harness::waitUntil(submitted, RecoveryLimit))
+  if (!harness::waitUntil(submitted, RecoveryTimeout))
     return false;
   return World.waitForResults(World.edges() - 1, Job, Items);
 }
 
-/// What was accepted can be read at every process, as it was read before.
-void checkKept(test::PlatformFixture &World, const SoakObservations &Seen,
-               std::vector<std::string> &Faults) {
+/// Checks that every process returns the results of accepted jobs as they were
+/// read before.
+void checkAcceptedJobs(test::PlatformFixture &World,
+                       const SoakObservations &Seen,
+                       std::vector<std::string> &Violations) {
   for (const JobRecord &job : Seen.Jobs) {
     if (!job.Accepted)
       continue;
@@ -90,25 +93,27 @@
         World.setCustomerKey(permanentKey(job.CustomerNumber));
       boost::json::value page = World.results(edge, job.Id, status);
       if (status != Ok) {
-        Faults.push_back(job.Id + " can't be read at edge " +
-                         std::to_string(edge) + ": " + std::to_string(status));
+        Violations.push_back(job.Id + " can't be read at edge " +
+                             std::to_string(edge) + ": " +
+                             std::to_string(status));
         continue;
       }
       const boost::json::array &results = page.at("results").as_array();
-      for (const auto &[position, text] : job.Seen) {
+      for (const auto &[position, text] : job.ReadResults) {
         bool same = position < results.size() &&
                     boost::json::serialize(results[position]) == text;
         if (!same)
-          Faults.push_back(job.Id + " has something else at position " +
-                           std::to_string(position));
+          Violations.push_back(job.Id + " has something else at position " +
+                               std::to_string(position));
       }
     }
   }
 }
 
-/// All calls once the windows of the last requests have been reported.
-std::vector<test::ReportCall> lastReports(test::PlatformFixture &World,
-                                          const SoakObservations &Seen) {
+/// Waits until the windows of the last requests are reported, and returns all
+/// report calls.
+std::vector<test::ReportCall> waitForReports(test::PlatformFixture &World,
+                                             const SoakObservations &Seen) {
   auto calls = [&] {
     return World.runOnPlatformThread<std::vector<test::ReportCall>>(
         [&] { return World.reports().Calls; });
@@ -116,7 +121,7 @@
   TimePoint last;
   for (const ClientRequestRecord &it : Seen.Requests)
     last = std::max(last, it.Done);
-  // A report that leaves late enough holds all that was counted before it.
+  // A report sent after this time contains all earlier counts.
   TimePoint until = last + World.reportDueDelay() + Millis(1000);
   harness::waitUntil([&] { return monotonicNow() > until; },
                      World.reportDueDelay() + Millis(2000));
@@ -138,18 +143,18 @@
 
 SoakResult runSoakTest(const SoakSize &Size, std::uint64_t Seed,
                        const std::vector<ScheduledFault> &Plan, bool KeepLogs) {
-  test::PlatformFixtureSettings shape{Size.Edges, Size.Engines, Size.Desks,
-                                      true};
-  shape.Reports = Size.Customers > 0;
+  test::PlatformFixtureSettings settings{Size.Edges, Size.Engines, Size.Desks,
+                                         true};
+  settings.Reports = Size.Customers > 0;
   if (Size.Customers > 0)
-    shape.Customers = makeSoakCustomers(Size.Customers, {});
-  test::PlatformFixture world(shape);
+    settings.Customers = makeSoakCustomers(Size.Customers, {});
+  test::PlatformFixture world(settings);
   if (Size.Customers > 0)
     world.setCustomerKey(HarnessKey);
   prepareServers(world);
   SoakResult result;
   if (!world.waitUntilAllReady()) {
-    result.Faults.push_back("the processes did not become ready");
+    result.Violations.push_back("the processes did not become ready");
     keepLogs(world, {}, Seed);
     return result;
   }
@@ -157,40 +162,41 @@
   setup.Seed = Seed;
   setup.Callers = Size.Callers;
   setup.Trainers = Size.Trainers;
-  setup.Crashing = Size.Crashing;
+  setup.CrashingCallers = Size.CrashingCallers;
   setup.Customers = Size.Customers;
-  if (Size.Crashing > 0)
+  if (Size.CrashingCallers > 0)
     world.setCrashMarker(CrashPathPrefix);
   setup.ExpectedEventCount = [&world](const std::string &Item) {
     return world.server(0).eventCount(Item);
   };
-  SoakClients clients(setup, clientEdges(world));
+  SoakClients clients(setup, makeClientEndpoints(world));
   SoakInjector injector(world, clients, Size.Customers);
   injector.runPlan(Plan);
-  TimePoint healed = monotonicNow();
-  if (!recovers(world, HarnessRequestName, clients.LatestConfigVersion))
-    result.Faults.push_back("not all is served again after the last fault");
+  TimePoint faultsEnded = monotonicNow();
+  if (!waitForRecovery(world, HarnessRequestName, clients.LatestConfigVersion))
+    result.Violations.push_back("service did not recover after the last fault");
   result.RecoveryTime =
-      std::chrono::duration_cast<Millis>(monotonicNow() - healed);
+      std::chrono::duration_cast<Millis>(monotonicNow() - faultsEnded);
   clients.stop();
 
-  SoakGroundTruth truth = gather(world, injector.done());
+  SoakGroundTruth truth = collectGroundTruth(world, injector.groundTruth());
   const SoakObservations &seen = clients.record();
-  std::vector<std::string> faults = findViolations(seen, truth);
+  std::vector<std::string> violations = findViolations(seen, truth);
   if (Size.Customers > 0) {
-    truth.Reports = lastReports(world, seen);
+    truth.Reports = waitForReports(world, seen);
     std::vector<std::string> more = findCustomerViolations(seen, truth, {});
-    faults.insert(faults.end(), more.begin(), more.end());
+    violations.insert(violations.end(), more.begin(), more.end());
   }
-  result.Faults.insert(result.Faults.end(), faults.begin(), faults.end());
-  checkKept(world, seen, result.Faults);
+  result.Violations.insert(result.Violations.end(), violations.begin(),
+                           violations.end());
+  checkAcceptedJobs(world, seen, result.Violations);
   for (const ClientRequestRecord &it : seen.Requests)
     result.Served += it.Status == Ok ? 1 : 0;
-  result.Asks = seen.Requests.size();
+  result.Requests = seen.Requests.size();
   for (const JobRecord &it : seen.Jobs)
-    result.CompleteJobs += it.Seen.size() == it.Items.size() ? 1 : 0;
+    result.CompleteJobs += it.ReadResults.size() == it.Items.size() ? 1 : 0;
   result.Jobs = seen.Jobs.size();
-  if (KeepLogs || !result.Faults.empty())
+  if (KeepLogs || !result.Violations.empty())
     keepLogs(world, truth, Seed);
   return result;
 }
--- a/IntegrationTests/Soak/SoakRun.h
+++ b/IntegrationTests/Soak/SoakRun.h
@@ -1,6 +1,6 @@
 /// \file
-/// One soak: the real processes on the platform's stand-ins behind fault
-/// proxies, under a plan of faults, judged.
+/// Runs a soak test: real processes on the platform's stand-ins, behind fault
+/// proxies, under a plan of faults.
 #ifndef WASABI_INTEGRATIONTESTS_SOAK_SOAKRUN_H
 #define WASABI_INTEGRATIONTESTS_SOAK_SOAKRUN_H
 
@@ -16,55 +16,55 @@
 
 namespace wasabi::soak {
 
-/// How large a soak is.
+/// Size of a soak test.
 struct SoakSize {
   std::size_t Edges = 3;
   std::size_t Engines = 3;
   std::size_t Desks = 2;
   std::size_t Callers = 6;
   std::size_t Trainers = 2;
-  /// Callers whose one request ends servers.
-  std::size_t Crashing = 0;
-  /// Customers whose usage is reported; 0 for none.
+  /// Number of callers whose request crashes servers.
+  std::size_t CrashingCallers = 0;
+  /// Number of customers whose usage is reported; 0 for none.
   std::size_t Customers = 0;
 };
 
-/// What came of a soak.
+/// Result of a soak test.
 struct SoakResult {
-  std::vector<std::string> Faults;
-  std::size_t Asks = 0;
+  std::vector<std::string> Violations;
+  std::size_t Requests = 0;
   std::size_t Served = 0;
   std::size_t Jobs = 0;
   std::size_t CompleteJobs = 0;
-  /// From the last fault's end until all was served again.
+  /// Time from the end of the last fault until all is served again.
   Millis RecoveryTime{0};
 };
 
-/// Carries out the steps of a plan, and undoes each at its end. Used on one
-/// thread, which is not the stand-ins'.
+/// Applies the steps of a plan and reverts each at its end. Used on one thread
+/// other than the stand-ins' thread.
 class SoakInjector {
 public:
   SoakInjector(test::PlatformFixture &World, SoakClients &Clients,
                std::size_t Customers);
 
-  /// Returns when all steps are over and undone.
+  /// Returns when all steps are finished and reverted.
   void runPlan(const std::vector<ScheduledFault> &Plan);
-  /// What was done. Call after `play`.
-  const SoakGroundTruth &done() const { return Done; }
+  /// Returns the record of the applied faults. Call after `runPlan`.
+  const SoakGroundTruth &groundTruth() const { return GroundTruth; }
 
 private:
-  /// Something to do later.
+  /// An action that is run at a later time.
   struct QueuedAction {
     TimePoint At;
     std::uint64_t Order = 0;
-    std::function<void()> Act;
+    std::function<void()> Run;
     bool operator<(const QueuedAction &Other) const {
       return std::tie(At, Order) > std::tie(Other.At, Other.Order);
     }
   };
 
-  void later(Millis After, std::function<void()> Act);
-  void begin(const ScheduledFault &Step);
+  void scheduleAction(Millis After, std::function<void()> Run);
+  void inject(const ScheduledFault &Step);
   bool injectPlannedWork(const ScheduledFault &Step);
   bool injectProcessFault(const ScheduledFault &Step);
   bool injectStoreFault(const ScheduledFault &Step);
@@ -73,10 +73,10 @@
   bool injectKeyFault(const ScheduledFault &Step);
   bool injectReporterFault(const ScheduledFault &Step);
   bool injectReportFault(const ScheduledFault &Step);
-  std::optional<std::size_t> reporter();
+  std::optional<std::size_t> findLastReporter();
   void publish();
-  void pauseEdge(std::size_t Edge, Millis For);
-  void setReportFault(test::ReportBehavior What, Millis For);
+  void pauseEdge(std::size_t Edge, Millis Duration);
+  void setReportFault(test::ReportBehavior Behavior, Millis Duration);
   void recordReportDelay(Millis After);
   void recordStoreOutage(const ScheduledFault &Step, TimePoint Now);
   void stopEdge(std::size_t Edge);
@@ -85,36 +85,36 @@
   void restartEdge(std::size_t Edge);
   void drainServer(std::size_t Index);
   void crashServer(std::size_t Index, Millis Down);
-  std::string newId();
+  std::string makeServerId();
   void restartServer(std::size_t Index, const std::string &Id);
-  void writeInvalidRegistrations(std::size_t Over);
-  void lapse(const ScheduledFault &Step);
-  void fault(const test::PlatformFixture::Proxy &Of, const char *Name,
-             const boost::json::value &Begin, const boost::json::value &End,
-             Millis For);
-  void mood(test::StoreBehavior What, Millis For);
+  void writeInvalidRegistrations(std::size_t ServerIndex);
+  void expireRegistrations(const ScheduledFault &Step);
+  void setLinkFault(const test::PlatformFixture::Proxy &Link, const char *Name,
+                    const boost::json::value &Begin,
+                    const boost::json::value &End, Millis Duration);
+  void setStoreFault(test::StoreBehavior Behavior, Millis Duration);
 
   test::PlatformFixture &World;
   SoakClients &Clients;
-  SoakGroundTruth Done;
+  SoakGroundTruth GroundTruth;
   std::priority_queue<QueuedAction> Queue;
-  std::uint64_t Orders = 0;
-  /// Counts the starts of servers, for their names.
+  std::uint64_t NextOrder = 0;
+  /// Number of new server ids.
   std::uint64_t Starts = 0;
-  /// Counts the crashes of servers.
+  /// Number of server crashes.
   std::uint64_t Crashes = 0;
-  /// Servers that are down or leaving.
+  /// Servers that are down or draining.
   std::set<std::size_t> UnavailableServers;
-  /// Edge processes that are down or leaving.
+  /// Edge processes that are down or stopping.
   std::set<std::size_t> UnavailableEdges;
   std::set<std::size_t> UnavailableSidecars;
   std::uint64_t Versions = 1;
   const std::size_t Customers;
-  /// Customers without their passing key.
+  /// Customers whose revocable key is revoked.
   std::set<std::size_t> Revoked;
 };
 
-/// Runs one soak.
+/// Runs one soak test and returns its result.
 SoakResult runSoakTest(const SoakSize &Size, std::uint64_t Seed,
                        const std::vector<ScheduledFault> &Plan, bool KeepLogs);
 
