--- a/IntegrationTests/Chaos/CallerLoad.cpp
+++ b/IntegrationTests/Chaos/CallerLoad.cpp
@@ -30,7 +30,7 @@
 constexpr int MaxKeyedSends = 3;
 constexpr std::uint64_t MaxTokens = 48;
 constexpr Millis ConnectRetryDelay{50};
-/// Delay before a retry; the longest retry delay that a refusal requests.
+/// Delay before a retry, at least as long as a refusal requests.
 constexpr Millis RetryDelay{1000};
 
 /// A request as it is sent.
@@ -115,7 +115,7 @@
   }
 }
 
-/// Returns the outcome of a response that was read to its end.
+/// Records the outcome of a response that was read to its end.
 void recordResponse(CallerRecord &record, const RequestSpec &spec,
                     const http::Response &answer) {
   constexpr unsigned Success = 200;
--- a/IntegrationTests/Chaos/Cluster.cpp
+++ b/IntegrationTests/Chaos/Cluster.cpp
@@ -32,7 +32,7 @@
          R"({"kind":"switch","name":"preset","preset":"ordinary"})";
 }
 
-/// Assigns servers to failure domains in rotation.
+/// Returns the failure domain of a server; domains are assigned in rotation.
 std::string findDomain(const ClusterPlan &plan, std::size_t which) {
   return plan.Domains[which % plan.Domains.size()];
 }
--- a/IntegrationTests/Chaos/Run.cpp
+++ b/IntegrationTests/Chaos/Run.cpp
@@ -66,8 +66,7 @@
     sum.Violations.push_back("no truth of the trainer");
 }
 
-/// Checks that accepted changes are in force: the limit has the rate of the
-/// last accepted change.
+/// Checks that the history holds every accepted operator change.
 void checkOperators(Tally &sum, Cluster &cluster,
                     const std::vector<OperatorAction> &actions) {
   constexpr int Accepted = 0;
