--- a/IntegrationTests/Chaos/Recovery.cpp
+++ b/IntegrationTests/Chaos/Recovery.cpp
@@ -90,8 +90,7 @@
 
 std::optional<Millis> awaitRecovery(Cluster &Target, std::uint64_t Since,
                                     std::string &Missing) {
-  // The open step may have been almost complete already, so one more step must
-  // follow.
+  // The trainer must complete another step.
   const Outcome<boost::json::value> truth = Target.Trainer->truth();
   const std::uint64_t before =
       truth ? parseTrainerTruth(*truth).StepsComplete : 0;
--- a/IntegrationTests/Chaos/Recovery.h
+++ b/IntegrationTests/Chaos/Recovery.h
@@ -16,10 +16,10 @@
 /// recovery from none.
 constexpr Millis RecoveryTimeout{45000};
 
-/// Waits until every process is ready, every service responds through every
-/// entry, and the trainer has completed a step that it opened after `Since`
-/// (wall-clock microseconds). Returns the time since then; empty with `Missing`
-/// set on a timeout.
+/// Waits until every process is ready with the same configuration, every
+/// service responds through every entry, and the trainer has completed another
+/// step since the call. Returns the time since `Since` (wall-clock
+/// microseconds); empty with `Missing` set on a timeout.
 std::optional<Millis> awaitRecovery(Cluster &Target, std::uint64_t Since,
                                     std::string &Missing);
 
