--- a/Bench/Benches.h
+++ b/Bench/Benches.h
@@ -1,20 +1,20 @@
 /// \file
-/// The benches by name. Each prints its figures with `report`.
+/// Declares the benches. Each prints its results with `report`.
 #ifndef WASABI_BENCH_BENCHES_H
 #define WASABI_BENCH_BENCHES_H
 
 namespace wasabi::bench {
 
-/// Agreement, members and spreading, with real processes.
+/// Measures consensus, membership and gossip with real processes.
 void runStateBench();
 
-/// Samples, staleness, weights and decision times.
+/// Measures samples, staleness, weights and decision times.
 void runRolloutBench();
 
-/// Requests through entries and daemons, under overload and faults.
+/// Measures requests through entries and daemons under overload and faults.
 void runRequestsBench();
 
-/// Slopes for docs/CAPACITY.md.
+/// Measures the cost per unit of load as slopes for docs/CAPACITY.md.
 void runCapacityBench();
 
 } // namespace wasabi::bench
--- a/Bench/CapacityBench.cpp
+++ b/Bench/CapacityBench.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The slopes that docs/CAPACITY.md is worked out from: each figure measured at
-/// three sizes or more, a line fitted, its residual printed beside it.
+/// Measures the slopes used in docs/CAPACITY.md. Each metric is measured at
+/// three or more sizes and fitted with a line whose residual is reported.
 #include "Bench/Benches.h"
 #include "Bench/Fleet.h"
 #include "Bench/LineFit.h"
@@ -29,13 +29,13 @@
 constexpr std::array<double, 4> Rates = {100, 200, 400, 800};
 constexpr std::array<std::uint32_t, 4> GroupCounts = {8, 16, 32, 64};
 constexpr std::uint32_t GroupSize = 8;
-/// Servers behind one daemon, at most, whose load reports are weighed.
+/// Maximum number of servers behind one daemon when load reports are measured.
 constexpr std::size_t MostServers = 4;
-/// Steps measured after the first, in which connections are made.
+/// Steps measured after the first one, which includes connection setup.
 constexpr std::uint64_t StepsMeasured = 3;
 constexpr std::array<std::size_t, 4> AuthorCounts = {50, 100, 200, 400};
 
-/// Points of one figure, reported as a line when all sizes are done.
+/// Collects the points of one metric and reports the fitted line.
 struct Row {
   std::string Metric;
   std::string Unit;
@@ -44,7 +44,7 @@
 
 void reportLine(const Row &What) {
   if (What.Points.size() < 3) {
-    progress("capacity: " + What.Metric + " has too few points for a line");
+    logProgress("capacity: " + What.Metric + " has too few points for a line");
     return;
   }
   LineFit fit = fitLine(What.Points);
@@ -63,11 +63,11 @@
   Row memory{"daemon_rss_mb_by_members", "MB", {}};
   Row appends{"log_appends_per_s_by_members", "1/s", {}};
   for (std::size_t size : readFleetSizes()) {
-    progress("capacity: " + std::to_string(size) + " daemons");
+    logProgress("capacity: " + std::to_string(size) + " daemons");
     Outcome<std::unique_ptr<Fleet>> fleet =
         toOutcome<std::unique_ptr<Fleet>>([&] { return Fleet::start(size); });
     if (!fleet) {
-      progress("capacity: " + describe(fleet.failure()));
+      logProgress("capacity: " + describe(fleet.failure()));
       continue;
     }
     IdleCost cost = measureIdleCost(**fleet, RestWindow);
@@ -102,19 +102,19 @@
       toOutcome<std::unique_ptr<RequestFleet>>(
           [&] { return RequestFleet::start(setup); });
   if (!fleet) {
-    progress("capacity: " + describe(fleet.failure()));
+    logProgress("capacity: " + describe(fleet.failure()));
     return;
   }
   constexpr double Percent = 100;
   for (double rate : Rates) {
-    progress("capacity: " + std::to_string(rate) + " requests a second");
+    logProgress("capacity: " + std::to_string(rate) + " requests a second");
     LoadPlan plan;
     plan.Targets = (*fleet)->callerAddresses();
     plan.Rate = rate;
-    plan.Span = LoadSpan;
+    plan.Duration = LoadSpan;
     plan.MakeRequest = deskCall;
-    plan.Check = [](const http::Request &, const http::Response &,
-                    CallResult &Into) { Into.Right = true; };
+    plan.CheckResponse = [](const http::Request &, const http::Response &,
+                            CallResult &Into) { Into.IsCorrect = true; };
     double entryBefore = (*fleet)->entryCpuSeconds();
     double daemonBefore = (*fleet)->daemonCpuSeconds();
     TimePoint start = monotonicNow();
@@ -133,7 +133,8 @@
   reportLine(daemon);
 }
 
-/// What a load report weighs; each asker gets one a second at rest.
+/// Measures the size of a load report. An idle daemon sends each subscriber one
+/// report per second.
 void measureLoadReports() {
   Row bytes{"load_report_bytes_by_servers", "B", {}};
   std::vector<ReportedLoad> loads;
@@ -151,7 +152,7 @@
 
 // ---- rollouts: what the owner of a trainer pays for each sample ----
 
-/// Bytes and records of one stream of the log.
+/// Bytes and records in one stream of the log.
 struct StreamSize {
   double Bytes = 0;
   double Records = 0;
@@ -180,7 +181,8 @@
   return usage ? usage->CpuSeconds : 0;
 }
 
-/// CPU of the owner beyond the mean of those that own nothing.
+/// Returns the CPU time of the owner minus the mean of the daemons that own
+/// nothing.
 double ownersExtraCpu(harness::RolloutCluster &Group, std::size_t Owner) {
   double others = 0;
   for (std::size_t n = 0; n < Group.daemons(); ++n)
@@ -189,7 +191,7 @@
          others / static_cast<double>(Group.daemons() - 1);
 }
 
-/// The owner's rows for one kind of trainer.
+/// Reports the owner's results for one kind of trainer.
 struct OwnerRows {
   Row Cpu;
   Row Bytes;
@@ -219,7 +221,7 @@
       toOutcome<std::unique_ptr<harness::RolloutCluster>>(
           [&] { return harness::RolloutCluster::start(setup); });
   if (!started) {
-    progress("capacity: " + describe(started.failure()));
+    logProgress("capacity: " + describe(started.failure()));
     return;
   }
   harness::RolloutCluster &group = **started;
@@ -248,13 +250,13 @@
   Rows.Memory.Points.push_back({samples, usage ? usage->ResidentMiB : 0});
 }
 
-/// A trainer that checks fencing tokens is its own point of truth; for another
-/// the log is, and each sample goes through it.
+/// A trainer that checks fencing tokens is its own source of truth. For any
+/// other trainer the log is, so each sample is written to the log.
 void measureOwner(bool ChecksFences) {
   OwnerRows rows = ownerRows(ChecksFences ? "fenced" : "logged");
   for (std::uint32_t groups : GroupCounts) {
-    progress("capacity: steps of " + std::to_string(groups * GroupSize) +
-             " samples");
+    logProgress("capacity: steps of " + std::to_string(groups * GroupSize) +
+                " samples");
     measureOwnerAt(groups, ChecksFences, rows);
   }
   for (const Row &it : {rows.Cpu, rows.Bytes, rows.Appends, rows.Memory})
@@ -263,7 +265,7 @@
 
 // ---- snapshots: what the agreed state weighs ----
 
-/// A state in which so many authors have each declared an attachment's worth of
+/// Builds a state in which each author has declared an attachment's worth of
 /// objects and hold marks.
 FoldState stateOf(std::size_t Authors) {
   FoldState state;
--- a/Bench/Fleet.cpp
+++ b/Bench/Fleet.cpp
@@ -12,12 +12,12 @@
 namespace wasabi::bench {
 namespace {
 
-/// The target's failure domains: four in one region and three in the other.
+/// Failure domains: four in one region and three in the other.
 constexpr std::array<const char *, 7> Domains = {
     "north-1", "north-2", "north-3", "south-1",
     "south-2", "south-3", "south-4"};
 constexpr Millis ReadyLimit{120000};
-/// Daemons started before the last of them is waited for.
+/// Number of daemons started before waiting for the last of them.
 constexpr std::size_t StartAtOnce = 25;
 
 Result<std::unique_ptr<harness::StandIn>>
@@ -48,7 +48,7 @@
   BOOST_LEAF_CHECK(fleet->startPlatform());
   for (std::size_t n = 0; n < Daemons; ++n) {
     BOOST_LEAF_CHECK(fleet->startDaemon(n));
-    // A bounded wave, so that starting does not measure itself.
+    // Daemons start in bounded waves to keep start-up load out of the results.
     if ((n + 1) % StartAtOnce != 0 && n + 1 != Daemons)
       continue;
     for (FleetDaemon &it : fleet->Daemons) {
@@ -99,7 +99,7 @@
 
 bool Fleet::allDaemonsSeeEachOther() const {
   for (const FleetDaemon &it : Daemons) {
-    std::optional<boost::json::value> status = statusOf(it);
+    std::optional<boost::json::value> status = fetchStatus(it);
     if (!status || !status->at("ready").as_bool() ||
         aliveMembers(*status) < Daemons.size())
       return false;
@@ -119,7 +119,7 @@
   change.Writes.push_back(
       {"switch/preset",
        R"({"kind":"switch","name":"preset","preset":")" + preset + R"("})"});
-  // The newest base there is: the bench is its log's only operator.
+  // Uses the newest base because the bench is the only operator on this log.
   Outcome<boost::json::value> truth = Log->truth();
   if (!truth)
     return truth.failure();
@@ -136,14 +136,14 @@
   return wallMicros();
 }
 
-std::optional<boost::json::value> statusOf(const FleetDaemon &Who) {
+std::optional<boost::json::value> fetchStatus(const FleetDaemon &Who) {
   Outcome<boost::json::value> status = harness::getJson(Who.Admin, "/status");
   if (!status)
     return std::nullopt;
   return *status;
 }
 
-std::vector<TimelineEvent> eventsOf(const FleetDaemon &Who) {
+std::vector<TimelineEvent> fetchTimeline(const FleetDaemon &Who) {
   std::vector<TimelineEvent> events;
   Outcome<boost::json::value> page =
       harness::getJson(Who.Admin, "/timeline?from=0");
--- a/Bench/Fleet.h
+++ b/Bench/Fleet.h
@@ -1,6 +1,6 @@
 /// \file
-/// Many real daemons before one plain upstream, for measuring what their
-/// control costs at different sizes.
+/// A fleet of real daemons in front of one plain upstream, used to measure
+/// control-plane cost at different sizes.
 #ifndef WASABI_BENCH_FLEET_H
 #define WASABI_BENCH_FLEET_H
 
@@ -24,18 +24,18 @@
   Address Admin;
 };
 
-/// The platform's stand-ins and N daemons over the target's seven domains.
-/// Not thread-safe.
+/// Runs the platform's stand-ins and N daemons in seven failure domains. Not
+/// thread-safe.
 class Fleet {
 public:
-  /// Starts all and waits until every daemon is ready and sees all others.
-  /// Errors: `Unavailable` naming what did not come up.
+  /// Starts all processes and waits until every daemon is ready and sees all
+  /// others. Errors: `Unavailable` naming the process that did not start.
   static Result<std::unique_ptr<Fleet>> start(std::size_t Daemons);
 
   std::vector<FleetDaemon> &daemons() { return Daemons; }
   const harness::StandIn &log() const { return *Log; }
-  /// Appends one change of the switch that alternates between two presets;
-  /// wall time in microseconds at which the log had answered.
+  /// Appends one change that toggles a switch between two presets. Returns the
+  /// wall time in microseconds at which the log answered.
   Outcome<std::uint64_t> changeConfiguration();
 
 private:
@@ -53,11 +53,11 @@
   std::uint64_t Changes = 0;
 };
 
-/// A daemon's `/status`; empty when it does not answer.
-std::optional<boost::json::value> statusOf(const FleetDaemon &Who);
+/// Returns the daemon's `/status`, or nothing if it does not answer.
+std::optional<boost::json::value> fetchStatus(const FleetDaemon &Who);
 
-/// A daemon's time line; empty when it does not answer.
-std::vector<TimelineEvent> eventsOf(const FleetDaemon &Who);
+/// Returns the daemon's timeline, empty if it does not answer.
+std::vector<TimelineEvent> fetchTimeline(const FleetDaemon &Who);
 
 } // namespace wasabi::bench
 
--- a/Bench/FoldBench.cpp
+++ b/Bench/FoldBench.cpp
@@ -16,22 +16,23 @@
 namespace {
 
 constexpr std::uint64_t Seed = 20261202;
-/// Declared objects, and members of each that changes edit.
+/// Declared objects, and the members of each that changes edit.
 constexpr std::size_t Objects = 300;
 constexpr std::size_t Members = 6;
 constexpr double DaySeconds = 86400;
 constexpr double ChangesPerDay = 1600;
-/// Days that a share is taken over.
+/// Number of days simulated for a rejection rate.
 constexpr int Days = 10;
-/// A burst: changes within a time, after an incident or at a shift's start.
+/// A burst of changes within a limited time, as after an incident or at the
+/// start of a shift.
 constexpr int BurstChanges = 200;
 constexpr double BurstSeconds = 60;
 constexpr int Bursts = 20;
-/// From reading the state to the append: a plain `apply`, and one whose plan a
-/// second person looks at.
+/// Time between reading the state and the append: for a direct `apply`, and for
+/// a plan that a second person reviews.
 constexpr double ApplySeconds = 0.5;
 constexpr double ReviewSeconds = 60;
-/// Claims of a fleet and how often each is renewed.
+/// Number of claims in a fleet and their renewal interval.
 constexpr int Claims = 10;
 constexpr double RenewSeconds = 10.0 / 3;
 
@@ -60,7 +61,7 @@
   std::vector<Edit> Edits;
 };
 
-/// The values of all members, as one world has them.
+/// Values of all members of all objects.
 using World = std::vector<std::array<std::uint8_t, Members>>;
 
 std::string objectName(std::size_t Object) {
@@ -75,7 +76,7 @@
   return out + "}";
 }
 
-/// Draws an object: the n-th is edited in proportion to 1/n.
+/// Draws an object from a Zipf distribution: the n-th has a weight of 1/n.
 class ObjectDraw {
 public:
   ObjectDraw() {
@@ -91,7 +92,7 @@
   std::discrete_distribution<std::size_t> Draw;
 };
 
-/// Changes spread evenly over a time, in the order of their appends. Each
+/// Generates changes spread evenly over a time, ordered by append time. Each
 /// edits 1 to 3 objects.
 std::vector<Change> drawChanges(int Count, double Seconds, double Lag,
                                 std::mt19937_64 &Random) {
@@ -122,15 +123,17 @@
   return out;
 }
 
-/// Refusals of one rule over one sequence of changes.
+/// Rejections by one rule over one sequence of changes.
 struct Refusals {
   std::size_t Changes = 0;
   std::size_t Refused = 0;
-  /// Refused though no accepted change since its base edited the same member.
+  /// Rejected although no accepted change since the base edited the same
+  /// member.
   std::size_t Needless = 0;
 };
 
-/// What a rule has accepted, for the judge of needless refusals.
+/// Records the changes that a rule has accepted, to detect unnecessary
+/// rejections.
 struct AcceptedEdits {
   double At = 0;
   std::vector<Edit> Edits;
@@ -146,7 +149,7 @@
   return false;
 }
 
-/// Takes note of a change's outcome.
+/// Records the outcome of a change.
 void judge(Refusals &Into, std::vector<AcceptedEdits> &Accepted,
            const Change &What, bool Taken) {
   ++Into.Changes;
@@ -159,7 +162,7 @@
     ++Into.Needless;
 }
 
-/// The baseline: one version for the whole document.
+/// Baseline: one version for the whole document.
 Refusals runWholeVersion(const std::vector<Change> &Changes) {
   Refusals out;
   std::vector<AcceptedEdits> accepted;
@@ -170,7 +173,7 @@
   return out;
 }
 
-/// The product: the fold itself, by sets of keys.
+/// The product's rule: the fold detects conflicts by sets of keys.
 Refusals runFold(const std::vector<Change> &Changes) {
   FoldState state;
   World world(Objects);
@@ -214,7 +217,7 @@
                     : static_cast<double>(Part) / static_cast<double>(Whole);
 }
 
-/// One case: several draws of it, under both rules.
+/// Runs one case several times with different seeds under both rules.
 void measureConflicts(const std::string &Case, int Draws, int Count,
                       double Seconds, double Lag) {
   std::mt19937_64 random(Seed);
@@ -232,16 +235,16 @@
           "share", share(whole.Refused, whole.Changes)});
 }
 
-/// A day of the control stream with the state at its end.
+/// One day of the control stream and the state at its end.
 struct Day {
   std::vector<LogEntry> Log;
   FoldState State;
-  /// Where the snapshot stands that a start would find.
+  /// Offset of the snapshot that a starting process loads.
   std::size_t SnapshotAt = 0;
   double ApplyNanos = 0;
 };
 
-/// Appends and applies one record of an author that numbers its records.
+/// Appends and applies one record of an author with its next sequence number.
 void add(Day &To, const std::string &Author, std::uint64_t Sequence,
          RecordBody Body) {
   std::string text = encodeRecord({{Author, 1, Sequence}, std::move(Body)});
@@ -264,8 +267,8 @@
 
 std::string holderName(int Claim) { return "daemon-" + std::to_string(Claim); }
 
-/// Renewals all day, a change every now and then, one snapshot before the end
-/// with as many records after it as the snapshots' spacing allows.
+/// Generates a day of renewals with occasional changes and one snapshot before
+/// the end, followed by as many records as the snapshot interval allows.
 Day makeDay(std::size_t RecordsAfterSnapshot) {
   Day out;
   declareAll(out);
@@ -309,7 +312,8 @@
   return static_cast<double>((monotonicNow() - Start).count()) / 1000;
 }
 
-/// Time to a state from all records, and from the newest snapshot.
+/// Measures the time to rebuild the state from all records and from the newest
+/// snapshot.
 void measureStart(const Day &What) {
   TimePoint start = monotonicNow();
   FoldState replayed;
@@ -335,7 +339,8 @@
           std::nullopt});
 }
 
-/// Time of one more change, and of one more renewal, on a day's state.
+/// Measures the time to apply one more change and one more renewal to the state
+/// after a day.
 void measureApply(const Day &What) {
   constexpr int Rounds = 2000;
   FoldState state = What.State;
--- a/Bench/FoldBench.h
+++ b/Bench/FoldBench.h
@@ -1,12 +1,14 @@
 /// \file
-/// The fold by itself: cost of a record, start from a snapshot against replay,
-/// and how often changes are refused without need. Pure but for the clock.
+/// Benchmarks of the fold without processes: cost per record, start from a
+/// snapshot compared with a full replay, and the rate of unnecessary
+/// rejections. Reads only the clock.
 #ifndef WASABI_BENCH_FOLDBENCH_H
 #define WASABI_BENCH_FOLDBENCH_H
 
 namespace wasabi::bench {
 
-/// Prints the figures of bench `state` that need no processes. Takes seconds.
+/// Reports the results of the `state` bench that need no processes. Runs for
+/// seconds.
 void runFoldBench();
 
 } // namespace wasabi::bench
--- a/Bench/LineFit.h
+++ b/Bench/LineFit.h
@@ -1,5 +1,5 @@
 /// \file
-/// A straight line through measured points, and how far they lie from it.
+/// Least-squares line fit and percentiles of measured values.
 #ifndef WASABI_BENCH_LINEFIT_H
 #define WASABI_BENCH_LINEFIT_H
 
@@ -7,7 +7,7 @@
 
 namespace wasabi::bench {
 
-/// One measured point: a figure at a size.
+/// A measured value at a size.
 struct Point {
   double Size = 0;
   double Value = 0;
@@ -17,17 +17,19 @@
 struct LineFit {
   double Base = 0;
   double Slope = 0;
-  /// Root mean square of the distances, in the figure's own unit.
+  /// Root mean square of the residuals, in the unit of the value.
   double Residual = 0;
 
-  /// The line's value at a size.
+  /// Returns the line's value at a size.
   double at(double Size) const { return Base + Slope * Size; }
 };
 
-/// Least squares. Precondition: two points or more of different sizes. Pure.
+/// Fits a line by least squares. Precondition: at least two points of different
+/// sizes. Pure.
 LineFit fitLine(const std::vector<Point> &Points);
 
-/// The value below which `Share` (0 to 1) of the values lie; 0 for none. Pure.
+/// Returns the quantile `Share` (0 to 1) of the values, or 0 if there are none.
+/// Pure.
 double quantile(std::vector<double> Values, double Share);
 
 } // namespace wasabi::bench
--- a/Bench/LoadRun.cpp
+++ b/Bench/LoadRun.cpp
@@ -19,11 +19,11 @@
 
 constexpr asio::as_tuple_t<asio::use_awaitable_t<>> Awaited;
 constexpr unsigned WholeStatus = 200;
-/// How much longer than its deadline a call is waited for, so that a late
-/// answer is seen as one.
+/// Time to wait for a response after its deadline, so that a late response is
+/// recorded as late.
 constexpr Millis Patience{200};
 
-/// One run of a plan, on one thread.
+/// Runs one load plan on one thread.
 class LoadRun {
 public:
   explicit LoadRun(const LoadPlan &Plan)
@@ -48,7 +48,8 @@
   }
 
 private:
-  /// The context ends with the last coroutine: idle connections hold nothing.
+  /// The context ends with the last coroutine; idle connections do not keep it
+  /// running.
   void spawn(asio::awaitable<void> What) {
     ++Alive;
     asio::co_spawn(Context, std::move(What),
@@ -61,13 +62,13 @@
   asio::awaitable<void> cause(ScheduledAction What) {
     BootTimer timer(Context, Began + What.At);
     co_await timer.async_wait(Awaited);
-    What.Do();
+    What.Action();
   }
 
   asio::awaitable<void> arrive() {
     std::exponential_distribution<double> gap(Plan.Rate);
     BootTimer timer(Context);
-    TimePoint end = Began + Plan.Span;
+    TimePoint end = Began + Plan.Duration;
     double seconds = gap(Random);
     for (;;) {
       TimePoint due =
@@ -82,7 +83,7 @@
   }
 
   asio::awaitable<void> work() {
-    TimePoint end = Began + Plan.Span;
+    TimePoint end = Began + Plan.Duration;
     while (monotonicNow() < end)
       co_await callOnce(monotonicNow());
   }
@@ -93,11 +94,11 @@
     result.Due = Due - Began;
     http::Request ask = Plan.MakeRequest(result.Number);
     TimePoint until = Due + Plan.Deadline;
-    while (result.Attempts < Plan.Client.MaxAttempts && !result.Right &&
+    while (result.Attempts < Plan.Client.MaxAttempts && !result.IsCorrect &&
            monotonicNow() < until)
       co_await attempt(ask, until, result);
-    result.Took = monotonicNow() - Due;
-    result.IsGood = result.Right && result.Took <= Plan.Deadline;
+    result.Latency = monotonicNow() - Due;
+    result.IsGood = result.IsCorrect && result.Latency <= Plan.Deadline;
     Results.push_back(std::move(result));
   }
 
@@ -122,14 +123,14 @@
     Result.Status = answer->Status;
     Result.Verdict = std::string(answer->header("X-Wasabi-Verdict"));
     if (answer->Status == WholeStatus)
-      Plan.Check(Ask, *answer, Result);
+      Plan.CheckResponse(Ask, *answer, Result);
   }
 
   const LoadPlan &Plan;
   asio::io_context Context{1};
   std::mt19937_64 Random;
   std::shared_ptr<http::Client> Client;
-  /// Calls at each target now.
+  /// Calls in flight at each target.
   std::vector<std::uint32_t> Open;
   std::vector<CallResult> Results;
   std::uint64_t Next;
@@ -149,7 +150,7 @@
   std::vector<double> times;
   for (const CallResult &it : Calls) {
     if (it.IsGood && (!Chosen || Chosen(it)))
-      times.push_back(static_cast<double>(it.Took.count()) / 1000.0);
+      times.push_back(static_cast<double>(it.Latency.count()) / 1000.0);
   }
   return times;
 }
--- a/Bench/LoadRun.h
+++ b/Bench/LoadRun.h
@@ -1,7 +1,7 @@
 /// \file
-/// A load generator: calls at a steady mean rate, whatever becomes of those
-/// before (open loop), or by workers that each wait for their answer (closed
-/// loop).
+/// A load generator. An open loop sends calls at a constant mean rate
+/// regardless of responses; in a closed loop each worker waits for its response
+/// before it sends the next call.
 #ifndef WASABI_BENCH_LOADRUN_H
 #define WASABI_BENCH_LOADRUN_H
 
@@ -17,73 +17,76 @@
 
 namespace wasabi::bench {
 
-/// What became of one call.
+/// The outcome of one call.
 struct CallResult {
   std::uint64_t Number = 0;
-  /// When it was due, since the load's begin.
+  /// Scheduled time since the start of the load.
   Micros Due{0};
-  /// From when it was due until its last byte, or until it was given up.
-  Micros Took{0};
-  /// The answer's status; 0 when there was none.
+  /// Time from the scheduled start to the last byte or to giving up.
+  Micros Latency{0};
+  /// HTTP status; 0 if there was no response.
   unsigned Status = 0;
-  /// The word of `X-Wasabi-Verdict`; empty without that header.
+  /// Value of `X-Wasabi-Verdict`; empty without that header.
   std::string Verdict;
   std::uint32_t Attempts = 0;
-  /// Set by `ResponseCheck`: which server answered, and whether rightly.
+  /// Set by `ResponseCheck`: the server that answered and whether the response
+  /// is correct.
   std::string Server;
-  bool Right = false;
-  /// A right answer within its deadline.
+  bool IsCorrect = false;
+  /// True if a correct response arrived within the deadline.
   bool IsGood = false;
 };
 
-/// Looks at a whole answer of status 200.
+/// Checks a complete response of status 200.
 using ResponseCheck = std::function<void(
     const http::Request &Ask, const http::Response &Answer, CallResult &Into)>;
 
-/// How the client itself behaves. The default sends once and waits.
+/// Retry behaviour of the client. The default sends once.
 struct ClientPolicy {
-  /// Attempts in all, each to a target chosen at random.
+  /// Maximum number of attempts, each to a target chosen at random.
   std::uint32_t MaxAttempts = 1;
-  /// Calls at once to a target, beyond which an attempt fails; 0 for no limit.
+  /// Maximum number of concurrent calls per target, beyond which an attempt
+  /// fails; 0 for no limit.
   std::uint32_t MaxInFlightPerTarget = 0;
-  /// How long one attempt may take; 0 for all of the deadline.
+  /// Timeout of one attempt; 0 to use the whole deadline.
   Millis AttemptTimeout{0};
 };
 
-/// Something done to the system while the load runs; must not block.
+/// An action run at a given time during the load. Must not block.
 struct ScheduledAction {
   Millis At{0};
-  std::function<void()> Do;
+  std::function<void()> Action;
 };
 
-/// A load to run.
+/// Describes a load to run.
 struct LoadPlan {
   std::vector<Address> Targets;
   ClientPolicy Client;
-  /// Open loop: calls a second, with exponentially distributed gaps.
+  /// Open loop: calls per second, with exponentially distributed gaps.
   double Rate = 0;
-  /// Closed loop: workers; used when there is no rate.
+  /// Closed loop: number of workers; used if there is no rate.
   std::size_t Workers = 1;
-  Millis Span{1000};
-  /// A later answer is no good one.
+  Millis Duration{1000};
+  /// A response after the deadline does not count as good.
   Millis Deadline{1000};
   std::uint64_t Seed = 1;
   /// Number of the first call.
   std::uint64_t FirstNumber = 0;
   std::function<http::Request(std::uint64_t Number)> MakeRequest;
-  ResponseCheck Check;
+  ResponseCheck CheckResponse;
   std::vector<ScheduledAction> ScheduledActions;
 };
 
-/// Runs the load on the calling thread until each call has ended.
+/// Runs the load on the calling thread until all calls have ended.
 std::vector<CallResult> runLoad(const LoadPlan &Plan);
 
-/// Milliseconds of the good answers that `Chosen` takes (all, without one).
+/// Returns the latencies in milliseconds of the good responses that `Chosen`
+/// selects, or of all good responses if it is empty.
 std::vector<double> goodLatencyMillis(
     const std::vector<CallResult> &Calls,
     const std::function<bool(const CallResult &)> &Chosen = nullptr);
 
-/// Good answers.
+/// Returns the number of good responses.
 std::size_t countGoodCalls(const std::vector<CallResult> &Calls);
 
 } // namespace wasabi::bench
--- a/Bench/Main.cpp
+++ b/Bench/Main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// `wasabi-bench NAME...`: runs the named benches, or all of them.
+/// `wasabi-bench NAME...` runs the named benches, or all of them.
 #include "Bench/Benches.h"
 #include "Bench/Report.h"
 
@@ -25,14 +25,14 @@
       {"rollout", runRolloutBench},
       {"capacity", runCapacityBench},
   };
-  // Every name is checked before the first bench runs.
+  // Validates every name before the first bench runs.
   for (int n = 0; n < Count; ++n) {
     bool known = false;
     for (const Entry &it : all)
       known = known || it.Name == Names[n];
     if (!known) {
-      progress("wasabi-bench: no bench is named '" + std::string(Names[n]) +
-               "'");
+      logProgress("wasabi-bench: no bench is named '" + std::string(Names[n]) +
+                  "'");
       return ExitUsage;
     }
   }
--- a/Bench/ProcessUsage.cpp
+++ b/Bench/ProcessUsage.cpp
@@ -9,7 +9,8 @@
 namespace wasabi::bench {
 namespace {
 
-/// Fields of /proc/PID/stat after the command's closing bracket, from 0.
+/// Zero-based indices of fields in /proc/PID/stat after the command's closing
+/// bracket.
 constexpr int UserTimeField = 11;
 constexpr int SystemTimeField = 12;
 constexpr int ResidentPagesField = 21;
@@ -21,7 +22,8 @@
   std::string text;
   if (!std::getline(file, text))
     return std::nullopt;
-  // The command may hold blanks: count from its last bracket.
+  // The command may contain spaces and brackets, so fields are counted from its
+  // last bracket.
   std::size_t bracket = text.rfind(')');
   if (bracket == std::string::npos)
     return std::nullopt;
--- a/Bench/ProcessUsage.h
+++ b/Bench/ProcessUsage.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a process has used, as the kernel counts it.
+/// CPU time and memory of a process as reported by the kernel.
 #ifndef WASABI_BENCH_PROCESSUSAGE_H
 #define WASABI_BENCH_PROCESSUSAGE_H
 
@@ -9,15 +9,15 @@
 
 namespace wasabi::bench {
 
-/// Totals since the process began.
+/// Totals since the process started.
 struct ProcessUsage {
-  /// User and system time, in seconds.
+  /// User and system CPU time, in seconds.
   double CpuSeconds = 0;
-  /// Memory held now, in MiB.
+  /// Resident memory, in MiB.
   double ResidentMiB = 0;
 };
 
-/// Reads /proc; empty when the process is gone. Thread-safe.
+/// Reads /proc. Returns nothing if the process has exited. Thread-safe.
 std::optional<ProcessUsage> readProcessUsage(pid_t Pid);
 
 } // namespace wasabi::bench
--- a/Bench/Report.cpp
+++ b/Bench/Report.cpp
@@ -23,7 +23,7 @@
   std::fflush(stdout);
 }
 
-void progress(const std::string &Text) {
+void logProgress(const std::string &Text) {
   std::string line = Text + "\n";
   std::fputs(line.c_str(), stderr);
 }
--- a/Bench/Report.h
+++ b/Bench/Report.h
@@ -1,5 +1,5 @@
 /// \file
-/// How a bench prints its figures: one JSON object a line on stdout.
+/// Prints bench results as one JSON object per line on stdout.
 #ifndef WASABI_BENCH_REPORT_H
 #define WASABI_BENCH_REPORT_H
 
@@ -8,24 +8,24 @@
 
 namespace wasabi::bench {
 
-/// One measured figure.
+/// One measured value.
 struct Measurement {
-  /// The bench's name: state, requests, rollout, capacity.
+  /// Name of the bench: state, requests, rollout or capacity.
   std::string Bench;
-  /// Lower-case words with underscores, size or case last.
+  /// Lower-case words joined by underscores, with the size or case last.
   std::string Metric;
   double Value = 0;
   std::string Unit;
-  /// The same figure of the baseline in the same run, where one ran.
+  /// The baseline's value in the same run, if one ran.
   std::optional<double> Baseline;
 };
 
-/// Prints a figure, with `ratio` = value / baseline where there is one.
+/// Prints a result, with `ratio` = value / baseline if there is a baseline.
 /// Thread-safe.
 void report(const Measurement &What);
 
-/// Prints progress for a person, on stderr. Thread-safe.
-void progress(const std::string &Text);
+/// Prints a progress message on stderr. Thread-safe.
+void logProgress(const std::string &Text);
 
 } // namespace wasabi::bench
 
--- a/Bench/RequestChecks.cpp
+++ b/Bench/RequestChecks.cpp
@@ -13,7 +13,7 @@
 
 constexpr unsigned WholeStatus = 200;
 constexpr std::string_view NotRunWord = "not-run";
-/// Bytes of a plain call's body, as of a small JSON request.
+/// Size in bytes of a plain call's body.
 constexpr std::size_t BodyBytes = 200;
 
 http::Request head(const std::string &Load, std::uint64_t Number,
@@ -25,10 +25,10 @@
   return ask;
 }
 
-/// Runs by request over all upstreams of a fleet.
+/// Runs of each request over all upstreams of a fleet.
 struct KnownRuns {
   std::map<std::string, std::uint64_t> Times;
-  /// Whether every upstream told all of its runs.
+  /// True if every upstream reported all of its runs.
   bool Complete = true;
 };
 
@@ -37,14 +37,14 @@
   for (const FleetUpstream &it : Fleet.upstreams()) {
     Outcome<boost::json::value> truth = it.StandIn->truth();
     if (!truth) {
-      progress("requests: no truth of " + it.Server + ": " +
-               describe(truth.failure()));
+      logProgress("requests: no truth of " + it.Server + ": " +
+                  describe(truth.failure()));
       runs.Complete = false;
       continue;
     }
-    // An upstream forgets its oldest runs after so many.
+    // An upstream drops its oldest records when it reaches its limit.
     if (truth->at("dropped").to_number<std::uint64_t>() > 0) {
-      progress("requests: " + it.Server + " has forgotten runs");
+      logProgress("requests: " + it.Server + " has forgotten runs");
       runs.Complete = false;
     }
     for (const boost::json::value &run : truth->at("runs").as_array())
@@ -53,7 +53,7 @@
   return runs;
 }
 
-/// The text and spans of a completion, whole or streamed.
+/// The text and spans of a completion, from one body or from a stream.
 struct Generated {
   std::string Text;
   std::vector<standins::VersionSpan> Spans;
@@ -104,7 +104,7 @@
   return all;
 }
 
-bool isRight(const http::Request &Ask, const http::Response &Answer) {
+bool isCorrect(const http::Request &Ask, const http::Response &Answer) {
   boost::json::object asked = boost::json::parse(Ask.Body).as_object();
   std::string prompt(asked.at("prompt").as_string());
   std::uint64_t seed = asked.at("seed").to_number<std::uint64_t>();
@@ -145,9 +145,10 @@
   if (ec || !body.is_object())
     return;
   Into.Server = body.at("service").as_string();
-  Into.Right = body.at("path").as_string() == Ask.Target &&
-               body.at("method").as_string() == Ask.Method &&
-               body.at("body_hash").as_string() == standins::hashText(Ask.Body);
+  Into.IsCorrect =
+      body.at("path").as_string() == Ask.Target &&
+      body.at("method").as_string() == Ask.Method &&
+      body.at("body_hash").as_string() == standins::hashText(Ask.Body);
 }
 
 http::Request makeCompletionRequest(const std::string &Load,
@@ -172,9 +173,9 @@
 void checkCompletionResponse(const http::Request &Ask,
                              const http::Response &Answer, CallResult &Into) {
   try {
-    Into.Right = isRight(Ask, Answer);
+    Into.IsCorrect = isCorrect(Ask, Answer);
   } catch (const std::exception &Why) {
-    progress(std::string("requests: unreadable completion: ") + Why.what());
+    logProgress(std::string("requests: unreadable completion: ") + Why.what());
   }
 }
 
@@ -195,14 +196,14 @@
     std::map<std::string, std::uint64_t>::const_iterator known =
         runs.Times.find(makeRequestId(Load, it.Number));
     std::uint64_t times = known == runs.Times.end() ? 0 : known->second;
-    // Without all records an answer may look right and not be.
+    // Incomplete records cannot prove that a response is correct.
     found.Checked += runs.Complete ? 1 : 0;
     if (it.Verdict == NotRunWord && times > 0)
       ++found.FalseNotRun;
     if (mustRunOnce(it.Number) && times > 1)
       ++found.DoubleRuns;
     bool fromNowhere = runs.Complete && times == 0;
-    if (it.Status == WholeStatus && (!it.Right || fromNowhere))
+    if (it.Status == WholeStatus && (!it.IsCorrect || fromNowhere))
       ++found.WrongAnswers;
   }
   return found;
--- a/Bench/RequestChecks.h
+++ b/Bench/RequestChecks.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the bench sends, and how answers are held against what the upstreams
-/// themselves say has happened.
+/// Builds the bench's requests and checks the responses against the upstreams'
+/// own records.
 #ifndef WASABI_BENCH_REQUESTCHECKS_H
 #define WASABI_BENCH_REQUESTCHECKS_H
 
@@ -13,55 +13,58 @@
 
 namespace wasabi::bench {
 
-/// The `X-Request-Id` of a call; `Load` tells the loads of one fleet apart.
+/// Returns the `X-Request-Id` of a call. `Load` distinguishes the loads of one
+/// fleet.
 std::string makeRequestId(const std::string &Load, std::uint64_t Number);
 
-/// Whether a call must run at most once: every second one must.
+/// Returns true for every second call, which must run at most once.
 inline bool mustRunOnce(std::uint64_t Number) { return Number % 2 == 1; }
 
-/// A small call of a plain service: a GET, or a POST that must run once.
-/// `Caller` is empty for none. Deadline in milliseconds.
+/// Makes a small call of a plain service: a GET, or a POST that must run at
+/// most once. An empty `Caller` sends no caller. The deadline is in
+/// milliseconds.
 http::Request makePlainRequest(const std::string &Load, std::uint64_t Number,
                                Millis Deadline, const std::string &Caller = "");
 
-/// Checks a plain service's answer: path, and the hash of the body.
+/// Checks the path and the body hash in a plain service's response.
 void checkPlainResponse(const http::Request &Ask, const http::Response &Answer,
                         CallResult &Into);
 
-/// A completion of an engine.
+/// Makes a completion request to an engine.
 http::Request makeCompletionRequest(const std::string &Load,
                                     std::uint64_t Number,
                                     const std::string &Prompt,
                                     std::uint64_t MaxTokens, bool Streamed,
                                     Millis Deadline);
 
-/// Checks a completion: every token recomputed from the labels, and as many as
-/// there must be. `CallResult::Server` is left empty.
+/// Checks a completion: recomputes every token from the labels and checks the
+/// number of tokens. Leaves `CallResult::Server` empty.
 void checkCompletionResponse(const http::Request &Ask,
                              const http::Response &Answer, CallResult &Into);
 
-/// How many tokens a completion must have. Precondition: `Ask` is one.
+/// Returns the expected number of tokens of a completion. Precondition: `Ask`
+/// is a completion request.
 std::uint64_t expectedCompletionTokens(const http::Request &Ask);
 
-/// What was promised and must be 0.
+/// Violations of the guarantees. All counts but `Checked` must be 0.
 struct CorrectnessCounts {
-  /// Answered `not-run` though an upstream ran it.
+  /// Calls answered `not-run` although an upstream ran them.
   std::uint64_t FalseNotRun = 0;
-  /// Ran twice though it had to run once.
+  /// Calls that ran twice although they must run at most once.
   std::uint64_t DoubleRuns = 0;
-  /// Answered with something else than what it asked, or out of nowhere.
+  /// Calls whose response does not match the request, or that no upstream ran.
   std::uint64_t WrongAnswers = 0;
-  /// Calls held against complete records.
+  /// Calls checked against complete records.
   std::uint64_t Checked = 0;
 };
 
-/// Holds the calls of plain services against the upstreams' own records. An
-/// upstream that does not answer is left out, and said on stderr.
+/// Checks the calls of plain services against the upstreams' own records. An
+/// upstream that does not answer is skipped and logged on stderr.
 CorrectnessCounts checkPlainRuns(const std::string &Load,
                                  const std::vector<CallResult> &Calls,
                                  RequestFleet &Fleet);
 
-/// Adds up.
+/// Adds the counts.
 CorrectnessCounts operator+(const CorrectnessCounts &Left,
                             const CorrectnessCounts &Right);
 
--- a/Bench/RequestEngines.cpp
+++ b/Bench/RequestEngines.cpp
@@ -40,7 +40,7 @@
     return makeCompletionRequest(Load, Number, Prompt(Number), MaxTokens, false,
                                  Deadline);
   };
-  plan.Check = checkCompletionResponse;
+  plan.CheckResponse = checkCompletionResponse;
   return plan;
 }
 
@@ -48,18 +48,19 @@
   CorrectnessCounts found;
   for (const CallResult &it : Calls) {
     ++found.Checked;
-    if (it.Status == 200 && !it.Right)
+    if (it.Status == 200 && !it.IsCorrect)
       ++found.WrongAnswers;
   }
   return found;
 }
 
-/// Prompts that share nothing.
+/// Makes prompts without a common prefix.
 std::string lonePrompt(std::uint64_t Number) {
   return "lone prompt " + std::to_string(Number);
 }
 
-/// One of many families by a heavy-tailed draw, its beginning common.
+/// Makes prompts of families drawn from a heavy-tailed distribution. Prompts of
+/// a family share a prefix.
 std::string familyPrompt(std::uint64_t Number) {
   constexpr double Families = 200;
   constexpr std::size_t CommonBytes = 1500;
@@ -72,11 +73,11 @@
   return prompt + std::to_string(Number);
 }
 
-/// Prefixes held, the least recently used dropped first, as an engine does.
+/// An LRU cache of prompt prefixes that models an engine's cache.
 class HeldPrefixes {
 public:
   explicit HeldPrefixes(std::size_t Most) : Most(Most) {}
-  /// Whether the prompt's prefix was held.
+  /// Returns true if the prompt's prefix was cached.
   bool use(const std::string &Prompt) {
     std::string name = standins::prefixName(Prompt);
     std::list<std::string>::iterator it =
@@ -113,10 +114,10 @@
   return all;
 }
 
-/// Share of the prompts of a load that found their prefix held.
+/// Cache hit rate of the prompts of a load.
 struct HitShares {
   double Engines = 0;
-  /// One cache as large as all of the engines'.
+  /// Hit rate of one cache as large as those of all engines together.
   double Oracle = 0;
 };
 
@@ -161,12 +162,12 @@
   LoadPlan plan = engineLoad(Name, *fleet, 0, WarmSpan, lonePrompt);
   plan.Rate = measureCapacity(plan, *fleet, Slots) * 0.7;
   runLoad(plan);
-  plan.Span = Span;
-  // Not the prompts that the engines hold already.
+  plan.Duration = Span;
+  // Uses prompts that the engines have not cached yet.
   plan.FirstNumber = 1000000;
-  Decisions before = fleet->decisions();
+  CounterTotals before = fleet->readCounters();
   std::vector<CallResult> ours = runLoad(plan);
-  reportCounters(Name, difference(fleet->decisions(), before));
+  reportCounters(Name, subtractCounters(fleet->readCounters(), before));
   plan.FirstNumber = 2000000;
   std::vector<CallResult> blind = runLoad(makeBaselineLoad(plan, *fleet));
   result.P99 = goodLatencyQuantile(ours, 0.99);
@@ -192,9 +193,9 @@
     return {};
   LoadPlan plan = engineLoad("cache", *fleet, 0, Span, familyPrompt);
   plan.Rate = measureCapacity(plan, *fleet, Slots) * 0.5;
-  Decisions before = fleet->decisions();
+  CounterTotals before = fleet->readCounters();
   std::vector<CallResult> ours = runLoad(plan);
-  reportCounters("cache", difference(fleet->decisions(), before));
+  reportCounters("cache", subtractCounters(fleet->readCounters(), before));
   runLoad(makeBaselineLoad(plan, *fleet));
   HitShares hits = hitShares(*fleet, "cache");
   HitShares blind = hitShares(*fleet, "blind-cache");
--- a/Bench/RequestFaults.cpp
+++ b/Bench/RequestFaults.cpp
@@ -33,8 +33,8 @@
   return later;
 }
 
-/// From the kill to the end of the last tenth of a second that had a call
-/// without a good answer.
+/// Returns the time from the kill to the end of the last tenth of a second in
+/// which a call failed.
 double recoveryMillis(const std::vector<CallResult> &Calls) {
   Micros last = KillAt;
   for (const CallResult &it : Calls) {
@@ -51,17 +51,18 @@
   return Calls.empty() ? 0 : sum / static_cast<double>(Calls.size());
 }
 
-double attemptsPerRequest(const Decisions &Counts) {
-  Decisions::const_iterator attempts =
+double attemptsPerRequest(const CounterTotals &Counts) {
+  CounterTotals::const_iterator attempts =
       Counts.find("wasabi_entry_attempts_total");
-  Decisions::const_iterator requests =
+  CounterTotals::const_iterator requests =
       Counts.find("wasabi_entry_requests_total");
   bool known = attempts != Counts.end() && requests != Counts.end();
   return known && requests->second > 0 ? attempts->second / requests->second
                                        : 0;
 }
 
-/// One outage: attempts a request, ours and the blind client's.
+/// Runs one outage and reports the attempts per request of the product and of
+/// the client with fixed retries.
 struct OutageResult {
   double Ours = 0;
   double Blind = 0;
@@ -72,9 +73,9 @@
                            double Rate) {
   std::string load = "outage_" + Name;
   LoadPlan plan = makePlainLoad(load, Fleet, Rate, OutageSpan, Deadline);
-  Decisions before = Fleet.decisions();
+  CounterTotals before = Fleet.readCounters();
   std::vector<CallResult> ours = runLoad(plan);
-  Decisions made = difference(Fleet.decisions(), before);
+  CounterTotals made = subtractCounters(Fleet.readCounters(), before);
   reportCounters(load, made);
   reportFailedCalls(load, ours);
   OutageResult result;
@@ -99,18 +100,18 @@
       0.4;
   runLoad(makePlainLoad("warm", *fleet, rate, WarmSpan, Deadline));
 
-  // A killed daemon takes the only road to its servers with it; their records
-  // stay readable.
+  // The servers behind a killed daemon are unreachable through the product;
+  // their records can still be read directly.
   LoadPlan plan = makePlainLoad("killed", *fleet, rate, KillSpan, Deadline);
   plan.ScheduledActions.push_back(
       {KillAt, [&] {
          for (std::size_t n = 0; n < Upstreams / 3; ++n)
            fleet->upstreams()[n].Daemon->signal(SIGKILL);
        }});
-  Decisions before = fleet->decisions();
+  CounterTotals before = fleet->readCounters();
   std::vector<CallResult> ours = runLoad(plan);
-  // The killed ones' counts are gone; the entries' are whole.
-  Decisions made = difference(fleet->decisions(), before);
+  // The counters of killed daemons are lost; those of the entries are complete.
+  CounterTotals made = subtractCounters(fleet->readCounters(), before);
   std::erase_if(made, [](const std::pair<const std::string, double> &it) {
     return !it.first.starts_with("wasabi_entry");
   });
--- a/Bench/RequestFleet.cpp
+++ b/Bench/RequestFleet.cpp
@@ -15,7 +15,7 @@
 namespace wasabi::bench {
 namespace {
 
-/// Two failure domains, the entries of the first one.
+/// Two failure domains; the entries run in the first one.
 constexpr std::array<const char *, 2> Domains = {"north-1", "south-1"};
 constexpr Millis ServeLimit{30000};
 
@@ -28,7 +28,8 @@
       Verdict::NotRun, FailureCode::Unavailable, "fleet", std::move(What), {}});
 }
 
-/// The service's declaration, its placements by the upstreams' domains.
+/// Makes the service's declaration with placements in the upstreams' failure
+/// domains.
 std::string serviceText(bool Engines, std::size_t Upstreams) {
   boost::json::array placements;
   for (std::size_t n = 0; n < Domains.size(); ++n) {
@@ -60,8 +61,8 @@
   return serving;
 }
 
-/// Adds the counters of one process up, whatever their labels.
-void addCounters(const Address &Admin, Decisions &Into) {
+/// Adds the counters of one process, summed over labels.
+void addCounters(const Address &Admin, CounterTotals &Into) {
   Outcome<std::string> text = harness::getText(Admin, "/metrics");
   if (!text)
     return;
@@ -179,7 +180,7 @@
       return notUp("an entry does not see all servers");
     http::Request ask;
     ask.Method = "GET";
-    // An engine's state is answered through the product as well.
+    // An engine's state can also be read through the product.
     ask.Target = "/v1/state";
     ask.Headers = {{"X-Service", FleetService}};
     bool answered = harness::waitUntil(
@@ -210,8 +211,8 @@
   return all;
 }
 
-Decisions RequestFleet::decisions() const {
-  Decisions all;
+CounterTotals RequestFleet::readCounters() const {
+  CounterTotals all;
   for (const FleetEntry &it : Entries)
     addCounters(it.Admin, all);
   for (const FleetUpstream &it : Upstreams) {
@@ -235,10 +236,11 @@
   return seconds;
 }
 
-Decisions difference(const Decisions &After, const Decisions &Before) {
-  Decisions more;
+CounterTotals subtractCounters(const CounterTotals &After,
+                               const CounterTotals &Before) {
+  CounterTotals more;
   for (const std::pair<const std::string, double> &it : After) {
-    Decisions::const_iterator before = Before.find(it.first);
+    CounterTotals::const_iterator before = Before.find(it.first);
     more[it.first] = it.second - (before == Before.end() ? 0 : before->second);
   }
   return more;
--- a/Bench/RequestFleet.h
+++ b/Bench/RequestFleet.h
@@ -1,5 +1,5 @@
 /// \file
-/// Entries, daemons and the upstreams behind them, for measuring requests.
+/// Entries, daemons and the upstreams behind them, used to measure requests.
 #ifndef WASABI_BENCH_REQUESTFLEET_H
 #define WASABI_BENCH_REQUESTFLEET_H
 
@@ -13,12 +13,11 @@
 
 namespace wasabi::bench {
 
-/// The service that all of a fleet's upstreams belong to, and its model where
-/// they are engines.
+/// The service of all upstreams of a fleet, and its model if they are engines.
 inline constexpr char FleetService[] = "desk";
 inline constexpr char FleetModel[] = "draft";
 
-/// One upstream and the daemon before it.
+/// One upstream and the daemon in front of it.
 struct FleetUpstream {
   std::string Server;
   std::unique_ptr<harness::StandIn> StandIn;
@@ -32,11 +31,11 @@
   Address Admin;
 };
 
-/// Counters of a fleet's processes by name, labels left out.
-using Decisions = std::map<std::string, double>;
+/// Counters of a fleet's processes by name, summed over labels.
+using CounterTotals = std::map<std::string, double>;
 
-/// The platform's stand-ins, entries, and a daemon an upstream.
-/// Not thread-safe.
+/// Runs the platform's stand-ins, the entries, and one daemon per upstream. Not
+/// thread-safe.
 class RequestFleet {
 public:
   struct Settings {
@@ -44,25 +43,26 @@
     std::size_t Upstreams = 1;
     /// `service` or `engine`.
     std::string Role = "service";
-    /// Flags of each upstream, besides its name.
+    /// Flags of each upstream in addition to its name.
     std::vector<std::string> Flags;
-    /// More declarations than the service's, as a JSON array.
+    /// Declarations in addition to the service's, as a JSON array.
     std::string Declarations = "[]";
   };
 
-  /// Starts all, declares the service, and waits until every entry has got an
-  /// answer. Errors: `Unavailable` naming what did not come up.
+  /// Starts all processes, declares the service, and waits until every entry
+  /// returns a response. Errors: `Unavailable` naming the process that did not
+  /// start.
   static Result<std::unique_ptr<RequestFleet>> start(Settings Setup);
 
   std::vector<FleetEntry> &entries() { return Entries; }
   std::vector<FleetUpstream> &upstreams() { return Upstreams; }
-  /// Where callers ask.
+  /// Addresses of the entries.
   std::vector<Address> callerAddresses() const;
-  /// The upstreams themselves, for asking without the product.
+  /// Addresses of the upstreams, for calls that bypass the product.
   std::vector<Address> upstreamAddresses() const;
-  /// The counters of all entries and daemons that answer, summed up.
-  Decisions decisions() const;
-  /// Processor time that entries and daemons have used, in seconds.
+  /// Returns the summed counters of all entries and daemons that answer.
+  CounterTotals readCounters() const;
+  /// Returns the CPU time used by entries and daemons, in seconds.
   double entryCpuSeconds() const;
   double daemonCpuSeconds() const;
 
@@ -82,8 +82,9 @@
   std::vector<FleetEntry> Entries;
 };
 
-/// What `After` has more than `Before`.
-Decisions difference(const Decisions &After, const Decisions &Before);
+/// Returns `After` minus `Before` for each counter.
+CounterTotals subtractCounters(const CounterTotals &After,
+                               const CounterTotals &Before);
 
 } // namespace wasabi::bench
 
--- a/Bench/RequestOverhead.cpp
+++ b/Bench/RequestOverhead.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr Millis Deadline{2000};
-/// Direct and proxied calls take turns, so that what else the machine does
-/// falls on both.
+/// Direct and proxied calls alternate, so that other load on the machine
+/// affects both equally.
 constexpr int Turns = 6;
 constexpr Millis Turn{400};
 constexpr Millis CostSpan{2500};
@@ -19,12 +19,12 @@
   LoadPlan plan;
   plan.Targets = std::move(Targets);
   plan.Workers = Workers;
-  plan.Span = Span;
+  plan.Duration = Span;
   plan.Deadline = Deadline;
   plan.MakeRequest = [Load](std::uint64_t Number) {
     return makePlainRequest(Load, Number, Deadline);
   };
-  plan.Check = checkPlainResponse;
+  plan.CheckResponse = checkPlainResponse;
   return plan;
 }
 
@@ -32,9 +32,9 @@
   To.insert(To.end(), More.begin(), More.end());
 }
 
-/// One worker, so that nothing queues.
+/// Uses one worker, so that no request queues.
 std::vector<CallResult> measureLatency(RequestFleet &Fleet) {
-  // Connections and averages first.
+  // Warms up connections and moving averages.
   runLoad(plainPlan("warm", Fleet.callerAddresses(), 1, Turn));
   std::vector<CallResult> direct;
   std::vector<CallResult> through;
@@ -72,7 +72,8 @@
   reportRequests("cpu_us_per_request", entryMicros + daemonMicros, "us");
   reportRequests("cpu_us_per_request_entry", entryMicros, "us");
   reportRequests("cpu_us_per_request_daemon", daemonMicros, "us");
-  // One core for the entry and one for the daemon: the busier one bounds.
+  // With one core each for the entry and the daemon, the busier process limits
+  // the rate.
   reportRequests("requests_per_s_one_core",
                  MicrosPerSecond / std::max(entryMicros, daemonMicros),
                  "1/s (derived: 1e6 / CPU us of the busier process)");
@@ -109,7 +110,7 @@
   LoadPlan plan;
   plan.Targets = fleet->callerAddresses();
   plan.Workers = workers;
-  plan.Span = span;
+  plan.Duration = span;
   plan.Deadline = Millis(20000);
   std::uint64_t tokens = 0;
   plan.MakeRequest = [&](std::uint64_t Number) {
@@ -117,8 +118,8 @@
                                  "prompt " + std::to_string(Number), most, true,
                                  plan.Deadline);
   };
-  plan.Check = [&](const http::Request &Ask, const http::Response &Answer,
-                   CallResult &Into) {
+  plan.CheckResponse = [&](const http::Request &Ask,
+                           const http::Response &Answer, CallResult &Into) {
     checkCompletionResponse(Ask, Answer, Into);
     tokens += expectedCompletionTokens(Ask);
   };
@@ -131,7 +132,7 @@
   CorrectnessCounts found;
   for (const CallResult &it : calls) {
     ++found.Checked;
-    if (it.Status == 200 && !it.Right)
+    if (it.Status == 200 && !it.IsCorrect)
       ++found.WrongAnswers;
   }
   if (tokens == 0)
--- a/Bench/RequestOverload.cpp
+++ b/Bench/RequestOverload.cpp
@@ -15,7 +15,7 @@
 constexpr Millis WarmSpan{2500};
 constexpr Millis Span{4000};
 
-/// Two entries, so that neither sees the whole load.
+/// With two entries, each sees only part of the load.
 std::unique_ptr<RequestFleet> startDesks() {
   RequestFleet::Settings setup;
   setup.Entries = 2;
@@ -25,7 +25,7 @@
   return startFleet(std::move(setup));
 }
 
-/// Warms the fleet up, and says what its upstreams can do.
+/// Warms up the fleet and returns the capacity of its upstreams.
 double prepare(const RequestFleet &Fleet) {
   double capacity = measureCapacity(
       makePlainLoad("capacity", Fleet, 0, WarmSpan, Deadline), Fleet, Slots);
@@ -38,13 +38,13 @@
   std::string Name;
 };
 
-/// Good answers within the span over what could be had at this load; what is
-/// left in queues at the end does not count.
+/// Returns the good responses within the duration divided by the maximum
+/// possible at this load. Responses still queued at the end do not count.
 double goodputShare(const std::vector<CallResult> &Calls, double Factor,
                     double Capacity) {
   double good = 0;
   for (const CallResult &it : Calls)
-    good += it.IsGood && it.Due + it.Took <= Span ? 1 : 0;
+    good += it.IsGood && it.Due + it.Latency <= Span ? 1 : 0;
   double seconds = std::chrono::duration<double>(Span).count();
   return good / (Capacity * std::min(1.0, Factor) * seconds);
 }
@@ -66,9 +66,9 @@
     std::string load = "overload" + it.Name;
     LoadPlan plan =
         makePlainLoad(load, *fleet, capacity * it.Factor, Span, Deadline);
-    Decisions before = fleet->decisions();
+    CounterTotals before = fleet->readCounters();
     std::vector<CallResult> ours = runLoad(plan);
-    reportCounters(it.Name, difference(fleet->decisions(), before));
+    reportCounters(it.Name, subtractCounters(fleet->readCounters(), before));
     reportFailedCalls(it.Name, ours);
     found = found + checkPlainRuns(load, ours, *fleet);
     std::vector<CallResult> blind = runLoad(makeBaselineLoad(plan, *fleet));
@@ -95,13 +95,15 @@
   std::vector<CallResult> evenOurs = runLoad(even);
   std::vector<CallResult> evenBlind = runLoad(makeBaselineLoad(even, *fleet));
 
-  // Nine times its time beforehand: ten times in all.
+  // Adds nine service times before each run, so that a run takes ten times as
+  // long.
   const FleetUpstream &slow = fleet->upstreams().front();
   slow.StandIn->setFaults("{\"slow_ms\":" + std::to_string(LatencyMillis * 9) +
                           "}");
-  Decisions before = fleet->decisions();
+  CounterTotals before = fleet->readCounters();
   std::vector<CallResult> ours = runLoad(uneven);
-  reportCounters("slow_upstream", difference(fleet->decisions(), before));
+  reportCounters("slow_upstream",
+                 subtractCounters(fleet->readCounters(), before));
   reportFailedCalls("slow_upstream", ours);
   std::vector<CallResult> blind = runLoad(makeBaselineLoad(uneven, *fleet));
 
@@ -130,13 +132,13 @@
 
 namespace {
 
-/// Jain's index of two flows: 1 when both get the same.
+/// Returns Jain's fairness index of two flows; 1 if both get the same share.
 double jain(double One, double Other) {
   double squares = 2 * (One * One + Other * Other);
   return squares == 0 ? 0 : (One + Other) * (One + Other) / squares;
 }
 
-/// One call in three is of the modest caller.
+/// One call in three comes from the caller with the lower rate.
 bool isModest(std::uint64_t Number) { return Number % 3 == 0; }
 
 double fairnessOf(const std::vector<CallResult> &Calls) {
@@ -152,7 +154,7 @@
 } // namespace
 
 CorrectnessCounts measureFairness() {
-  // The modest caller alone asks 0.8 of the capacity, the greedy one 1.6.
+  // One caller requests 0.8 of the capacity, the other 1.6.
   constexpr double Factor = 2.4;
   std::unique_ptr<RequestFleet> fleet = startDesks();
   if (!fleet)
--- a/Bench/RequestScenarios.cpp
+++ b/Bench/RequestScenarios.cpp
@@ -20,7 +20,7 @@
   report(Measurement{"requests", Metric, Value, Unit, Baseline});
 }
 
-void reportCounters(const std::string &Case, const Decisions &Counts) {
+void reportCounters(const std::string &Case, const CounterTotals &Counts) {
   constexpr std::string_view Prefix = "wasabi_";
   constexpr std::string_view Suffix = "_total";
   for (const std::pair<const std::string, double> &it : Counts) {
@@ -43,7 +43,7 @@
       continue;
     std::string verdict = it.Verdict.empty() ? "silent" : it.Verdict;
     std::replace(verdict.begin(), verdict.end(), '-', '_');
-    std::string ended = it.Right ? "late" : std::to_string(it.Status);
+    std::string ended = it.IsCorrect ? "late" : std::to_string(it.Status);
     ended += "_";
     ended += verdict;
     counts[ended] += 1;
@@ -58,7 +58,7 @@
           [&] { return RequestFleet::start(std::move(Setup)); });
   if (fleet)
     return *std::move(fleet);
-  progress("requests: " + describe(fleet.failure()));
+  logProgress("requests: " + describe(fleet.failure()));
   return nullptr;
 }
 
@@ -71,19 +71,19 @@
   LoadPlan plan;
   plan.Targets = Fleet.callerAddresses();
   plan.Rate = Rate;
-  plan.Span = Span;
+  plan.Duration = Span;
   plan.Deadline = Deadline;
   plan.MakeRequest = [Load, Deadline](std::uint64_t Number) {
     return makePlainRequest(Load, Number, Deadline);
   };
-  plan.Check = checkPlainResponse;
+  plan.CheckResponse = checkPlainResponse;
   return plan;
 }
 
 LoadPlan makeBaselineLoad(LoadPlan Through, const RequestFleet &Fleet) {
   Through.Targets = Fleet.upstreamAddresses();
   Through.Client = makeBaselineClient(Through.Deadline);
-  // Its runs are not those that the product is held to.
+  // These runs are not part of the correctness checks of the product.
   std::function<http::Request(std::uint64_t)> make = Through.MakeRequest;
   Through.MakeRequest = [make](std::uint64_t Number) {
     http::Request ask = make(Number);
@@ -103,7 +103,7 @@
   Plan.Targets.resize(1);
   Plan.Rate = 0;
   Plan.Workers = Slots;
-  Plan.Span = CapacitySpan;
+  Plan.Duration = CapacitySpan;
   Plan.ScheduledActions.clear();
   TimePoint began = monotonicNow();
   std::size_t good = countGoodCalls(runLoad(Plan));
--- a/Bench/RequestScenarios.h
+++ b/Bench/RequestScenarios.h
@@ -1,6 +1,6 @@
 /// \file
-/// The parts of the bench of requests. Each starts a fleet of its own, prints
-/// its figures, and gives back what it held against the upstreams' records.
+/// The cases of the requests bench. Each starts its own fleet, reports its
+/// results, and returns the counts of its correctness checks.
 #ifndef WASABI_BENCH_REQUESTSCENARIOS_H
 #define WASABI_BENCH_REQUESTSCENARIOS_H
 
@@ -8,60 +8,61 @@
 
 namespace wasabi::bench {
 
-/// Prints a figure of this bench.
+/// Reports a result of this bench.
 void reportRequests(const std::string &Metric, double Value,
                     const std::string &Unit,
                     std::optional<double> Baseline = std::nullopt);
 
-/// Prints the counts of what entries and daemons decided, where not 0.
-void reportCounters(const std::string &Case, const Decisions &Counts);
+/// Reports the counters of entries and daemons that are not 0.
+void reportCounters(const std::string &Case, const CounterTotals &Counts);
 
-/// Prints how calls without a good answer ended, by status and verdict; 0 is
-/// for no answer.
+/// Reports the number of calls without a good response by status and verdict.
+/// Status 0 means no response.
 void reportFailedCalls(const std::string &Case,
                        const std::vector<CallResult> &Calls);
 
-/// A fleet, or none and a line on stderr.
+/// Starts a fleet. Returns null and logs the error on stderr on failure.
 std::unique_ptr<RequestFleet> startFleet(RequestFleet::Settings Setup);
 
-/// The baseline: random choice, fixed limits, three blind retries, each
-/// attempt with half of the deadline.
+/// Returns the baseline client: random choice, fixed limits and three retries,
+/// each attempt with half of the deadline.
 ClientPolicy makeBaselineClient(Millis Deadline);
 
-/// A load of plain calls through the fleet's entries.
+/// Makes a load of plain calls through the fleet's entries.
 LoadPlan makePlainLoad(const std::string &Load, const RequestFleet &Fleet,
                        double Rate, Millis Span, Millis Deadline);
-/// The same load, sent to the upstreams themselves by the blind client.
+/// Makes the same load, sent directly to the upstreams by the baseline client.
 LoadPlan makeBaselineLoad(LoadPlan Through, const RequestFleet &Fleet);
 
-/// What the upstreams answer in a second, by keeping the first one's slots
-/// busy. `Plan` gives the calls.
+/// Returns the upstreams' capacity in responses per second, measured by keeping
+/// all slots of the first one busy with calls of `Plan`.
 double measureCapacity(LoadPlan Plan, const RequestFleet &Fleet,
                        std::size_t Slots);
 
-/// Quantile of the good answers' time, in milliseconds.
+/// Returns a quantile of the latency of good responses, in milliseconds.
 double goodLatencyQuantile(const std::vector<CallResult> &Calls, double Share);
-/// Good answers over all calls.
+/// Returns the share of calls with a good response.
 double goodShare(const std::vector<CallResult> &Calls);
 
-/// Added latency and CPU of one entry and one daemon, against a direct
-/// connection to the same upstream.
+/// Measures the added latency and CPU time of one entry and one daemon,
+/// compared with a direct connection to the same upstream.
 CorrectnessCounts measureOverhead();
-/// CPU for streamed tokens.
+/// Measures the CPU time for streamed tokens.
 CorrectnessCounts measureTokens();
-/// Goodput at 0.5, 1, 1.5 and 3 times the capacity.
+/// Measures goodput at 0.5, 1, 1.5 and 3 times the capacity.
 CorrectnessCounts measureOverload();
-/// One of four upstreams ten times slower.
+/// Makes one of four upstreams ten times slower.
 CorrectnessCounts measureSlowUpstream();
-/// Two callers that together ask more than there is, one twice the other.
+/// Runs two callers that together exceed the capacity, one at twice the rate of
+/// the other.
 CorrectnessCounts measureFairness();
-/// A third of the instances killed at once.
+/// Kills a third of the instances at once.
 CorrectnessCounts measureKilledInstances();
-/// All upstreams break off, hang, or are gone.
+/// Makes all upstreams reset connections, hang, or stop.
 CorrectnessCounts measureOutages();
-/// Engines whose load reports are late.
+/// Delays the engines' load reports.
 CorrectnessCounts measureLateLoad();
-/// Prompts with common beginnings.
+/// Sends prompts with shared prefixes.
 CorrectnessCounts measureCacheHits();
 
 } // namespace wasabi::bench
--- a/Bench/RequestsBench.cpp
+++ b/Bench/RequestsBench.cpp
@@ -1,8 +1,7 @@
 /// \file
-/// Requests through real entries and daemons: what they add, how they hold up
-/// under overload and faults; and the baselines in the same run: a direct
-/// connection, and a client that chooses at random with fixed limits and three
-/// blind retries.
+/// Measures requests through real entries and daemons: overhead, and behaviour
+/// under overload and faults. The baselines run in the same run: a direct
+/// connection, and a client with random choice, fixed limits and three retries.
 #include "Bench/Benches.h"
 #include "Bench/Report.h"
 #include "Bench/RequestScenarios.h"
@@ -14,7 +13,7 @@
 namespace wasabi::bench {
 namespace {
 
-/// A part of the bench by name; `WASABI_BENCH_CASES` chooses some of them.
+/// A case of the bench by name; `WASABI_BENCH_CASES` selects some of them.
 struct Part {
   std::string_view Name;
   CorrectnessCounts (*Run)();
@@ -28,12 +27,12 @@
   return all.find("," + std::string(Name) + ",") != std::string::npos;
 }
 
-/// Other work on the machine tells on every figure.
+/// Logs the load average, since other work on the machine affects every result.
 void sayMachineLoad() {
   std::ifstream file("/proc/loadavg");
   std::string text;
   std::getline(file, text);
-  progress("requests: load average " + text);
+  logProgress("requests: load average " + text);
 }
 
 } // namespace
@@ -54,10 +53,10 @@
     if (!isChosen(it.Name))
       continue;
     sayMachineLoad();
-    progress("requests: " + std::string(it.Name));
+    logProgress("requests: " + std::string(it.Name));
     found = found + it.Run();
   }
-  // No zeros without a look.
+  // Reports the violation counts only if calls were checked.
   if (found.Checked == 0)
     return;
   reportRequests("false_not_run", static_cast<double>(found.FalseNotRun),
--- a/Bench/RolloutBench.cpp
+++ b/Bench/RolloutBench.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Lindqvist's drafting-llm: 8 servers in 3 halls, here with two trainers.
+// One model with 8 servers in 3 failure domains and two trainers.
 constexpr std::uint32_t EngineCount = 8;
 constexpr std::uint32_t EngineSlots = 4;
 constexpr double TokensPerSecond = 100;
@@ -41,7 +41,7 @@
     trainer.MaxTokens = MaxTokens;
     trainer.TrainMs = TrainMs;
     trainer.Steps = StepCount;
-    // Both publish versions of the one model that they share.
+    // Both trainers publish versions of the model that they share.
     trainer.StalenessBound = 2;
     trainer.ChecksFences = Checks;
     trainer.Seed = setup.Trainers.size() + 1;
@@ -55,7 +55,7 @@
   return setup;
 }
 
-/// Brings the case's fault about once the first step is whole.
+/// Injects the fault of the case once the first step is complete.
 void bringAbout(harness::RolloutCluster &Of, RolloutCase Which) {
   if (Which == RolloutCase::Clean)
     return;
@@ -83,7 +83,7 @@
          static_cast<double>(Of.size());
 }
 
-/// The first step waits for the processes to start, and is left out.
+/// Skips the first step, which includes the start of the processes.
 double meanStepUs(const harness::TrainerTruth &Of) {
   std::vector<double> times;
   for (std::size_t at = 1; at < Of.StepUs.size(); ++at)
@@ -91,8 +91,9 @@
   return meanOf(times);
 }
 
-/// Time until a step is whole against the greater of its work over half of the
-/// engines' rate (two trainers share them) and its longest sample.
+/// Returns the time until a step is complete divided by its lower bound: the
+/// greater of its work at half of the engines' rate (two trainers share them)
+/// and its longest sample.
 double stepOverBound(const harness::TrainerTruth &Of) {
   constexpr double microsPerSecond = 1e6;
   double rate = EngineCount * EngineSlots * TokensPerSecond / 2;
@@ -164,7 +165,7 @@
       toOutcome<std::unique_ptr<harness::RolloutCluster>>(
           [&] { return harness::RolloutCluster::start(std::move(Setup)); });
   if (!cluster) {
-    progress("rollout: " + describe(cluster.failure()));
+    logProgress("rollout: " + describe(cluster.failure()));
     return {};
   }
   bringAbout(**cluster, Which);
@@ -207,11 +208,11 @@
   count("duplicates", Ours.Duplicates);
   count("missing", Ours.Missing);
   if (!Ours.Finished || !Base.Finished)
-    progress("rollout: " + Case + ": not all steps were done in time");
+    logProgress("rollout: " + Case + ": not all steps were done in time");
 }
 
 void runCase(const std::string &Name, RolloutCase Which) {
-  progress("rollout: " + Name);
+  logProgress("rollout: " + Name);
   RolloutMeasurements ours = measureRun(RolloutVariant::Product, Which, true);
   RolloutMeasurements base = measureRun(RolloutVariant::Baseline, Which, true);
   printBoth(Name, ours, base);
@@ -238,7 +239,7 @@
   runCase("slow", RolloutCase::Slow);
   for (const char *name : {"resume", "finish", "restart"}) {
     const std::string policy = name;
-    progress("rollout: policy " + policy);
+    logProgress("rollout: policy " + policy);
     RolloutMeasurements figures = measurePolicy(policy);
     report({"rollout", "idle_s_per_step_policy_" + policy,
             figures.IdleSecondsPerStep, "s", std::nullopt});
@@ -247,8 +248,9 @@
     report({"rollout", "wasted_token_share_policy_" + policy,
             figures.WastedTokenShare, "share", std::nullopt});
   }
-  // Point of truth: deliveries first with tokens, or the log first without.
-  progress("rollout: log outage");
+  // Source of truth: the trainer if it checks fencing tokens, otherwise the
+  // log.
+  logProgress("rollout: log outage");
   RolloutMeasurements tokens =
       measureRun(RolloutVariant::Product, RolloutCase::LogOutage, true);
   RolloutMeasurements log =
--- a/Bench/RolloutBench.h
+++ b/Bench/RolloutBench.h
@@ -1,5 +1,5 @@
 /// \file
-/// The parts of the rollout bench.
+/// The cases of the rollout bench.
 #ifndef WASABI_BENCH_ROLLOUTBENCH_H
 #define WASABI_BENCH_ROLLOUTBENCH_H
 
@@ -10,39 +10,39 @@
 
 namespace wasabi::bench {
 
-/// How samples and weights are handled in one run.
+/// Scheduling of samples and weights in one run.
 enum class RolloutVariant : std::uint8_t {
-  /// The product's ordinary preset.
+  /// The product's default preset.
   Product,
-  /// Round-robin, no hedging, all engines swapped at once, restart on each
-  /// version change.
+  /// Baseline: round-robin, no hedging, all engines swapped at once, samples
+  /// restarted on each version change.
   Baseline,
 };
 
-/// What fails in one run.
+/// The fault injected in one run.
 enum class RolloutCase : std::uint8_t {
   Clean,
-  /// One engine in eight crashes amid a step and comes back.
+  /// One engine in eight crashes during a step and restarts.
   Crash,
-  /// One engine in eight is ten times as slow.
+  /// One engine in eight runs at a tenth of its speed.
   Slow,
-  /// The log is out for longer than a claim's term.
+  /// The log is unreachable for longer than the lease term of a claim.
   LogOutage,
 };
 
-/// The figures of one run.
+/// The results of one run.
 struct RolloutMeasurements {
   double IdleShare = 0;
-  /// Seconds that a trainer waits for a step, the first one left out.
+  /// Seconds that a trainer waits for a step, excluding the first one.
   double IdleSecondsPerStep = 0;
   double StalenessMean = 0;
   double StalenessP99 = 0;
   double StalenessMax = 0;
-  /// Mean over the steps of time until whole against the lower bound.
+  /// Mean over the steps of the completion time divided by its lower bound.
   double StepTimeToBoundRatio = 0;
   double WastedTokenShare = 0;
-  /// Mean over the versions of the time until all engines fetched it, against
-  /// what the store's rate gives.
+  /// Mean over the versions of the time until all engines have fetched the
+  /// version, divided by the time at the store's full rate.
   double WeightsTimeToBoundRatio = 0;
   std::uint64_t Stale = 0;
   std::uint64_t Mislabelled = 0;
@@ -51,16 +51,16 @@
   bool Finished = false;
 };
 
-/// Decision times on a generated state: 4 trainers of 1,024 samples, 600
-/// servers. Prints them.
+/// Measures and reports decision times on a generated state of 4 trainers with
+/// 1,024 samples each and 600 servers.
 void measureDecisions();
 
-/// One run with real processes at Lindqvist's size. `Checks` says whether the
-/// trainers check fencing tokens.
+/// Runs one case with real processes. `Checks` is true if the trainers check
+/// fencing tokens.
 RolloutMeasurements measureRun(RolloutVariant Plan, RolloutCase Which,
                                bool Checks);
 
-/// One clean run of the product under another policy on version changes:
+/// Runs the product without faults under another policy for version changes:
 /// `resume`, `finish` or `restart`.
 RolloutMeasurements measurePolicy(const std::string &OnVersionChange);
 
--- a/Bench/RolloutDecisions.cpp
+++ b/Bench/RolloutDecisions.cpp
@@ -45,7 +45,7 @@
   return wanted;
 }
 
-/// The times of one kind of event, in microseconds.
+/// Decision times of one kind of event, in microseconds.
 struct Times {
   std::vector<double> All;
   void add(std::chrono::steady_clock::duration Took) {
@@ -75,7 +75,7 @@
   report({"rollout", Metric + "_max_n600", Of.All.back(), "us", std::nullopt});
 }
 
-/// Attempts that the effects begin, remembered until they end.
+/// Tracks the attempts started by effects until they end.
 void follow(const StepEffects &Effects,
             std::vector<std::pair<AttemptId, Slot>> &Running) {
   for (const StepEffect &it : Effects) {
--- a/Bench/StateBench.cpp
+++ b/Bench/StateBench.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Agreement, members and spreading at several sizes, with real processes; and
-/// the baseline: everyone polls the log each second.
+/// Measures consensus, membership and gossip at several sizes with real
+/// processes. Baseline: every process polls the log once per second.
 #include "Bench/Benches.h"
 #include "Bench/Fleet.h"
 #include "Bench/FoldBench.h"
@@ -23,17 +23,18 @@
 constexpr Millis SpreadLimit{20000};
 constexpr Millis DetectLimit{60000};
 constexpr int Changes = 12;
-/// How long a fleet is left alone while its cost is counted.
+/// Idle time over which the fleet's cost is measured.
 constexpr Millis RestWindow{60000};
 
 double toMillis(std::uint64_t Micros) {
   return static_cast<double>(Micros) / 1000.0;
 }
 
-/// Wall time of the event at which a daemon had a change in force.
+/// Returns the wall time of the event at which a change took effect on a
+/// daemon.
 std::map<std::string, std::uint64_t> inForceTimes(const FleetDaemon &Who) {
   std::map<std::string, std::uint64_t> times;
-  for (const TimelineEvent &it : eventsOf(Who)) {
+  for (const TimelineEvent &it : fetchTimeline(Who)) {
     if (it.Kind == "config.in_force")
       times.emplace(std::string(it.field("offset")), it.At.Wall);
   }
@@ -48,14 +49,15 @@
   return true;
 }
 
-/// Milliseconds from the log's answer until in force, per change and daemon.
+/// Returns the milliseconds from the log's response until the change takes
+/// effect, per change and daemon.
 std::vector<double> measureInForce(Fleet &Group) {
   std::vector<std::uint64_t> accepted;
   for (int n = 0; n < Changes; ++n) {
     std::size_t wanted = accepted.size() + 1;
     Outcome<std::uint64_t> at = Group.changeConfiguration();
     if (!at) {
-      progress("state: a change failed: " + describe(at.failure()));
+      logProgress("state: a change failed: " + describe(at.failure()));
       continue;
     }
     accepted.push_back(*at);
@@ -69,7 +71,8 @@
       walls.push_back(wall);
     std::sort(walls.begin(), walls.end());
     for (std::size_t n = 0; n < walls.size() && n < accepted.size(); ++n) {
-      // A daemon may have it before the bench reads the log's answer.
+      // A daemon may apply the change before the bench reads the log's
+      // response.
       std::uint64_t from = std::min(accepted[n], walls[n]);
       delays.push_back(toMillis(walls[n] - from));
     }
@@ -77,7 +80,8 @@
   return delays;
 }
 
-/// Milliseconds until each other daemon has recorded `Kind` about `Subject`.
+/// Returns the milliseconds until each other daemon has recorded `Kind` about
+/// `Subject`.
 std::vector<double> measureNotice(Fleet &Group, const std::string &Subject,
                                   const std::string &Kind,
                                   std::uint64_t Since) {
@@ -88,7 +92,7 @@
     std::optional<double> seen;
     harness::waitUntil(
         [&] {
-          for (const TimelineEvent &event : eventsOf(it)) {
+          for (const TimelineEvent &event : fetchTimeline(it)) {
             if (event.Kind == Kind && event.field("member") == Subject)
               seen = toMillis(std::max(event.At.Wall, Since) - Since);
           }
@@ -100,14 +104,14 @@
   return delays;
 }
 
-/// Deaths recorded of daemons that still run.
+/// Returns the number of recorded deaths of daemons that are still running.
 double countFalseDeaths(Fleet &Group) {
   std::set<std::string, std::less<>> running;
   for (const FleetDaemon &it : Group.daemons())
     running.insert(it.Instance);
   double count = 0;
   for (const FleetDaemon &it : Group.daemons()) {
-    for (const TimelineEvent &event : eventsOf(it)) {
+    for (const TimelineEvent &event : fetchTimeline(it)) {
       if (event.Kind == "member.dead" &&
           running.contains(event.field("member")))
         ++count;
@@ -147,11 +151,11 @@
 }
 
 void runAt(std::size_t Size) {
-  progress("state: " + std::to_string(Size) + " daemons");
+  logProgress("state: " + std::to_string(Size) + " daemons");
   Outcome<std::unique_ptr<Fleet>> fleet =
       toOutcome<std::unique_ptr<Fleet>>([&] { return Fleet::start(Size); });
   if (!fleet) {
-    progress("state: " + describe(fleet.failure()));
+    logProgress("state: " + describe(fleet.failure()));
     return;
   }
   IdleCost rest = measureIdleCost(**fleet, RestWindow);
--- a/Bench/StateMeasures.cpp
+++ b/Bench/StateMeasures.cpp
@@ -24,12 +24,12 @@
 namespace asio = boost::asio;
 
 constexpr Millis PollPeriod{1000};
-/// How long the news of a fleet's start goes on being told.
+/// Time until gossip about the start of the fleet has ended.
 constexpr Millis SettleTime{20000};
 constexpr int PolledRecords = 5;
 constexpr std::uint64_t PhaseSeed = 7;
 
-/// One daemon's totals.
+/// Totals of one daemon.
 struct Totals {
   double Bytes = 0;
   double Frames = 0;
@@ -44,7 +44,7 @@
 
 Totals totalsOf(const FleetDaemon &Who) {
   Totals totals;
-  if (std::optional<boost::json::value> status = statusOf(Who)) {
+  if (std::optional<boost::json::value> status = fetchStatus(Who)) {
     totals.Bytes = number(*status, "control_bytes_in") +
                    number(*status, "control_bytes_out");
     totals.Frames =
@@ -69,7 +69,7 @@
   return truth ? truth->at("appends").to_number<double>() : 0;
 }
 
-/// Polls `Stream` at a phase of its own and notes when records came.
+/// Polls `Stream` with its own phase and records when records arrive.
 asio::awaitable<void> poll(LogPort Log, Millis Phase, std::size_t Wanted,
                            std::vector<std::uint64_t> &Seen) {
   BootTimer timer(co_await asio::this_coro::executor, Phase);
@@ -109,7 +109,8 @@
 }
 
 IdleCost measureIdleCost(Fleet &Group, Millis Window) {
-  // The news of the start must have been told before rest can be measured.
+  // Waits until gossip about the start has ended, so that only idle cost is
+  // measured.
   std::this_thread::sleep_for(SettleTime);
   std::vector<Totals> before = totalsOf(Group);
   double appendsBefore = appendsOf(Group.log());
--- a/Bench/StateMeasures.h
+++ b/Bench/StateMeasures.h
@@ -1,6 +1,6 @@
 /// \file
-/// What a fleet costs at rest, and the baseline of polling, shared by the state
-/// and the capacity bench.
+/// Idle cost of a fleet and the polling baseline, shared by the state and
+/// capacity benches.
 #ifndef WASABI_BENCH_STATEMEASURES_H
 #define WASABI_BENCH_STATEMEASURES_H
 
@@ -10,30 +10,31 @@
 
 namespace wasabi::bench {
 
-/// Means per daemon over a window in which nothing was asked of the fleet.
+/// Means per daemon over a window without requests.
 struct IdleCost {
-  /// Control bytes in and out.
+  /// Control bytes sent and received.
   double BytesPerSecond = 0;
-  /// The same of the one daemon that had most.
+  /// Maximum of the control bytes over all daemons.
   double MaxBytesPerSecond = 0;
-  /// Of one core.
+  /// As a share of one core.
   double CpuPercent = 0;
   double ResidentMiB = 0;
-  /// Of the whole fleet.
+  /// Total of the whole fleet.
   double AppendsPerSecond = 0;
-  /// Frames in and out, per daemon.
+  /// Frames sent and received, per daemon.
   double FramesPerSecond = 0;
 };
 
-/// Fleet sizes to measure: `WASABI_BENCH_SIZES`, comma-separated, or 25, 50,
-/// 100 and 200.
+/// Returns the fleet sizes to measure: `WASABI_BENCH_SIZES`, comma-separated,
+/// or 25, 50, 100 and 200.
 std::vector<std::size_t> readFleetSizes();
 
-/// Leaves the fleet alone for `Window` and counts.
+/// Measures the cost of the idle fleet over `Window`.
 IdleCost measureIdleCost(Fleet &Group, Millis Window);
 
-/// Baseline: `Readers` readers that each poll the log once a second at a phase
-/// of their own. Milliseconds from a record's append until each has read it.
+/// Runs the baseline: `Readers` readers poll the log once per second, each with
+/// its own phase. Returns the milliseconds from a record's append until each
+/// reader has read it.
 std::vector<double> measurePollingDelays(const harness::StandIn &Log,
                                          std::size_t Readers);
 
--- a/Fuzz/ControlFuzz.cpp
+++ b/Fuzz/ControlFuzz.cpp
@@ -1,6 +1,5 @@
 /// \file
-/// libFuzzer target: control frames, verified and read as a process does, and
-/// written again.
+/// libFuzzer target: verifies, reads and re-encodes control frames.
 #include "Wasabi/Adapters/Frames/Generated/Wire_generated.h"
 #include "Wasabi/Node/ControlMessage.h"
 
--- a/Fuzz/FrameFuzz.cpp
+++ b/Fuzz/FrameFuzz.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// libFuzzer target: the request frames' server, from a socket. The input is
-/// sent as one frame's bytes behind a right length prefix.
+/// libFuzzer target: the request frame server on a socket. The input is sent as
+/// one frame's bytes after a correct length prefix.
 #include "Fuzz/SocketFuzz.h"
 #include "Wasabi/Adapters/Frames/RequestServer.h"
 
@@ -22,7 +22,7 @@
   co_return;
 }
 
-/// The server under test, for the process' life.
+/// The server under test. Lives until the process exits.
 struct Subject {
   Subject() { spdlog::set_level(spdlog::level::off); }
   boost::asio::io_context Context{1};
--- a/Fuzz/HttpFuzz.cpp
+++ b/Fuzz/HttpFuzz.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// libFuzzer target: the HTTP server, from a socket.
+/// libFuzzer target: the HTTP server on a socket.
 #include "Fuzz/SocketFuzz.h"
 #include "Wasabi/Adapters/Http/HttpServer.h"
 
@@ -15,7 +15,7 @@
   co_await to->send(http::jsonResponse(200, body));
 }
 
-/// The server under test, for the process' life.
+/// The server under test. Lives until the process exits.
 struct Subject {
   boost::asio::io_context Context{1};
   std::shared_ptr<http::Server> Server =
--- a/Fuzz/TextFuzz.cpp
+++ b/Fuzz/TextFuzz.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// libFuzzer target: records with the fold, declarations, states, traces and
-/// outcomes. The input's first byte chooses the parser.
+/// libFuzzer target: parsers of records (with the fold), declarations, states,
+/// traces and outcomes. The first input byte selects the parser.
 #include "Wasabi/Config/Configuration.h"
 #include "Wasabi/Replay/Check.h"
 #include "Wasabi/State/Fold.h"
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A record that is read is written and read again the same.
+/// Checks that a parsed record survives a round trip.
 void fuzzRecord(std::string_view text) {
   FoldState state;
   apply(state, 0, text);
@@ -34,7 +34,7 @@
     toOutcome<Configuration>([&] { return buildConfiguration(*read); });
 }
 
-/// A state that is read has one canonical text.
+/// Checks that a parsed state has one canonical text.
 void fuzzState(std::string_view text) {
   const Outcome<FoldState> read =
       toOutcome<FoldState>([&] { return decodeState(text); });
--- a/StandIns/EngineBatch.cpp
+++ b/StandIns/EngineBatch.cpp
@@ -2,20 +2,21 @@
 
 namespace wasabi::standins {
 
-bool EngineBatch::submit(const Job &What) {
+bool EngineBatch::submit(const Job &Target) {
   if (Running.size() >= Limits.Slots && Queue.size() >= Limits.MaxQueue)
     return false;
-  Queue[{-What->Ask.Priority, Arrivals++}] = What;
+  Queue[{-Target->Ask.Priority, Arrivals++}] = Target;
   fillSlots();
   return true;
 }
 
-void EngineBatch::remove(const Job &What) {
-  Running.erase(What);
+void EngineBatch::remove(const Job &Target) {
+  Running.erase(Target);
   std::erase_if(
       Queue,
-      [&What](const std::pair<const std::pair<std::int64_t, std::uint64_t>, Job>
-                  &Waiting) { return Waiting.second == What; });
+      [&Target](
+          const std::pair<const std::pair<std::int64_t, std::uint64_t>, Job>
+              &Waiting) { return Waiting.second == Target; });
   fillSlots();
 }
 
@@ -47,25 +48,25 @@
   return changed;
 }
 
-bool EngineBatch::advanceJob(EngineJob &What, double Micros,
+bool EngineBatch::advanceJob(EngineJob &Target, double Micros,
                              double TokensPerMicro, std::uint64_t Version) {
-  // The prompt comes first; what is left of the time goes to tokens.
-  double prefill = std::min(Micros, What.RemainingPrefillMicros);
-  What.RemainingPrefillMicros -= prefill;
-  What.TokenCredit += (Micros - prefill) * TokensPerMicro;
-  std::uint64_t left = What.Length - std::min(What.Length, What.Position);
+  // Prefill comes first; the remaining time generates tokens.
+  double prefill = std::min(Micros, Target.RemainingPrefillMicros);
+  Target.RemainingPrefillMicros -= prefill;
+  Target.TokenCredit += (Micros - prefill) * TokensPerMicro;
+  std::uint64_t left = Target.Length - std::min(Target.Length, Target.Position);
   std::uint64_t tokens =
-      std::min(left, static_cast<std::uint64_t>(What.TokenCredit));
+      std::min(left, static_cast<std::uint64_t>(Target.TokenCredit));
   if (tokens == 0)
-    return What.finished();
+    return Target.finished();
 
-  What.TokenCredit -= static_cast<double>(tokens);
-  std::uint64_t end = What.Position + tokens;
-  if (!What.Spans.empty() && What.Spans.back().Version == Version)
-    What.Spans.back().To = end;
+  Target.TokenCredit -= static_cast<double>(tokens);
+  std::uint64_t end = Target.Position + tokens;
+  if (!Target.Spans.empty() && Target.Spans.back().Version == Version)
+    Target.Spans.back().To = end;
   else
-    What.Spans.push_back(VersionSpan{What.Position, end, Version});
-  What.Position = end;
+    Target.Spans.push_back(VersionSpan{Target.Position, end, Version});
+  Target.Position = end;
   Generated += tokens;
   return true;
 }
--- a/StandIns/EngineRole.cpp
+++ b/StandIns/EngineRole.cpp
@@ -15,30 +15,31 @@
 
 namespace {
 
-/// Completions remembered; older ones are dropped and counted.
+/// Maximum number of completion records kept; older ones are dropped and
+/// counted.
 constexpr std::size_t MaxRecords = 100000;
 constexpr std::size_t MaxImports = 10000;
-/// A tick gives a stream about this many tokens, within the bounds.
+/// Target number of tokens per stream and tick, within the tick's bounds.
 constexpr double TokensPerTick = 4;
 constexpr double MinTickMicros = 5000;
 constexpr double MaxTickMicros = 50000;
 constexpr Millis FetchTimeout{600000};
 constexpr Millis FetchPause{50};
 
-/// The load at one time.
+/// The load at a point in time.
 struct LoadSample {
   TimePoint At;
   std::uint64_t Running = 0;
   std::uint64_t Queued = 0;
 };
 
-/// A job with the coroutine that sends its tokens.
+/// A job and the progress of the coroutine that sends its tokens.
 struct Sending {
   Sending(const boost::asio::any_io_executor &Executor, EngineRequest Ask)
       : Job(std::make_shared<EngineJob>(std::move(Ask))), Wake(Executor) {}
   EngineBatch::Job Job;
   Signal Wake;
-  /// Tokens sent.
+  /// Number of tokens sent.
   std::uint64_t Sent = 0;
 };
 
@@ -51,7 +52,7 @@
   return all;
 }
 
-/// Names the state that an export holds.
+/// Returns the name of an exported state.
 std::string cacheName(std::string_view Prompt, std::uint64_t Seed) {
   return hashText(std::string(Prompt) + '\0' + std::to_string(Seed));
 }
@@ -77,16 +78,16 @@
 
   boost::json::value truth() const override;
   boost::asio::awaitable<void> answer(const http::Request &Ask,
-                                      const Answer &To) override;
+                                      const ResponderPtr &To) override;
   void onFaultsChanged() override;
 
 private:
   boost::asio::awaitable<void> complete(const http::Request &Ask,
-                                        const Answer &To);
+                                        const ResponderPtr &To);
   boost::asio::awaitable<void> sendStream(std::shared_ptr<Sending> Work,
-                                          const Answer &To);
-  boost::asio::awaitable<void> sendWhole(std::shared_ptr<Sending> Work,
-                                         const Answer &To);
+                                          const ResponderPtr &To);
+  boost::asio::awaitable<void> sendFullResponse(std::shared_ptr<Sending> Work,
+                                                const ResponderPtr &To);
   EngineRequest readAsk(const http::Request &Ask,
                         const boost::json::object &Body) const;
   bool start(const std::shared_ptr<Sending> &Work);
@@ -96,11 +97,12 @@
   void crashIfTold() const;
 
   boost::asio::awaitable<void> order(const http::Request &Ask,
-                                     const Answer &To);
+                                     const ResponderPtr &To);
   boost::asio::awaitable<void> load(const boost::json::object &Body,
-                                    const Answer &To);
-  boost::asio::awaitable<bool> fetch(std::string Model, std::uint64_t Wanted);
-  std::uint64_t strayVersion(std::uint64_t Wanted);
+                                    const ResponderPtr &To);
+  boost::asio::awaitable<bool> fetch(std::string Model,
+                                     std::uint64_t RequestedVersion);
+  std::uint64_t computeWrongVersion(std::uint64_t RequestedVersion);
   bool isStale(std::uint64_t Token) const;
 
   boost::json::value state();
@@ -119,11 +121,11 @@
   std::uint64_t Fence = 0;
   std::minstd_rand Random;
   std::shared_ptr<http::Client> Store;
-  /// One load at a time; the others wait for its end.
+  /// Serializes weight loads.
   bool Loading = false;
   Signal Loaded;
   bool Generating = false;
-  /// `Batch.generated()` when the faults were last set.
+  /// `Batch.generated()` when the faults were last changed.
   std::uint64_t GeneratedBefore = 0;
   std::unordered_map<EngineBatch::Job, std::shared_ptr<Sending>> Active;
   std::deque<EngineBatch::Job> Records;
@@ -164,7 +166,7 @@
 void EngineRole::noteLoad() {
   Loads.push_back(LoadSample{monotonicNow(), Batch.running(), Batch.queued()});
   TimePoint seen = monotonicNow() - Settings.LoadReportDelay;
-  // The newest of those that may be told is the one that is told.
+  // Reports the newest sample that is old enough.
   while (Loads.size() > 1 && Loads[1].At <= seen)
     Loads.pop_front();
 }
@@ -210,7 +212,7 @@
 }
 
 boost::asio::awaitable<void> EngineRole::answer(const http::Request &Ask,
-                                                const Answer &To) {
+                                                const ResponderPtr &To) {
   std::string_view path = Ask.path();
   if (InjectedFaults.isOn("hang")) {
     co_await waitForDisconnect(To);
@@ -256,7 +258,7 @@
 }
 
 boost::asio::awaitable<void> EngineRole::complete(const http::Request &Ask,
-                                                  const Answer &To) {
+                                                  const ResponderPtr &To) {
   boost::json::object body = readObject(Ask.Body);
   if (readText(body, "model", ModelName) != ModelName) {
     co_await sendError(To, NotFound, "the model is not loaded");
@@ -273,7 +275,7 @@
     co_await sendError(To, Unavailable, "the queue is full", 1);
     co_return;
   }
-  // A closed connection cancels the work.
+  // A closed connection cancels the job.
   To->onGone([self = shared_from_this(), work] {
     self->end(work);
     work->Wake.notify();
@@ -281,20 +283,20 @@
   if (readBool(body, "stream", false))
     co_await sendStream(work, To);
   else
-    co_await sendWhole(work, To);
+    co_await sendFullResponse(work, To);
   end(work);
 }
 
 bool EngineRole::start(const std::shared_ptr<Sending> &Work) {
   EngineJob &job = *Work->Job;
   const EngineRequest &ask = job.Ask;
-  std::size_t held = Cache.use(ask.Prompt, monotonicNow());
+  std::size_t held = Cache.matchAndInsert(ask.Prompt, monotonicNow());
   std::size_t bytes = ask.Prompt.size() - held + ask.Start * TokenBytes;
   const std::unordered_map<std::string, std::uint64_t>::iterator imported =
       Imports.find(cacheName(ask.Prompt, ask.Seed));
   if (imported != Imports.end() && imported->second >= ask.Start)
     bytes = 0;
-  // Milliseconds for 1,000 bytes are microseconds for one.
+  // Milliseconds per 1,000 bytes equal microseconds per byte.
   job.RemainingPrefillMicros =
       static_cast<double>(bytes) * Settings.PrefillMillis *
       std::max(1.0, InjectedFaults.real("slow_factor"));
@@ -335,7 +337,7 @@
     constexpr double MicrosPerSecond = 1e6;
     double tick = std::clamp(TokensPerTick * MicrosPerSecond / rate,
                              MinTickMicros, MaxTickMicros);
-    co_await pause(Micros(static_cast<std::int64_t>(tick)));
+    co_await sleepFor(Micros(static_cast<std::int64_t>(tick)));
     TimePoint now = monotonicNow();
     Micros elapsed = now - last;
     last = now;
@@ -368,7 +370,7 @@
   for (const VersionSpan &it : job.Spans) {
     if (it.To <= Work.Sent)
       continue;
-    // One version a chunk.
+    // Each chunk holds tokens of one version.
     events += "data: {\"position\":" + std::to_string(Work.Sent);
     events += ",\"tokens\":" + std::to_string(it.To - Work.Sent);
     events += ",\"text\":\"";
@@ -384,7 +386,7 @@
 }
 
 boost::asio::awaitable<void>
-EngineRole::sendStream(std::shared_ptr<Sending> Work, const Answer &To) {
+EngineRole::sendStream(std::shared_ptr<Sending> Work, const ResponderPtr &To) {
   http::Response head;
   head.Headers.push_back(http::Header{"Content-Type", "text/event-stream"});
   co_await To->begin(std::move(head));
@@ -408,7 +410,8 @@
 }
 
 boost::asio::awaitable<void>
-EngineRole::sendWhole(std::shared_ptr<Sending> Work, const Answer &To) {
+EngineRole::sendFullResponse(std::shared_ptr<Sending> Work,
+                             const ResponderPtr &To) {
   const EngineJob &job = *Work->Job;
   while (!job.Ended && !To->gone())
     co_await Work->Wake.wait();
@@ -431,7 +434,7 @@
 }
 
 boost::asio::awaitable<void> EngineRole::order(const http::Request &Ask,
-                                               const Answer &To) {
+                                               const ResponderPtr &To) {
   boost::json::object body = readObject(Ask.Body);
   std::uint64_t token = readNumber(body, "fence");
   std::string kind = readText(body, "order");
@@ -459,13 +462,13 @@
 }
 
 boost::asio::awaitable<void> EngineRole::load(const boost::json::object &Body,
-                                              const Answer &To) {
+                                              const ResponderPtr &To) {
   std::uint64_t token = readNumber(Body, "fence");
   std::uint64_t wanted = readNumber(Body, "version");
   std::string model = readText(Body, "model", ModelName);
   while (Loading)
     co_await Loaded.wait();
-  // A newer holder may have given its order meanwhile.
+  // A newer lease holder may have sent its order in the meantime.
   if (isStale(token)) {
     boost::json::object refusal;
     refusal["fence"] = Fence;
@@ -477,16 +480,16 @@
   Loading = false;
   Loaded.notify();
 
-  if (InjectedFaults.takeOne("fail_next_load")) {
-    Version = strayVersion(wanted);
+  if (InjectedFaults.consumeOne("fail_next_load")) {
+    Version = computeWrongVersion(wanted);
     fetched = false;
-  } else if (fetched && InjectedFaults.takeOne("wrong_version_next_load")) {
-    Version = strayVersion(wanted);
+  } else if (fetched && InjectedFaults.consumeOne("wrong_version_next_load")) {
+    Version = computeWrongVersion(wanted);
   } else if (fetched) {
     Version = wanted;
     ModelName = model;
   }
-  if (InjectedFaults.takeOne("lose_order_answers")) {
+  if (InjectedFaults.consumeOne("lose_order_answers")) {
     To->abort();
     co_return;
   }
@@ -499,37 +502,37 @@
   co_await sendJson(To, Ok, std::move(done));
 }
 
-std::uint64_t EngineRole::strayVersion(std::uint64_t Wanted) {
-  // It stays where it is, or lands beside what was wanted.
+std::uint64_t EngineRole::computeWrongVersion(std::uint64_t RequestedVersion) {
+  // The engine keeps its version or loads the one before the requested version.
   bool stays = Random() % 2 == 0;
-  return stays || Wanted == 0 ? Version : Wanted - 1;
+  return stays || RequestedVersion == 0 ? Version : RequestedVersion - 1;
 }
 
 boost::asio::awaitable<bool> EngineRole::fetch(std::string Model,
-                                               std::uint64_t Wanted) {
+                                               std::uint64_t RequestedVersion) {
   if (Settings.Store.empty()) {
-    co_await pause(Settings.LoadTime);
+    co_await sleepFor(Settings.LoadTime);
     co_return true;
   }
   for (;;) {
     http::Request ask;
     ask.Method = "GET";
-    ask.Target =
-        "/v1/models/" + Model + "/versions/" + std::to_string(Wanted) + "/blob";
+    ask.Target = "/v1/models/" + Model + "/versions/" +
+                 std::to_string(RequestedVersion) + "/blob";
     Outcome<http::Response> got =
         co_await Store->call(Settings.Store, std::move(ask), FetchTimeout);
     if (!got)
       co_return false;
     if (got->Status != TooManyRequests)
       co_return got->Status == Ok;
-    co_await pause(FetchPause);
+    co_await sleepFor(FetchPause);
   }
 }
 
 //===--- KV cache ---------------------------------------------------------===//
 
 boost::json::value EngineRole::exportCache(const std::string &Request) const {
-  // The last attempt of a request is the one that matters.
+  // Only the last attempt of a request counts.
   for (auto it = Records.rbegin(); it != Records.rend(); ++it) {
     const EngineJob &job = **it;
     if (job.Ask.Request != Request)
--- a/StandIns/EngineRole.h
+++ b/StandIns/EngineRole.h
@@ -12,24 +12,24 @@
 struct EngineSettings {
   std::string Name = "engine";
   std::string Model = "m";
-  /// Weights served at start.
+  /// Weight version served at start.
   std::uint64_t Version = 1;
   EngineBatch::Settings Batch;
-  /// Of each slot.
+  /// Generation rate of each slot.
   double TokensPerSecond = 50;
-  /// Time that 1,000 uncached bytes of a prompt take.
+  /// Prefill time of 1,000 uncached prompt bytes.
   double PrefillMillis = 20;
   PrefixCache::Settings Cache;
   bool ChecksFences = true;
-  /// The weight store; empty: a load takes `LoadTime`.
+  /// Address of the weight store. If empty, a load takes `LoadTime`.
   Address Store;
   Millis LoadTime{0};
-  /// How old the reported load is.
+  /// Age of the reported load.
   Millis LoadReportDelay{0};
   std::uint64_t Seed = 1;
 };
 
-/// Used on the executor's thread.
+/// Creates an engine role. Used on the executor's thread.
 std::shared_ptr<Role>
 createEngineRole(const boost::asio::any_io_executor &Executor,
                  const EngineSettings &Settings);
--- a/StandIns/FaultProxy.cpp
+++ b/StandIns/FaultProxy.cpp
@@ -21,7 +21,7 @@
 constexpr boost::asio::as_tuple_t<boost::asio::use_awaitable_t<>>
     Awaited(boost::asio::use_awaitable);
 
-/// Pause after the system has refused to accept.
+/// Delay after a failed accept.
 constexpr Millis AcceptPause{50};
 constexpr double Percent = 100;
 
@@ -29,7 +29,7 @@
     : public FaultProxy,
       public std::enable_shared_from_this<FaultProxyImpl> {
 public:
-  FaultProxyImpl(boost::asio::io_context &Context, Settings What)
+  FaultProxyImpl(boost::asio::io_context &Context, Settings Config)
       : FaultProxy({{"delay_ms", 0.0},
                     {"jitter_ms", 0.0},
                     {"refuse", false},
@@ -40,11 +40,11 @@
                     {"bytes_per_s", 0},
                     {"cut_after_bytes", 0},
                     {"loss_percent", 0.0},
-                    {"upstream", wasabi::toText(What.Upstream)},
-                    {"seed", What.Seed}}),
-        Context(Context), What(std::move(What)), Upstream(this->What.Upstream),
-        Placeholder(Context), Acceptor(Context), Seed(this->What.Seed),
-        Random(Seed) {
+                    {"upstream", wasabi::toText(Config.Upstream)},
+                    {"seed", Config.Seed}}),
+        Context(Context), Config(std::move(Config)),
+        Upstream(this->Config.Upstream), Placeholder(Context),
+        Acceptor(Context), Seed(this->Config.Seed), Random(Seed) {
     prepareFaults();
   }
 
@@ -54,7 +54,7 @@
   Address address() const override { return Bound; }
   boost::json::value truth() const override;
   boost::asio::awaitable<void> answer(const http::Request &Ask,
-                                      const Answer &To) override;
+                                      const ResponderPtr &To) override;
   void onFaultsChanged() override;
 
 private:
@@ -67,13 +67,14 @@
   void cutAll(bool BrokenOnly);
 
   boost::asio::io_context &Context;
-  const Settings What;
-  /// Where new connections go: a replaced process has another port.
+  const Settings Config;
+  /// Upstream of new connections. It changes when a replaced process listens on
+  /// another port.
   Address Upstream;
-  /// Keeps the port while connections are refused: bound, but not listening.
+  /// Keeps the port bound, but not listening, while connections are refused.
   Tcp::socket Placeholder;
   Tcp::acceptor Acceptor;
-  /// Counts the times that it began to listen.
+  /// Number of times that the proxy has started to listen.
   std::uint64_t Turns = 0;
   Tcp::endpoint Endpoint;
   Address Bound;
@@ -97,7 +98,7 @@
   LinkFaults.HalfOpen = [this] { return InjectedFaults.isOn("half_open"); };
   LinkFaults.OneWay = [this] { return InjectedFaults.isOn("one_way"); };
   LinkFaults.DropResponse = [this] {
-    bool lost = InjectedFaults.takeOne("answer_loss");
+    bool lost = InjectedFaults.consumeOne("answer_loss");
     Lost += lost ? 1 : 0;
     return lost;
   };
@@ -122,23 +123,23 @@
 ErrorCode FaultProxyImpl::bind() {
   ErrorCode ec;
   boost::asio::ip::address host =
-      boost::asio::ip::make_address(What.Listen.Host, ec);
+      boost::asio::ip::make_address(Config.Listen.Host, ec);
   if (ec)
     return ec;
-  Tcp::endpoint wanted(host, What.Listen.Port);
+  Tcp::endpoint wanted(host, Config.Listen.Port);
   Placeholder.open(wanted.protocol(), ec);
   if (ec)
     return ec;
-  // Shared from the start, a port that the kernel chooses could be given to
-  // another proxy as well before either listens.
-  bool chosen = What.Listen.Port != 0;
+  // With address sharing enabled, the kernel could assign the same free port to
+  // another proxy before either of them listens.
+  bool chosen = Config.Listen.Port != 0;
   Placeholder.set_option(Tcp::socket::reuse_address(chosen), ec);
   Placeholder.bind(wanted, ec);
   if (ec)
     return ec;
   Placeholder.set_option(Tcp::socket::reuse_address(true), ec);
   Endpoint = Placeholder.local_endpoint(ec);
-  Bound = Address{What.Listen.Host, Endpoint.port()};
+  Bound = Address{Config.Listen.Host, Endpoint.port()};
   return ec;
 }
 
@@ -168,7 +169,7 @@
     auto [ec, socket] = co_await Acceptor.async_accept(Awaited);
     if (ec) {
       if (Acceptor.is_open() && Turn == Turns)
-        co_await pause(AcceptPause);
+        co_await sleepFor(AcceptPause);
       continue;
     }
     ++Accepted;
@@ -189,10 +190,10 @@
 boost::asio::awaitable<void>
 FaultProxyImpl::carry(std::shared_ptr<ProxyLink> Link) {
   co_await Link->run(Upstream);
-  // One direction may go on after the other has ended; its coroutines hold the
-  // link, and it can still be cut while it is listed.
+  // One direction may continue after the other has ended. Its coroutines keep
+  // the link alive, and the link can be cut while it is listed.
   while (!Link->closed())
-    co_await pause(AcceptPause);
+    co_await sleepFor(AcceptPause);
   Links.erase(Link);
   EndedUp += Link->bytesUp();
   EndedDown += Link->bytesDown();
@@ -201,7 +202,7 @@
 void FaultProxyImpl::cutAll(bool BrokenOnly) {
   std::set<std::shared_ptr<ProxyLink>> all = Links;
   for (const std::shared_ptr<ProxyLink> &it : all) {
-    if (!BrokenOnly || it->broken())
+    if (!BrokenOnly || it->hasDroppedBytes())
       it->cut();
   }
 }
@@ -230,7 +231,7 @@
     cutAll(false);
     InjectedFaults.turnOff("cut_now");
   }
-  // What was swallowed cannot be brought back.
+  // Dropped bytes cannot be recovered.
   if (!InjectedFaults.isOn("half_open") && !InjectedFaults.isOn("one_way"))
     cutAll(true);
 
@@ -262,17 +263,17 @@
 }
 
 boost::asio::awaitable<void> FaultProxyImpl::answer(const http::Request &,
-                                                    const Answer &To) {
+                                                    const ResponderPtr &To) {
   co_await sendError(To, NotFound, "no such path");
 }
 
 } // namespace
 
 Result<std::shared_ptr<FaultProxy>>
-FaultProxy::create(boost::asio::io_context &Context, Settings What) {
-  std::string place = "listen " + wasabi::toText(What.Listen);
+FaultProxy::create(boost::asio::io_context &Context, Settings Config) {
+  std::string place = "listen " + wasabi::toText(Config.Listen);
   std::shared_ptr<FaultProxyImpl> proxy =
-      std::make_shared<FaultProxyImpl>(Context, std::move(What));
+      std::make_shared<FaultProxyImpl>(Context, std::move(Config));
   ErrorCode ec = proxy->bind();
   if (!ec)
     ec = proxy->listen();
--- a/StandIns/FaultProxy.h
+++ b/StandIns/FaultProxy.h
@@ -7,22 +7,22 @@
 
 namespace wasabi::standins {
 
-/// The proxy is a role whose faults its control server sets; `truth` counts
+/// A role whose faults are set through its control server. Its `truth` counts
 /// connections and bytes. Used on the context's thread only.
 class FaultProxy : public Role {
 public:
   struct Settings {
     Address Listen{"127.0.0.1", 0};
-    /// Where it connects to for each connection that it takes.
+    /// Upstream address for each accepted connection.
     Address Upstream;
     std::uint64_t Seed = 1;
   };
 
-  /// Binds and starts to accept. Errors: `Unavailable` naming the address.
+  /// Binds and starts accepting. Errors: `Unavailable` naming the address.
   static Result<std::shared_ptr<FaultProxy>>
-  create(boost::asio::io_context &Context, Settings What);
+  create(boost::asio::io_context &Context, Settings Config);
 
-  /// The address bound.
+  /// Returns the bound address.
   virtual Address address() const = 0;
 
 protected:
--- a/StandIns/Faults.cpp
+++ b/StandIns/Faults.cpp
@@ -10,8 +10,8 @@
   return {Text.data(), Text.size()};
 }
 
-/// Whether `Given` may stand where `Known` does: a switch for a switch, a text
-/// for a text, a number from 0 for a number, whole where the default is whole.
+/// Returns true if `Given` has the same kind as `Known`: a boolean, a string,
+/// or a non-negative number that is an integer if the default is one.
 bool fits(const boost::json::value &Known, const boost::json::value &Given) {
   if (Known.is_bool() || Given.is_bool())
     return Known.is_bool() && Given.is_bool();
@@ -66,7 +66,7 @@
   return std::chrono::milliseconds(number(Name));
 }
 
-bool Faults::takeOne(std::string_view Name) {
+bool Faults::consumeOne(std::string_view Name) {
   std::uint64_t left = number(Name);
   if (left == 0)
     return false;
--- a/StandIns/Faults.h
+++ b/StandIns/Faults.h
@@ -1,5 +1,5 @@
 /// \file
-/// The faults that a role has been told to show.
+/// The faults that a role injects.
 #ifndef WASABI_STANDINS_FAULTS_H
 #define WASABI_STANDINS_FAULTS_H
 
@@ -12,30 +12,31 @@
 
 namespace wasabi::standins {
 
-/// Named switches, numbers and counts. Not thread-safe.
+/// Named switches, numbers, texts and counts. Not thread-safe.
 class Faults {
 public:
-  /// \param Defaults every fault that the role knows, with its resting value.
+  /// \param Defaults every fault of the role with its default value.
   explicit Faults(boost::json::object Defaults) : Values(std::move(Defaults)) {}
 
-  /// Sets the members given, and leaves the others. Throws `InvalidBody`, with
-  /// nothing set, when one is unknown or of another kind.
+  /// Sets the given members and leaves the others unchanged. Throws
+  /// `InvalidBody` without changes if a member is unknown or has the wrong
+  /// kind.
   void merge(const boost::json::object &Changes);
 
-  /// Whether the role knows a fault of this name.
+  /// Returns true if the role has a fault of this name.
   bool knows(std::string_view Name) const;
-  /// Whether a switch is on.
+  /// Returns the value of a switch.
   bool isOn(std::string_view Name) const;
-  /// A text.
+  /// Returns the value of a text.
   std::string text(std::string_view Name) const;
-  /// A whole number.
+  /// Returns the value of an integer.
   std::uint64_t number(std::string_view Name) const;
-  /// A number.
+  /// Returns the value of a number.
   double real(std::string_view Name) const;
-  /// A number of milliseconds.
+  /// Returns the value of a duration in milliseconds.
   std::chrono::milliseconds millis(std::string_view Name) const;
-  /// Whether a count is above 0; it then goes down by one.
-  bool takeOne(std::string_view Name);
+  /// Decrements a count and returns true if it is above 0.
+  bool consumeOne(std::string_view Name);
   /// Turns a switch off.
   void turnOff(std::string_view Name);
 
--- a/StandIns/InstancesRole.cpp
+++ b/StandIns/InstancesRole.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::string_view ListPath = "/v1/instances";
 
-/// An instance announced, or removed where there is no entry.
+/// An instance that is announced, or removed if there is no entry.
 struct Change {
   TimePoint At;
   std::uint64_t WallUs = 0;
@@ -20,11 +20,11 @@
 
 using Entries = std::map<std::string, boost::json::object>;
 
-void applyTo(Entries &List, const Change &What) {
-  if (What.Entry)
-    List[What.Name] = *What.Entry;
+void applyTo(Entries &List, const Change &Delta) {
+  if (Delta.Entry)
+    List[Delta.Name] = *Delta.Entry;
   else
-    List.erase(What.Name);
+    List.erase(Delta.Name);
 }
 
 boost::json::array toArray(const Entries &List) {
@@ -43,16 +43,16 @@
 
   boost::json::value truth() const override;
   boost::asio::awaitable<void> answer(const http::Request &Ask,
-                                      const Answer &To) override;
+                                      const ResponderPtr &To) override;
 
 private:
   void announce(const boost::json::object &Entry);
   void change(std::string Name, std::optional<boost::json::object> Entry);
   boost::json::object listNow();
 
-  /// The list as it is.
+  /// The current list.
   Entries Now;
-  /// The list as it was `lag_ms` ago, and the changes since.
+  /// The list as of `lag_ms` ago, and the changes since.
   Entries Lagging;
   std::deque<Change> Changes;
 };
@@ -62,7 +62,7 @@
 }
 
 boost::asio::awaitable<void> InstancesRole::answer(const http::Request &Ask,
-                                                   const Answer &To) {
+                                                   const ResponderPtr &To) {
   std::string_view path = Ask.path();
   if (Ask.Method == "GET" && path == ListPath) {
     co_await sendJson(To, Ok, listNow());
@@ -90,7 +90,7 @@
     throw InvalidBody("'role' is neither daemon nor entry");
   if (state != "live" && state != "leaving")
     throw InvalidBody("'state' is neither live nor leaving");
-  // A late announcement of an earlier process says nothing of the present one.
+  // Ignores a late announcement of an earlier process.
   const Entries::iterator known = Now.find(name);
   if (known != Now.end() &&
       readNumber(known->second, "incarnation") > incarnation)
--- a/StandIns/InstancesRole.h
+++ b/StandIns/InstancesRole.h
@@ -7,8 +7,9 @@
 
 namespace wasabi::standins {
 
-/// \param Lag how old the list is that it gives; the fault `lag_ms` changes it.
-/// Used on one thread.
+/// Creates the role.
+/// \param Lag age of the returned list; the fault `lag_ms` changes it. Used on
+/// one thread.
 std::shared_ptr<Role> createInstancesRole(Millis Lag);
 
 } // namespace wasabi::standins
--- a/StandIns/Json.cpp
+++ b/StandIns/Json.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-InvalidBody wrong(std::string_view Name, std::string_view What) {
-  return InvalidBody("'" + std::string(Name) + "' " + std::string(What));
+InvalidBody makeInvalidBody(std::string_view Name, std::string_view Problem) {
+  return InvalidBody("'" + std::string(Name) + "' " + std::string(Problem));
 }
 
 const boost::json::value *find(const boost::json::object &From,
@@ -19,7 +19,7 @@
                                std::string_view Name) {
   const boost::json::value *found = find(From, Name);
   if (found == nullptr)
-    throw wrong(Name, "is missing");
+    throw makeInvalidBody(Name, "is missing");
   return *found;
 }
 
@@ -28,12 +28,12 @@
     return Value.get_uint64();
   if (Value.is_int64() && Value.get_int64() >= 0)
     return static_cast<std::uint64_t>(Value.get_int64());
-  throw wrong(Name, "is not a whole number from 0");
+  throw makeInvalidBody(Name, "is not a whole number from 0");
 }
 
 std::string toText(const boost::json::value &Value, std::string_view Name) {
   if (!Value.is_string())
-    throw wrong(Name, "is not a text");
+    throw makeInvalidBody(Name, "is not a text");
   return std::string(Value.get_string());
 }
 
@@ -55,9 +55,9 @@
 }
 
 std::uint64_t readNumber(const boost::json::object &From, std::string_view Name,
-                         std::uint64_t Otherwise) {
+                         std::uint64_t Default) {
   const boost::json::value *found = find(From, Name);
-  return found == nullptr ? Otherwise : toNumber(*found, Name);
+  return found == nullptr ? Default : toNumber(*found, Name);
 }
 
 std::string readText(const boost::json::object &From, std::string_view Name) {
@@ -65,30 +65,30 @@
 }
 
 std::string readText(const boost::json::object &From, std::string_view Name,
-                     std::string_view Otherwise) {
+                     std::string_view Default) {
   const boost::json::value *found = find(From, Name);
-  return found == nullptr ? std::string(Otherwise) : toText(*found, Name);
+  return found == nullptr ? std::string(Default) : toText(*found, Name);
 }
 
 bool readBool(const boost::json::object &From, std::string_view Name,
-              bool Otherwise) {
+              bool Default) {
   const boost::json::value *found = find(From, Name);
   if (found == nullptr)
-    return Otherwise;
+    return Default;
   if (!found->is_bool())
-    throw wrong(Name, "is not true or false");
+    throw makeInvalidBody(Name, "is not true or false");
   return found->get_bool();
 }
 
 std::uint64_t readQuery(const std::string &Text, std::string_view Name,
-                        std::uint64_t Otherwise) {
+                        std::uint64_t Default) {
   if (Text.empty())
-    return Otherwise;
+    return Default;
   std::uint64_t number = 0;
   const char *end = Text.data() + Text.size();
   std::from_chars_result read = std::from_chars(Text.data(), end, number);
   if (read.ec != std::errc() || read.ptr != end)
-    throw wrong(Name, "is not a whole number from 0");
+    throw makeInvalidBody(Name, "is not a whole number from 0");
   return number;
 }
 
--- a/StandIns/Json.h
+++ b/StandIns/Json.h
@@ -1,5 +1,5 @@
 /// \file
-/// Reading members of a JSON body, with errors that name the member.
+/// Reads members of a JSON body. Errors name the member.
 #ifndef WASABI_STANDINS_JSON_H
 #define WASABI_STANDINS_JSON_H
 
@@ -16,33 +16,35 @@
 
 namespace wasabi::standins {
 
-/// A body that cannot be read; the role's server answers 400 with its text.
+/// An invalid body. The role's server responds with status 400 and this text.
 struct InvalidBody : std::invalid_argument {
   using std::invalid_argument::invalid_argument;
 };
 
-/// The body as an object. Throws `InvalidBody`. Thread-safe, as all here.
+/// Parses the body as an object. Throws `InvalidBody`. All functions here are
+/// thread-safe.
 boost::json::object readObject(std::string_view Body);
 
-/// A whole number member. Throws `InvalidBody` if it is missing and there is no
-/// `Otherwise`, or is something else.
+/// Returns an integer member. Throws `InvalidBody` if it has another type, or
+/// if it is missing and there is no `Default`.
 std::uint64_t readNumber(const boost::json::object &From,
                          std::string_view Name);
 std::uint64_t readNumber(const boost::json::object &From, std::string_view Name,
-                         std::uint64_t Otherwise);
+                         std::uint64_t Default);
 
-/// A text member. As above.
+/// Returns a string member. Errors: as above.
 std::string readText(const boost::json::object &From, std::string_view Name);
 std::string readText(const boost::json::object &From, std::string_view Name,
-                     std::string_view Otherwise);
+                     std::string_view Default);
 
-/// A boolean member. As above.
+/// Returns a boolean member. Errors: as above.
 bool readBool(const boost::json::object &From, std::string_view Name,
-              bool Otherwise);
+              bool Default);
 
-/// A number from a query's text; empty gives `Otherwise`. Throws `InvalidBody`.
+/// Parses a number of a query. Returns `Default` for an empty text. Throws
+/// `InvalidBody`.
 std::uint64_t readQuery(const std::string &Text, std::string_view Name,
-                        std::uint64_t Otherwise);
+                        std::uint64_t Default);
 
 } // namespace wasabi::standins
 
--- a/StandIns/LogRole.cpp
+++ b/StandIns/LogRole.cpp
@@ -11,17 +11,17 @@
 
 constexpr std::size_t MaxRecord = 1u << 20;
 constexpr std::uint64_t DefaultMaxRecords = 1000;
-/// An answer holds no more than this, but always one record.
+/// Maximum size of a read response, which always holds at least one record.
 constexpr std::size_t MaxAnswerBytes = 4u << 20;
 
 struct Stream {
-  /// Offset of the oldest record kept.
+  /// Offset of the oldest retained record.
   std::uint64_t First = 0;
   std::deque<std::string> Records;
   std::uint64_t end() const { return First + Records.size(); }
 };
 
-/// The stream's name in "/v1/streams/NAME/records".
+/// Returns the stream name in "/v1/streams/NAME/records".
 std::optional<std::string> streamName(std::string_view Path) {
   constexpr std::string_view Before = "/v1/streams/";
   constexpr std::string_view After = "/records";
@@ -58,14 +58,14 @@
 
   boost::json::value truth() const override;
   boost::asio::awaitable<void> answer(const http::Request &Ask,
-                                      const Answer &To) override;
+                                      const ResponderPtr &To) override;
   void onFaultsChanged() override;
 
 private:
   boost::asio::awaitable<void> append(Stream &Into, const http::Request &Ask,
-                                      const Answer &To);
+                                      const ResponderPtr &To);
   boost::asio::awaitable<void> read(Stream &From, const http::Request &Ask,
-                                    const Answer &To);
+                                    const ResponderPtr &To);
   bool takeAllowance();
   void trim(Stream &Kept);
   std::uint64_t visibleEnd(const Stream &From) const;
@@ -73,7 +73,7 @@
   std::map<std::string, Stream> Streams;
   std::uint64_t Appends = 0;
   Signal Changed;
-  /// Appends that the rate allows now, and when that was reckoned.
+  /// Appends available under the rate limit, and the time of the last refill.
   double Allowance = 1;
   TimePoint AllowanceAt;
 };
@@ -91,7 +91,7 @@
 }
 
 boost::asio::awaitable<void> LogRole::answer(const http::Request &Ask,
-                                             const Answer &To) {
+                                             const ResponderPtr &To) {
   std::optional<std::string> name = streamName(Ask.path());
   if (!name) {
     co_await sendError(To, NotFound, "no such path");
@@ -110,8 +110,9 @@
   Changed.notify();
 }
 
-boost::asio::awaitable<void>
-LogRole::append(Stream &Into, const http::Request &Ask, const Answer &To) {
+boost::asio::awaitable<void> LogRole::append(Stream &Into,
+                                             const http::Request &Ask,
+                                             const ResponderPtr &To) {
   if (Ask.Body.size() > MaxRecord) {
     co_await sendError(To, TooLarge, "a record has at most 1 MiB");
     co_return;
@@ -130,7 +131,7 @@
   ++Appends;
   trim(Into);
   Changed.notify();
-  if (InjectedFaults.takeOne("lose_answers")) {
+  if (InjectedFaults.consumeOne("lose_answers")) {
     To->abort();
     co_return;
   }
@@ -139,7 +140,7 @@
 }
 
 boost::asio::awaitable<void>
-LogRole::read(Stream &From, const http::Request &Ask, const Answer &To) {
+LogRole::read(Stream &From, const http::Request &Ask, const ResponderPtr &To) {
   std::uint64_t from = readQuery(Ask.query("from"), "from", 0);
   std::uint64_t most = readQuery(Ask.query("max"), "max", DefaultMaxRecords);
   std::uint64_t wait = readQuery(Ask.query("wait_ms"), "wait_ms", 0);
--- a/StandIns/LogRole.h
+++ b/StandIns/LogRole.h
@@ -7,7 +7,7 @@
 
 namespace wasabi::standins {
 
-/// An empty log. Used on the executor's thread.
+/// Creates an empty log. Used on the executor's thread.
 std::shared_ptr<Role> createLogRole(boost::asio::any_io_executor Executor);
 
 } // namespace wasabi::standins
--- a/StandIns/Main.cpp
+++ b/StandIns/Main.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// `wasabi-standin ROLE`: plays a part of the platform in tests and the demo.
+/// `wasabi-standin ROLE` runs one simulated platform service for tests and the
+/// demo.
 #include "StandIns/EngineRole.h"
 #include "StandIns/FaultProxy.h"
 #include "StandIns/InstancesRole.h"
@@ -56,7 +57,7 @@
 
 using Executor = boost::asio::any_io_executor;
 
-/// An optional address flag; empty stays empty.
+/// Parses an optional address flag. Empty stays empty.
 Result<Address> readStore() {
   if (FLAGS_store.empty())
     return Address{};
@@ -124,8 +125,8 @@
   return badInput("command line", "no role '" + std::string(Name) + "'");
 }
 
-void announce(std::string_view What, const Address &Where) {
-  std::printf("%s %s\n", std::string(What).c_str(), toText(Where).c_str());
+void announce(std::string_view Label, const Address &Where) {
+  std::printf("%s %s\n", std::string(Label).c_str(), toText(Where).c_str());
   std::fflush(stdout);
 }
 
@@ -155,7 +156,7 @@
   boost::asio::io_context context(1);
   boost::asio::signal_set ending(context, SIGTERM, SIGINT);
   ending.async_wait([](boost::system::error_code, int) {
-    // Nothing is to be saved, and nobody is to wait.
+    // Exits at once: there is no state to save.
     std::_Exit(EXIT_SUCCESS);
   });
   BOOST_LEAF_AUTO(listen, parseAddress(FLAGS_listen, "--listen"));
@@ -182,7 +183,7 @@
   }
 }
 
-/// The word after the program's name that is no flag.
+/// Returns the first argument that is not a flag.
 std::string takeRole(std::vector<std::string> &Words) {
   if (Words.size() < 2 || Words[1].starts_with("-"))
     return {};
@@ -191,7 +192,7 @@
   return role;
 }
 
-/// gflags takes `--version` for itself; with a value it is the weights'.
+/// gflags reserves `--version`; with a value it is the weight version.
 void renameVersion(std::vector<std::string> &Words) {
   constexpr std::string_view Short = "--version=";
   for (std::string &it : Words) {
--- a/StandIns/PrefixCache.cpp
+++ b/StandIns/PrefixCache.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Events kept for readers.
+/// Maximum number of retained events.
 constexpr std::size_t MaxEvents = 10000;
 
 std::size_t commonLength(std::string_view Left, std::string_view Right) {
@@ -21,7 +21,8 @@
 
 } // namespace
 
-std::size_t PrefixCache::use(std::string_view Prompt, TimePoint Now) {
+std::size_t PrefixCache::matchAndInsert(std::string_view Prompt,
+                                        TimePoint Now) {
   std::string name = prefixName(Prompt);
   const std::map<std::string, std::list<Entry>::iterator>::iterator known =
       ByName.find(name);
@@ -46,7 +47,7 @@
 void PrefixCache::publish(const std::string &Name, bool Stored, TimePoint Now) {
   constexpr double Percent = 100;
   std::uint64_t sequence = Next++;
-  // A lost event leaves a gap in the numbers.
+  // A dropped event leaves a gap in the sequence numbers.
   std::uniform_real_distribution<double> share(0, Percent);
   if (share(Random) < Limits.EventLossPercent)
     return;
--- a/StandIns/PrefixCache.h
+++ b/StandIns/PrefixCache.h
@@ -1,5 +1,5 @@
 /// \file
-/// The prompt prefixes that an engine holds in its limited memory.
+/// Simulates an engine's cache of prompt prefixes in limited memory.
 #ifndef WASABI_STANDINS_PREFIXCACHE_H
 #define WASABI_STANDINS_PREFIXCACHE_H
 
@@ -16,7 +16,7 @@
 
 namespace wasabi::standins {
 
-/// A prefix stored or evicted, as the engine publishes it.
+/// Published event: a prefix was stored or evicted.
 struct CacheEvent {
   std::uint64_t Sequence = 0;
   std::string Prefix;
@@ -24,27 +24,28 @@
   TimePoint VisibleAt;
 };
 
-/// Least recently used prompts, by their first bytes. Not thread-safe.
+/// LRU cache of prompts by their first bytes. Not thread-safe.
 class PrefixCache {
 public:
   struct Settings {
-    /// Prompts held.
+    /// Maximum number of cached prompts.
     std::size_t Entries = 256;
-    /// How late an event is published.
+    /// Delay before an event is published.
     Millis EventDelay{200};
-    /// Share of events that are never published.
+    /// Share of events that are dropped.
     double EventLossPercent = 5;
     std::uint64_t Seed = 1;
   };
 
   explicit PrefixCache(Settings Limits) : Limits(Limits), Random(Limits.Seed) {}
 
-  /// How many of the prompt's bytes are held already; it is held from now on.
-  std::size_t use(std::string_view Prompt, TimePoint Now);
-  /// The published events with a sequence number of `From` or more.
+  /// Returns the number of the prompt's bytes that were cached, and caches the
+  /// prompt.
+  std::size_t matchAndInsert(std::string_view Prompt, TimePoint Now);
+  /// Returns the published events with a sequence number of at least `From`.
   std::vector<CacheEvent> eventsSince(std::uint64_t From, TimePoint Now) const;
-  /// One more than the last event's number.
-  std::uint64_t end() const { return Next; }
+  /// Returns the sequence number of the next event.
+  std::uint64_t nextSequence() const { return Next; }
 
 private:
   struct Entry {
@@ -55,7 +56,7 @@
 
   const Settings Limits;
   std::minstd_rand Random;
-  /// The last one used comes first.
+  /// Most recently used first.
   std::list<Entry> Held;
   std::map<std::string, std::list<Entry>::iterator> ByName;
   std::deque<CacheEvent> Events;
--- a/StandIns/ProxyLink.cpp
+++ b/StandIns/ProxyLink.cpp
@@ -19,15 +19,15 @@
     Awaited(boost::asio::use_awaitable);
 
 constexpr std::size_t ReadBytes = 16384;
-/// Bytes held back in one direction; a sender then has to wait.
+/// Maximum number of bytes queued in one direction before the sender blocks.
 constexpr std::size_t MaxQueued = 4u << 20;
-/// A limited rate is kept in so many portions a second.
+/// Number of portions per second when the rate is limited.
 constexpr std::uint64_t PortionsPerSecond = 50;
 
-void resetSocket(ProxyLink::Socket &What) {
+void resetSocket(ProxyLink::Socket &Target) {
   ErrorCode ec;
-  What.set_option(boost::asio::socket_base::linger(true, 0), ec);
-  What.close(ec);
+  Target.set_option(boost::asio::socket_base::linger(true, 0), ec);
+  Target.close(ec);
 }
 
 } // namespace
@@ -114,10 +114,10 @@
 }
 
 void ProxyLink::push(Flow &Way, std::string Bytes, bool Last) {
-  // Bytes never overtake each other, whatever the jitter.
+  // Jitter must not reorder bytes.
   Way.LastDue = std::max(Way.LastDue, monotonicNow() + Faults.Delay());
   Way.Queued += Bytes.size();
-  Way.Queue.push_back(Piece{Way.LastDue, std::move(Bytes), Last});
+  Way.Queue.push_back(QueuedChunk{Way.LastDue, std::move(Bytes), Last});
   Way.Changed.notify();
 }
 
@@ -129,19 +129,19 @@
     }
     TimePoint due = Way.Queue.front().DueAt;
     if (monotonicNow() < due) {
-      co_await pause(due - monotonicNow());
+      co_await sleepFor(due - monotonicNow());
       continue;
     }
-    Piece piece = std::move(Way.Queue.front());
+    QueuedChunk chunk = std::move(Way.Queue.front());
     Way.Queue.pop_front();
-    Way.Queued -= piece.Bytes.size();
+    Way.Queued -= chunk.Bytes.size();
     Way.Changed.notify();
     if (dropsBytes(Way)) {
       HasDroppedBytes = true;
       continue;
     }
-    if (!piece.Last) {
-      if (!co_await deliver(Way, std::move(piece.Bytes)))
+    if (!chunk.Last) {
+      if (!co_await deliver(Way, std::move(chunk.Bytes)))
         co_return;
       continue;
     }
@@ -149,7 +149,7 @@
     ErrorCode ec;
     Way.To.shutdown(Socket::shutdown_send, ec);
     Way.Ended = true;
-    // Both ends are through: nothing more can come.
+    // Both directions have ended.
     if (Up.Ended && Down.Ended) {
       Closed = true;
       Client.close(ec);
@@ -168,19 +168,19 @@
     if (rate > 0) {
       std::uint64_t most = std::max<std::uint64_t>(1, rate / PortionsPerSecond);
       portion = std::min(portion, most);
-      co_await pause(Micros(portion * MicrosPerSecond / rate));
+      co_await sleepFor(Micros(portion * MicrosPerSecond / rate));
     }
     std::uint64_t last = Faults.CutAfterBytes();
     if (last > 0)
-      portion = std::min(portion, last - std::min(last, Counted));
+      portion = std::min(portion, last - std::min(last, BytesSinceReset));
     auto [ec, n] = co_await boost::asio::async_write(
         Way.To, boost::asio::buffer(Bytes.data() + done, portion), Awaited);
     done += n;
-    Counted += n;
-    Way.Carried += n;
+    BytesSinceReset += n;
+    Way.BytesForwarded += n;
     if (Closed)
       co_return false;
-    if (ec || (last > 0 && Counted >= last)) {
+    if (ec || (last > 0 && BytesSinceReset >= last)) {
       cut();
       co_return false;
     }
--- a/StandIns/ProxyLink.h
+++ b/StandIns/ProxyLink.h
@@ -1,5 +1,5 @@
 /// \file
-/// One connection through the fault proxy, and what befalls it.
+/// One connection through the fault proxy, with fault injection.
 #ifndef WASABI_STANDINS_PROXYLINK_H
 #define WASABI_STANDINS_PROXYLINK_H
 
@@ -17,23 +17,24 @@
 
 namespace wasabi::standins {
 
-/// The faults as a link asks for them; each is asked at the moment it matters.
+/// Accessors of the faults of a link. Each is called when the fault applies.
 struct ProxyFaults {
-  /// How long bytes that arrive now are held back.
+  /// Delay of bytes that arrive now.
   std::function<Micros()> Delay;
-  /// Bytes a second and direction; 0: no limit.
+  /// Bytes per second in each direction; 0 for no limit.
   std::function<std::uint64_t()> Rate;
-  /// Bytes after which the connection is cut; 0: never.
+  /// Bytes after which the connection is cut; 0 for never.
   std::function<std::uint64_t()> CutAfterBytes;
-  /// Whether bytes and ends are swallowed.
+  /// True if bytes and ends of stream are dropped.
   std::function<bool()> HalfOpen;
-  /// Whether only what comes from the upstream is swallowed.
+  /// True if only bytes from the upstream are dropped.
   std::function<bool()> OneWay;
-  /// Whether the upstream's answer that begins now is to be lost.
+  /// True if the upstream response that begins now is dropped.
   std::function<bool()> DropResponse;
 };
 
-/// Used on the executor's thread only.
+/// Forwards one connection in both directions. Used on the executor's thread
+/// only.
 class ProxyLink : public std::enable_shared_from_this<ProxyLink> {
 public:
   using Socket = boost::asio::ip::tcp::socket;
@@ -41,23 +42,24 @@
   /// \param Faults must outlive the link.
   ProxyLink(Socket Client, const ProxyFaults &Faults);
 
-  /// Connects to the upstream and carries bytes until both ends are closed.
+  /// Connects to the upstream and forwards bytes until both sides are closed.
   boost::asio::awaitable<void> run(Address Upstream);
-  /// Resets both sides.
+  /// Resets both connections.
   void cut();
-  /// Counts `CutAfterBytes` from now on.
-  void resetByteCount() { Counted = 0; }
-  /// Whether bytes have been swallowed, so that what follows makes no sense.
-  bool broken() const { return HasDroppedBytes; }
+  /// Restarts the count for `CutAfterBytes`.
+  void resetByteCount() { BytesSinceReset = 0; }
+  /// Returns true if bytes were dropped, so that the rest of the stream is
+  /// corrupt.
+  bool hasDroppedBytes() const { return HasDroppedBytes; }
   bool closed() const { return Closed; }
-  std::uint64_t bytesUp() const { return Up.Carried; }
-  std::uint64_t bytesDown() const { return Down.Carried; }
+  std::uint64_t bytesUp() const { return Up.BytesForwarded; }
+  std::uint64_t bytesDown() const { return Down.BytesForwarded; }
 
 private:
-  struct Piece {
+  struct QueuedChunk {
     TimePoint DueAt;
     std::string Bytes;
-    /// The sender has ended its side.
+    /// True if the sender has closed its side.
     bool Last = false;
   };
   struct Flow {
@@ -65,9 +67,9 @@
         : From(From), To(To), Changed(From.get_executor()) {}
     Socket &From;
     Socket &To;
-    std::deque<Piece> Queue;
+    std::deque<QueuedChunk> Queue;
     std::size_t Queued = 0;
-    std::uint64_t Carried = 0;
+    std::uint64_t BytesForwarded = 0;
     TimePoint LastDue;
     bool Ended = false;
     Signal Changed;
@@ -87,7 +89,7 @@
   Socket Upstream;
   Flow Up;
   Flow Down;
-  std::uint64_t Counted = 0;
+  std::uint64_t BytesSinceReset = 0;
   bool HasDroppedBytes = false;
   bool Closed = false;
 };
--- a/StandIns/RoleServer.cpp
+++ b/StandIns/RoleServer.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 boost::asio::awaitable<void>
-answerFaults(Role &Subject, const http::Request &Ask, const Answer &To) {
+answerFaults(Role &Subject, const http::Request &Ask, const ResponderPtr &To) {
   if (Ask.Method == "POST") {
     Subject.InjectedFaults.merge(readObject(Ask.Body));
     Subject.onFaultsChanged();
@@ -16,10 +16,10 @@
 }
 
 boost::asio::awaitable<void> answerRole(Role &Subject, const http::Request &Ask,
-                                        const Answer &To) {
+                                        const ResponderPtr &To) {
   const Faults &told = Subject.InjectedFaults;
   if (told.knows("slow_ms") && told.number("slow_ms") > 0)
-    co_await pause(told.millis("slow_ms"));
+    co_await sleepFor(told.millis("slow_ms"));
   if (told.knows("outage") && told.isOn("outage")) {
     To->abort();
     co_return;
@@ -28,7 +28,7 @@
 }
 
 boost::asio::awaitable<void> answerAll(std::shared_ptr<Role> Subject,
-                                       http::Request Ask, Answer To) {
+                                       http::Request Ask, ResponderPtr To) {
   std::string reason;
   try {
     if (Ask.path() == "/faults")
@@ -40,7 +40,7 @@
   } catch (const std::exception &Why) {
     reason = Why.what();
   }
-  // Nothing may be awaited while an exception is handled.
+  // `co_await` is not allowed in an exception handler.
   if (!reason.empty())
     co_await sendError(To, BadRequest, reason);
 }
@@ -53,12 +53,12 @@
   http::Server::Settings limits;
   limits.Listen = Listen;
   return http::Server::create(
-      Context, limits, [Subject](http::Request Ask, Answer To) {
+      Context, limits, [Subject](http::Request Ask, ResponderPtr To) {
         return answerAll(Subject, std::move(Ask), std::move(To));
       });
 }
 
-boost::asio::awaitable<bool> sendJson(const Answer &To, unsigned Status,
+boost::asio::awaitable<bool> sendJson(const ResponderPtr &To, unsigned Status,
                                       boost::json::value Body) {
   http::Response response =
       http::jsonResponse(Status, boost::json::serialize(Body));
@@ -66,7 +66,7 @@
   co_return static_cast<bool>(sent);
 }
 
-boost::asio::awaitable<void> sendError(const Answer &To, unsigned Status,
+boost::asio::awaitable<void> sendError(const ResponderPtr &To, unsigned Status,
                                        const std::string &Reason,
                                        unsigned RetryAfter) {
   boost::json::object body;
@@ -80,7 +80,7 @@
   co_await To->send(std::move(response));
 }
 
-boost::asio::awaitable<void> waitForDisconnect(const Answer &To) {
+boost::asio::awaitable<void> waitForDisconnect(const ResponderPtr &To) {
   boost::asio::any_io_executor executor =
       co_await boost::asio::this_coro::executor;
   std::shared_ptr<Signal> left = std::make_shared<Signal>(executor);
--- a/StandIns/RoleServer.h
+++ b/StandIns/RoleServer.h
@@ -1,5 +1,5 @@
 /// \file
-/// What all roles share: a server with `/faults` and `/truth`, errors for bad
+/// The server shared by all roles: `/faults` and `/truth`, errors for invalid
 /// bodies, and the faults `outage` and `slow_ms`.
 #ifndef WASABI_STANDINS_ROLESERVER_H
 #define WASABI_STANDINS_ROLESERVER_H
@@ -14,9 +14,9 @@
 
 namespace wasabi::standins {
 
-using Answer = std::shared_ptr<http::Responder>;
+using ResponderPtr = std::shared_ptr<http::Responder>;
 
-/// A role's own part of a server. Used on the context's thread only.
+/// The role-specific part of a server. Used on the context's thread only.
 class Role {
 public:
   explicit Role(boost::json::object KnownFaults)
@@ -25,36 +25,36 @@
   Role &operator=(const Role &) = delete;
   virtual ~Role() = default;
 
-  /// Its record of the truth.
+  /// Returns the role's record of what has happened.
   virtual boost::json::value truth() const = 0;
-  /// Answers what is neither `/faults` nor `/truth`; may throw `InvalidBody`
-  /// before it has begun to answer.
+  /// Handles requests other than `/faults` and `/truth`. May throw
+  /// `InvalidBody` before the response has begun.
   virtual boost::asio::awaitable<void> answer(const http::Request &Ask,
-                                              const Answer &To) = 0;
+                                              const ResponderPtr &To) = 0;
   /// Called after the faults have changed.
   virtual void onFaultsChanged() {}
 
   Faults InjectedFaults;
 };
 
-/// Serves a role. Errors: as `http::Server::create`.
+/// Starts a server for a role. Errors: as `http::Server::create`.
 Result<std::shared_ptr<http::Server>>
 serveRole(boost::asio::io_context &Context, const Address &Listen,
           const std::shared_ptr<Role> &Subject);
 
-/// Sends a JSON body; false when the peer has left.
-boost::asio::awaitable<bool> sendJson(const Answer &To, unsigned Status,
+/// Sends a JSON body. Returns false if the peer has disconnected.
+boost::asio::awaitable<bool> sendJson(const ResponderPtr &To, unsigned Status,
                                       boost::json::value Body);
 
-/// Sends an error's text, with a `Retry-After` in seconds unless it is 0.
-boost::asio::awaitable<void> sendError(const Answer &To, unsigned Status,
+/// Sends an error text, with `Retry-After` in seconds unless it is 0.
+boost::asio::awaitable<void> sendError(const ResponderPtr &To, unsigned Status,
                                        const std::string &Reason,
                                        unsigned RetryAfter = 0);
 
-/// Waits until the peer has left.
-boost::asio::awaitable<void> waitForDisconnect(const Answer &To);
+/// Waits until the peer disconnects.
+boost::asio::awaitable<void> waitForDisconnect(const ResponderPtr &To);
 
-/// Status codes that the roles use.
+/// HTTP status codes used by the roles.
 enum Status : unsigned {
   Ok = 200,
   Created = 201,
--- a/StandIns/ScorerRole.cpp
+++ b/StandIns/ScorerRole.cpp
@@ -21,7 +21,7 @@
   }
 
   boost::asio::awaitable<void> answer(const http::Request &Ask,
-                                      const Answer &To) override {
+                                      const ResponderPtr &To) override {
     if (Ask.Method != "POST" || Ask.path() != "/v1/score") {
       co_await sendError(To, NotFound, "no such path");
       co_return;
@@ -29,12 +29,12 @@
     boost::json::object body = readObject(Ask.Body);
     std::string slot = readText(body, "slot");
     double score = computeScore(readText(body, "text"));
-    if (InjectedFaults.takeOne("fail_next")) {
+    if (InjectedFaults.consumeOne("fail_next")) {
       co_await sendError(To, InternalError, "told to fail");
       co_return;
     }
     ++Scored[slot];
-    if (InjectedFaults.takeOne("lose_answers")) {
+    if (InjectedFaults.consumeOne("lose_answers")) {
       To->abort();
       co_return;
     }
--- a/StandIns/ScorerRole.h
+++ b/StandIns/ScorerRole.h
@@ -7,10 +7,10 @@
 
 namespace wasabi::standins {
 
-/// Used on one thread.
+/// Creates the role. Used on one thread.
 std::shared_ptr<Role> createScorerRole();
 
-/// The score of a text, from 0 to below 1. Thread-safe.
+/// Returns the score of a text, in the range [0, 1). Thread-safe.
 double computeScore(std::string_view Text);
 
 } // namespace wasabi::standins
--- a/StandIns/ServiceRole.cpp
+++ b/StandIns/ServiceRole.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// Runs remembered; older ones are dropped and counted.
+/// Maximum number of run records kept; older ones are dropped and counted.
 constexpr std::size_t MaxRuns = 200000;
 
-/// One run of the service.
+/// One executed request.
 struct Run {
   std::string Request;
   std::string Method;
@@ -34,18 +34,19 @@
 
   boost::json::value truth() const override;
   boost::asio::awaitable<void> answer(const http::Request &Ask,
-                                      const Answer &To) override;
+                                      const ResponderPtr &To) override;
 
 private:
-  boost::asio::awaitable<bool> takeSlot(const Answer &To);
-  boost::asio::awaitable<bool>
-  sendAnswer(const http::Request &Ask, const Answer &To, std::uint64_t Count);
+  boost::asio::awaitable<bool> takeSlot(const ResponderPtr &To);
+  boost::asio::awaitable<bool> sendAnswer(const http::Request &Ask,
+                                          const ResponderPtr &To,
+                                          std::uint64_t Count);
   boost::json::object bodyFor(const http::Request &Ask,
                               std::uint64_t Count) const;
 
   const ServiceSettings Settings;
   std::deque<std::shared_ptr<Run>> Runs;
-  /// Runs of this process, those dropped included.
+  /// Number of runs in this process, including dropped records.
   std::uint64_t Count = 0;
   std::uint64_t Busy = 0;
   Signal Freed;
@@ -65,7 +66,7 @@
   return {{"runs", std::move(runs)}, {"dropped", Count - Runs.size()}};
 }
 
-boost::asio::awaitable<bool> ServiceRole::takeSlot(const Answer &To) {
+boost::asio::awaitable<bool> ServiceRole::takeSlot(const ResponderPtr &To) {
   while (Settings.Slots > 0 && Busy >= Settings.Slots) {
     if (To->gone())
       co_return false;
@@ -76,7 +77,7 @@
 }
 
 boost::asio::awaitable<void> ServiceRole::answer(const http::Request &Ask,
-                                                 const Answer &To) {
+                                                 const ResponderPtr &To) {
   if (InjectedFaults.isOn("hang")) {
     co_await waitForDisconnect(To);
     co_return;
@@ -93,7 +94,7 @@
   if (Runs.size() > MaxRuns)
     Runs.pop_front();
   if (Settings.Latency > Millis(0))
-    co_await pause(Settings.Latency);
+    co_await sleepFor(Settings.Latency);
   run->EndedUs = wallMicros();
   --Busy;
   Freed.notify();
@@ -101,16 +102,16 @@
 }
 
 boost::asio::awaitable<bool> ServiceRole::sendAnswer(const http::Request &Ask,
-                                                     const Answer &To,
+                                                     const ResponderPtr &To,
                                                      std::uint64_t Count) {
-  if (InjectedFaults.takeOne("reset_before_answer")) {
+  if (InjectedFaults.consumeOne("reset_before_answer")) {
     To->abort();
     co_return false;
   }
   boost::json::object body = bodyFor(Ask, Count);
   std::uint64_t told = InjectedFaults.number("status");
   unsigned status = told == 0 ? unsigned{Ok} : static_cast<unsigned>(told);
-  if (!InjectedFaults.takeOne("reset_mid_answer"))
+  if (!InjectedFaults.consumeOne("reset_mid_answer"))
     co_return co_await sendJson(To, status, std::move(body));
 
   std::string text = boost::json::serialize(body);
--- a/StandIns/ServiceRole.h
+++ b/StandIns/ServiceRole.h
@@ -9,13 +9,13 @@
 
 struct ServiceSettings {
   std::string Name = "service";
-  /// How long one run takes.
+  /// Duration of one run.
   Millis Latency{0};
-  /// Runs at once; further ones wait. 0: no limit.
+  /// Maximum number of concurrent runs; further ones wait. 0 for no limit.
   std::uint64_t Slots = 0;
 };
 
-/// Used on the executor's thread.
+/// Creates the role. Used on the executor's thread.
 std::shared_ptr<Role> createServiceRole(boost::asio::any_io_executor Executor,
                                         ServiceSettings Settings);
 
--- a/StandIns/Signal.cpp
+++ b/StandIns/Signal.cpp
@@ -15,7 +15,7 @@
 } // namespace
 
 boost::asio::awaitable<void> Signal::wait(TimePoint Deadline) {
-  // The clock's own greatest time overflows when it is made finer.
+  // The maximum time point overflows when converted to a finer unit.
   BootTimer timer(Executor);
   if (Deadline == TimePoint::max())
     timer.expires_at(BootTimer::time_point::max());
@@ -31,7 +31,7 @@
     it->cancel();
 }
 
-boost::asio::awaitable<void> pause(std::chrono::microseconds Time) {
+boost::asio::awaitable<void> sleepFor(std::chrono::microseconds Time) {
   boost::asio::any_io_executor executor =
       co_await boost::asio::this_coro::executor;
   BootTimer timer(executor, Time);
--- a/StandIns/Signal.h
+++ b/StandIns/Signal.h
@@ -1,5 +1,5 @@
 /// \file
-/// Waiting on one thread's context: for a while, or for something to change.
+/// Waits on a single-threaded context for a duration or a notification.
 #ifndef WASABI_STANDINS_SIGNAL_H
 #define WASABI_STANDINS_SIGNAL_H
 
@@ -13,16 +13,16 @@
 
 namespace wasabi::standins {
 
-/// Wakes coroutines when something has changed. Not thread-safe.
+/// Wakes waiting coroutines. Not thread-safe.
 class Signal {
 public:
   explicit Signal(boost::asio::any_io_executor Executor)
       : Executor(std::move(Executor)) {}
 
-  /// Waits for the next `notify`, and no longer than until `Deadline`.
-  /// Precondition: the signal outlives the wait.
+  /// Waits for the next `notify`, at most until `Deadline`. Precondition: the
+  /// signal outlives the wait.
   boost::asio::awaitable<void> wait(TimePoint Deadline = TimePoint::max());
-  /// Wakes all that wait now.
+  /// Wakes all waiting coroutines.
   void notify();
 
 private:
@@ -30,8 +30,8 @@
   std::set<BootTimer *> Waiting;
 };
 
-/// Waits for a time.
-boost::asio::awaitable<void> pause(std::chrono::microseconds Time);
+/// Suspends the coroutine for the given duration.
+boost::asio::awaitable<void> sleepFor(std::chrono::microseconds Time);
 
 } // namespace wasabi::standins
 
--- a/StandIns/TokenText.h
+++ b/StandIns/TokenText.h
@@ -1,6 +1,6 @@
 /// \file
-/// What a stand-in engine generates, as pure functions of the labels: tests,
-/// the demo and the trainer's stand-in recompute it to check a sample.
+/// The text that a simulated engine generates, as pure functions of the labels.
+/// Tests, the demo and the simulated trainer recompute it to check a sample.
 #ifndef WASABI_STANDINS_TOKENTEXT_H
 #define WASABI_STANDINS_TOKENTEXT_H
 
@@ -18,10 +18,10 @@
 
 namespace wasabi::standins {
 
-/// Bytes of one token's text.
+/// Size in bytes of the text of one token.
 inline constexpr std::size_t TokenBytes = 7;
 
-/// Tokens `From` to `To` (excluded) were produced on `Version`.
+/// Tokens in the range [`From`, `To`) were generated on `Version`.
 struct VersionSpan {
   std::uint64_t From = 0;
   std::uint64_t To = 0;
@@ -29,7 +29,7 @@
   bool operator==(const VersionSpan &) const = default;
 };
 
-/// The tokens of one (prompt, seed). The prompt is hashed once.
+/// Generates the tokens of one (prompt, seed). Hashes the prompt once.
 /// Thread-safe for reading.
 class TokenWriter {
 public:
@@ -66,7 +66,7 @@
   XXH64_state_t Head;
 };
 
-/// The text of one token. Thread-safe.
+/// Returns the text of one token. Thread-safe.
 inline std::string tokenText(std::string_view Prompt, std::uint64_t Seed,
                              std::uint64_t Index, std::uint64_t Version) {
   std::string text;
@@ -74,7 +74,7 @@
   return text;
 }
 
-/// The whole text that the spans stand for. Thread-safe.
+/// Returns the whole text of the spans. Thread-safe.
 inline std::string spansText(std::string_view Prompt, std::uint64_t Seed,
                              const std::vector<VersionSpan> &Spans) {
   TokenWriter writer(Prompt, Seed);
@@ -86,7 +86,7 @@
   return text;
 }
 
-/// Whether the spans follow each other from 0 to `Tokens`. Thread-safe.
+/// Returns true if the spans are contiguous from 0 to `Tokens`. Thread-safe.
 inline bool areContiguous(const std::vector<VersionSpan> &Spans,
                           std::uint64_t Tokens) {
   std::uint64_t next = 0;
@@ -98,8 +98,9 @@
   return next == Tokens;
 }
 
-/// How many tokens a sample has: Pareto-distributed, 1 to `MaxTokens`; one in
-/// twenty is as long as it may be. Fixed by (prompt, seed). Thread-safe.
+/// Returns the number of tokens of a sample: Pareto-distributed from 1 to
+/// `MaxTokens`; one in twenty has `MaxTokens`. Determined by (prompt, seed).
+/// Thread-safe.
 inline std::uint64_t sampleLength(std::string_view Prompt, std::uint64_t Seed,
                                   std::uint64_t MaxTokens) {
   constexpr double Shape = 1.2;
@@ -116,7 +117,7 @@
   return static_cast<std::uint64_t>(std::clamp(std::ceil(length), 1.0, most));
 }
 
-/// The 16 hexadecimal digits of XXH64 over the bytes. Thread-safe.
+/// Returns the XXH64 of the bytes as 16 hexadecimal digits. Thread-safe.
 inline std::string hashText(std::string_view Bytes) {
   constexpr std::string_view Digits = "0123456789abcdef";
   constexpr int FirstShift = 60;
@@ -129,7 +130,7 @@
   return text;
 }
 
-/// How an engine names a prompt in its cache events. Thread-safe.
+/// Returns the name of a prompt in an engine's cache events. Thread-safe.
 inline std::string prefixName(std::string_view Prompt) {
   constexpr std::size_t PrefixBytes = 64;
   return hashText(Prompt.substr(0, PrefixBytes));
--- a/StandIns/TrainerRole.cpp
+++ b/StandIns/TrainerRole.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Samples remembered; older ones are dropped and counted.
+/// Maximum number of sample records kept; older ones are dropped and counted.
 constexpr std::size_t MaxRecords = 200000;
 constexpr Millis StoreTimeout{2000};
 constexpr Millis StorePause{100};
@@ -59,17 +59,17 @@
   return all;
 }
 
-boost::json::object toJson(const DeliveredSample &What) {
+boost::json::object toJson(const DeliveredSample &Record) {
   boost::json::object sample;
-  sample["delivery"] = What.Delivery;
-  sample["fence"] = What.Fence;
-  sample["slot"] = What.Slot;
-  sample["spans"] = toJson(What.Spans);
-  sample["newest_at_arrival"] = What.NewestAtArrival;
-  sample["tokens"] = What.Tokens;
-  sample["text_ok"] = What.TextMatches;
-  sample["taken"] = What.Taken;
-  sample["fault"] = toText(What.Fault).data();
+  sample["delivery"] = Record.Delivery;
+  sample["fence"] = Record.Fence;
+  sample["slot"] = Record.Slot;
+  sample["spans"] = toJson(Record.Spans);
+  sample["newest_at_arrival"] = Record.NewestAtArrival;
+  sample["tokens"] = Record.Tokens;
+  sample["text_ok"] = Record.TextMatches;
+  sample["taken"] = Record.IsAccepted;
+  sample["fault"] = toText(Record.Fault).data();
   return sample;
 }
 
@@ -86,19 +86,19 @@
   void start();
   boost::json::value truth() const override;
   boost::asio::awaitable<void> answer(const http::Request &Ask,
-                                      const Answer &To) override;
+                                      const ResponderPtr &To) override;
 
 private:
   boost::asio::awaitable<void> train();
   boost::asio::awaitable<void> publish(std::uint64_t Version);
   boost::asio::awaitable<void> sendStep(const http::Request &Ask,
-                                        const Answer &To);
+                                        const ResponderPtr &To);
   boost::asio::awaitable<void> takeDelivery(const http::Request &Ask,
-                                            const Answer &To);
+                                            const ResponderPtr &To);
   boost::json::object deliverAll(const boost::json::object &Body);
   boost::json::object stepNow() const;
   bool hasEnded() const;
-  void remember(DeliveredSample What);
+  void remember(DeliveredSample Record);
 
   const boost::asio::any_io_executor Executor;
   const TrainerSettings Settings;
@@ -125,9 +125,9 @@
 boost::asio::awaitable<void> TrainerRole::train() {
   co_await publish(Simulator.newest());
   while (!hasEnded()) {
-    while (!Simulator.whole())
+    while (!Simulator.isStepComplete())
       co_await Whole.wait();
-    co_await pause(Settings.TrainingTime);
+    co_await sleepFor(Settings.TrainingTime);
     co_await publish(Simulator.newest() + 1);
     Simulator.publish(wallMicros());
     if (!hasEnded())
@@ -147,7 +147,7 @@
         co_await Store->call(Settings.Store, std::move(ask), StoreTimeout);
     published = answer && answer->Status == Created;
     if (!published)
-      co_await pause(StorePause);
+      co_await sleepFor(StorePause);
   }
 }
 
@@ -179,7 +179,7 @@
 }
 
 boost::asio::awaitable<void> TrainerRole::sendStep(const http::Request &Ask,
-                                                   const Answer &To) {
+                                                   const ResponderPtr &To) {
   std::uint64_t after = readQuery(Ask.query("after"), "after", 0);
   std::uint64_t wait = readQuery(Ask.query("wait_ms"), "wait_ms", 0);
   TimePoint deadline = monotonicNow() + Millis(wait);
@@ -196,14 +196,14 @@
 boost::json::object TrainerRole::deliverAll(const boost::json::object &Body) {
   std::string delivery = readText(Body, "delivery");
   std::uint64_t fence = readNumber(Body, "fence");
-  // All is read before any is taken.
+  // Parses all samples before accepting any.
   std::vector<TrainerSample> samples = readSamples(Body);
   boost::json::array taken;
   boost::json::array refused;
   for (const TrainerSample &it : samples) {
     DeliveredSample record =
         Simulator.deliver(delivery, fence, it, wallMicros());
-    if (record.Taken) {
+    if (record.IsAccepted) {
       taken.emplace_back(it.Slot);
     } else {
       refused.push_back(
@@ -211,18 +211,18 @@
     }
     remember(std::move(record));
   }
-  if (Simulator.whole())
+  if (Simulator.isStepComplete())
     Whole.notify();
   boost::json::object answer;
   answer["newest"] = Simulator.newest();
   answer["taken"] = std::move(taken);
   answer["refused"] = std::move(refused);
-  answer["step_whole"] = Simulator.whole();
+  answer["step_whole"] = Simulator.isStepComplete();
   return answer;
 }
 
 boost::asio::awaitable<void> TrainerRole::takeDelivery(const http::Request &Ask,
-                                                       const Answer &To) {
+                                                       const ResponderPtr &To) {
   boost::json::object body = readObject(Ask.Body);
   readSamples(body);
   if (Simulator.rejectsFencingToken(readNumber(body, "fence"))) {
@@ -232,15 +232,15 @@
     co_return;
   }
   boost::json::object answer = deliverAll(body);
-  if (InjectedFaults.takeOne("lose_answers")) {
+  if (InjectedFaults.consumeOne("lose_answers")) {
     To->abort();
     co_return;
   }
   co_await sendJson(To, Ok, std::move(answer));
 }
 
-void TrainerRole::remember(DeliveredSample What) {
-  Records.push_back(std::move(What));
+void TrainerRole::remember(DeliveredSample Record) {
+  Records.push_back(std::move(Record));
   if (Records.size() <= MaxRecords)
     return;
   Records.pop_front();
@@ -248,7 +248,7 @@
 }
 
 boost::asio::awaitable<void> TrainerRole::answer(const http::Request &Ask,
-                                                 const Answer &To) {
+                                                 const ResponderPtr &To) {
   if (Ask.Method == "GET" && Ask.path() == "/v1/step")
     co_await sendStep(Ask, To);
   else if (Ask.Method == "POST" && Ask.path() == "/v1/deliveries")
@@ -270,7 +270,8 @@
   for (const DeliveredSample &it : Records)
     deliveries.push_back(toJson(it));
   boost::json::object refused;
-  for (const std::pair<const Refusal, std::uint64_t> &it : Simulator.refused())
+  for (const std::pair<const RejectReason, std::uint64_t> &it :
+       Simulator.refused())
     refused[toText(it.first).data()] = it.second;
   boost::json::object all;
   all["idle_us"] = Simulator.idleUs(now);
--- a/StandIns/TrainerRole.h
+++ b/StandIns/TrainerRole.h
@@ -10,15 +10,16 @@
 
 struct TrainerSettings {
   TrainerSimulator::Settings Simulator;
-  /// How long training on a whole step takes.
+  /// Duration of training on a complete step.
   Millis TrainingTime{1000};
-  /// Steps in all; 0: no end.
+  /// Maximum number of steps; 0 for no limit.
   std::uint64_t Steps = 0;
-  /// The weight store; empty: it publishes nowhere.
+  /// Address of the weight store. If empty, versions are not published to a
+  /// store.
   Address Store;
 };
 
-/// Used on the executor's thread.
+/// Creates the role. Used on the executor's thread.
 std::shared_ptr<Role>
 createTrainerRole(const boost::asio::any_io_executor &Executor,
                   const TrainerSettings &Settings);
--- a/StandIns/TrainerSimulator.cpp
+++ b/StandIns/TrainerSimulator.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// Steps are numbered from 1.
+/// Number of the first step.
 constexpr std::uint64_t FirstStep = 1;
 
-/// The step in "S/G/I"; empty when there is none.
+/// Returns the step number in "S/G/I", or nothing if the text has none.
 std::optional<std::uint64_t> stepOf(std::string_view Slot) {
   std::uint64_t step = 0;
   const char *end = Slot.data() + Slot.size();
@@ -21,38 +21,38 @@
   return step;
 }
 
-/// Groups of one step share the first part of their prompts, as those of a few
-/// examples before the question do.
-std::string promptOf(const TrainerSimulator::Settings &What, std::uint64_t Step,
-                     std::uint64_t Group) {
-  std::string prompt = "You are " + What.Name + ", trained as " + What.Model +
+/// Groups of one step share a prompt prefix, as with few-shot examples.
+std::string promptOf(const TrainerSimulator::Settings &Config,
+                     std::uint64_t Step, std::uint64_t Group) {
+  std::string prompt = "You are " + Config.Name + ", trained as " +
+                       Config.Model +
                        ". Answer briefly, say what you do not know, and keep "
                        "to the facts that the remarks below give you. ";
   prompt += "Remark " + std::to_string(Step) + "-" + std::to_string(Group) +
-            " of series " + std::to_string(What.Seed) + ":";
+            " of series " + std::to_string(Config.Seed) + ":";
   return prompt;
 }
 
-/// Fits any JSON reader's integers.
-std::uint64_t seedOf(const TrainerSimulator::Settings &What, std::uint64_t Step,
-                     std::uint64_t Group) {
+/// Keeps the seed in the integer range of any JSON reader.
+std::uint64_t seedOf(const TrainerSimulator::Settings &Config,
+                     std::uint64_t Step, std::uint64_t Group) {
   constexpr std::uint64_t Mask = 0x7fffffff;
-  std::string key = std::to_string(What.Seed) + "/" + std::to_string(Step) +
+  std::string key = std::to_string(Config.Seed) + "/" + std::to_string(Step) +
                     "/" + std::to_string(Group);
   return XXH64(key.data(), key.size(), 0) & Mask;
 }
 
 } // namespace
 
-std::string_view toText(Refusal Why) {
+std::string_view toText(RejectReason Why) {
   switch (Why) {
-  case Refusal::None:
+  case RejectReason::None:
     return "";
-  case Refusal::Stale:
+  case RejectReason::Stale:
     return "stale";
-  case Refusal::Duplicate:
+  case RejectReason::Duplicate:
     return "duplicate";
-  case Refusal::Unknown:
+  case RejectReason::Unknown:
     return "unknown";
   }
   return "";
@@ -67,20 +67,20 @@
 void TrainerSimulator::openStep(std::uint64_t NowUs) {
   std::uint64_t step = Steps.empty() ? FirstStep : Steps.back().Step + 1;
   Steps.push_back(TrainerStep{step, NowUs, 0, 0});
-  Wanted.clear();
+  RequestedGroups.clear();
   Slots.clear();
   Held.clear();
-  for (std::uint64_t group = 0; group < What.Groups; ++group) {
-    Wanted.push_back(TrainerGroup{group, promptOf(What, step, group),
-                                  What.GroupSize, What.MaxTokens,
-                                  seedOf(What, step, group)});
-    for (std::uint64_t i = 0; i < What.GroupSize; ++i)
+  for (std::uint64_t group = 0; group < Config.Groups; ++group) {
+    RequestedGroups.push_back(TrainerGroup{group, promptOf(Config, step, group),
+                                           Config.GroupSize, Config.MaxTokens,
+                                           seedOf(Config, step, group)});
+    for (std::uint64_t i = 0; i < Config.GroupSize; ++i)
       Slots[slotName(step, group, i)] = group;
   }
 }
 
 bool TrainerSimulator::rejectsFencingToken(std::uint64_t Token) {
-  if (What.ChecksFences && Token < Fence)
+  if (Config.ChecksFences && Token < Fence)
     return true;
   Fence = std::max(Fence, Token);
   return false;
@@ -98,38 +98,40 @@
   record.NewestAtArrival = Newest;
   record.Tokens = Sample.Tokens;
   record.TextMatches = matchesGeneratedText(Sample);
-  record.Fault = judge(Sample);
-  record.Taken = record.Fault == Refusal::None || !What.ChecksFences;
-  if (!record.Taken) {
+  record.Fault = findRejectReason(Sample);
+  record.IsAccepted =
+      record.Fault == RejectReason::None || !Config.ChecksFences;
+  if (!record.IsAccepted) {
     ++Refused[record.Fault];
     return record;
   }
 
-  Counts.Duplicates += record.Fault == Refusal::Duplicate ? 1 : 0;
-  Counts.Stale += record.Fault == Refusal::Stale ? 1 : 0;
-  Counts.Unknown += record.Fault == Refusal::Unknown ? 1 : 0;
+  Counts.Duplicates += record.Fault == RejectReason::Duplicate ? 1 : 0;
+  Counts.Stale += record.Fault == RejectReason::Stale ? 1 : 0;
+  Counts.Unknown += record.Fault == RejectReason::Unknown ? 1 : 0;
   Counts.Mislabelled += record.TextMatches ? 0 : 1;
   if (Slots.contains(Sample.Slot))
     Held.insert(Sample.Slot);
-  if (whole() && Steps.back().CompletedUs == 0)
+  if (isStepComplete() && Steps.back().CompletedUs == 0)
     Steps.back().CompletedUs = NowUs;
   return record;
 }
 
-Refusal TrainerSimulator::judge(const TrainerSample &Sample) const {
+RejectReason
+TrainerSimulator::findRejectReason(const TrainerSample &Sample) const {
   if (!Slots.contains(Sample.Slot)) {
-    // An earlier step was trained on whole, so each of its slots was held.
+    // All slots of earlier steps have been filled.
     std::optional<std::uint64_t> at = stepOf(Sample.Slot);
-    return at && *at >= FirstStep && *at < step() ? Refusal::Duplicate
-                                                  : Refusal::Unknown;
+    return at && *at >= FirstStep && *at < step() ? RejectReason::Duplicate
+                                                  : RejectReason::Unknown;
   }
   if (Held.contains(Sample.Slot))
-    return Refusal::Duplicate;
+    return RejectReason::Duplicate;
   for (const VersionSpan &it : Sample.Spans) {
-    if (it.Version + What.StalenessBound < Newest)
-      return Refusal::Stale;
+    if (it.Version + Config.StalenessBound < Newest)
+      return RejectReason::Stale;
   }
-  return Refusal::None;
+  return RejectReason::None;
 }
 
 bool TrainerSimulator::matchesGeneratedText(const TrainerSample &Sample) const {
@@ -139,7 +141,7 @@
     return false;
   std::uint64_t length =
       sampleLength(group->Prompt, Sample.Seed, group->MaxTokens);
-  // The bound comes first: spans may name any number of tokens.
+  // Checks the limit first, since spans may name any number of tokens.
   return Sample.Tokens == length && areContiguous(Sample.Spans, length) &&
          Sample.Text == spansText(group->Prompt, Sample.Seed, Sample.Spans);
 }
@@ -147,7 +149,7 @@
 const TrainerGroup *TrainerSimulator::findGroup(std::string_view Slot) const {
   const std::map<std::string, std::size_t, std::less<>>::const_iterator it =
       Slots.find(Slot);
-  return it == Slots.end() ? nullptr : &Wanted[it->second];
+  return it == Slots.end() ? nullptr : &RequestedGroups[it->second];
 }
 
 void TrainerSimulator::publish(std::uint64_t NowUs) {
@@ -156,7 +158,7 @@
     Steps.back().TrainedUs = NowUs;
 }
 
-bool TrainerSimulator::whole() const {
+bool TrainerSimulator::isStepComplete() const {
   return !Slots.empty() && Held.size() == Slots.size();
 }
 
--- a/StandIns/TrainerSimulator.h
+++ b/StandIns/TrainerSimulator.h
@@ -1,6 +1,7 @@
 /// \file
-/// What a trainer wants, holds and refuses, and how it judges what it is given:
-/// a function of the deliveries and the times passed in.
+/// Simulates a trainer as a function of the deliveries and times passed in: the
+/// groups that it requests, the samples that it accepts and those that it
+/// rejects.
 #ifndef WASABI_STANDINS_TRAINERSIMULATOR_H
 #define WASABI_STANDINS_TRAINERSIMULATOR_H
 
@@ -16,7 +17,7 @@
 
 namespace wasabi::standins {
 
-/// Samples of one prompt.
+/// A request for samples of one prompt.
 struct TrainerGroup {
   std::uint64_t Group = 0;
   std::string Prompt;
@@ -35,11 +36,11 @@
   std::uint64_t Seed = 0;
 };
 
-/// Why a sample is not wanted.
-enum class Refusal : std::uint8_t { None, Stale, Duplicate, Unknown };
+/// Reason for rejecting a sample.
+enum class RejectReason : std::uint8_t { None, Stale, Duplicate, Unknown };
 
-/// The word for it on the wire; empty for `None`. Thread-safe.
-std::string_view toText(Refusal Why);
+/// Returns the name of the reason on the wire; empty for `None`. Thread-safe.
+std::string_view toText(RejectReason Why);
 
 /// The record of one delivered sample.
 struct DeliveredSample {
@@ -49,14 +50,14 @@
   std::vector<VersionSpan> Spans;
   std::uint64_t NewestAtArrival = 0;
   std::uint64_t Tokens = 0;
-  /// Whether the text is what the engines generate for the spans.
+  /// True if the text is the one that engines generate for the spans.
   bool TextMatches = false;
-  /// What is wrong with the sample, whether or not it was taken.
-  Refusal Fault = Refusal::None;
-  bool Taken = false;
+  /// The fault of the sample, also if it was accepted.
+  RejectReason Fault = RejectReason::None;
+  bool IsAccepted = false;
 };
 
-/// The times of one step, in wall microseconds; 0 while not yet.
+/// Times of one step in wall-clock microseconds; 0 if not reached yet.
 struct TrainerStep {
   std::uint64_t Step = 0;
   std::uint64_t OpenedUs = 0;
@@ -64,17 +65,17 @@
   std::uint64_t TrainedUs = 0;
 };
 
-/// Samples taken that break a promise.
+/// Accepted samples that violate a guarantee.
 struct TrainerCounts {
   std::uint64_t Duplicates = 0;
   std::uint64_t Stale = 0;
   std::uint64_t Mislabelled = 0;
-  /// Taken for slots that were never asked for.
+  /// Accepted for slots that were never requested.
   std::uint64_t Unknown = 0;
   bool operator==(const TrainerCounts &) const = default;
 };
 
-/// Not thread-safe.
+/// State of a simulated trainer. Not thread-safe.
 class TrainerSimulator {
 public:
   struct Settings {
@@ -83,64 +84,67 @@
     std::uint64_t Groups = 4;
     std::uint64_t GroupSize = 4;
     std::uint64_t MaxTokens = 64;
-    /// Versions that a sample may be behind the newest published one.
+    /// Maximum number of versions that a sample may lag the newest published
+    /// one.
     std::uint64_t StalenessBound = 2;
-    /// Whether it refuses what is stale, duplicate or unknown, and old fences;
-    /// one that does not takes whatever it is given.
+    /// True if the trainer rejects stale, duplicate and unknown samples and old
+    /// fencing tokens. Otherwise it accepts every sample.
     bool ChecksFences = true;
-    /// The newest version at start.
+    /// Newest version at start.
     std::uint64_t Version = 1;
     std::uint64_t Seed = 1;
   };
 
-  explicit TrainerSimulator(Settings What)
-      : What(std::move(What)), Newest(this->What.Version) {}
+  explicit TrainerSimulator(Settings Config)
+      : Config(std::move(Config)), Newest(this->Config.Version) {}
 
-  /// Opens the next step. Precondition: none is open.
+  /// Opens the next step. Precondition: no step is open.
   void openStep(std::uint64_t NowUs);
-  /// Whether the authority is too old; notes a newer one.
+  /// Returns true if the fencing token is too old. Records a newer one.
   bool rejectsFencingToken(std::uint64_t Token);
-  /// Judges one sample, and takes it unless it is refused.
+  /// Checks one sample and accepts it unless it is rejected.
   DeliveredSample deliver(std::string_view Delivery, std::uint64_t Fence,
                           const TrainerSample &Sample, std::uint64_t NowUs);
-  /// The step has been trained on, and the next version is there.
+  /// Ends the training of the step and publishes the next version.
   void publish(std::uint64_t NowUs);
 
-  const std::vector<TrainerGroup> &groups() const { return Wanted; }
+  const std::vector<TrainerGroup> &groups() const { return RequestedGroups; }
   std::uint64_t step() const { return Steps.empty() ? 0 : Steps.back().Step; }
   const std::deque<TrainerStep> &steps() const { return Steps; }
-  /// Whether all slots of the open step are held.
-  bool whole() const;
-  /// The held slots of the newest step.
+  /// Returns true if all slots of the open step are filled.
+  bool isStepComplete() const;
+  /// Returns the filled slots of the newest step.
   const std::set<std::string> &held() const { return Held; }
   std::uint64_t newest() const { return Newest; }
   std::uint64_t fence() const { return Fence; }
   const TrainerCounts &counts() const { return Counts; }
-  const std::map<Refusal, std::uint64_t> &refused() const { return Refused; }
-  /// Time that a step was open and not whole.
+  const std::map<RejectReason, std::uint64_t> &refused() const {
+    return Refused;
+  }
+  /// Returns the time during which a step was open and incomplete.
   std::uint64_t idleUs(std::uint64_t NowUs) const;
-  /// Time from a step being whole to the next version.
+  /// Returns the time from the completion of steps to the next version.
   std::uint64_t trainingUs(std::uint64_t NowUs) const;
-  const Settings &settings() const { return What; }
+  const Settings &settings() const { return Config; }
 
 private:
-  Refusal judge(const TrainerSample &Sample) const;
+  RejectReason findRejectReason(const TrainerSample &Sample) const;
   bool matchesGeneratedText(const TrainerSample &Sample) const;
   const TrainerGroup *findGroup(std::string_view Slot) const;
 
-  const Settings What;
+  const Settings Config;
   std::uint64_t Newest;
   std::uint64_t Fence = 0;
-  std::vector<TrainerGroup> Wanted;
-  /// Slots of the newest step, and which group each is in.
+  std::vector<TrainerGroup> RequestedGroups;
+  /// Slots of the newest step, with the index of their group.
   std::map<std::string, std::size_t, std::less<>> Slots;
   std::set<std::string> Held;
   std::deque<TrainerStep> Steps;
   TrainerCounts Counts;
-  std::map<Refusal, std::uint64_t> Refused;
+  std::map<RejectReason, std::uint64_t> Refused;
 };
 
-/// "S/G/I".
+/// Returns the slot name "S/G/I".
 std::string slotName(std::uint64_t Step, std::uint64_t Group,
                      std::uint64_t Index);
 
--- a/StandIns/WeightsRole.cpp
+++ b/StandIns/WeightsRole.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// How often the shared rate is handed out.
+/// Interval at which the shared bandwidth is distributed.
 constexpr Millis Tick{5};
 constexpr std::size_t MaxFetchRecords = 100000;
 
@@ -37,10 +37,10 @@
   std::uint64_t AtUs = 0;
 };
 
-/// The parts of "/v1/models/NAME/versions[/V/blob]".
+/// The components of "/v1/models/NAME/versions[/V/blob]".
 struct VersionPath {
   std::string Model;
-  /// Empty for the list of versions.
+  /// Empty if the path names the list of versions.
   std::string Version;
   bool Valid = false;
 };
@@ -76,14 +76,17 @@
 
   boost::json::value truth() const override;
   boost::asio::awaitable<void> answer(const http::Request &Ask,
-                                      const Answer &To) override;
+                                      const ResponderPtr &To) override;
 
 private:
-  boost::asio::awaitable<void>
-  publish(const std::string &Name, const http::Request &Ask, const Answer &To);
+  boost::asio::awaitable<void> publish(const std::string &Name,
+                                       const http::Request &Ask,
+                                       const ResponderPtr &To);
   boost::asio::awaitable<void> list(const std::string &Name,
-                                    const http::Request &Ask, const Answer &To);
-  boost::asio::awaitable<void> fetch(const VersionPath &What, const Answer &To);
+                                    const http::Request &Ask,
+                                    const ResponderPtr &To);
+  boost::asio::awaitable<void> fetch(const VersionPath &What,
+                                     const ResponderPtr &To);
   boost::asio::awaitable<void> serveFetches();
 
   const boost::asio::any_io_executor Executor;
@@ -94,7 +97,7 @@
   std::set<std::shared_ptr<Fetch>> Running;
   bool Serving = false;
   Signal Changed;
-  /// Told after each tick of the running fetches.
+  /// Notified after each tick of the running fetches.
   Signal Progress;
 };
 
@@ -119,7 +122,7 @@
 }
 
 boost::asio::awaitable<void> WeightsRole::answer(const http::Request &Ask,
-                                                 const Answer &To) {
+                                                 const ResponderPtr &To) {
   VersionPath what = parsePath(Ask.path());
   if (!what.Valid)
     co_await sendError(To, NotFound, "no such path");
@@ -133,7 +136,7 @@
 
 boost::asio::awaitable<void> WeightsRole::publish(const std::string &Name,
                                                   const http::Request &Ask,
-                                                  const Answer &To) {
+                                                  const ResponderPtr &To) {
   std::uint64_t version = readNumber(readObject(Ask.Body), "version");
   Model &model = Models[Name];
   // Publishing again is idempotent.
@@ -148,7 +151,7 @@
 
 boost::asio::awaitable<void> WeightsRole::list(const std::string &Name,
                                                const http::Request &Ask,
-                                               const Answer &To) {
+                                               const ResponderPtr &To) {
   std::uint64_t after = readQuery(Ask.query("after"), "after", 0);
   std::uint64_t wait = readQuery(Ask.query("wait_ms"), "wait_ms", 0);
   TimePoint deadline = monotonicNow() + Millis(wait);
@@ -166,13 +169,13 @@
 }
 
 boost::asio::awaitable<void> WeightsRole::fetch(const VersionPath &What,
-                                                const Answer &To) {
+                                                const ResponderPtr &To) {
   std::uint64_t version = readQuery(What.Version, "version", 0);
   if (version > Models[What.Model].Newest) {
     co_await sendError(To, NotFound, "no such version");
     co_return;
   }
-  if (Running.size() >= Settings.Fetches) {
+  if (Running.size() >= Settings.MaxFetches) {
     co_await sendError(To, TooManyRequests, "too many fetches", 1);
     co_return;
   }
@@ -208,7 +211,7 @@
   constexpr double MicrosPerSecond = 1e6;
   TimePoint last = monotonicNow();
   while (!Running.empty()) {
-    co_await pause(Tick);
+    co_await sleepFor(Tick);
     TimePoint now = monotonicNow();
     double seconds =
         static_cast<double>((now - last).count()) / MicrosPerSecond;
--- a/StandIns/WeightsRole.h
+++ b/StandIns/WeightsRole.h
@@ -8,15 +8,15 @@
 namespace wasabi::standins {
 
 struct WeightsSettings {
-  /// Shared between all running fetches.
+  /// Bandwidth shared by all running fetches.
   std::uint64_t BytesPerSecond = 1000000000;
-  /// Size of each version.
+  /// Size of each version in bytes.
   std::uint64_t BlobBytes = 100000000;
-  /// Most fetches at once.
-  std::uint64_t Fetches = 64;
+  /// Maximum number of concurrent fetches.
+  std::uint64_t MaxFetches = 64;
 };
 
-/// Used on the executor's thread.
+/// Creates the role. Used on the executor's thread.
 std::shared_ptr<Role>
 createWeightsRole(const boost::asio::any_io_executor &Executor,
                   const WeightsSettings &Settings);
--- a/UnitTests/Fuzz/ControlMutationTest.cpp
+++ b/UnitTests/Fuzz/ControlMutationTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Damaged control frames: what the verifier lets through is read or refused.
+/// Damaged control frames that pass the verifier are read or rejected without a
+/// crash.
 #include "UnitTests/Fuzz/Mutation.h"
 #include "Wasabi/Adapters/Frames/Generated/Wire_generated.h"
 #include "Wasabi/Node/ControlMessage.h"
@@ -46,6 +47,6 @@
     if (!read)
       CHECK_FALSE(read.failure().Reason.empty());
   }
-  // The damage must get past the verifier to say anything.
+  // Requires that some damaged frames pass the verifier.
   CHECK(verified > Rounds / 100);
 }
--- a/UnitTests/Fuzz/Mutation.h
+++ b/UnitTests/Fuzz/Mutation.h
@@ -1,5 +1,5 @@
 /// \file
-/// Seeded random damage to a text, for tests of parsers.
+/// Seeded random mutation of texts for parser tests.
 #ifndef WASABI_UNITTESTS_FUZZ_MUTATION_H
 #define WASABI_UNITTESTS_FUZZ_MUTATION_H
 
@@ -10,8 +10,8 @@
 
 namespace wasabi::fuzz {
 
-/// Damages `Text` in one to four places: a flipped bit, another byte, a piece
-/// removed, doubled or cut off, or a digit made large.
+/// Mutates `Text` in one to four places: flips a bit, replaces a byte, removes,
+/// duplicates or truncates a part, or enlarges a digit.
 inline std::string mutate(std::string Text, std::mt19937_64 &Engine) {
   constexpr std::uint64_t MostChanges = 4;
   constexpr std::uint64_t LongestPiece = 16;
--- a/UnitTests/Fuzz/SocketMutationTest.cpp
+++ b/UnitTests/Fuzz/SocketMutationTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Damaged HTTP requests and frames on real sockets: the server refuses or
-/// drops them, and serves the next good one.
+/// Sends damaged HTTP requests and frames over real sockets. The server must
+/// reject or drop them and serve the next valid one.
 #include "UnitTests/Fuzz/Mutation.h"
 #include "Wasabi/Adapters/Frames/RequestFrames.h"
 #include "Wasabi/Adapters/Frames/RequestServer.h"
@@ -24,7 +24,7 @@
 constexpr int Rounds = 300;
 constexpr std::uint64_t Seed = 77;
 
-/// Runs a context on a thread for as long as it lives.
+/// Runs a context on its own thread until destroyed.
 class Runner {
 public:
   Runner() : Work(Context.get_executor()) {}
@@ -61,7 +61,7 @@
   return answer;
 }
 
-/// Sends bytes and reads until `mark` came, or the end.
+/// Sends bytes and reads until `mark` arrives or the stream ends.
 std::string answerWith(const Address &where, const std::string &bytes,
                        const std::string &mark) {
   asio::io_context context;
@@ -138,7 +138,7 @@
   std::mt19937_64 engine(Seed);
   for (int n = 0; n < Rounds; ++n)
     exchange((*server)->address(), fuzz::mutate(good, engine));
-  // A good connection's request is still answered, beyond the greeting.
+  // A valid connection gets a response to its request after the greeting.
   const std::string request =
       prefixed(frames::hello(InstanceName("e"), DomainName("d"), 1)) +
       prefixed(frames::request(1, goodAttempt(), 1000));
--- a/UnitTests/Fuzz/TextMutationTest.cpp
+++ b/UnitTests/Fuzz/TextMutationTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Damaged records, declarations, traces and outcomes: each is either read or
-/// refused with a place and a reason; none harms the process.
+/// Damaged records, declarations, traces and outcomes are read, or rejected
+/// with a position and a reason, without a crash.
 #include "UnitTests/Fuzz/Mutation.h"
 #include "Wasabi/Config/Configuration.h"
 #include "Wasabi/Replay/Trace.h"
@@ -17,7 +17,8 @@
 constexpr int Rounds = 4000;
 constexpr std::uint64_t Seed = 20260812;
 
-/// A refusal says where and why, and that nothing ran.
+/// Checks that a rejection names the position and the reason and states that
+/// nothing ran.
 void checkRefusal(const Failure &why) {
   CHECK(why.Run == Verdict::NotRun);
   CHECK_FALSE(why.Place.empty());
--- a/UnitTests/StandIns/FaultProxyTests.cpp
+++ b/UnitTests/StandIns/FaultProxyTests.cpp
@@ -8,13 +8,14 @@
 
 constexpr Millis Patience{10000};
 
-/// A proxy before a server that counts its runs.
+/// A proxy in front of a server that counts its runs.
 struct ProxyFixture : http::HttpFixture {
   std::shared_ptr<FaultProxy> Proxy;
   unsigned Runs = 0;
 
   ProxyFixture() {
-    serve([this](http::Request Ask, Answer To) -> boost::asio::awaitable<void> {
+    serve([this](http::Request Ask,
+                 ResponderPtr To) -> boost::asio::awaitable<void> {
       ++Runs;
       co_await http::echo(std::move(Ask), std::move(To));
     });
--- a/UnitTests/StandIns/TrainerSimulatorTests.cpp
+++ b/UnitTests/StandIns/TrainerSimulatorTests.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// A right sample for a slot of group `Group`, all of it made on `Version`.
+/// Makes a valid sample for a slot of group `Group`, generated on `Version`.
 TrainerSample sampleFor(const TrainerSimulator &Simulator, std::size_t Group,
                         std::uint64_t Index, std::uint64_t Version) {
   const TrainerGroup &group = Simulator.groups().at(Group);
@@ -44,12 +44,12 @@
   TrainerSimulator book = bookOf(true);
   CHECK(book.idleUs(130) == 30);
   fill(book, 1, 150);
-  CHECK(book.whole());
+  CHECK(book.isStepComplete());
   CHECK(book.idleUs(400) == 50);
   CHECK(book.trainingUs(160) == 10);
   DeliveredSample again = book.deliver("d", 1, sampleFor(book, 0, 0, 1), 160);
-  CHECK(again.Fault == Refusal::Duplicate);
-  CHECK_FALSE(again.Taken);
+  CHECK(again.Fault == RejectReason::Duplicate);
+  CHECK_FALSE(again.IsAccepted);
 
   std::string old = slotName(1, 0, 0);
   book.publish(170);
@@ -57,11 +57,11 @@
   CHECK(book.newest() == 2);
   TrainerSample late = sampleFor(book, 0, 0, 2);
   late.Slot = old;
-  CHECK(book.deliver("d", 1, late, 180).Fault == Refusal::Duplicate);
+  CHECK(book.deliver("d", 1, late, 180).Fault == RejectReason::Duplicate);
   late.Slot = "9/0/0";
-  CHECK(book.deliver("d", 1, late, 180).Fault == Refusal::Unknown);
+  CHECK(book.deliver("d", 1, late, 180).Fault == RejectReason::Unknown);
   late.Slot = "2/0/7";
-  CHECK(book.deliver("d", 1, late, 180).Fault == Refusal::Unknown);
+  CHECK(book.deliver("d", 1, late, 180).Fault == RejectReason::Unknown);
   CHECK(book.held().empty());
   CHECK(book.counts() == TrainerCounts{});
 }
@@ -71,30 +71,30 @@
   book.publish(0);
   book.publish(0);
   CHECK(book.newest() == 3);
-  CHECK(book.deliver("d", 1, sampleFor(book, 0, 0, 2), 1).Taken);
+  CHECK(book.deliver("d", 1, sampleFor(book, 0, 0, 2), 1).IsAccepted);
   TrainerSample mixed = sampleFor(book, 0, 1, 3);
   mixed.Spans = {VersionSpan{0, 1, 1}, VersionSpan{1, mixed.Tokens, 3}};
-  CHECK(book.deliver("d", 1, mixed, 1).Fault == Refusal::Stale);
+  CHECK(book.deliver("d", 1, mixed, 1).Fault == RejectReason::Stale);
 }
 
 TEST_CASE("A label that does not give the text is counted", "[standins]") {
   TrainerSimulator book = bookOf(true);
   TrainerSample right = sampleFor(book, 0, 0, 1);
   TrainerSample wrong = right;
-  // The version is not the one that made the text.
+  // The labelled version did not generate the text.
   wrong.Spans[0].Version = 2;
   CHECK_FALSE(book.deliver("d", 1, wrong, 1).TextMatches);
-  // Cut short, with a label that fits what is there.
+  // The text is truncated, with a label that matches the rest.
   wrong = sampleFor(book, 0, 1, 1);
   wrong.Tokens -= 1;
   wrong.Spans[0].To -= 1;
   wrong.Text.resize(wrong.Text.size() - TokenBytes);
   CHECK_FALSE(book.deliver("d", 1, wrong, 1).TextMatches);
-  // A gap between the spans.
+  // The spans have a gap.
   wrong = sampleFor(book, 1, 0, 1);
   wrong.Spans[0].From = 1;
   CHECK_FALSE(book.deliver("d", 1, wrong, 1).TextMatches);
-  // Another prompt's answer.
+  // The text belongs to another prompt.
   wrong = sampleFor(book, 0, 1, 1);
   wrong.Slot = slotName(1, 1, 1);
   CHECK_FALSE(book.deliver("d", 1, wrong, 1).TextMatches);
@@ -110,8 +110,8 @@
   book.publish(0);
   book.publish(0);
   TrainerSample old = sampleFor(book, 0, 0, 1);
-  CHECK(book.deliver("d", 1, old, 1).Taken);
-  CHECK(book.deliver("d", 1, old, 1).Taken);
+  CHECK(book.deliver("d", 1, old, 1).IsAccepted);
+  CHECK(book.deliver("d", 1, old, 1).IsAccepted);
   CHECK(book.counts().Stale == 1);
   CHECK(book.counts().Duplicates == 1);
   CHECK_FALSE(book.rejectsFencingToken(5));
