--- a/Bench/CapacityBench.cpp
+++ b/Bench/CapacityBench.cpp
@@ -42,15 +42,15 @@
   std::vector<Point> Points;
 };
 
-void reportLine(const Row &What) {
-  if (What.Points.size() < 3) {
-    logProgress("capacity: " + What.Metric + " has too few points for a line");
+void reportLine(const Row &Line) {
+  if (Line.Points.size() < 3) {
+    logProgress("capacity: " + Line.Metric + " has too few points for a line");
     return;
   }
-  LineFit fit = fitLine(What.Points);
-  report({"capacity", "slope_" + What.Metric, fit.Slope, What.Unit, {}});
-  report({"capacity", "base_" + What.Metric, fit.Base, What.Unit, {}});
-  report({"capacity", "residual_" + What.Metric, fit.Residual, What.Unit, {}});
+  LineFit fit = fitLine(Line.Points);
+  report({"capacity", "slope_" + Line.Metric, fit.Slope, Line.Unit, {}});
+  report({"capacity", "base_" + Line.Metric, fit.Base, Line.Unit, {}});
+  report({"capacity", "residual_" + Line.Metric, fit.Residual, Line.Unit, {}});
 }
 
 // ---- members: what each daemon pays for the others ----
--- a/Bench/Fleet.cpp
+++ b/Bench/Fleet.cpp
@@ -57,9 +57,9 @@
       BOOST_LEAF_ASSIGN(it.Admin, it.Child->waitForAddress("admin"));
     }
   }
-  bool whole = harness::waitUntil(
+  bool ready = harness::waitUntil(
       [&] { return fleet->allDaemonsSeeEachOther(); }, ReadyLimit);
-  if (!whole)
+  if (!ready)
     return boost::leaf::new_error(
         Failure{Verdict::NotRun,
                 FailureCode::Unavailable,
@@ -136,23 +136,24 @@
   return wallMicros();
 }
 
-std::optional<boost::json::value> fetchStatus(const FleetDaemon &Who) {
-  Outcome<boost::json::value> status = harness::getJson(Who.Admin, "/status");
+std::optional<boost::json::value> fetchStatus(const FleetDaemon &Daemon) {
+  Outcome<boost::json::value> status =
+      harness::getJson(Daemon.Admin, "/status");
   if (!status)
     return std::nullopt;
   return *status;
 }
 
-std::vector<TimelineEvent> fetchTimeline(const FleetDaemon &Who) {
+std::vector<TimelineEvent> fetchTimeline(const FleetDaemon &Daemon) {
   std::vector<TimelineEvent> events;
   Outcome<boost::json::value> page =
-      harness::getJson(Who.Admin, "/timeline?from=0");
+      harness::getJson(Daemon.Admin, "/timeline?from=0");
   if (!page)
     return events;
   for (const boost::json::value &it : page->at("events").as_array()) {
     TimelineEvent event;
     event.At.Wall = it.at("wall").to_number<std::uint64_t>();
-    event.Instance = Who.Instance;
+    event.Instance = Daemon.Instance;
     event.Kind = std::string(it.at("kind").as_string());
     for (const boost::json::key_value_pair &field : it.at("fields").as_object())
       event.Fields.push_back(EventField{
--- a/Bench/Fleet.h
+++ b/Bench/Fleet.h
@@ -54,10 +54,10 @@
 };
 
 /// Returns the daemon's `/status`, or nothing if it does not answer.
-std::optional<boost::json::value> fetchStatus(const FleetDaemon &Who);
+std::optional<boost::json::value> fetchStatus(const FleetDaemon &Daemon);
 
 /// Returns the daemon's timeline, empty if it does not answer.
-std::vector<TimelineEvent> fetchTimeline(const FleetDaemon &Who);
+std::vector<TimelineEvent> fetchTimeline(const FleetDaemon &Daemon);
 
 } // namespace wasabi::bench
 
--- a/Bench/FoldBench.cpp
+++ b/Bench/FoldBench.cpp
@@ -124,12 +124,12 @@
 }
 
 /// Rejections by one rule over one sequence of changes.
-struct Refusals {
+struct Rejections {
   std::size_t Changes = 0;
-  std::size_t Refused = 0;
+  std::size_t Rejected = 0;
   /// Rejected although no accepted change since the base edited the same
   /// member.
-  std::size_t Needless = 0;
+  std::size_t Unnecessary = 0;
 };
 
 /// Records the changes that a rule has accepted, to detect unnecessary
@@ -139,46 +139,47 @@
   std::vector<Edit> Edits;
 };
 
-bool editsSame(const std::vector<AcceptedEdits> &Accepted, const Change &What) {
+bool editsSameMember(const std::vector<AcceptedEdits> &Accepted,
+                     const Change &Candidate) {
   for (auto it = Accepted.rbegin();
-       it != Accepted.rend() && it->At >= What.ReadAt; ++it)
+       it != Accepted.rend() && it->At >= Candidate.ReadAt; ++it)
     for (const Edit &edit : it->Edits)
-      if (std::find(What.Edits.begin(), What.Edits.end(), edit) !=
-          What.Edits.end())
+      if (std::find(Candidate.Edits.begin(), Candidate.Edits.end(), edit) !=
+          Candidate.Edits.end())
         return true;
   return false;
 }
 
 /// Records the outcome of a change.
-void judge(Refusals &Into, std::vector<AcceptedEdits> &Accepted,
-           const Change &What, bool Taken) {
+void recordOutcome(Rejections &Into, std::vector<AcceptedEdits> &Accepted,
+                   const Change &Candidate, bool IsAccepted) {
   ++Into.Changes;
-  if (Taken) {
-    Accepted.push_back({What.SentAt, What.Edits});
+  if (IsAccepted) {
+    Accepted.push_back({Candidate.SentAt, Candidate.Edits});
     return;
   }
-  ++Into.Refused;
-  if (!editsSame(Accepted, What))
-    ++Into.Needless;
+  ++Into.Rejected;
+  if (!editsSameMember(Accepted, Candidate))
+    ++Into.Unnecessary;
 }
 
 /// Baseline: one version for the whole document.
-Refusals runWholeVersion(const std::vector<Change> &Changes) {
-  Refusals out;
+Rejections runDocumentVersion(const std::vector<Change> &Changes) {
+  Rejections out;
   std::vector<AcceptedEdits> accepted;
   for (const Change &it : Changes) {
     bool taken = accepted.empty() || accepted.back().At < it.ReadAt;
-    judge(out, accepted, it, taken);
+    recordOutcome(out, accepted, it, taken);
   }
   return out;
 }
 
 /// The product's rule: the fold detects conflicts by sets of keys.
-Refusals runFold(const std::vector<Change> &Changes) {
+Rejections runFold(const std::vector<Change> &Changes) {
   FoldState state;
   World world(Objects);
   std::vector<std::pair<double, Offset>> ends;
-  Refusals out;
+  Rejections out;
   std::vector<AcceptedEdits> accepted;
   std::uint64_t sequence = 0;
   for (const Change &it : Changes) {
@@ -201,38 +202,38 @@
     if (taken)
       world = std::move(wanted);
     ends.emplace_back(it.SentAt, state.Next);
-    judge(out, accepted, it, taken);
+    recordOutcome(out, accepted, it, taken);
   }
   return out;
 }
 
-void add(Refusals &Into, const Refusals &What) {
-  Into.Changes += What.Changes;
-  Into.Refused += What.Refused;
-  Into.Needless += What.Needless;
+void add(Rejections &Into, const Rejections &Other) {
+  Into.Changes += Other.Changes;
+  Into.Rejected += Other.Rejected;
+  Into.Unnecessary += Other.Unnecessary;
 }
 
-double share(std::size_t Part, std::size_t Whole) {
-  return Whole == 0 ? 0
-                    : static_cast<double>(Part) / static_cast<double>(Whole);
+double share(std::size_t Part, std::size_t Total) {
+  return Total == 0 ? 0
+                    : static_cast<double>(Part) / static_cast<double>(Total);
 }
 
 /// Runs one case several times with different seeds under both rules.
 void measureConflicts(const std::string &Case, int Draws, int Count,
                       double Seconds, double Lag) {
   std::mt19937_64 random(Seed);
-  Refusals fold;
-  Refusals whole;
+  Rejections fold;
+  Rejections byDocument;
   for (int i = 0; i < Draws; ++i) {
     std::vector<Change> changes = drawChanges(Count, Seconds, Lag, random);
     add(fold, runFold(changes));
-    add(whole, runWholeVersion(changes));
+    add(byDocument, runDocumentVersion(changes));
   }
   report({"state", "false_conflict_share_" + Case,
-          share(fold.Needless, fold.Changes), "share",
-          share(whole.Needless, whole.Changes)});
-  report({"state", "refused_share_" + Case, share(fold.Refused, fold.Changes),
-          "share", share(whole.Refused, whole.Changes)});
+          share(fold.Unnecessary, fold.Changes), "share",
+          share(byDocument.Unnecessary, byDocument.Changes)});
+  report({"state", "refused_share_" + Case, share(fold.Rejected, fold.Changes),
+          "share", share(byDocument.Rejected, byDocument.Changes)});
 }
 
 /// One day of the control stream and the state at its end.
@@ -314,16 +315,16 @@
 
 /// Measures the time to rebuild the state from all records and from the newest
 /// snapshot.
-void measureStart(const Day &What) {
+void measureStart(const Day &Stream) {
   TimePoint start = monotonicNow();
   FoldState replayed;
-  for (const LogEntry &it : What.Log)
+  for (const LogEntry &it : Stream.Log)
     apply(replayed, it.At, it.Text);
   double replay = millisSince(start);
 
-  std::vector<LogEntry> kept(What.Log.begin() +
-                                 static_cast<std::ptrdiff_t>(What.SnapshotAt),
-                             What.Log.end());
+  std::vector<LogEntry> kept(Stream.Log.begin() +
+                                 static_cast<std::ptrdiff_t>(Stream.SnapshotAt),
+                             Stream.Log.end());
   start = monotonicNow();
   Outcome<FoldState> recovered =
       toOutcome<FoldState>([&] { return recoverState(kept); });
@@ -335,15 +336,15 @@
   report({"state", "startup_states_differ", same ? 0.0 : 1.0, "count",
           std::nullopt});
   report({"state", "snapshot_record_bytes",
-          static_cast<double>(What.Log[What.SnapshotAt].Text.size()), "bytes",
-          std::nullopt});
+          static_cast<double>(Stream.Log[Stream.SnapshotAt].Text.size()),
+          "bytes", std::nullopt});
 }
 
 /// Measures the time to apply one more change and one more renewal to the state
 /// after a day.
-void measureApply(const Day &What) {
+void measureApply(const Day &Stream) {
   constexpr int Rounds = 2000;
-  FoldState state = What.State;
+  FoldState state = Stream.State;
   World world(Objects);
   std::vector<std::string> changes;
   std::vector<std::string> renewals;
--- a/Bench/LoadRun.cpp
+++ b/Bench/LoadRun.cpp
@@ -37,7 +37,7 @@
   std::vector<CallResult> run() {
     Began = monotonicNow();
     for (const ScheduledAction &it : Plan.ScheduledActions)
-      spawn(cause(it));
+      spawn(runAction(it));
     if (Plan.Rate > 0)
       spawn(arrive());
     else
@@ -50,19 +50,19 @@
 private:
   /// The context ends with the last coroutine; idle connections do not keep it
   /// running.
-  void spawn(asio::awaitable<void> What) {
+  void spawn(asio::awaitable<void> Body) {
     ++Alive;
-    asio::co_spawn(Context, std::move(What),
+    asio::co_spawn(Context, std::move(Body),
                    [this](const std::exception_ptr &) {
                      if (--Alive == 0)
                        Context.stop();
                    });
   }
 
-  asio::awaitable<void> cause(ScheduledAction What) {
-    BootTimer timer(Context, Began + What.At);
+  asio::awaitable<void> runAction(ScheduledAction Scheduled) {
+    BootTimer timer(Context, Began + Scheduled.At);
     co_await timer.async_wait(Awaited);
-    What.Action();
+    Scheduled.Action();
   }
 
   asio::awaitable<void> arrive() {
--- a/Bench/Report.cpp
+++ b/Bench/Report.cpp
@@ -7,16 +7,16 @@
 
 namespace wasabi::bench {
 
-void report(const Measurement &What) {
+void report(const Measurement &Result) {
   boost::json::object line;
-  line["bench"] = What.Bench;
-  line["metric"] = What.Metric;
-  line["value"] = What.Value;
-  line["unit"] = What.Unit;
-  if (What.Baseline) {
-    line["baseline"] = *What.Baseline;
-    if (*What.Baseline != 0)
-      line["ratio"] = What.Value / *What.Baseline;
+  line["bench"] = Result.Bench;
+  line["metric"] = Result.Metric;
+  line["value"] = Result.Value;
+  line["unit"] = Result.Unit;
+  if (Result.Baseline) {
+    line["baseline"] = *Result.Baseline;
+    if (*Result.Baseline != 0)
+      line["ratio"] = Result.Value / *Result.Baseline;
   }
   std::string text = boost::json::serialize(line) + "\n";
   std::fputs(text.c_str(), stdout);
--- a/Bench/Report.h
+++ b/Bench/Report.h
@@ -22,7 +22,7 @@
 
 /// Prints a result, with `ratio` = value / baseline if there is a baseline.
 /// Thread-safe.
-void report(const Measurement &What);
+void report(const Measurement &Result);
 
 /// Prints a progress message on stderr. Thread-safe.
 void logProgress(const std::string &Text);
--- a/Bench/RequestEngines.cpp
+++ b/Bench/RequestEngines.cpp
@@ -102,9 +102,9 @@
   std::string Prompt;
 };
 
-std::vector<Started> startedAt(const FleetUpstream &Who) {
+std::vector<Started> fetchStartTimes(const FleetUpstream &Upstream) {
   std::vector<Started> all;
-  Outcome<boost::json::value> truth = Who.StandIn->truth();
+  Outcome<boost::json::value> truth = Upstream.StandIn->truth();
   if (!truth)
     return all;
   for (const boost::json::value &it : truth->at("completions").as_array())
@@ -127,7 +127,7 @@
   double calls = 0;
   for (const FleetUpstream &it : Fleet.upstreams()) {
     HeldPrefixes held(CacheEntries);
-    for (const Started &one : startedAt(it)) {
+    for (const Started &one : fetchStartTimes(it)) {
       bool hit = held.use(one.Prompt);
       if (!one.Request.starts_with(Load))
         continue;
--- a/Bench/RequestFleet.cpp
+++ b/Bench/RequestFleet.cpp
@@ -23,9 +23,9 @@
   return "--" + std::string(Name) + "=" + toText(Where);
 }
 
-boost::leaf::error_id notUp(std::string What) {
+boost::leaf::error_id makeNotStarted(std::string Name) {
   return boost::leaf::new_error(Failure{
-      Verdict::NotRun, FailureCode::Unavailable, "fleet", std::move(What), {}});
+      Verdict::NotRun, FailureCode::Unavailable, "fleet", std::move(Name), {}});
 }
 
 /// Makes the service's declaration with placements in the upstreams' failure
@@ -78,8 +78,8 @@
   }
 }
 
-double cpuOf(const harness::Process &Who) {
-  std::optional<ProcessUsage> usage = readProcessUsage(Who.pid());
+double readCpuSeconds(const harness::Process &Child) {
+  std::optional<ProcessUsage> usage = readProcessUsage(Child.pid());
   return usage ? usage->CpuSeconds : 0;
 }
 
@@ -121,7 +121,7 @@
   Outcome<http::Response> answer = harness::postJson(
       Log->address(), "/v1/streams/control/records", encodeRecord(record));
   if (!answer)
-    return notUp("declaring: " + describe(answer.failure()));
+    return makeNotStarted("declaring: " + describe(answer.failure()));
   return {};
 }
 
@@ -166,8 +166,8 @@
   return {};
 }
 
-bool RequestFleet::servesAll(const FleetEntry &Who) const {
-  Outcome<boost::json::value> status = harness::getJson(Who.Admin, "/status");
+bool RequestFleet::servesAll(const FleetEntry &Entry) const {
+  Outcome<boost::json::value> status = harness::getJson(Entry.Admin, "/status");
   return status && status->at("ready").as_bool() &&
          status->at("config_revision").to_number<std::uint64_t>() > 0 &&
          servingServers(*status) == Setup.Upstreams;
@@ -177,7 +177,7 @@
   for (const FleetEntry &it : Entries) {
     bool seen = harness::waitUntil([&] { return servesAll(it); }, ServeLimit);
     if (!seen)
-      return notUp("an entry does not see all servers");
+      return makeNotStarted("an entry does not see all servers");
     http::Request ask;
     ask.Method = "GET";
     // An engine's state can also be read through the product.
@@ -190,7 +190,7 @@
         },
         ServeLimit);
     if (!answered)
-      return notUp("an entry does not answer");
+      return makeNotStarted("an entry does not answer");
   }
   return {};
 }
@@ -225,14 +225,14 @@
 double RequestFleet::entryCpuSeconds() const {
   double seconds = 0;
   for (const FleetEntry &it : Entries)
-    seconds += cpuOf(*it.Child);
+    seconds += readCpuSeconds(*it.Child);
   return seconds;
 }
 
 double RequestFleet::daemonCpuSeconds() const {
   double seconds = 0;
   for (const FleetUpstream &it : Upstreams)
-    seconds += cpuOf(*it.Daemon);
+    seconds += readCpuSeconds(*it.Daemon);
   return seconds;
 }
 
--- a/Bench/RequestFleet.h
+++ b/Bench/RequestFleet.h
@@ -73,7 +73,7 @@
   Result<void> startEntry(std::size_t Number);
   Result<void> declare();
   Result<void> waitUntilServing() const;
-  bool servesAll(const FleetEntry &Who) const;
+  bool servesAll(const FleetEntry &Entry) const;
 
   const Settings Setup;
   std::unique_ptr<harness::StandIn> Log;
--- a/Bench/StateBench.cpp
+++ b/Bench/StateBench.cpp
@@ -32,9 +32,10 @@
 
 /// Returns the wall time of the event at which a change took effect on a
 /// daemon.
-std::map<std::string, std::uint64_t> inForceTimes(const FleetDaemon &Who) {
+std::map<std::string, std::uint64_t>
+fetchEffectiveTimes(const FleetDaemon &Daemon) {
   std::map<std::string, std::uint64_t> times;
-  for (const TimelineEvent &it : fetchTimeline(Who)) {
+  for (const TimelineEvent &it : fetchTimeline(Daemon)) {
     if (it.Kind == "config.in_force")
       times.emplace(std::string(it.field("offset")), it.At.Wall);
   }
@@ -43,7 +44,7 @@
 
 bool allHaveChanges(Fleet &Group, std::size_t Count) {
   for (const FleetDaemon &it : Group.daemons()) {
-    if (inForceTimes(it).size() < Count)
+    if (fetchEffectiveTimes(it).size() < Count)
       return false;
   }
   return true;
@@ -67,7 +68,7 @@
   std::vector<double> delays;
   for (const FleetDaemon &it : Group.daemons()) {
     std::vector<std::uint64_t> walls;
-    for (const auto &[offset, wall] : inForceTimes(it))
+    for (const auto &[offset, wall] : fetchEffectiveTimes(it))
       walls.push_back(wall);
     std::sort(walls.begin(), walls.end());
     for (std::size_t n = 0; n < walls.size() && n < accepted.size(); ++n) {
--- a/Bench/StateMeasures.cpp
+++ b/Bench/StateMeasures.cpp
@@ -42,25 +42,26 @@
   return found ? found->to_number<double>() : 0;
 }
 
-Totals totalsOf(const FleetDaemon &Who) {
+Totals readTotals(const FleetDaemon &Daemon) {
   Totals totals;
-  if (std::optional<boost::json::value> status = fetchStatus(Who)) {
+  if (std::optional<boost::json::value> status = fetchStatus(Daemon)) {
     totals.Bytes = number(*status, "control_bytes_in") +
                    number(*status, "control_bytes_out");
     totals.Frames =
         number(*status, "frames_in") + number(*status, "frames_out");
   }
-  if (std::optional<ProcessUsage> usage = readProcessUsage(Who.Child->pid())) {
+  if (std::optional<ProcessUsage> usage =
+          readProcessUsage(Daemon.Child->pid())) {
     totals.CpuSeconds = usage->CpuSeconds;
     totals.ResidentMiB = usage->ResidentMiB;
   }
   return totals;
 }
 
-std::vector<Totals> totalsOf(Fleet &Group) {
+std::vector<Totals> readTotals(Fleet &Group) {
   std::vector<Totals> all;
   for (const FleetDaemon &it : Group.daemons())
-    all.push_back(totalsOf(it));
+    all.push_back(readTotals(it));
   return all;
 }
 
@@ -112,11 +113,11 @@
   // Waits until gossip about the start has ended, so that only idle cost is
   // measured.
   std::this_thread::sleep_for(SettleTime);
-  std::vector<Totals> before = totalsOf(Group);
+  std::vector<Totals> before = readTotals(Group);
   double appendsBefore = appendsOf(Group.log());
   TimePoint start = monotonicNow();
   std::this_thread::sleep_for(Window);
-  std::vector<Totals> after = totalsOf(Group);
+  std::vector<Totals> after = readTotals(Group);
   double appends = appendsOf(Group.log()) - appendsBefore;
   double seconds =
       std::chrono::duration<double>(monotonicNow() - start).count();
--- a/StandIns/ProxyLink.cpp
+++ b/StandIns/ProxyLink.cpp
@@ -57,12 +57,12 @@
 }
 
 void ProxyLink::spawn(boost::asio::awaitable<void> (ProxyLink::*Body)(Flow &),
-                      Flow &Way) {
+                      Flow &Direction) {
   std::shared_ptr<ProxyLink> self = shared_from_this();
   boost::asio::co_spawn(
       Client.get_executor(),
-      [self, Body, &Way]() -> boost::asio::awaitable<void> {
-        co_await ((*self).*Body)(Way);
+      [self, Body, &Direction]() -> boost::asio::awaitable<void> {
+        co_await ((*self).*Body)(Direction);
       },
       boost::asio::detached);
 }
@@ -77,78 +77,80 @@
   Down.Changed.notify();
 }
 
-boost::asio::awaitable<void> ProxyLink::readFrom(Flow &Way) {
+boost::asio::awaitable<void> ProxyLink::readFrom(Flow &Direction) {
   std::array<char, ReadBytes> buf{};
-  bool fromUpstream = &Way == &Down;
+  bool fromUpstream = &Direction == &Down;
   while (!Closed) {
-    co_await waitForQueueSpace(Way);
-    auto [ec, n] =
-        co_await Way.From.async_read_some(boost::asio::buffer(buf), Awaited);
+    co_await waitForQueueSpace(Direction);
+    auto [ec, n] = co_await Direction.From.async_read_some(
+        boost::asio::buffer(buf), Awaited);
     if (Closed)
       co_return;
-    if (dropsBytes(Way)) {
+    if (dropsBytes(Direction)) {
       HasDroppedBytes = true;
       if (ec)
         co_return;
       continue;
     }
     if (ec == boost::asio::error::eof) {
-      push(Way, {}, true);
+      push(Direction, {}, true);
       co_return;
     }
     if (ec || (fromUpstream && Faults.DropResponse())) {
       cut();
       co_return;
     }
-    push(Way, std::string(buf.data(), n), false);
+    push(Direction, std::string(buf.data(), n), false);
   }
 }
 
-bool ProxyLink::dropsBytes(const Flow &Way) const {
-  return Faults.HalfOpen() || (&Way == &Down && Faults.OneWay());
+bool ProxyLink::dropsBytes(const Flow &Direction) const {
+  return Faults.HalfOpen() || (&Direction == &Down && Faults.OneWay());
 }
 
-boost::asio::awaitable<void> ProxyLink::waitForQueueSpace(Flow &Way) {
-  while (Way.Queued > MaxQueued && !Closed)
-    co_await Way.Changed.wait();
+boost::asio::awaitable<void> ProxyLink::waitForQueueSpace(Flow &Direction) {
+  while (Direction.Queued > MaxQueued && !Closed)
+    co_await Direction.Changed.wait();
 }
 
-void ProxyLink::push(Flow &Way, std::string Bytes, bool Last) {
+void ProxyLink::push(Flow &Direction, std::string Bytes, bool Last) {
   // Jitter must not reorder bytes.
-  Way.LastDue = std::max(Way.LastDue, monotonicNow() + Faults.Delay());
-  Way.Queued += Bytes.size();
-  Way.Queue.push_back(QueuedChunk{Way.LastDue, std::move(Bytes), Last});
-  Way.Changed.notify();
+  Direction.LastDue =
+      std::max(Direction.LastDue, monotonicNow() + Faults.Delay());
+  Direction.Queued += Bytes.size();
+  Direction.Queue.push_back(
+      QueuedChunk{Direction.LastDue, std::move(Bytes), Last});
+  Direction.Changed.notify();
 }
 
-boost::asio::awaitable<void> ProxyLink::writeTo(Flow &Way) {
+boost::asio::awaitable<void> ProxyLink::writeTo(Flow &Direction) {
   while (!Closed) {
-    if (Way.Queue.empty()) {
-      co_await Way.Changed.wait();
+    if (Direction.Queue.empty()) {
+      co_await Direction.Changed.wait();
       continue;
     }
-    TimePoint due = Way.Queue.front().DueAt;
+    TimePoint due = Direction.Queue.front().DueAt;
     if (monotonicNow() < due) {
       co_await sleepFor(due - monotonicNow());
       continue;
     }
-    QueuedChunk chunk = std::move(Way.Queue.front());
-    Way.Queue.pop_front();
-    Way.Queued -= chunk.Bytes.size();
-    Way.Changed.notify();
-    if (dropsBytes(Way)) {
+    QueuedChunk chunk = std::move(Direction.Queue.front());
+    Direction.Queue.pop_front();
+    Direction.Queued -= chunk.Bytes.size();
+    Direction.Changed.notify();
+    if (dropsBytes(Direction)) {
       HasDroppedBytes = true;
       continue;
     }
     if (!chunk.Last) {
-      if (!co_await deliver(Way, std::move(chunk.Bytes)))
+      if (!co_await deliver(Direction, std::move(chunk.Bytes)))
         co_return;
       continue;
     }
 
     ErrorCode ec;
-    Way.To.shutdown(Socket::shutdown_send, ec);
-    Way.Ended = true;
+    Direction.To.shutdown(Socket::shutdown_send, ec);
+    Direction.Ended = true;
     // Both directions have ended.
     if (Up.Ended && Down.Ended) {
       Closed = true;
@@ -159,7 +161,8 @@
   }
 }
 
-boost::asio::awaitable<bool> ProxyLink::deliver(Flow &Way, std::string Bytes) {
+boost::asio::awaitable<bool> ProxyLink::deliver(Flow &Direction,
+                                                std::string Bytes) {
   constexpr std::uint64_t MicrosPerSecond = 1000000;
   std::size_t done = 0;
   while (done < Bytes.size()) {
@@ -174,10 +177,11 @@
     if (last > 0)
       portion = std::min(portion, last - std::min(last, BytesSinceReset));
     auto [ec, n] = co_await boost::asio::async_write(
-        Way.To, boost::asio::buffer(Bytes.data() + done, portion), Awaited);
+        Direction.To, boost::asio::buffer(Bytes.data() + done, portion),
+        Awaited);
     done += n;
     BytesSinceReset += n;
-    Way.BytesForwarded += n;
+    Direction.BytesForwarded += n;
     if (Closed)
       co_return false;
     if (ec || (last > 0 && BytesSinceReset >= last)) {
--- a/StandIns/ProxyLink.h
+++ b/StandIns/ProxyLink.h
@@ -75,14 +75,14 @@
     Signal Changed;
   };
 
-  boost::asio::awaitable<void> readFrom(Flow &Way);
-  boost::asio::awaitable<void> waitForQueueSpace(Flow &Way);
-  boost::asio::awaitable<void> writeTo(Flow &Way);
-  boost::asio::awaitable<bool> deliver(Flow &Way, std::string Bytes);
-  bool dropsBytes(const Flow &Way) const;
-  void push(Flow &Way, std::string Bytes, bool Last);
+  boost::asio::awaitable<void> readFrom(Flow &Direction);
+  boost::asio::awaitable<void> waitForQueueSpace(Flow &Direction);
+  boost::asio::awaitable<void> writeTo(Flow &Direction);
+  boost::asio::awaitable<bool> deliver(Flow &Direction, std::string Bytes);
+  bool dropsBytes(const Flow &Direction) const;
+  void push(Flow &Direction, std::string Bytes, bool Last);
   void spawn(boost::asio::awaitable<void> (ProxyLink::*Body)(Flow &),
-             Flow &Way);
+             Flow &Direction);
 
   const ProxyFaults &Faults;
   Socket Client;
--- a/StandIns/WeightsRole.cpp
+++ b/StandIns/WeightsRole.cpp
@@ -85,7 +85,7 @@
   boost::asio::awaitable<void> list(const std::string &Name,
                                     const http::Request &Ask,
                                     const ResponderPtr &To);
-  boost::asio::awaitable<void> fetch(const VersionPath &What,
+  boost::asio::awaitable<void> fetch(const VersionPath &Requested,
                                      const ResponderPtr &To);
   boost::asio::awaitable<void> serveFetches();
 
@@ -168,10 +168,10 @@
   co_await sendJson(To, Ok, std::move(body));
 }
 
-boost::asio::awaitable<void> WeightsRole::fetch(const VersionPath &What,
+boost::asio::awaitable<void> WeightsRole::fetch(const VersionPath &Requested,
                                                 const ResponderPtr &To) {
-  std::uint64_t version = readQuery(What.Version, "version", 0);
-  if (version > Models[What.Model].Newest) {
+  std::uint64_t version = readQuery(Requested.Version, "version", 0);
+  if (version > Models[Requested.Model].Newest) {
     co_await sendError(To, NotFound, "no such version");
     co_return;
   }
@@ -179,9 +179,9 @@
     co_await sendError(To, TooManyRequests, "too many fetches", 1);
     co_return;
   }
-  std::shared_ptr<Fetch> fetch =
-      std::make_shared<Fetch>(Fetch{What.Model, version, wallMicros(), 0, false,
-                                    static_cast<double>(Settings.BlobBytes)});
+  std::shared_ptr<Fetch> fetch = std::make_shared<Fetch>(
+      Fetch{Requested.Model, version, wallMicros(), 0, false,
+            static_cast<double>(Settings.BlobBytes)});
   Fetches.push_back(fetch);
   if (Fetches.size() > MaxFetchRecords)
     Fetches.pop_front();
@@ -201,7 +201,7 @@
     co_return;
   }
   fetch->Whole = fetch->BytesLeft <= 0;
-  boost::json::value body = {{"model", What.Model},
+  boost::json::value body = {{"model", Requested.Model},
                              {"version", version},
                              {"bytes", Settings.BlobBytes}};
   co_await sendJson(To, Ok, std::move(body));
