--- a/Bench/CapacityBench.cpp
+++ b/Bench/CapacityBench.cpp
@@ -53,7 +53,7 @@
   report({"capacity", "residual_" + Line.Metric, fit.Residual, Line.Unit, {}});
 }
 
-// ---- members: what each daemon pays for the others ----
+// ---- members: cost per daemon of the other daemons ----
 
 void measureMembers() {
   Row bytes{"control_bytes_per_s_by_members", "B/s", {}};
@@ -83,7 +83,7 @@
     reportLine(it);
 }
 
-// ---- requests: what an entry and a daemon pay for each ----
+// ---- requests: cost per request of an entry and a daemon ----
 
 http::Request deskCall(std::uint64_t Number) {
   http::Request ask;
@@ -150,7 +150,7 @@
   reportLine(bytes);
 }
 
-// ---- rollouts: what the owner of a trainer pays for each sample ----
+// ---- rollouts: cost per sample of the owner of a trainer ----
 
 /// Bytes and records in one stream of the log.
 struct StreamSize {
@@ -263,7 +263,7 @@
     reportLine(it);
 }
 
-// ---- snapshots: what the agreed state weighs ----
+// ---- snapshots: size of the agreed state ----
 
 /// Builds a state in which each author has declared an attachment's worth of
 /// objects and hold marks.
--- a/Bench/RequestFleet.cpp
+++ b/Bench/RequestFleet.cpp
@@ -23,9 +23,12 @@
   return "--" + std::string(Name) + "=" + toText(Where);
 }
 
-boost::leaf::error_id makeNotStarted(std::string Name) {
-  return boost::leaf::new_error(Failure{
-      Verdict::NotRun, FailureCode::Unavailable, "fleet", std::move(Name), {}});
+boost::leaf::error_id makeNotStarted(std::string Detail) {
+  return boost::leaf::new_error(Failure{Verdict::NotRun,
+                                        FailureCode::Unavailable,
+                                        "fleet",
+                                        std::move(Detail),
+                                        {}});
 }
 
 /// Makes the service's declaration with placements in the upstreams' failure
--- a/Bench/RequestOverload.cpp
+++ b/Bench/RequestOverload.cpp
@@ -133,22 +133,22 @@
 namespace {
 
 /// Returns Jain's fairness index of two flows; 1 if both get the same share.
-double jain(double One, double Other) {
+double computeJainIndex(double One, double Other) {
   double squares = 2 * (One * One + Other * Other);
   return squares == 0 ? 0 : (One + Other) * (One + Other) / squares;
 }
 
 /// One call in three comes from the caller with the lower rate.
-bool isModest(std::uint64_t Number) { return Number % 3 == 0; }
+bool isLowRateCaller(std::uint64_t Number) { return Number % 3 == 0; }
 
 double fairnessOf(const std::vector<CallResult> &Calls) {
   double modest = 0;
   double greedy = 0;
   for (const CallResult &it : Calls) {
     if (it.IsGood)
-      (isModest(it.Number) ? modest : greedy) += 1;
+      (isLowRateCaller(it.Number) ? modest : greedy) += 1;
   }
-  return jain(modest, greedy);
+  return computeJainIndex(modest, greedy);
 }
 
 } // namespace
@@ -163,7 +163,7 @@
       makePlainLoad("fair", *fleet, prepare(*fleet) * Factor, Span, Deadline);
   plan.MakeRequest = [](std::uint64_t Number) {
     return makePlainRequest("fair", Number, Deadline,
-                            isModest(Number) ? "modest" : "greedy");
+                            isLowRateCaller(Number) ? "modest" : "greedy");
   };
   std::vector<CallResult> ours = runLoad(plan);
   std::vector<CallResult> blind = runLoad(makeBaselineLoad(plan, *fleet));
--- a/Bench/RequestsBench.cpp
+++ b/Bench/RequestsBench.cpp
@@ -28,7 +28,7 @@
 }
 
 /// Logs the load average, since other work on the machine affects every result.
-void sayMachineLoad() {
+void logLoadAverage() {
   std::ifstream file("/proc/loadavg");
   std::string text;
   std::getline(file, text);
@@ -52,7 +52,7 @@
   for (const Part &it : parts) {
     if (!isChosen(it.Name))
       continue;
-    sayMachineLoad();
+    logLoadAverage();
     logProgress("requests: " + std::string(it.Name));
     found = found + it.Run();
   }
--- a/StandIns/EngineRole.cpp
+++ b/StandIns/EngineRole.cpp
@@ -109,7 +109,7 @@
   boost::json::value cacheEvents(std::uint64_t From) const;
   boost::json::value exportCache(const std::string &Request) const;
   void importCache(const std::string &Text);
-  void noteLoad();
+  void recordLoad();
 
   const boost::asio::any_io_executor Executor;
   const EngineSettings Settings;
@@ -135,7 +135,7 @@
   std::unordered_map<std::string, std::uint64_t> Imports;
 };
 
-//===--- Truth and state --------------------------------------------------===//
+//===--- Recorded state ---------------------------------------------------===//
 
 boost::json::value EngineRole::truth() const {
   boost::json::array completions;
@@ -163,7 +163,7 @@
   return all;
 }
 
-void EngineRole::noteLoad() {
+void EngineRole::recordLoad() {
   Loads.push_back(LoadSample{monotonicNow(), Batch.running(), Batch.queued()});
   TimePoint seen = monotonicNow() - Settings.LoadReportDelay;
   // Reports the newest sample that is old enough.
@@ -172,7 +172,7 @@
 }
 
 boost::json::value EngineRole::state() {
-  noteLoad();
+  recordLoad();
   LoadSample told;
   if (Loads.front().At <= monotonicNow() - Settings.LoadReportDelay)
     told = Loads.front();
@@ -309,7 +309,7 @@
     Records.pop_front();
     ++Dropped;
   }
-  noteLoad();
+  recordLoad();
   if (!Generating) {
     Generating = true;
     boost::asio::co_spawn(
@@ -326,7 +326,7 @@
     job.EndedUs = wallMicros();
   Batch.remove(Work->Job);
   Active.erase(Work->Job);
-  noteLoad();
+  recordLoad();
 }
 
 boost::asio::awaitable<void> EngineRole::generate() {
@@ -352,7 +352,7 @@
       if (sending != Active.end())
         sending->second->Wake.notify();
     }
-    noteLoad();
+    recordLoad();
     crashIfTold();
   }
   Generating = false;
--- a/UnitTests/StandIns/FaultProxyTests.cpp
+++ b/UnitTests/StandIns/FaultProxyTests.cpp
@@ -41,7 +41,7 @@
 
 } // namespace
 
-TEST_CASE("A proxy without faults carries all", "[standins]") {
+TEST_CASE("A proxy without faults forwards all bytes", "[standins]") {
   ProxyFixture fixture;
   fixture.tell({{"delay_ms", 2}, {"jitter_ms", 3.5}, {"bytes_per_s", 100000}});
   fixture.run([&]() -> boost::asio::awaitable<void> {
@@ -55,7 +55,7 @@
   CHECK(fixture.Proxy->truth().at("connections").to_number<unsigned>() == 1);
 }
 
-TEST_CASE("A lost answer leaves the work done", "[standins]") {
+TEST_CASE("A dropped response does not undo the run", "[standins]") {
   ProxyFixture fixture;
   fixture.tell({{"answer_loss", 1}});
   fixture.run([&]() -> boost::asio::awaitable<void> {
@@ -68,7 +68,7 @@
   });
 }
 
-TEST_CASE("A refusing proxy takes its port up again", "[standins]") {
+TEST_CASE("A refusing proxy listens on its port again", "[standins]") {
   ProxyFixture fixture;
   fixture.run([&]() -> boost::asio::awaitable<void> {
     for (unsigned i = 0; i < 2; ++i) {
@@ -84,7 +84,7 @@
   CHECK(fixture.Runs == 2);
 }
 
-TEST_CASE("A half-open connection swallows, and is cut after", "[standins]") {
+TEST_CASE("A half-open connection drops bytes and is cut later", "[standins]") {
   ProxyFixture fixture;
   fixture.run([&]() -> boost::asio::awaitable<void> {
     fixture.tell({{"half_open", true}});
@@ -98,7 +98,7 @@
   CHECK(fixture.Runs == 1);
 }
 
-TEST_CASE("A proxy cuts after so many bytes", "[standins]") {
+TEST_CASE("A proxy cuts a connection after the set bytes", "[standins]") {
   ProxyFixture fixture;
   fixture.tell({{"cut_after_bytes", 10}});
   fixture.run([&]() -> boost::asio::awaitable<void> {
@@ -110,7 +110,7 @@
   CHECK(fixture.Proxy->truth().at("bytes_up").to_number<unsigned>() == 10);
 }
 
-TEST_CASE("Unknown and unfit faults change nothing", "[standins]") {
+TEST_CASE("Unknown and mistyped faults change nothing", "[standins]") {
   Faults told({{"slow_ms", 0}, {"outage", false}, {"slow_factor", 1.0}});
   CHECK_THROWS_AS(told.merge({{"slow_ms", 5}, {"typo", 1}}), InvalidBody);
   CHECK_THROWS_AS(told.merge({{"slow_ms", 5}, {"outage", 1}}), InvalidBody);
--- a/UnitTests/StandIns/TrainerSimulatorTests.cpp
+++ b/UnitTests/StandIns/TrainerSimulatorTests.cpp
@@ -39,8 +39,9 @@
 
 } // namespace
 
-TEST_CASE("A trainer takes each slot once, and is idle until whole",
-          "[standins]") {
+TEST_CASE(
+    "A trainer accepts each slot once and idles until the step is complete",
+    "[standins]") {
   TrainerSimulator book = bookOf(true);
   CHECK(book.idleUs(130) == 30);
   fill(book, 1, 150);
@@ -77,7 +78,7 @@
   CHECK(book.deliver("d", 1, mixed, 1).Fault == RejectReason::Stale);
 }
 
-TEST_CASE("A label that does not give the text is counted", "[standins]") {
+TEST_CASE("A label that does not match the text is counted", "[standins]") {
   TrainerSimulator book = bookOf(true);
   TrainerSample right = sampleFor(book, 0, 0, 1);
   TrainerSample wrong = right;
@@ -105,7 +106,7 @@
   CHECK(other.counts().Mislabelled == 0);
 }
 
-TEST_CASE("A trainer that does not check takes all and counts", "[standins]") {
+TEST_CASE("A trainer without checks accepts and counts all", "[standins]") {
   TrainerSimulator book = bookOf(false);
   book.publish(0);
   book.publish(0);
@@ -118,7 +119,7 @@
   CHECK_FALSE(book.rejectsFencingToken(4));
 }
 
-TEST_CASE("A trainer that checks refuses an older authority", "[standins]") {
+TEST_CASE("A trainer with checks rejects an older token", "[standins]") {
   TrainerSimulator book = bookOf(true);
   CHECK_FALSE(book.rejectsFencingToken(5));
   CHECK(book.rejectsFencingToken(4));
