--- a/Bench/CapacityBench.cpp
+++ b/Bench/CapacityBench.cpp
@@ -133,7 +133,7 @@
   reportLine(daemon);
 }
 
-/// Measures the size of a load report. An idle daemon sends each subscriber one
+/// Measures the size of a load report. At rest each subscriber receives one
 /// report per second.
 void measureLoadReports() {
   Row bytes{"load_report_bytes_by_servers", "B", {}};
--- a/Bench/RequestScenarios.cpp
+++ b/Bench/RequestScenarios.cpp
@@ -83,7 +83,7 @@
 LoadPlan makeBaselineLoad(LoadPlan Through, const RequestFleet &Fleet) {
   Through.Targets = Fleet.upstreamAddresses();
   Through.Client = makeBaselineClient(Through.Deadline);
-  // These runs are not part of the correctness checks of the product.
+  // The prefix excludes these runs from the correctness checks of the product.
   std::function<http::Request(std::uint64_t)> make = Through.MakeRequest;
   Through.MakeRequest = [make](std::uint64_t Number) {
     http::Request ask = make(Number);
--- a/Bench/RolloutBench.cpp
+++ b/Bench/RolloutBench.cpp
@@ -248,8 +248,8 @@
     report({"rollout", "wasted_token_share_policy_" + policy,
             figures.WastedTokenShare, "share", std::nullopt});
   }
-  // Source of truth: the trainer if it checks fencing tokens, otherwise the
-  // log.
+  // Source of truth: the trainer in the run with fencing tokens, the log in the
+  // run without them.
   logProgress("rollout: log outage");
   RolloutMeasurements tokens =
       measureRun(RolloutVariant::Product, RolloutCase::LogOutage, true);
--- a/StandIns/EngineRole.cpp
+++ b/StandIns/EngineRole.cpp
@@ -121,7 +121,7 @@
   std::uint64_t Fence = 0;
   std::minstd_rand Random;
   std::shared_ptr<http::Client> Store;
-  /// Serializes weight loads.
+  /// True while a weight load runs. Other loads wait for its end.
   bool Loading = false;
   Signal Loaded;
   bool Generating = false;
--- a/StandIns/RoleServer.cpp
+++ b/StandIns/RoleServer.cpp
@@ -17,10 +17,10 @@
 
 boost::asio::awaitable<void> answerRole(Role &Subject, const http::Request &Ask,
                                         const ResponderPtr &To) {
-  const Faults &told = Subject.InjectedFaults;
-  if (told.knows("slow_ms") && told.number("slow_ms") > 0)
-    co_await sleepFor(told.millis("slow_ms"));
-  if (told.knows("outage") && told.isOn("outage")) {
+  const Faults &faults = Subject.InjectedFaults;
+  if (faults.knows("slow_ms") && faults.number("slow_ms") > 0)
+    co_await sleepFor(faults.millis("slow_ms"));
+  if (faults.knows("outage") && faults.isOn("outage")) {
     To->abort();
     co_return;
   }
