--- a/Bench/RequestFleet.cpp
+++ b/Bench/RequestFleet.cpp
@@ -15,7 +15,7 @@
 namespace wasabi::bench {
 namespace {
 
-/// Two failure domains, the entries of the first one.
+/// Two failure domains; the entries run in the first one.
 constexpr std::array<const char *, 2> Domains = {"north-1", "south-1"};
 constexpr Millis ServeLimit{30000};
 
@@ -23,12 +23,16 @@
   return "--" + std::string(Name) + "=" + toText(Where);
 }
 
-boost::leaf::error_id notUp(std::string What) {
-  return boost::leaf::new_error(Failure{
-      Verdict::NotRun, FailureCode::Unavailable, "fleet", std::move(What), {}});
+boost::leaf::error_id makeNotStarted(std::string Detail) {
+  return boost::leaf::new_error(Failure{Verdict::NotRun,
+                                        FailureCode::Unavailable,
+                                        "fleet",
+                                        std::move(Detail),
+                                        {}});
 }
 
-/// The service's declaration, its placements by the upstreams' domains.
+/// Makes the service's declaration with placements in the upstreams' failure
+/// domains.
 std::string serviceText(bool Engines, std::size_t Upstreams) {
   boost::json::array placements;
   for (std::size_t n = 0; n < Domains.size(); ++n) {
@@ -60,8 +64,8 @@
   return serving;
 }
 
-/// Adds the counters of one process up, whatever their labels.
-void addCounters(const Address &Admin, Decisions &Into) {
+/// Adds the counters of one process, summed over labels.
+void addCounters(const Address &Admin, CounterTotals &Into) {
   Outcome<std::string> text = harness::getText(Admin, "/metrics");
   if (!text)
     return;
@@ -77,8 +81,8 @@
   }
 }
 
-double cpuOf(const harness::Process &Who) {
-  std::optional<ProcessUsage> usage = readProcessUsage(Who.pid());
+double readCpuSeconds(const harness::Process &Child) {
+  std::optional<ProcessUsage> usage = readProcessUsage(Child.pid());
   return usage ? usage->CpuSeconds : 0;
 }
 
@@ -120,7 +124,7 @@
   Outcome<http::Response> answer = harness::postJson(
       Log->address(), "/v1/streams/control/records", encodeRecord(record));
   if (!answer)
-    return notUp("declaring: " + describe(answer.failure()));
+    return makeNotStarted("declaring: " + describe(answer.failure()));
   return {};
 }
 
@@ -165,8 +169,8 @@
   return {};
 }
 
-bool RequestFleet::servesAll(const FleetEntry &Who) const {
-  Outcome<boost::json::value> status = harness::getJson(Who.Admin, "/status");
+bool RequestFleet::servesAll(const FleetEntry &Entry) const {
+  Outcome<boost::json::value> status = harness::getJson(Entry.Admin, "/status");
   return status && status->at("ready").as_bool() &&
          status->at("config_revision").to_number<std::uint64_t>() > 0 &&
          servingServers(*status) == Setup.Upstreams;
@@ -176,10 +180,10 @@
   for (const FleetEntry &it : Entries) {
     bool seen = harness::waitUntil([&] { return servesAll(it); }, ServeLimit);
     if (!seen)
-      return notUp("an entry does not see all servers");
+      return makeNotStarted("an entry does not see all servers");
     http::Request ask;
     ask.Method = "GET";
-    // An engine's state is answered through the product as well.
+    // An engine's state can also be read through the product.
     ask.Target = "/v1/state";
     ask.Headers = {{"X-Service", FleetService}};
     bool answered = harness::waitUntil(
@@ -189,7 +193,7 @@
         },
         ServeLimit);
     if (!answered)
-      return notUp("an entry does not answer");
+      return makeNotStarted("an entry does not answer");
   }
   return {};
 }
@@ -210,8 +214,8 @@
   return all;
 }
 
-Decisions RequestFleet::decisions() const {
-  Decisions all;
+CounterTotals RequestFleet::readCounters() const {
+  CounterTotals all;
   for (const FleetEntry &it : Entries)
     addCounters(it.Admin, all);
   for (const FleetUpstream &it : Upstreams) {
@@ -224,21 +228,22 @@
 double RequestFleet::entryCpuSeconds() const {
   double seconds = 0;
   for (const FleetEntry &it : Entries)
-    seconds += cpuOf(*it.Child);
+    seconds += readCpuSeconds(*it.Child);
   return seconds;
 }
 
 double RequestFleet::daemonCpuSeconds() const {
   double seconds = 0;
   for (const FleetUpstream &it : Upstreams)
-    seconds += cpuOf(*it.Daemon);
+    seconds += readCpuSeconds(*it.Daemon);
   return seconds;
 }
 
-Decisions difference(const Decisions &After, const Decisions &Before) {
-  Decisions more;
+CounterTotals subtractCounters(const CounterTotals &After,
+                               const CounterTotals &Before) {
+  CounterTotals more;
   for (const std::pair<const std::string, double> &it : After) {
-    Decisions::const_iterator before = Before.find(it.first);
+    CounterTotals::const_iterator before = Before.find(it.first);
     more[it.first] = it.second - (before == Before.end() ? 0 : before->second);
   }
   return more;
--- a/StandIns/ProxyLink.cpp
+++ b/StandIns/ProxyLink.cpp
@@ -19,15 +19,15 @@
     Awaited(boost::asio::use_awaitable);
 
 constexpr std::size_t ReadBytes = 16384;
-/// Bytes held back in one direction; a sender then has to wait.
+/// Maximum number of bytes queued in one direction before the sender blocks.
 constexpr std::size_t MaxQueued = 4u << 20;
-/// A limited rate is kept in so many portions a second.
+/// Number of portions per second when the rate is limited.
 constexpr std::uint64_t PortionsPerSecond = 50;
 
-void resetSocket(ProxyLink::Socket &What) {
+void resetSocket(ProxyLink::Socket &Target) {
   ErrorCode ec;
-  What.set_option(boost::asio::socket_base::linger(true, 0), ec);
-  What.close(ec);
+  Target.set_option(boost::asio::socket_base::linger(true, 0), ec);
+  Target.close(ec);
 }
 
 } // namespace
@@ -57,12 +57,12 @@
 }
 
 void ProxyLink::spawn(boost::asio::awaitable<void> (ProxyLink::*Body)(Flow &),
-                      Flow &Way) {
+                      Flow &Direction) {
   std::shared_ptr<ProxyLink> self = shared_from_this();
   boost::asio::co_spawn(
       Client.get_executor(),
-      [self, Body, &Way]() -> boost::asio::awaitable<void> {
-        co_await ((*self).*Body)(Way);
+      [self, Body, &Direction]() -> boost::asio::awaitable<void> {
+        co_await ((*self).*Body)(Direction);
       },
       boost::asio::detached);
 }
@@ -77,79 +77,81 @@
   Down.Changed.notify();
 }
 
-boost::asio::awaitable<void> ProxyLink::readFrom(Flow &Way) {
+boost::asio::awaitable<void> ProxyLink::readFrom(Flow &Direction) {
   std::array<char, ReadBytes> buf{};
-  bool fromUpstream = &Way == &Down;
+  bool fromUpstream = &Direction == &Down;
   while (!Closed) {
-    co_await waitForQueueSpace(Way);
-    auto [ec, n] =
-        co_await Way.From.async_read_some(boost::asio::buffer(buf), Awaited);
+    co_await waitForQueueSpace(Direction);
+    auto [ec, n] = co_await Direction.From.async_read_some(
+        boost::asio::buffer(buf), Awaited);
     if (Closed)
       co_return;
-    if (dropsBytes(Way)) {
+    if (dropsBytes(Direction)) {
       HasDroppedBytes = true;
       if (ec)
         co_return;
       continue;
     }
     if (ec == boost::asio::error::eof) {
-      push(Way, {}, true);
+      push(Direction, {}, true);
       co_return;
     }
     if (ec || (fromUpstream && Faults.DropResponse())) {
       cut();
       co_return;
     }
-    push(Way, std::string(buf.data(), n), false);
+    push(Direction, std::string(buf.data(), n), false);
   }
 }
 
-bool ProxyLink::dropsBytes(const Flow &Way) const {
-  return Faults.HalfOpen() || (&Way == &Down && Faults.OneWay());
+bool ProxyLink::dropsBytes(const Flow &Direction) const {
+  return Faults.HalfOpen() || (&Direction == &Down && Faults.OneWay());
 }
 
-boost::asio::awaitable<void> ProxyLink::waitForQueueSpace(Flow &Way) {
-  while (Way.Queued > MaxQueued && !Closed)
-    co_await Way.Changed.wait();
+boost::asio::awaitable<void> ProxyLink::waitForQueueSpace(Flow &Direction) {
+  while (Direction.Queued > MaxQueued && !Closed)
+    co_await Direction.Changed.wait();
 }
 
-void ProxyLink::push(Flow &Way, std::string Bytes, bool Last) {
-  // Bytes never overtake each other, whatever the jitter.
-  Way.LastDue = std::max(Way.LastDue, monotonicNow() + Faults.Delay());
-  Way.Queued += Bytes.size();
-  Way.Queue.push_back(Piece{Way.LastDue, std::move(Bytes), Last});
-  Way.Changed.notify();
+void ProxyLink::push(Flow &Direction, std::string Bytes, bool Last) {
+  // Jitter must not reorder bytes.
+  Direction.LastDue =
+      std::max(Direction.LastDue, monotonicNow() + Faults.Delay());
+  Direction.Queued += Bytes.size();
+  Direction.Queue.push_back(
+      QueuedChunk{Direction.LastDue, std::move(Bytes), Last});
+  Direction.Changed.notify();
 }
 
-boost::asio::awaitable<void> ProxyLink::writeTo(Flow &Way) {
+boost::asio::awaitable<void> ProxyLink::writeTo(Flow &Direction) {
   while (!Closed) {
-    if (Way.Queue.empty()) {
-      co_await Way.Changed.wait();
+    if (Direction.Queue.empty()) {
+      co_await Direction.Changed.wait();
       continue;
     }
-    TimePoint due = Way.Queue.front().DueAt;
+    TimePoint due = Direction.Queue.front().DueAt;
     if (monotonicNow() < due) {
-      co_await pause(due - monotonicNow());
+      co_await sleepFor(due - monotonicNow());
       continue;
     }
-    Piece piece = std::move(Way.Queue.front());
-    Way.Queue.pop_front();
-    Way.Queued -= piece.Bytes.size();
-    Way.Changed.notify();
-    if (dropsBytes(Way)) {
+    QueuedChunk chunk = std::move(Direction.Queue.front());
+    Direction.Queue.pop_front();
+    Direction.Queued -= chunk.Bytes.size();
+    Direction.Changed.notify();
+    if (dropsBytes(Direction)) {
       HasDroppedBytes = true;
       continue;
     }
-    if (!piece.Last) {
-      if (!co_await deliver(Way, std::move(piece.Bytes)))
+    if (!chunk.Last) {
+      if (!co_await deliver(Direction, std::move(chunk.Bytes)))
         co_return;
       continue;
     }
 
     ErrorCode ec;
-    Way.To.shutdown(Socket::shutdown_send, ec);
-    Way.Ended = true;
-    // Both ends are through: nothing more can come.
+    Direction.To.shutdown(Socket::shutdown_send, ec);
+    Direction.Ended = true;
+    // Both directions have ended.
     if (Up.Ended && Down.Ended) {
       Closed = true;
       Client.close(ec);
@@ -159,7 +161,8 @@
   }
 }
 
-boost::asio::awaitable<bool> ProxyLink::deliver(Flow &Way, std::string Bytes) {
+boost::asio::awaitable<bool> ProxyLink::deliver(Flow &Direction,
+                                                std::string Bytes) {
   constexpr std::uint64_t MicrosPerSecond = 1000000;
   std::size_t done = 0;
   while (done < Bytes.size()) {
@@ -168,19 +171,20 @@
     if (rate > 0) {
       std::uint64_t most = std::max<std::uint64_t>(1, rate / PortionsPerSecond);
       portion = std::min(portion, most);
-      co_await pause(Micros(portion * MicrosPerSecond / rate));
+      co_await sleepFor(Micros(portion * MicrosPerSecond / rate));
     }
     std::uint64_t last = Faults.CutAfterBytes();
     if (last > 0)
-      portion = std::min(portion, last - std::min(last, Counted));
+      portion = std::min(portion, last - std::min(last, BytesSinceReset));
     auto [ec, n] = co_await boost::asio::async_write(
-        Way.To, boost::asio::buffer(Bytes.data() + done, portion), Awaited);
+        Direction.To, boost::asio::buffer(Bytes.data() + done, portion),
+        Awaited);
     done += n;
-    Counted += n;
-    Way.Carried += n;
+    BytesSinceReset += n;
+    Direction.BytesForwarded += n;
     if (Closed)
       co_return false;
-    if (ec || (last > 0 && Counted >= last)) {
+    if (ec || (last > 0 && BytesSinceReset >= last)) {
       cut();
       co_return false;
     }
