--- a/Wasabi/Core/Clock.h
+++ b/Wasabi/Core/Clock.h
@@ -14,9 +14,9 @@
 using Millis = std::chrono::milliseconds;
 using Micros = std::chrono::microseconds;
 
-/// A monotonic clock that advances while the machine is suspended, unlike
-/// `std::chrono::steady_clock`, so that leases, deadlines and ages expire
-/// during a suspension. Meets the standard `Clock` requirements; thread-safe.
+/// A monotonic clock that advances while the machine is suspended, unlike that
+/// of the standard library, so that leases, deadlines and ages expire during a
+/// suspension. Meets the standard `Clock` requirements; thread-safe.
 struct BootClock {
   // The standard requires these names.
   // NOLINTBEGIN(readability-identifier-naming)
--- a/Wasabi/Dispatch/LeaseManager.h
+++ b/Wasabi/Dispatch/LeaseManager.h
@@ -1,6 +1,6 @@
 /// \file
-/// Claims the dispatch lease when it is free and renews it while it is held.
-/// The lease avoids duplicate work only: a second dispatcher repeats work.
+/// Claims the dispatch lease when it is free and renews it. For dispatching, it
+/// only avoids duplicate work; calls that rely on it need a `LeasePermit`.
 #ifndef WASABI_DISPATCH_LEASEMANAGER_H
 #define WASABI_DISPATCH_LEASEMANAGER_H
 
