--- a/UnitTests/State/ChangePlanTests.cpp
+++ b/UnitTests/State/ChangePlanTests.cpp
@@ -8,40 +8,41 @@
 using wasabi::ObjectTexts;
 using wasabi::Outcome;
 using wasabi::PresetName;
-using wasabi::RecordFate;
-using wasabi::foldtest::Folded;
+using wasabi::RecordStatus;
+using wasabi::foldtest::FoldedLog;
 using wasabi::foldtest::limit;
 using wasabi::foldtest::limitText;
 
 namespace {
 
-Folded withLimits() {
-  Folded log;
+FoldedLog makeLogWithLimits() {
+  FoldedLog log;
   log.change("anna", 0, {limit("a", 1), limit("b", 2)});
   return log;
 }
 
 } // namespace
 
-TEST_CASE("A plan holds what differs, and removes only when asked to") {
-  Folded log = withLimits();
+TEST_CASE("A plan holds the differences and removes objects only with Prune") {
+  FoldedLog log = makeLogWithLimits();
   const ObjectTexts wanted = {{"limit/a", limitText("a", 5)},
                               {"limit/c", limitText("c", 3)}};
   ChangePlan plan = planApply(log.State, wanted, false);
-  CHECK(plan.LeftAlone == std::vector<std::string>{"limit/b"});
+  CHECK(plan.UnmanagedKeys == std::vector<std::string>{"limit/b"});
   CHECK(describePlan(plan) == "~ limit/a\n    /burst: 1 -> 5\n"
                               "+ limit/c " +
                                   limitText("c", 3) + "\n");
   plan = planApply(log.State, wanted, true);
   CHECK(plan.Writes.size() == 3);
   CHECK_THAT(describePlan(plan), Catch::Contains("- limit/b\n"));
-  CHECK(log.by("bo", makeChange(plan, "bo", "")).Fate == RecordFate::Accepted);
+  CHECK(log.by("bo", makeChange(plan, "bo", "")).ApplyStatus ==
+        RecordStatus::Accepted);
   CHECK(describePlan(planApply(log.State, wanted, true)) ==
         "nothing to change\n");
 }
 
-TEST_CASE("A preset is planned when declared, and depends on it") {
-  Folded log;
+TEST_CASE("A preset plan requires and depends on the preset's declaration") {
+  FoldedLog log;
   REQUIRE_FALSE(wasabi::toOutcome<ChangePlan>(
       [&] { return planPreset(log.State, PresetName("peak")); }));
   log.change("anna", 0,
@@ -57,11 +58,11 @@
   plan = wasabi::toOutcome<ChangePlan>(
       [&] { return planPreset(log.State, PresetName("peak")); });
   log.by("bo", makeChange(*plan, "bo", ""));
-  CHECK(log.State.Config->InForce == PresetName("peak"));
+  CHECK(log.State.Config->ActivePreset == PresetName("peak"));
 }
 
-TEST_CASE("A rollback is a new change that brings all objects back") {
-  Folded log = withLimits();
+TEST_CASE("A rollback is a new change that restores all objects") {
+  FoldedLog log = makeLogWithLimits();
   FoldState then = log.State;
   log.change("bo", 1, {limit("a", 9), limit("c", 9)});
   log.change("bo", 2, {{"limit/b", std::nullopt}});
@@ -72,8 +73,8 @@
   CHECK(log.State.ConfigRevision == 4);
 }
 
-TEST_CASE("A plan is checked as the fold would") {
-  Folded log;
+TEST_CASE("A plan is checked by the rules of the fold") {
+  FoldedLog log;
   log.change("anna", 0,
              {{"preset/peak", R"({"kind":"preset","name":"peak"})"},
               {"switch/preset",
--- a/UnitTests/State/RecordTests.cpp
+++ b/UnitTests/State/RecordTests.cpp
@@ -15,7 +15,7 @@
 }
 
 const std::vector<Record> &samples() {
-  static const std::vector<Record> All = {
+  static const std::vector<Record> Samples = {
       {{"ctl\"1", 1764690000000000, 1},
        wasabi::ConfigChange{
            7,
@@ -23,17 +23,18 @@
            {{"limit/a", "{\"kind\":\"limit\"}"}, {"limit/b", std::nullopt}},
            "åsa",
            "line one\nline two"}},
-      {{"d1", 2, 3}, wasabi::ClaimTake{"trainer/t", 4, wasabi::Millis(9), 5}},
+      {{"d1", 2, 3},
+       wasabi::ClaimAcquire{"trainer/t", 4, wasabi::Millis(9), 5}},
       {{"d1", 2, 4}, wasabi::ClaimRenew{"weights/m", 18446744073709551615u}},
       {{"d1", 2, 5}, wasabi::ClaimRelease{"snapshots", 6}},
       {{"d1", 2, 6},
        wasabi::SnapshotRecord{8, std::string(32, 'a'), 9, "{}", 6}}};
-  return All;
+  return Samples;
 }
 
 } // namespace
 
-TEST_CASE("Each kind of record comes back as it was") {
+TEST_CASE("Each kind of record is decoded as it was encoded") {
   for (const Record &it : samples()) {
     Outcome<Record> back = decode(wasabi::encodeRecord(it));
     REQUIRE(back);
@@ -41,7 +42,7 @@
   }
 }
 
-TEST_CASE("A record that is cut short anywhere is malformed, never newer") {
+TEST_CASE("A truncated record is malformed, never of a newer schema") {
   for (const Record &it : samples()) {
     std::string text = wasabi::encodeRecord(it);
     for (std::size_t size = 0; size < text.size(); ++size) {
@@ -52,7 +53,7 @@
   }
 }
 
-TEST_CASE("A newer schema or kind is told from a malformed record") {
+TEST_CASE("A newer schema or kind is distinguished from a malformed record") {
   const std::string id = R"("id":{"author":"a","life":1,"sequence":1})";
   CHECK(decode(R"({"schema":2,"anything":[]})").failure().Code ==
         FailureCode::NewerSchema);
--- a/Wasabi/Adapters/Platform/HttpWeightStore.h
+++ b/Wasabi/Adapters/Platform/HttpWeightStore.h
@@ -1,5 +1,5 @@
 /// \file
-/// The weight store over HTTP (docs/PLATFORM.md, "weights").
+/// Client of the weight store over HTTP (docs/PLATFORM.md, "weights").
 #ifndef WASABI_ADAPTERS_PLATFORM_HTTPWEIGHTSTORE_H
 #define WASABI_ADAPTERS_PLATFORM_HTTPWEIGHTSTORE_H
 
@@ -10,9 +10,10 @@
 
 namespace wasabi {
 
-/// A weight store port on `Client`, for the thread of the client's executor.
-WeightStorePort httpWeightStore(std::shared_ptr<http::Client> Client,
-                                Address Where);
+/// Returns a weight store port that uses `Client`, for use on the thread of its
+/// executor.
+WeightStorePort makeHttpWeightStore(std::shared_ptr<http::Client> Client,
+                                    Address Where);
 
 } // namespace wasabi
 
--- a/Wasabi/Adapters/Proxy/DaemonProxy.h
+++ b/Wasabi/Adapters/Proxy/DaemonProxy.h
@@ -1,6 +1,6 @@
 /// \file
-/// A daemon's work: the only road to the servers behind it. Admits, forwards
-/// once, relays the answer, remembers keys, and carries out orders.
+/// Proxy of a daemon to the servers behind it: admits and forwards attempts,
+/// relays responses, remembers idempotency keys and executes orders.
 #ifndef WASABI_ADAPTERS_PROXY_DAEMONPROXY_H
 #define WASABI_ADAPTERS_PROXY_DAEMONPROXY_H
 
@@ -22,46 +22,48 @@
 
 namespace wasabi {
 
-/// One server behind a daemon, from its settings. An immutable value.
-struct UpstreamServer {
+/// Configuration of one server behind a daemon. An immutable value.
+struct ProxiedServer {
   ServerName Server;
   ServiceName Service;
   Address Where;
-  bool operator==(const UpstreamServer &) const = default;
+  bool operator==(const ProxiedServer &) const = default;
 };
 
-/// Reads `server=service@IP:PORT,…`. Errors: `BadInput` naming `Place` and the
-/// item; also for a server named twice. Pure.
-Result<std::vector<UpstreamServer>> parseUpstreams(std::string_view Text,
-                                                   std::string_view Place);
+/// Parses `server=service@IP:PORT,…`. Errors: `BadInput` naming `Place` and the
+/// item, also for a duplicate server. Pure.
+Result<std::vector<ProxiedServer>> parseUpstreams(std::string_view Text,
+                                                  std::string_view Place);
 
-/// Not thread-safe, but for what says so: use on the context's thread.
+/// Not thread-safe unless stated otherwise: use on the context's thread.
 class DaemonProxy : public std::enable_shared_from_this<DaemonProxy> {
 public:
   struct Settings {
     InstanceName Instance;
     DomainName Domain;
     Incarnation Life = 0;
-    std::vector<UpstreamServer> Upstreams;
-    /// Time between two looks at an engine's state, and how long one may take.
-    Millis StatePeriod{250};
+    std::vector<ProxiedServer> Upstreams;
+    /// Interval between polls of an engine's state, and timeout of one poll.
+    Millis StatePollInterval{250};
     Millis StateTimeout{1000};
-    /// Looks in a row that must fail before a server is out of service.
-    std::uint32_t StateFailures = 3;
-    /// Time between two looks at the waiting requests' deadlines.
-    Millis TickPeriod{20};
-    /// How long a witness of a key may take to answer.
+    /// Number of consecutive failed polls after which a server is out of
+    /// service.
+    std::uint32_t UnhealthyThreshold = 3;
+    /// Interval between checks of the deadlines of queued requests.
+    Millis TickInterval{20};
+    /// Maximum time to wait for the response of a witness of a key.
     Millis WitnessTimeout{500};
-    /// How long handing all keys over may take.
+    /// Maximum duration of the handover of all keys.
     Millis HandOverTimeout{5000};
-    /// Longest that an order waits for running samples, and takes after it.
-    Millis SwapWait{60000};
+    /// Maximum time that an order waits for running samples, and timeout of the
+    /// request to the engine that follows.
+    Millis SampleDrainTimeout{60000};
     Millis OrderTimeout{60000};
     std::uint64_t Seed = 1;
   };
 
-  /// What the proxy tells the control plane.
-  using ServersCallback = std::function<void(std::vector<ServerStatus>)>;
+  /// Receives the status of all servers when it changes.
+  using ServerStatusCallback = std::function<void(std::vector<ServerStatus>)>;
   using OrderCallback = std::function<void(Outcome<OrderAnswer>)>;
 
   /// `Events` and `Counts` must outlive the proxy.
@@ -70,24 +72,27 @@
                                              Metrics &Counts);
   virtual ~DaemonProxy() = default;
 
-  /// Begins to take requests and to tell of the servers; before it every
-  /// request is refused `NotRun`.
-  virtual void attach(ControlSource Source, ServersCallback Tell) = 0;
-  /// Runs one attempt. For `RequestServer`.
+  /// Starts to accept attempts and to report server status. Before this call,
+  /// every attempt is refused with `NotRun`.
+  virtual void attach(ControlPlaneReader Reader,
+                      ServerStatusCallback Callback) = 0;
+  /// Runs one attempt. Request handler for `RequestServer`.
   virtual boost::asio::awaitable<void>
-  handle(RequestAttempt Attempt, std::shared_ptr<AnswerSink> Sink) = 0;
-  /// Carries an order out; calls back once, on the context's thread.
-  virtual void order(Order What, OrderCallback Callback) = 0;
-  /// What load reports say.
-  virtual std::vector<LoadSeen> loads() const = 0;
-  /// From now on new work is refused `NotRun`; what runs goes on to its end.
-  virtual void leave() = 0;
-  /// Tells the keys' witnesses among those that stay what is remembered here,
-  /// and calls back when they know or after a bounded time. After `leave`.
+  handle(RequestAttempt Attempt, std::shared_ptr<ResponseSink> Sink) = 0;
+  /// Executes an order; calls back once, on the context's thread.
+  virtual void executeOrder(Order Command, OrderCallback Callback) = 0;
+  /// Returns the current load of each server, for load reports.
+  virtual std::vector<ReportedLoad> loads() const = 0;
+  /// Refuses new attempts with `NotRun`; running attempts continue to their
+  /// end.
+  virtual void startDraining() = 0;
+  /// Sends all remembered keys to those of their witnesses that take work.
+  /// Starts no request after `HandOverTimeout`, and calls back when all
+  /// requests have ended. Precondition: `startDraining` was called.
   virtual void handOver(std::function<void()> Callback) = 0;
-  /// Attempts at hand. Thread-safe.
+  /// Returns the number of attempts in flight. Thread-safe.
   virtual std::size_t inFlight() const = 0;
-  /// Ends the polling.
+  /// Stops polling and closes the connections to other daemons.
   virtual void stop() = 0;
 };
 
--- a/Wasabi/Customers/Access.cpp
+++ b/Wasabi/Customers/Access.cpp
@@ -8,36 +8,38 @@
     return "granted";
   case AccessVerdict::UnknownKey:
     return "unknown-key";
-  case AccessVerdict::Unsure:
+  case AccessVerdict::Uncertain:
     return "unsure";
   }
   return "unsure";
 }
 
-Access decideAccess(const std::optional<CustomerTable> &Known,
-                    const AccessAsk &Ask, const StoreContact &Contact,
-                    const AccessSettings &Limits, TimePoint Now) {
-  if (!Known)
+AccessDecision decideAccess(const std::optional<CustomerTable> &Customers,
+                            const AccessRequest &Request,
+                            const StoreContact &Contact,
+                            const AccessSettings &Limits, TimePoint Now) {
+  if (!Customers)
     return {AccessVerdict::Granted, std::nullopt};
-  const Customer *holder = Ask.Key ? Known->holderOf(*Ask.Key) : nullptr;
+  const Customer *holder =
+      Request.Key ? Customers->holderOf(*Request.Key) : nullptr;
   if (holder != nullptr) {
-    bool withdrawn =
-        Limits.StrictRevoke && lostFor(Contact, Limits.RevokeTime, Now);
-    if (!withdrawn)
+    bool mayBeRevoked = Limits.StrictRevocation &&
+                        unreachableFor(Contact, Limits.MaxRevocationDelay, Now);
+    if (!mayBeRevoked)
       return {AccessVerdict::Granted, *holder};
-    return {Ask.Public ? AccessVerdict::Granted : AccessVerdict::Unsure,
+    return {Request.Public ? AccessVerdict::Granted : AccessVerdict::Uncertain,
             std::nullopt};
   }
-  if (Ask.Public)
+  if (Request.Public)
     return {AccessVerdict::Granted, std::nullopt};
-  bool mayBeNew = Ask.Key.has_value() && Contact.Lost;
-  return {mayBeNew ? AccessVerdict::Unsure : AccessVerdict::UnknownKey,
+  bool mayBeNew = Request.Key.has_value() && Contact.Lost;
+  return {mayBeNew ? AccessVerdict::Uncertain : AccessVerdict::UnknownKey,
           std::nullopt};
 }
 
-std::uint32_t priorityOf(const std::optional<Customer> &By,
-                         std::uint32_t OfRoute) {
-  return By && By->Priority ? *By->Priority : OfRoute;
+std::uint32_t priorityOf(const std::optional<Customer> &Owner,
+                         std::uint32_t RoutePriority) {
+  return Owner && Owner->Priority ? *Owner->Priority : RoutePriority;
 }
 
 } // namespace wasabi
--- a/Wasabi/Customers/KeyDigest.cpp
+++ b/Wasabi/Customers/KeyDigest.cpp
@@ -28,16 +28,16 @@
                                           "libsodium",
                                           "cannot be initialised",
                                           {}});
-  Secret drawn{};
-  randombytes_buf(drawn.data(), drawn.size());
-  return KeyDigester(drawn);
+  Secret secret{};
+  randombytes_buf(secret.data(), secret.size());
+  return KeyDigester(secret);
 }
 
 KeyDigest KeyDigester::digest(std::string_view Key) const {
   KeyDigest::Bytes value{};
   crypto_generichash(value.data(), value.size(),
                      reinterpret_cast<const unsigned char *>(Key.data()),
-                     Key.size(), Drawn.data(), Drawn.size());
+                     Key.size(), HashKey.data(), HashKey.size());
   return KeyDigest(value);
 }
 
--- a/Wasabi/Dispatch/EnginePace.cpp
+++ b/Wasabi/Dispatch/EnginePace.cpp
@@ -4,47 +4,48 @@
 
 namespace wasabi {
 
-void notePause(EnginePace &Of, double PauseMs, TimePoint Now,
-               const EnginePaceSettings &Limits) {
-  double share = Of.RecentMs > 0 ? Limits.Smoothing : 1.0;
-  Of.RecentMs += share * (PauseMs - Of.RecentMs);
-  ++Of.Count;
-  // The mean of the first pauses, then a moving one in which a stall counts no
-  // more than a slow engine's pause.
-  double own = std::max(Limits.OwnSmoothing, 1.0 / Of.Count);
-  double counted = Of.Count > Limits.LeastCount
-                       ? std::min(PauseMs, Of.OwnMs * Limits.SlowFactor)
-                       : PauseMs;
-  Of.OwnMs += own * (counted - Of.OwnMs);
-  Of.LastEvent = Now;
+void recordEventInterval(EnginePace &Pace, double EventIntervalMs,
+                         TimePoint Now, const EnginePaceSettings &Limits) {
+  double recentWeight = Pace.RecentMs > 0 ? Limits.Smoothing : 1.0;
+  Pace.RecentMs += recentWeight * (EventIntervalMs - Pace.RecentMs);
+  ++Pace.Count;
+  // The arithmetic mean at first, then a moving average in which the interval
+  // of a stall is capped.
+  double longTermWeight = std::max(Limits.LongTermSmoothing, 1.0 / Pace.Count);
+  double cappedMs =
+      Pace.Count > Limits.MinEventCount
+          ? std::min(EventIntervalMs, Pace.LongTermMs * Limits.SlowFactor)
+          : EventIntervalMs;
+  Pace.LongTermMs += longTermWeight * (cappedMs - Pace.LongTermMs);
+  Pace.LastEvent = Now;
 }
 
-void forgetRecent(EnginePace &Of, TimePoint Now,
-                  const EnginePaceSettings &Limits) {
-  if (Now - Of.LastEvent > Limits.RecentSpan)
-    Of.RecentMs = 0;
+void expireRecentPace(EnginePace &Pace, TimePoint Now,
+                      const EnginePaceSettings &Limits) {
+  if (Now - Pace.LastEvent > Limits.RecentTimeout)
+    Pace.RecentMs = 0;
 }
 
-double knownMs(const EnginePace &Of, const EnginePaceSettings &Limits) {
-  return Of.Count < Limits.LeastCount ? 0 : Of.OwnMs;
+double longTermMs(const EnginePace &Pace, const EnginePaceSettings &Limits) {
+  return Pace.Count < Limits.MinEventCount ? 0 : Pace.LongTermMs;
 }
 
-bool isSlow(const EnginePace &Of, double UsualMs,
+bool isSlow(const EnginePace &Pace, double MedianMs,
             const EnginePaceSettings &Limits) {
-  return UsualMs > 0 && Of.RecentMs > UsualMs * Limits.SlowFactor;
+  return MedianMs > 0 && Pace.RecentMs > MedianMs * Limits.SlowFactor;
 }
 
-std::uint32_t paceGrade(const EnginePace &Of, double FastMs,
-                        const EnginePaceSettings &Limits) {
-  constexpr std::uint32_t MostGrades = 8;
-  double ms = knownMs(Of, Limits);
-  if (FastMs <= 0)
+std::uint32_t paceTier(const EnginePace &Pace, double FastQuartileMs,
+                       const EnginePaceSettings &Limits) {
+  constexpr std::uint32_t MaxTier = 8;
+  double ms = longTermMs(Pace, Limits);
+  if (FastQuartileMs <= 0)
     return 0;
-  std::uint32_t grade = 0;
-  for (double limit = FastMs * Limits.GradeFactor;
-       ms > limit && grade < MostGrades; limit *= Limits.GradeFactor)
-    ++grade;
-  return grade;
+  std::uint32_t tier = 0;
+  for (double limit = FastQuartileMs * Limits.TierFactor;
+       ms > limit && tier < MaxTier; limit *= Limits.TierFactor)
+    ++tier;
+  return tier;
 }
 
 } // namespace wasabi
--- a/Wasabi/Dispatch/EngineTopics.cpp
+++ b/Wasabi/Dispatch/EngineTopics.cpp
@@ -11,31 +11,31 @@
 
 namespace {
 
-/// What is wanted should reach an engine within a fraction of a load's 0.9 s.
-constexpr Millis EnginePace{30};
+/// Delay between two reads of a topic, short compared to a weight load.
+constexpr Millis TopicPollDelay{30};
 
-/// Records of a release before this one have none.
-ServerStart readStart(JsonReader &From) {
-  return From.has("start") ? From.number("start") : 0;
+/// Returns the start, or 0 for records of older releases, which have none.
+ServerStartTime readStart(JsonReader &Record) {
+  return Record.has("start") ? Record.number("start") : 0;
 }
 
 } // namespace
 
-std::string encodeWanted(const WantedWeights &What) {
+std::string encodeWanted(const WantedWeights &Weights) {
   return json::serialize(json::object{
-      {"model", What.Model.Text},
-      {"version", What.Version},
-      {"mode", What.Mode == SwapMode::Finish ? "finish" : "continue"},
-      {"start", What.Start}});
+      {"model", Weights.Model.Text},
+      {"version", Weights.Version},
+      {"mode", Weights.Mode == SwapMode::Finish ? "finish" : "continue"},
+      {"start", Weights.Start}});
 }
 
-std::string encodeHeld(const HeldWeights &What) {
+std::string encodeHeld(const HeldWeights &Weights) {
   json::array models;
-  for (const auto &[model, version] : What.Models)
+  for (const auto &[model, version] : Weights.Models)
     models.push_back({{"name", model.Text}, {"version", version}});
   return json::serialize(json::object{{"models", std::move(models)},
-                                      {"loading", What.Loading},
-                                      {"start", What.Start}});
+                                      {"loading", Weights.Loading},
+                                      {"start", Weights.Start}});
 }
 
 Result<WantedWeights> decodeWanted(std::string_view Text,
@@ -46,7 +46,7 @@
   WantedWeights wanted;
   wanted.Model = ModelName(root.text("model"));
   wanted.Version = root.number("version");
-  bool finish = root.word("mode", {"continue", "finish"}, true) == 1;
+  bool finish = root.enumIndex("mode", {"continue", "finish"}, true) == 1;
   wanted.Mode = finish ? SwapMode::Finish : SwapMode::Continue;
   wanted.Start = readStart(root);
   BOOST_LEAF_CHECK(root.finish());
@@ -63,7 +63,7 @@
     it.allowUnknown();
     ModelName name(it.text("name"));
     held.Models[name] = it.number("version");
-    root.adopt(it);
+    root.mergeError(it);
   }
   held.Loading = root.boolean("loading", false);
   held.Start = readStart(root);
@@ -72,31 +72,33 @@
 }
 
 std::shared_ptr<KeyedFollower> followWanted(
-    const FeedParts &Parts,
-    std::function<void(const ServerName &, WantedWeights, Offset)> Take) {
+    const FeedContext &Parts,
+    std::function<void(const ServerName &, WantedWeights, Offset)> OnChange) {
   return startFeed(
-      Parts, WantedTopic, EnginePace,
-      [Take = std::move(Take)](const KeyedRecord &Record) -> Result<void> {
+      Parts, WantedTopic, TopicPollDelay,
+      [OnChange =
+           std::move(OnChange)](const KeyedRecord &Record) -> Result<void> {
         if (!Record.Value)
           return {};
         BOOST_LEAF_AUTO(wanted, decodeWanted(*Record.Value, Record.Key));
-        Take(ServerName(Record.Key), std::move(wanted), Record.At);
+        OnChange(ServerName(Record.Key), std::move(wanted), Record.At);
         return {};
       });
 }
 
-std::shared_ptr<KeyedFollower>
-followHeld(const FeedParts &Parts,
-           std::function<void(const ServerName &, const HeldWeights &)> Take) {
-  return startFeed(
-      Parts, HeldTopic, EnginePace,
-      [Take = std::move(Take)](const KeyedRecord &Record) -> Result<void> {
-        if (!Record.Value)
-          return {};
-        BOOST_LEAF_AUTO(held, decodeHeld(*Record.Value, Record.Key));
-        Take(ServerName(Record.Key), held);
-        return {};
-      });
+std::shared_ptr<KeyedFollower> followHeld(
+    const FeedContext &Parts,
+    std::function<void(const ServerName &, const HeldWeights &)> OnChange) {
+  return startFeed(Parts, HeldTopic, TopicPollDelay,
+                   [OnChange = std::move(OnChange)](
+                       const KeyedRecord &Record) -> Result<void> {
+                     if (!Record.Value)
+                       return {};
+                     BOOST_LEAF_AUTO(held,
+                                     decodeHeld(*Record.Value, Record.Key));
+                     OnChange(ServerName(Record.Key), held);
+                     return {};
+                   });
 }
 
 } // namespace wasabi
--- a/Wasabi/Dispatch/LoadOrder.cpp
+++ b/Wasabi/Dispatch/LoadOrder.cpp
@@ -5,24 +5,28 @@
 
 namespace wasabi {
 
-bool mayLoad(const EngineState &Engine, const ModelDemand &Of) {
+bool shouldLoadWeights(const DispatchEngine &Engine,
+                       const ModelDemand &Demand) {
   WeightVersion has = Engine.version(Engine.Model);
-  bool serves = Of.Waiting > 0 && has >= Of.Waiting;
-  bool willServe = Of.Coming > 0 && has >= Of.Coming;
-  return has < Of.Named && !serves && !willServe;
+  bool servesWaiting =
+      Demand.WaitingMinVersion > 0 && has >= Demand.WaitingMinVersion;
+  bool servesExpected =
+      Demand.ExpectedMinVersion > 0 && has >= Demand.ExpectedMinVersion;
+  return has < Demand.NewestVersion && !servesWaiting && !servesExpected;
 }
 
-EngineList loadOrder(EngineList Due,
-                     const std::map<ModelName, ModelDemand> &Models) {
-  auto rank = [&Models](const std::shared_ptr<EngineState> &Of) {
-    WeightVersion has = Of->version(Of->Model);
-    bool inVain = Of->Wanted > has;
-    auto found = Models.find(Of->Model);
+EngineList sortForLoading(EngineList Due,
+                          const std::map<ModelName, ModelDemand> &Models) {
+  auto rank = [&Models](const std::shared_ptr<DispatchEngine> &Engine) {
+    WeightVersion has = Engine->version(Engine->Model);
+    bool askedBefore = Engine->Wanted > has;
+    auto found = Models.find(Engine->Model);
     ModelDemand demand = found == Models.end() ? ModelDemand() : found->second;
-    std::int64_t lag = static_cast<std::int64_t>(demand.Named) -
+    std::int64_t lag = static_cast<std::int64_t>(demand.NewestVersion) -
                        static_cast<std::int64_t>(has);
-    return std::make_tuple(inVain, inVain ? Of->WantedAt : TimePoint(),
-                           has >= demand.Waiting, -lag, Of->Running);
+    return std::make_tuple(
+        askedBefore, askedBefore ? Engine->WantedAt : TimePoint(),
+        has >= demand.WaitingMinVersion, -lag, Engine->Running);
   };
   std::stable_sort(
       Due.begin(), Due.end(),
--- /dev/null
+++ b/Wasabi/Quarantine/CrashHistory.cpp
@@ -0,0 +1,171 @@
+#include "Wasabi/Quarantine/CrashHistory.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace wasabi {
+
+namespace {
+
+/// For each crashed server, the number of requests that its crash counts
+/// against.
+using SuspectCounts = std::map<ServerIncarnation, std::size_t>;
+
+SuspectCounts countSuspects(const CrashHistory &History) {
+  SuspectCounts counts;
+  for (const auto &[digest, record] : History.Requests) {
+    for (const ServerIncarnation &it : record.Crashes)
+      ++counts[it];
+  }
+  return counts;
+}
+
+/// Returns the number of crashes of a request that no poison request explains.
+/// `Counts` has no entry for an explained crash.
+std::size_t countUnexplained(const CrashRecord &Record,
+                             const SuspectCounts &Counts) {
+  return static_cast<std::size_t>(std::count_if(
+      Record.Crashes.begin(), Record.Crashes.end(),
+      [&](const ServerIncarnation &It) { return Counts.contains(It); }));
+}
+
+/// Returns true if the crashes of a request make it poison.
+bool exceedsLimits(const CrashHistory &History, const CrashRecord &Record,
+                   const SuspectCounts &Counts) {
+  if (Record.Crashes.size() >= History.Limits.TotalCrashLimit)
+    return true;
+  std::size_t unexplained = countUnexplained(Record, Counts);
+  if (unexplained >= History.Limits.SharedCrashLimit)
+    return true;
+  bool hasUnshared =
+      std::any_of(Record.Crashes.begin(), Record.Crashes.end(),
+                  [&](const ServerIncarnation &It) {
+                    auto count = Counts.find(It);
+                    return count != Counts.end() && count->second == 1;
+                  });
+  return unexplained >= History.Limits.CrashLimit && hasUnshared;
+}
+
+/// Returns the request to mark as poison next, or null if there is none. Among
+/// the requests that exceed a limit, those in `PoisonBefore` precede the
+/// others, then more crashes precede fewer.
+CrashRecord *findNextPoison(CrashHistory &History, const SuspectCounts &Counts,
+                            const std::set<RequestDigest> &PoisonBefore) {
+  CrashRecord *next = nullptr;
+  std::pair<bool, std::size_t> rank;
+  for (auto &[digest, record] : History.Requests) {
+    std::pair<bool, std::size_t> candidate(PoisonBefore.contains(digest),
+                                           record.Crashes.size());
+    if (record.IsPoison || candidate <= rank ||
+        !exceedsLimits(History, record, Counts))
+      continue;
+    next = &record;
+    rank = candidate;
+  }
+  return next;
+}
+
+/// Decides again which requests are poison, one request at a time: the crashes
+/// of each one then no longer count against the others.
+void updatePoisonFlags(CrashHistory &History) {
+  SuspectCounts counts = countSuspects(History);
+  std::set<RequestDigest> before;
+  for (auto &[digest, record] : History.Requests) {
+    if (record.IsPoison)
+      before.insert(digest);
+    record.IsPoison = false;
+  }
+  while (CrashRecord *poison = findNextPoison(History, counts, before)) {
+    poison->IsPoison = true;
+    for (const ServerIncarnation &it : poison->Crashes)
+      counts.erase(it);
+  }
+}
+
+/// Returns true if `Left` is evicted before `Right`: requests that are not
+/// poison come first, then those whose last crash is older.
+bool isEvictedBefore(const CrashRecord &Left, const CrashRecord &Right) {
+  return std::make_pair(Left.IsPoison, Left.LastCrash) <
+         std::make_pair(Right.IsPoison, Right.LastCrash);
+}
+
+} // namespace
+
+bool recordCrashes(CrashHistory &History, const RequestDigest &Digest,
+                   const std::set<ServerIncarnation> &Crashes, TimePoint Now) {
+  CrashRecord &record = History.Requests[Digest];
+  std::size_t before = record.Crashes.size();
+  for (const ServerIncarnation &it : Crashes) {
+    if (record.Crashes.size() < History.Limits.MaxCrashesPerRequest)
+      record.Crashes.insert(it);
+  }
+  bool isNew = record.Crashes.size() > before;
+  // At the maximum, further crashes only extend the quarantine.
+  if (isNew || before == History.Limits.MaxCrashesPerRequest)
+    record.LastCrash = Now;
+  if (isNew)
+    updatePoisonFlags(History);
+  return isNew;
+}
+
+bool clearCrashes(CrashHistory &History, const RequestDigest &Digest) {
+  if (History.Requests.erase(Digest) == 0)
+    return false;
+  updatePoisonFlags(History);
+  return true;
+}
+
+CrashStatus findCrashStatus(const CrashHistory &History,
+                            const RequestDigest &Digest, TimePoint Now) {
+  auto it = History.Requests.find(Digest);
+  if (it == History.Requests.end())
+    return CrashStatus::Clean;
+  if (it->second.IsPoison)
+    return remainingQuarantine(History, Digest, Now) > Millis(0)
+               ? CrashStatus::Quarantined
+               : CrashStatus::Suspect;
+  bool explained = true;
+  for (const ServerIncarnation &server : it->second.Crashes) {
+    explained = explained &&
+                std::any_of(History.Requests.begin(), History.Requests.end(),
+                            [&](const auto &Other) {
+                              return Other.second.IsPoison &&
+                                     Other.second.Crashes.contains(server);
+                            });
+  }
+  return explained ? CrashStatus::Clean : CrashStatus::Suspect;
+}
+
+Millis remainingQuarantine(const CrashHistory &History,
+                           const RequestDigest &Digest, TimePoint Now) {
+  auto it = History.Requests.find(Digest);
+  if (it == History.Requests.end() || !it->second.IsPoison)
+    return Millis(0);
+  Millis left = std::chrono::ceil<Millis>(it->second.LastCrash +
+                                          History.Limits.QuarantineTime - Now);
+  return std::max(left, Millis(0));
+}
+
+std::set<RequestDigest> evictOld(CrashHistory &History, TimePoint Now) {
+  std::set<RequestDigest> old;
+  for (const auto &[digest, record] : History.Requests) {
+    if (Now - record.LastCrash > History.Limits.RecordRetention)
+      old.insert(digest);
+  }
+  for (const RequestDigest &it : old)
+    History.Requests.erase(it);
+  while (History.Requests.size() > History.Limits.MaxTrackedRequests) {
+    auto first =
+        std::min_element(History.Requests.begin(), History.Requests.end(),
+                         [](const auto &L, const auto &R) {
+                           return isEvictedBefore(L.second, R.second);
+                         });
+    old.insert(first->first);
+    History.Requests.erase(first);
+  }
+  if (!old.empty())
+    updatePoisonFlags(History);
+  return old;
+}
+
+} // namespace wasabi
--- a/Wasabi/Replay/Check.h
+++ b/Wasabi/Replay/Check.h
@@ -1,11 +1,11 @@
 /// \file
-/// Holds a trace against its stated outcomes.
+/// Checks a trace against its expected outcomes.
 #ifndef WASABI_REPLAY_CHECK_H
 #define WASABI_REPLAY_CHECK_H
 
-#include "Wasabi/Replay/Outcomes.h"
 #include "Wasabi/Replay/Rules.h"
 #include "Wasabi/Replay/Trace.h"
+#include "Wasabi/Replay/TraceExpectations.h"
 
 #include <optional>
 #include <string>
@@ -13,22 +13,25 @@
 
 namespace wasabi::replay {
 
-/// The first outcome that a trace breaks. An immutable value.
-struct BrokenOutcome {
-  /// The rule's name, or `expect`.
+/// The first outcome that a trace violates. An immutable value.
+struct TraceViolation {
+  /// Name of the rule, or `expect`.
   std::string Rule;
-  Finding What;
-  /// Earlier events about the same requests, slots, offsets or resources.
-  std::vector<std::size_t> Causes;
-  bool operator==(const BrokenOutcome &) const = default;
+  RuleViolation Details;
+  /// Positions of earlier events about the same request, slot, key, resource,
+  /// member or delivery.
+  std::vector<std::size_t> RelatedEvents;
+  bool operator==(const TraceViolation &) const = default;
 };
 
-/// The broken outcome whose deciding event comes first in the trace; absent
+/// Returns the violation whose deciding event comes first in the trace; missing
 /// expected events come last. Pure, thread-safe.
-std::optional<BrokenOutcome> check(const Trace &From, const Outcomes &Against);
+std::optional<TraceViolation> check(const Trace &Input,
+                                    const TraceExpectations &Expectations);
 
-/// A broken outcome for a person, several lines. Pure, thread-safe.
-std::string describeBroken(const Trace &From, const BrokenOutcome &Broken);
+/// Describes a violation in several lines of text. Pure, thread-safe.
+std::string describeViolation(const Trace &Input,
+                              const TraceViolation &Violation);
 
 } // namespace wasabi::replay
 
--- a/Wasabi/Rollout/SlotMoves.cpp
+++ b/Wasabi/Rollout/SlotMoves.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-std::size_t *countOf(StepState &State, SlotPhase Phase) {
+std::size_t *findPhaseCount(StepState &State, SlotPhase Phase) {
   switch (Phase) {
   case SlotPhase::Waiting:
     return &State.WaitingCount;
@@ -23,23 +23,23 @@
 
 } // namespace
 
-void moveTo(StepState &State, SlotState &Which, SlotPhase Phase) {
-  if (std::size_t *n = countOf(State, Which.Phase))
+void setPhase(StepState &State, SlotState &Which, SlotPhase Phase) {
+  if (std::size_t *n = findPhaseCount(State, Which.Phase))
     --*n;
-  if (std::size_t *n = countOf(State, Phase))
+  if (std::size_t *n = findPhaseCount(State, Phase))
     ++*n;
   Which.Phase = Phase;
 }
 
-void startOver(StepState &State, SlotState &Which) {
-  State.TokensWasted += Which.Whole.Tokens;
-  Which.Whole = Sample();
-  Which.Kept = Draft();
-  Which.ScoreAsked = false;
-  Which.CommitAsked = false;
+void resetSlot(StepState &State, SlotState &Which) {
+  State.TokensWasted += Which.FinishedSample.Tokens;
+  Which.FinishedSample = Sample();
+  Which.ResumableDraft = Draft();
+  Which.ScoreRequested = false;
+  Which.CommitAppended = false;
   Which.Committed = false;
   Which.InDelivery = false;
-  moveTo(State, Which, SlotPhase::Waiting);
+  setPhase(State, Which, SlotPhase::Waiting);
 }
 
 void removeAttempt(StepState &State, AttemptId Id) {
@@ -47,12 +47,13 @@
   if (it == State.Attempts.end())
     return;
   auto engine = State.Servers.find(it->second.On);
-  if (engine != State.Servers.end() && engine->second.Own > 0) {
-    --engine->second.Own;
-    // Attempts that lost tell as much of an engine as those that won: a slow
-    // engine would never be known by its ended ones.
-    noteRate(engine->second, it->second.SoFar.Tokens - it->second.ResumedAt,
-             it->second.LastChunk - it->second.Started);
+  if (engine != State.Servers.end() && engine->second.OwnAttempts > 0) {
+    --engine->second.OwnAttempts;
+    // Includes cancelled attempts: a slow engine may never finish one.
+    recordStreamRate(engine->second,
+                     it->second.GeneratedDraft.Tokens -
+                         it->second.ResumePosition,
+                     it->second.LastChunk - it->second.Started);
   }
   auto slot = State.Slots.find(it->second.Place);
   if (slot != State.Slots.end())
@@ -60,13 +61,14 @@
   State.Attempts.erase(it);
 }
 
-void cancelAll(StepState &State, SlotState &Which, const std::string &Reason,
-               StepEffects &Out) {
+void cancelAttempts(StepState &State, SlotState &Which,
+                    const std::string &Reason, StepEffects &Out) {
   const std::vector<AttemptId> running = Which.Running;
   for (AttemptId id : running) {
-    const AttemptState &one = State.Attempts.at(id);
-    State.TokensWasted += one.SoFar.Tokens - one.ResumedAt;
-    Out.emplace_back(CancelAttempt{id, one.Place, one.On, Reason});
+    const AttemptState &attempt = State.Attempts.at(id);
+    State.TokensWasted +=
+        attempt.GeneratedDraft.Tokens - attempt.ResumePosition;
+    Out.emplace_back(CancelAttempt{id, attempt.Place, attempt.On, Reason});
     removeAttempt(State, id);
   }
 }
@@ -76,13 +78,13 @@
   if (it == State.Slots.end() || it->second.Phase == SlotPhase::Delivered)
     return;
   SlotState &which = it->second;
-  cancelAll(State, which, "delivered", Out);
-  moveTo(State, which, SlotPhase::Delivered);
+  cancelAttempts(State, which, "delivered", Out);
+  setPhase(State, which, SlotPhase::Delivered);
   which.InDelivery = false;
-  // The text is the trainer's now.
-  which.Whole.Text = std::string();
-  which.Kept = Draft();
-  State.Untold.push_back(Place);
+  // The trainer holds the text now; release the memory.
+  which.FinishedSample.Text = std::string();
+  which.ResumableDraft = Draft();
+  State.UnappendedSlots.push_back(Place);
 }
 
 } // namespace wasabi
