--- a/Bench/CapacityBench.cpp
+++ b/Bench/CapacityBench.cpp
@@ -62,7 +62,7 @@
   Row cpu{"control_cpu_percent_by_members", "%", {}};
   Row memory{"daemon_rss_mb_by_members", "MB", {}};
   Row appends{"log_appends_per_s_by_members", "1/s", {}};
-  for (std::size_t size : benchSizes()) {
+  for (std::size_t size : readFleetSizes()) {
     progress("capacity: " + std::to_string(size) + " daemons");
     Outcome<std::unique_ptr<Fleet>> fleet =
         toOutcome<std::unique_ptr<Fleet>>([&] { return Fleet::start(size); });
@@ -70,13 +70,13 @@
       progress("capacity: " + describe(fleet.failure()));
       continue;
     }
-    RestCost cost = measureRest(**fleet, RestWindow);
+    IdleCost cost = measureIdleCost(**fleet, RestWindow);
     double n = static_cast<double>(size);
     bytes.Points.push_back({n, cost.BytesPerSecond});
-    most.Points.push_back({n, cost.MostBytesPerSecond});
+    most.Points.push_back({n, cost.MaxBytesPerSecond});
     frames.Points.push_back({n, cost.FramesPerSecond});
     cpu.Points.push_back({n, cost.CpuPercent});
-    memory.Points.push_back({n, cost.ResidentMb});
+    memory.Points.push_back({n, cost.ResidentMiB});
     appends.Points.push_back({n, cost.AppendsPerSecond});
   }
   for (const Row &it : {bytes, most, frames, cpu, memory, appends})
@@ -112,7 +112,7 @@
     plan.Targets = (*fleet)->callerAddresses();
     plan.Rate = rate;
     plan.Span = LoadSpan;
-    plan.Make = deskCall;
+    plan.MakeRequest = deskCall;
     plan.Check = [](const http::Request &, const http::Response &,
                     CallResult &Into) { Into.Right = true; };
     double entryBefore = (*fleet)->entryCpuSeconds();
@@ -121,7 +121,7 @@
     std::vector<CallResult> calls = runLoad(plan);
     double seconds =
         std::chrono::duration<double>(monotonicNow() - start).count();
-    double done = static_cast<double>(goodCount(calls)) / seconds;
+    double done = static_cast<double>(countGoodCalls(calls)) / seconds;
     entry.Points.push_back(
         {done,
          Percent * ((*fleet)->entryCpuSeconds() - entryBefore) / seconds});
@@ -136,9 +136,9 @@
 /// What a load report weighs; each asker gets one a second at rest.
 void measureLoadReports() {
   Row bytes{"load_report_bytes_by_servers", "B", {}};
-  std::vector<LoadSeen> loads;
+  std::vector<ReportedLoad> loads;
   for (std::size_t n = 1; n <= MostServers; ++n) {
-    LoadSeen load;
+    ReportedLoad load;
     load.Server = ServerName("drafting-llm-north-1-" + std::to_string(n));
     load.Service = ServiceName("drafting-llm");
     loads.push_back(std::move(load));
@@ -176,7 +176,7 @@
 }
 
 double cpuOf(harness::RolloutCluster &Group, std::size_t At) {
-  std::optional<ProcessUsage> usage = readUsage(Group.daemon(At).pid());
+  std::optional<ProcessUsage> usage = readProcessUsage(Group.daemon(At).pid());
   return usage ? usage->CpuSeconds : 0;
 }
 
@@ -225,7 +225,7 @@
   harness::RolloutCluster &group = **started;
   if (!group.waitForSteps(0, 1, StepLimit))
     return;
-  std::optional<std::size_t> owner = group.ownerOf("t");
+  std::optional<std::size_t> owner = group.findOwner("t");
   if (!owner)
     return;
   std::uint64_t first = group.truth(0)->StepsTrained;
@@ -243,8 +243,9 @@
   Rows.Bytes.Points.push_back({samples, (later.Bytes - stream.Bytes) / steps});
   Rows.Appends.Points.push_back(
       {samples, (later.Records - stream.Records) / steps});
-  std::optional<ProcessUsage> usage = readUsage(group.daemon(*owner).pid());
-  Rows.Memory.Points.push_back({samples, usage ? usage->ResidentMb : 0});
+  std::optional<ProcessUsage> usage =
+      readProcessUsage(group.daemon(*owner).pid());
+  Rows.Memory.Points.push_back({samples, usage ? usage->ResidentMiB : 0});
 }
 
 /// A trainer that checks fencing tokens is its own point of truth; for another
--- a/Bench/Fleet.cpp
+++ b/Bench/Fleet.cpp
@@ -54,11 +54,11 @@
     for (FleetDaemon &it : fleet->Daemons) {
       if (!it.Admin.empty())
         continue;
-      BOOST_LEAF_ASSIGN(it.Admin, it.Child->announced("admin"));
+      BOOST_LEAF_ASSIGN(it.Admin, it.Child->waitForAddress("admin"));
     }
   }
-  bool whole =
-      harness::waitUntil([&] { return fleet->everyoneSeesAll(); }, ReadyLimit);
+  bool whole = harness::waitUntil(
+      [&] { return fleet->allDaemonsSeeEachOther(); }, ReadyLimit);
   if (!whole)
     return boost::leaf::new_error(
         Failure{Verdict::NotRun,
@@ -97,7 +97,7 @@
   return {};
 }
 
-bool Fleet::everyoneSeesAll() const {
+bool Fleet::allDaemonsSeeEachOther() const {
   for (const FleetDaemon &it : Daemons) {
     std::optional<boost::json::value> status = statusOf(it);
     if (!status || !status->at("ready").as_bool() ||
--- a/Bench/Fleet.h
+++ b/Bench/Fleet.h
@@ -42,7 +42,7 @@
   Fleet() = default;
   Result<void> startPlatform();
   Result<void> startDaemon(std::size_t Number);
-  bool everyoneSeesAll() const;
+  bool allDaemonsSeeEachOther() const;
 
   std::unique_ptr<harness::StandIn> Log;
   std::unique_ptr<harness::StandIn> Instances;
--- a/Bench/FoldBench.cpp
+++ b/Bench/FoldBench.cpp
@@ -193,8 +193,8 @@
     }
     body.Operator = "bench";
     Record record{{"bench", 1, ++sequence}, std::move(body)};
-    bool taken = apply(state, state.Next, encodeRecord(record)).Fate ==
-                 RecordFate::Accepted;
+    bool taken = apply(state, state.Next, encodeRecord(record)).ApplyStatus ==
+                 RecordStatus::Accepted;
     if (taken)
       world = std::move(wanted);
     ends.emplace_back(it.SentAt, state.Next);
@@ -369,7 +369,7 @@
 
 } // namespace
 
-void benchFold() {
+void runFoldBench() {
   const int day = static_cast<int>(ChangesPerDay);
   measureConflicts("apply_day", Days, day, DaySeconds, ApplySeconds);
   measureConflicts("reviewed_day", Days, day, DaySeconds, ReviewSeconds);
--- a/Bench/FoldBench.h
+++ b/Bench/FoldBench.h
@@ -7,7 +7,7 @@
 namespace wasabi::bench {
 
 /// Prints the figures of bench `state` that need no processes. Takes seconds.
-void benchFold();
+void runFoldBench();
 
 } // namespace wasabi::bench
 
--- a/Bench/LoadRun.cpp
+++ b/Bench/LoadRun.cpp
@@ -36,7 +36,7 @@
 
   std::vector<CallResult> run() {
     Began = monotonicNow();
-    for (const Incident &it : Plan.Incidents)
+    for (const ScheduledAction &it : Plan.ScheduledActions)
       spawn(cause(it));
     if (Plan.Rate > 0)
       spawn(arrive());
@@ -58,7 +58,7 @@
                    });
   }
 
-  asio::awaitable<void> cause(Incident What) {
+  asio::awaitable<void> cause(ScheduledAction What) {
     BootTimer timer(Context, Began + What.At);
     co_await timer.async_wait(Awaited);
     What.Do();
@@ -91,13 +91,13 @@
     CallResult result;
     result.Number = Next++;
     result.Due = Due - Began;
-    http::Request ask = Plan.Make(result.Number);
+    http::Request ask = Plan.MakeRequest(result.Number);
     TimePoint until = Due + Plan.Deadline;
     while (result.Attempts < Plan.Client.MaxAttempts && !result.Right &&
            monotonicNow() < until)
       co_await attempt(ask, until, result);
     result.Took = monotonicNow() - Due;
-    result.Good = result.Right && result.Took <= Plan.Deadline;
+    result.IsGood = result.Right && result.Took <= Plan.Deadline;
     Results.push_back(std::move(result));
   }
 
@@ -106,7 +106,7 @@
     ++Result.Attempts;
     std::uniform_int_distribution<std::size_t> any(0, Plan.Targets.size() - 1);
     std::size_t to = any(Random);
-    std::uint32_t limit = Plan.Client.LimitPerTarget;
+    std::uint32_t limit = Plan.Client.MaxInFlightPerTarget;
     if (limit > 0 && Open[to] >= limit)
       co_return;
     Millis left = std::chrono::ceil<Millis>(Until - monotonicNow());
@@ -144,20 +144,20 @@
 }
 
 std::vector<double>
-goodMillis(const std::vector<CallResult> &Calls,
-           const std::function<bool(const CallResult &)> &Chosen) {
+goodLatencyMillis(const std::vector<CallResult> &Calls,
+                  const std::function<bool(const CallResult &)> &Chosen) {
   std::vector<double> times;
   for (const CallResult &it : Calls) {
-    if (it.Good && (!Chosen || Chosen(it)))
+    if (it.IsGood && (!Chosen || Chosen(it)))
       times.push_back(static_cast<double>(it.Took.count()) / 1000.0);
   }
   return times;
 }
 
-std::size_t goodCount(const std::vector<CallResult> &Calls) {
+std::size_t countGoodCalls(const std::vector<CallResult> &Calls) {
   return static_cast<std::size_t>(
       std::count_if(Calls.begin(), Calls.end(),
-                    [](const CallResult &it) { return it.Good; }));
+                    [](const CallResult &it) { return it.IsGood; }));
 }
 
 } // namespace wasabi::bench
--- a/Bench/LoadRun.h
+++ b/Bench/LoadRun.h
@@ -29,15 +29,15 @@
   /// The word of `X-Wasabi-Verdict`; empty without that header.
   std::string Verdict;
   std::uint32_t Attempts = 0;
-  /// Set by `CheckAnswer`: which server answered, and whether rightly.
+  /// Set by `ResponseCheck`: which server answered, and whether rightly.
   std::string Server;
   bool Right = false;
   /// A right answer within its deadline.
-  bool Good = false;
+  bool IsGood = false;
 };
 
 /// Looks at a whole answer of status 200.
-using CheckAnswer = std::function<void(
+using ResponseCheck = std::function<void(
     const http::Request &Ask, const http::Response &Answer, CallResult &Into)>;
 
 /// How the client itself behaves. The default sends once and waits.
@@ -45,13 +45,13 @@
   /// Attempts in all, each to a target chosen at random.
   std::uint32_t MaxAttempts = 1;
   /// Calls at once to a target, beyond which an attempt fails; 0 for no limit.
-  std::uint32_t LimitPerTarget = 0;
+  std::uint32_t MaxInFlightPerTarget = 0;
   /// How long one attempt may take; 0 for all of the deadline.
   Millis AttemptTimeout{0};
 };
 
 /// Something done to the system while the load runs; must not block.
-struct Incident {
+struct ScheduledAction {
   Millis At{0};
   std::function<void()> Do;
 };
@@ -70,21 +70,21 @@
   std::uint64_t Seed = 1;
   /// Number of the first call.
   std::uint64_t FirstNumber = 0;
-  std::function<http::Request(std::uint64_t Number)> Make;
-  CheckAnswer Check;
-  std::vector<Incident> Incidents;
+  std::function<http::Request(std::uint64_t Number)> MakeRequest;
+  ResponseCheck Check;
+  std::vector<ScheduledAction> ScheduledActions;
 };
 
 /// Runs the load on the calling thread until each call has ended.
 std::vector<CallResult> runLoad(const LoadPlan &Plan);
 
 /// Milliseconds of the good answers that `Chosen` takes (all, without one).
-std::vector<double>
-goodMillis(const std::vector<CallResult> &Calls,
-           const std::function<bool(const CallResult &)> &Chosen = nullptr);
+std::vector<double> goodLatencyMillis(
+    const std::vector<CallResult> &Calls,
+    const std::function<bool(const CallResult &)> &Chosen = nullptr);
 
 /// Good answers.
-std::size_t goodCount(const std::vector<CallResult> &Calls);
+std::size_t countGoodCalls(const std::vector<CallResult> &Calls);
 
 } // namespace wasabi::bench
 
--- a/Bench/ProcessUsage.cpp
+++ b/Bench/ProcessUsage.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-std::optional<ProcessUsage> readUsage(pid_t Pid) {
+std::optional<ProcessUsage> readProcessUsage(pid_t Pid) {
   std::ifstream file("/proc/" + std::to_string(Pid) + "/stat");
   std::string text;
   if (!std::getline(file, text))
@@ -35,7 +35,7 @@
     if (n == UserTimeField || n == SystemTimeField)
       usage.CpuSeconds += std::stod(field) / ticks;
     if (n == ResidentPagesField)
-      usage.ResidentMb = std::stod(field) * page / (1024.0 * 1024.0);
+      usage.ResidentMiB = std::stod(field) * page / (1024.0 * 1024.0);
   }
   return usage;
 }
--- a/Bench/ProcessUsage.h
+++ b/Bench/ProcessUsage.h
@@ -14,11 +14,11 @@
   /// User and system time, in seconds.
   double CpuSeconds = 0;
   /// Memory held now, in MiB.
-  double ResidentMb = 0;
+  double ResidentMiB = 0;
 };
 
 /// Reads /proc; empty when the process is gone. Thread-safe.
-std::optional<ProcessUsage> readUsage(pid_t Pid);
+std::optional<ProcessUsage> readProcessUsage(pid_t Pid);
 
 } // namespace wasabi::bench
 
--- a/Bench/Report.cpp
+++ b/Bench/Report.cpp
@@ -7,7 +7,7 @@
 
 namespace wasabi::bench {
 
-void report(const Figure &What) {
+void report(const Measurement &What) {
   boost::json::object line;
   line["bench"] = What.Bench;
   line["metric"] = What.Metric;
--- a/Bench/Report.h
+++ b/Bench/Report.h
@@ -9,7 +9,7 @@
 namespace wasabi::bench {
 
 /// One measured figure.
-struct Figure {
+struct Measurement {
   /// The bench's name: state, requests, rollout, capacity.
   std::string Bench;
   /// Lower-case words with underscores, size or case last.
@@ -22,7 +22,7 @@
 
 /// Prints a figure, with `ratio` = value / baseline where there is one.
 /// Thread-safe.
-void report(const Figure &What);
+void report(const Measurement &What);
 
 /// Prints progress for a person, on stderr. Thread-safe.
 void progress(const std::string &Text);
--- a/Bench/RequestChecks.cpp
+++ b/Bench/RequestChecks.cpp
@@ -20,7 +20,7 @@
                    Millis Deadline) {
   http::Request ask;
   ask.Headers = {{"X-Service", FleetService},
-                 {"X-Request-Id", callId(Load, Number)},
+                 {"X-Request-Id", makeRequestId(Load, Number)},
                  {"X-Deadline-Ms", std::to_string(Deadline.count())}};
   return ask;
 }
@@ -113,33 +113,33 @@
                                                : readWhole(Answer.Body);
   return got.Ended &&
          got.Tokens == standins::sampleLength(prompt, seed, most) &&
-         standins::areWhole(got.Spans, got.Tokens) &&
+         standins::areContiguous(got.Spans, got.Tokens) &&
          got.Text == standins::spansText(prompt, seed, got.Spans);
 }
 
 } // namespace
 
-std::string callId(const std::string &Load, std::uint64_t Number) {
+std::string makeRequestId(const std::string &Load, std::uint64_t Number) {
   return Load + "-" + std::to_string(Number);
 }
 
-http::Request plainCall(const std::string &Load, std::uint64_t Number,
-                        Millis Deadline, const std::string &Caller) {
+http::Request makePlainRequest(const std::string &Load, std::uint64_t Number,
+                               Millis Deadline, const std::string &Caller) {
   http::Request ask = head(Load, Number, Deadline);
-  ask.Target = "/work/" + callId(Load, Number);
+  ask.Target = "/work/" + makeRequestId(Load, Number);
   ask.Method = "GET";
   if (!Caller.empty())
     ask.Headers.push_back({"X-Caller", Caller});
-  if (!runsOnce(Number))
+  if (!mustRunOnce(Number))
     return ask;
   ask.Method = "POST";
-  ask.Body = callId(Load, Number);
+  ask.Body = makeRequestId(Load, Number);
   ask.Body.resize(BodyBytes, '.');
   return ask;
 }
 
-void checkPlain(const http::Request &Ask, const http::Response &Answer,
-                CallResult &Into) {
+void checkPlainResponse(const http::Request &Ask, const http::Response &Answer,
+                        CallResult &Into) {
   boost::system::error_code ec;
   boost::json::value body = boost::json::parse(Answer.Body, ec);
   if (ec || !body.is_object())
@@ -150,9 +150,11 @@
                body.at("body_hash").as_string() == standins::hashText(Ask.Body);
 }
 
-http::Request completionCall(const std::string &Load, std::uint64_t Number,
-                             const std::string &Prompt, std::uint64_t MaxTokens,
-                             bool Streamed, Millis Deadline) {
+http::Request makeCompletionRequest(const std::string &Load,
+                                    std::uint64_t Number,
+                                    const std::string &Prompt,
+                                    std::uint64_t MaxTokens, bool Streamed,
+                                    Millis Deadline) {
   http::Request ask = head(Load, Number, Deadline);
   ask.Method = "POST";
   ask.Target = "/v1/completions";
@@ -167,8 +169,8 @@
   return ask;
 }
 
-void checkCompletion(const http::Request &Ask, const http::Response &Answer,
-                     CallResult &Into) {
+void checkCompletionResponse(const http::Request &Ask,
+                             const http::Response &Answer, CallResult &Into) {
   try {
     Into.Right = isRight(Ask, Answer);
   } catch (const std::exception &Why) {
@@ -176,7 +178,7 @@
   }
 }
 
-std::uint64_t completionTokens(const http::Request &Ask) {
+std::uint64_t expectedCompletionTokens(const http::Request &Ask) {
   boost::json::object asked = boost::json::parse(Ask.Body).as_object();
   return standins::sampleLength(
       std::string(asked.at("prompt").as_string()),
@@ -184,20 +186,20 @@
       asked.at("max_tokens").to_number<std::uint64_t>());
 }
 
-Faithfulness checkPlainRuns(const std::string &Load,
-                            const std::vector<CallResult> &Calls,
-                            RequestFleet &Fleet) {
+CorrectnessCounts checkPlainRuns(const std::string &Load,
+                                 const std::vector<CallResult> &Calls,
+                                 RequestFleet &Fleet) {
   KnownRuns runs = runsOf(Fleet);
-  Faithfulness found;
+  CorrectnessCounts found;
   for (const CallResult &it : Calls) {
     std::map<std::string, std::uint64_t>::const_iterator known =
-        runs.Times.find(callId(Load, it.Number));
+        runs.Times.find(makeRequestId(Load, it.Number));
     std::uint64_t times = known == runs.Times.end() ? 0 : known->second;
     // Without all records an answer may look right and not be.
     found.Checked += runs.Complete ? 1 : 0;
     if (it.Verdict == NotRunWord && times > 0)
       ++found.FalseNotRun;
-    if (runsOnce(it.Number) && times > 1)
+    if (mustRunOnce(it.Number) && times > 1)
       ++found.DoubleRuns;
     bool fromNowhere = runs.Complete && times == 0;
     if (it.Status == WholeStatus && (!it.Right || fromNowhere))
@@ -206,8 +208,9 @@
   return found;
 }
 
-Faithfulness operator+(const Faithfulness &Left, const Faithfulness &Right) {
-  return Faithfulness{
+CorrectnessCounts operator+(const CorrectnessCounts &Left,
+                            const CorrectnessCounts &Right) {
+  return CorrectnessCounts{
       Left.FalseNotRun + Right.FalseNotRun, Left.DoubleRuns + Right.DoubleRuns,
       Left.WrongAnswers + Right.WrongAnswers, Left.Checked + Right.Checked};
 }
--- a/Bench/RequestChecks.h
+++ b/Bench/RequestChecks.h
@@ -14,35 +14,37 @@
 namespace wasabi::bench {
 
 /// The `X-Request-Id` of a call; `Load` tells the loads of one fleet apart.
-std::string callId(const std::string &Load, std::uint64_t Number);
+std::string makeRequestId(const std::string &Load, std::uint64_t Number);
 
 /// Whether a call must run at most once: every second one must.
-inline bool runsOnce(std::uint64_t Number) { return Number % 2 == 1; }
+inline bool mustRunOnce(std::uint64_t Number) { return Number % 2 == 1; }
 
 /// A small call of a plain service: a GET, or a POST that must run once.
 /// `Caller` is empty for none. Deadline in milliseconds.
-http::Request plainCall(const std::string &Load, std::uint64_t Number,
-                        Millis Deadline, const std::string &Caller = "");
+http::Request makePlainRequest(const std::string &Load, std::uint64_t Number,
+                               Millis Deadline, const std::string &Caller = "");
 
 /// Checks a plain service's answer: path, and the hash of the body.
-void checkPlain(const http::Request &Ask, const http::Response &Answer,
-                CallResult &Into);
+void checkPlainResponse(const http::Request &Ask, const http::Response &Answer,
+                        CallResult &Into);
 
 /// A completion of an engine.
-http::Request completionCall(const std::string &Load, std::uint64_t Number,
-                             const std::string &Prompt, std::uint64_t MaxTokens,
-                             bool Streamed, Millis Deadline);
+http::Request makeCompletionRequest(const std::string &Load,
+                                    std::uint64_t Number,
+                                    const std::string &Prompt,
+                                    std::uint64_t MaxTokens, bool Streamed,
+                                    Millis Deadline);
 
 /// Checks a completion: every token recomputed from the labels, and as many as
 /// there must be. `CallResult::Server` is left empty.
-void checkCompletion(const http::Request &Ask, const http::Response &Answer,
-                     CallResult &Into);
+void checkCompletionResponse(const http::Request &Ask,
+                             const http::Response &Answer, CallResult &Into);
 
 /// How many tokens a completion must have. Precondition: `Ask` is one.
-std::uint64_t completionTokens(const http::Request &Ask);
+std::uint64_t expectedCompletionTokens(const http::Request &Ask);
 
 /// What was promised and must be 0.
-struct Faithfulness {
+struct CorrectnessCounts {
   /// Answered `not-run` though an upstream ran it.
   std::uint64_t FalseNotRun = 0;
   /// Ran twice though it had to run once.
@@ -55,12 +57,13 @@
 
 /// Holds the calls of plain services against the upstreams' own records. An
 /// upstream that does not answer is left out, and said on stderr.
-Faithfulness checkPlainRuns(const std::string &Load,
-                            const std::vector<CallResult> &Calls,
-                            RequestFleet &Fleet);
+CorrectnessCounts checkPlainRuns(const std::string &Load,
+                                 const std::vector<CallResult> &Calls,
+                                 RequestFleet &Fleet);
 
 /// Adds up.
-Faithfulness operator+(const Faithfulness &Left, const Faithfulness &Right);
+CorrectnessCounts operator+(const CorrectnessCounts &Left,
+                            const CorrectnessCounts &Right);
 
 } // namespace wasabi::bench
 
--- a/Bench/RequestEngines.cpp
+++ b/Bench/RequestEngines.cpp
@@ -19,7 +19,7 @@
 constexpr Millis WarmSpan{2000};
 constexpr Millis Span{5000};
 
-std::unique_ptr<RequestFleet> startEngines(Millis LoadLag) {
+std::unique_ptr<RequestFleet> startEngines(Millis LoadReportDelay) {
   RequestFleet::Settings setup;
   setup.Entries = 2;
   setup.Upstreams = Upstreams;
@@ -27,7 +27,7 @@
   setup.Flags = {"--model=" + std::string(FleetModel),
                  "--slots=" + std::to_string(Slots), "--tokens_per_s=1000",
                  "--cache_entries=" + std::to_string(CacheEntries),
-                 "--load_lag_ms=" + std::to_string(LoadLag.count())};
+                 "--load_lag_ms=" + std::to_string(LoadReportDelay.count())};
   return startFleet(std::move(setup));
 }
 
@@ -35,17 +35,17 @@
 
 LoadPlan engineLoad(const std::string &Load, const RequestFleet &Fleet,
                     double Rate, Millis Span, Prompts Prompt) {
-  LoadPlan plan = plainLoad(Load, Fleet, Rate, Span, Deadline);
-  plan.Make = [Load, Prompt = std::move(Prompt)](std::uint64_t Number) {
-    return completionCall(Load, Number, Prompt(Number), MaxTokens, false,
-                          Deadline);
+  LoadPlan plan = makePlainLoad(Load, Fleet, Rate, Span, Deadline);
+  plan.MakeRequest = [Load, Prompt = std::move(Prompt)](std::uint64_t Number) {
+    return makeCompletionRequest(Load, Number, Prompt(Number), MaxTokens, false,
+                                 Deadline);
   };
-  plan.Check = checkCompletion;
+  plan.Check = checkCompletionResponse;
   return plan;
 }
 
-Faithfulness wrongOf(const std::vector<CallResult> &Calls) {
-  Faithfulness found;
+CorrectnessCounts wrongOf(const std::vector<CallResult> &Calls) {
+  CorrectnessCounts found;
   for (const CallResult &it : Calls) {
     ++found.Checked;
     if (it.Status == 200 && !it.Right)
@@ -150,7 +150,7 @@
 struct LateLoad {
   double P99 = 0;
   double Blind = 0;
-  Faithfulness Found;
+  CorrectnessCounts Found;
 };
 
 LateLoad measureLag(Millis Lag, const std::string &Name) {
@@ -166,18 +166,18 @@
   plan.FirstNumber = 1000000;
   Decisions before = fleet->decisions();
   std::vector<CallResult> ours = runLoad(plan);
-  reportDecisions(Name, difference(fleet->decisions(), before));
+  reportCounters(Name, difference(fleet->decisions(), before));
   plan.FirstNumber = 2000000;
-  std::vector<CallResult> blind = runLoad(blindLoad(plan, *fleet));
-  result.P99 = goodQuantile(ours, 0.99);
-  result.Blind = goodQuantile(blind, 0.99);
+  std::vector<CallResult> blind = runLoad(makeBaselineLoad(plan, *fleet));
+  result.P99 = goodLatencyQuantile(ours, 0.99);
+  result.Blind = goodLatencyQuantile(blind, 0.99);
   result.Found = wrongOf(ours);
   return result;
 }
 
 } // namespace
 
-Faithfulness measureLateLoad() {
+CorrectnessCounts measureLateLoad() {
   LateLoad fresh = measureLag(Millis(0), "fresh_load");
   LateLoad late = measureLag(Millis(2000), "late_load");
   reportRequests("p99_ms_late_load", late.P99, "ms, reports 2 s late",
@@ -186,7 +186,7 @@
   return fresh.Found + late.Found;
 }
 
-Faithfulness measureCacheHits() {
+CorrectnessCounts measureCacheHits() {
   std::unique_ptr<RequestFleet> fleet = startEngines(Millis(0));
   if (!fleet)
     return {};
@@ -194,8 +194,8 @@
   plan.Rate = measureCapacity(plan, *fleet, Slots) * 0.5;
   Decisions before = fleet->decisions();
   std::vector<CallResult> ours = runLoad(plan);
-  reportDecisions("cache", difference(fleet->decisions(), before));
-  runLoad(blindLoad(plan, *fleet));
+  reportCounters("cache", difference(fleet->decisions(), before));
+  runLoad(makeBaselineLoad(plan, *fleet));
   HitShares hits = hitShares(*fleet, "cache");
   HitShares blind = hitShares(*fleet, "blind-cache");
   reportRequests("cache_hit_share", hits.Engines, "of completions",
--- a/Bench/RequestFaults.cpp
+++ b/Bench/RequestFaults.cpp
@@ -38,7 +38,7 @@
 double recoveryMillis(const std::vector<CallResult> &Calls) {
   Micros last = KillAt;
   for (const CallResult &it : Calls) {
-    if (!it.Good && it.Due >= KillAt - Deadline)
+    if (!it.IsGood && it.Due >= KillAt - Deadline)
       last = std::max(last, Micros((it.Due / Bin + 1) * Bin));
   }
   return static_cast<double>((last - KillAt).count()) / 1000.0;
@@ -65,22 +65,22 @@
 struct OutageResult {
   double Ours = 0;
   double Blind = 0;
-  Faithfulness Found;
+  CorrectnessCounts Found;
 };
 
 OutageResult measureOutage(const std::string &Name, RequestFleet &Fleet,
                            double Rate) {
   std::string load = "outage_" + Name;
-  LoadPlan plan = plainLoad(load, Fleet, Rate, OutageSpan, Deadline);
+  LoadPlan plan = makePlainLoad(load, Fleet, Rate, OutageSpan, Deadline);
   Decisions before = Fleet.decisions();
   std::vector<CallResult> ours = runLoad(plan);
   Decisions made = difference(Fleet.decisions(), before);
-  reportDecisions(load, made);
-  reportEndings(load, ours);
+  reportCounters(load, made);
+  reportFailedCalls(load, ours);
   OutageResult result;
   result.Ours = attemptsPerRequest(made);
   result.Found = checkPlainRuns(load, ours, Fleet);
-  result.Blind = meanAttempts(runLoad(blindLoad(plan, Fleet)));
+  result.Blind = meanAttempts(runLoad(makeBaselineLoad(plan, Fleet)));
   reportRequests("attempts_per_request_" + load, result.Ours, "attempts",
                  result.Blind);
   return result;
@@ -88,24 +88,25 @@
 
 } // namespace
 
-Faithfulness measureThirdKilled() {
+CorrectnessCounts measureKilledInstances() {
   constexpr std::size_t Upstreams = 6;
   std::unique_ptr<RequestFleet> fleet = startDesks(Upstreams);
   if (!fleet)
     return {};
   double rate =
-      measureCapacity(plainLoad("capacity", *fleet, 0, WarmSpan, Deadline),
+      measureCapacity(makePlainLoad("capacity", *fleet, 0, WarmSpan, Deadline),
                       *fleet, Slots) *
       0.4;
-  runLoad(plainLoad("warm", *fleet, rate, WarmSpan, Deadline));
+  runLoad(makePlainLoad("warm", *fleet, rate, WarmSpan, Deadline));
 
   // A killed daemon takes the only road to its servers with it; their records
   // stay readable.
-  LoadPlan plan = plainLoad("killed", *fleet, rate, KillSpan, Deadline);
-  plan.Incidents.push_back({KillAt, [&] {
-                              for (std::size_t n = 0; n < Upstreams / 3; ++n)
-                                fleet->upstreams()[n].Daemon->signal(SIGKILL);
-                            }});
+  LoadPlan plan = makePlainLoad("killed", *fleet, rate, KillSpan, Deadline);
+  plan.ScheduledActions.push_back(
+      {KillAt, [&] {
+         for (std::size_t n = 0; n < Upstreams / 3; ++n)
+           fleet->upstreams()[n].Daemon->signal(SIGKILL);
+       }});
   Decisions before = fleet->decisions();
   std::vector<CallResult> ours = runLoad(plan);
   // The killed ones' counts are gone; the entries' are whole.
@@ -113,21 +114,21 @@
   std::erase_if(made, [](const std::pair<const std::string, double> &it) {
     return !it.first.starts_with("wasabi_entry");
   });
-  reportDecisions("third_killed", made);
-  reportEndings("third_killed", ours);
-  Faithfulness found = checkPlainRuns("killed", ours, *fleet);
-
-  LoadPlan blindPlan = blindLoad(plan, *fleet);
-  blindPlan.Incidents = {{KillAt, [&] {
-                            for (std::size_t n = 0; n < Upstreams / 3; ++n)
-                              fleet->upstreams()[n].StandIn->process().signal(
-                                  SIGKILL);
-                          }}};
+  reportCounters("third_killed", made);
+  reportFailedCalls("third_killed", ours);
+  CorrectnessCounts found = checkPlainRuns("killed", ours, *fleet);
+
+  LoadPlan blindPlan = makeBaselineLoad(plan, *fleet);
+  blindPlan.ScheduledActions = {
+      {KillAt, [&] {
+         for (std::size_t n = 0; n < Upstreams / 3; ++n)
+           fleet->upstreams()[n].StandIn->process().signal(SIGKILL);
+       }}};
   std::vector<CallResult> blind = runLoad(blindPlan);
   std::vector<CallResult> after = dueAfter(ours, KillAt);
   std::vector<CallResult> blindAfter = dueAfter(blind, KillAt);
-  reportRequests("p99_ms_third_killed", goodQuantile(after, 0.99),
-                 "ms, after the kill", goodQuantile(blindAfter, 0.99));
+  reportRequests("p99_ms_third_killed", goodLatencyQuantile(after, 0.99),
+                 "ms, after the kill", goodLatencyQuantile(blindAfter, 0.99));
   reportRequests("recovery_ms_third_killed", recoveryMillis(ours), "ms",
                  recoveryMillis(blind));
   reportRequests("good_share_third_killed", goodShare(after),
@@ -137,16 +138,16 @@
   return found;
 }
 
-Faithfulness measureOutages() {
+CorrectnessCounts measureOutages() {
   constexpr std::size_t Upstreams = 4;
   std::unique_ptr<RequestFleet> fleet = startDesks(Upstreams);
   if (!fleet)
     return {};
   double rate =
-      measureCapacity(plainLoad("capacity", *fleet, 0, WarmSpan, Deadline),
+      measureCapacity(makePlainLoad("capacity", *fleet, 0, WarmSpan, Deadline),
                       *fleet, Slots) *
       0.5;
-  runLoad(plainLoad("warm", *fleet, rate, WarmSpan, Deadline));
+  runLoad(makePlainLoad("warm", *fleet, rate, WarmSpan, Deadline));
 
   std::vector<OutageResult> all;
   for (const FleetUpstream &it : fleet->upstreams())
@@ -160,7 +161,7 @@
   all.push_back(measureOutage("killed", *fleet, rate));
 
   const OutageResult *worst = &all.front();
-  Faithfulness found;
+  CorrectnessCounts found;
   for (const OutageResult &it : all) {
     found = found + it.Found;
     if (it.Ours > worst->Ours)
--- a/Bench/RequestFleet.h
+++ b/Bench/RequestFleet.h
@@ -72,7 +72,7 @@
   Result<void> startUpstream(std::size_t Number);
   Result<void> startEntry(std::size_t Number);
   Result<void> declare();
-  Result<void> awaitServing() const;
+  Result<void> waitUntilServing() const;
   bool servesAll(const FleetEntry &Who) const;
 
   const Settings Setup;
--- a/Bench/RequestOverhead.cpp
+++ b/Bench/RequestOverhead.cpp
@@ -21,10 +21,10 @@
   plan.Workers = Workers;
   plan.Span = Span;
   plan.Deadline = Deadline;
-  plan.Make = [Load](std::uint64_t Number) {
-    return plainCall(Load, Number, Deadline);
+  plan.MakeRequest = [Load](std::uint64_t Number) {
+    return makePlainRequest(Load, Number, Deadline);
   };
-  plan.Check = checkPlain;
+  plan.Check = checkPlainResponse;
   return plan;
 }
 
@@ -47,8 +47,8 @@
   }
   for (int percent : {50, 99}) {
     double share = percent / 100.0;
-    double ours = quantile(goodMillis(through), share) * 1000;
-    double theirs = quantile(goodMillis(direct), share) * 1000;
+    double ours = quantile(goodLatencyMillis(through), share) * 1000;
+    double theirs = quantile(goodLatencyMillis(direct), share) * 1000;
     std::string name = "_p" + std::to_string(percent) + "_us";
     reportRequests("added_latency" + name, ours - theirs, "us");
     reportRequests("latency" + name, ours, "us", theirs);
@@ -83,7 +83,7 @@
 
 } // namespace
 
-Faithfulness measureOverhead() {
+CorrectnessCounts measureOverhead() {
   RequestFleet::Settings setup;
   setup.Flags = {"--latency_ms=0", "--slots=0"};
   std::unique_ptr<RequestFleet> fleet = startFleet(std::move(setup));
@@ -95,7 +95,7 @@
          checkPlainRuns("cost", cost, *fleet);
 }
 
-Faithfulness measureTokens() {
+CorrectnessCounts measureTokens() {
   constexpr Millis span{6000};
   constexpr std::size_t workers = 24;
   constexpr std::uint64_t most = 2000;
@@ -112,14 +112,15 @@
   plan.Span = span;
   plan.Deadline = Millis(20000);
   std::uint64_t tokens = 0;
-  plan.Make = [&](std::uint64_t Number) {
-    return completionCall("tokens", Number, "prompt " + std::to_string(Number),
-                          most, true, plan.Deadline);
+  plan.MakeRequest = [&](std::uint64_t Number) {
+    return makeCompletionRequest("tokens", Number,
+                                 "prompt " + std::to_string(Number), most, true,
+                                 plan.Deadline);
   };
   plan.Check = [&](const http::Request &Ask, const http::Response &Answer,
                    CallResult &Into) {
-    checkCompletion(Ask, Answer, Into);
-    tokens += completionTokens(Ask);
+    checkCompletionResponse(Ask, Answer, Into);
+    tokens += expectedCompletionTokens(Ask);
   };
   double entry = fleet->entryCpuSeconds();
   double daemon = fleet->daemonCpuSeconds();
@@ -127,7 +128,7 @@
   entry = fleet->entryCpuSeconds() - entry;
   daemon = fleet->daemonCpuSeconds() - daemon;
 
-  Faithfulness found;
+  CorrectnessCounts found;
   for (const CallResult &it : calls) {
     ++found.Checked;
     if (it.Status == 200 && !it.Right)
--- a/Bench/RequestOverload.cpp
+++ b/Bench/RequestOverload.cpp
@@ -28,8 +28,8 @@
 /// Warms the fleet up, and says what its upstreams can do.
 double prepare(const RequestFleet &Fleet) {
   double capacity = measureCapacity(
-      plainLoad("capacity", Fleet, 0, WarmSpan, Deadline), Fleet, Slots);
-  runLoad(plainLoad("warm", Fleet, capacity * 0.8, WarmSpan, Deadline));
+      makePlainLoad("capacity", Fleet, 0, WarmSpan, Deadline), Fleet, Slots);
+  runLoad(makePlainLoad("warm", Fleet, capacity * 0.8, WarmSpan, Deadline));
   return capacity;
 }
 
@@ -44,14 +44,14 @@
                     double Capacity) {
   double good = 0;
   for (const CallResult &it : Calls)
-    good += it.Good && it.Due + it.Took <= Span ? 1 : 0;
+    good += it.IsGood && it.Due + it.Took <= Span ? 1 : 0;
   double seconds = std::chrono::duration<double>(Span).count();
   return good / (Capacity * std::min(1.0, Factor) * seconds);
 }
 
 } // namespace
 
-Faithfulness measureOverload() {
+CorrectnessCounts measureOverload() {
   const std::array<Overload, 4> all = {
       Overload{0.5, "0.5x"}, Overload{1.0, "1x"}, Overload{1.5, "1.5x"},
       Overload{3.0, "3x"}};
@@ -60,23 +60,23 @@
     return {};
   double capacity = prepare(*fleet);
   reportRequests("capacity", capacity, "1/s");
-  Faithfulness found;
+  CorrectnessCounts found;
   double atOne = 0;
   for (const Overload &it : all) {
     std::string load = "overload" + it.Name;
     LoadPlan plan =
-        plainLoad(load, *fleet, capacity * it.Factor, Span, Deadline);
+        makePlainLoad(load, *fleet, capacity * it.Factor, Span, Deadline);
     Decisions before = fleet->decisions();
     std::vector<CallResult> ours = runLoad(plan);
-    reportDecisions(it.Name, difference(fleet->decisions(), before));
-    reportEndings(it.Name, ours);
+    reportCounters(it.Name, difference(fleet->decisions(), before));
+    reportFailedCalls(it.Name, ours);
     found = found + checkPlainRuns(load, ours, *fleet);
-    std::vector<CallResult> blind = runLoad(blindLoad(plan, *fleet));
+    std::vector<CallResult> blind = runLoad(makeBaselineLoad(plan, *fleet));
     double share = goodputShare(ours, it.Factor, capacity);
     reportRequests("goodput_share_" + it.Name, share, "of what can be had",
                    goodputShare(blind, it.Factor, capacity));
-    reportRequests("p99_ms_" + it.Name, goodQuantile(ours, 0.99), "ms",
-                   goodQuantile(blind, 0.99));
+    reportRequests("p99_ms_" + it.Name, goodLatencyQuantile(ours, 0.99), "ms",
+                   goodLatencyQuantile(blind, 0.99));
     if (it.Factor == 1.0)
       atOne = share;
     if (it.Factor == 3.0 && atOne > 0)
@@ -85,15 +85,15 @@
   return found;
 }
 
-Faithfulness measureSlowUpstream() {
+CorrectnessCounts measureSlowUpstream() {
   std::unique_ptr<RequestFleet> fleet = startDesks();
   if (!fleet)
     return {};
   double rate = prepare(*fleet) * 0.5;
-  LoadPlan even = plainLoad("even", *fleet, rate, Span, Deadline);
-  LoadPlan uneven = plainLoad("slow", *fleet, rate, Span, Deadline);
+  LoadPlan even = makePlainLoad("even", *fleet, rate, Span, Deadline);
+  LoadPlan uneven = makePlainLoad("slow", *fleet, rate, Span, Deadline);
   std::vector<CallResult> evenOurs = runLoad(even);
-  std::vector<CallResult> evenBlind = runLoad(blindLoad(even, *fleet));
+  std::vector<CallResult> evenBlind = runLoad(makeBaselineLoad(even, *fleet));
 
   // Nine times its time beforehand: ten times in all.
   const FleetUpstream &slow = fleet->upstreams().front();
@@ -101,27 +101,27 @@
                           "}");
   Decisions before = fleet->decisions();
   std::vector<CallResult> ours = runLoad(uneven);
-  reportDecisions("slow_upstream", difference(fleet->decisions(), before));
-  reportEndings("slow_upstream", ours);
-  std::vector<CallResult> blind = runLoad(blindLoad(uneven, *fleet));
+  reportCounters("slow_upstream", difference(fleet->decisions(), before));
+  reportFailedCalls("slow_upstream", ours);
+  std::vector<CallResult> blind = runLoad(makeBaselineLoad(uneven, *fleet));
 
   std::function<bool(const CallResult &)> rest = [&](const CallResult &Call) {
     return Call.Server != slow.Server;
   };
-  double p99 = quantile(goodMillis(ours, rest), 0.99);
-  double p99Blind = quantile(goodMillis(blind, rest), 0.99);
+  double p99 = quantile(goodLatencyMillis(ours, rest), 0.99);
+  double p99Blind = quantile(goodLatencyMillis(blind, rest), 0.99);
   reportRequests("p99_ms_slow_upstream", p99, "ms, of the rest", p99Blind);
-  reportRequests("p99_ms_slow_upstream_all", goodQuantile(ours, 0.99), "ms",
-                 goodQuantile(blind, 0.99));
-  reportRequests("p99_ms_no_fault", goodQuantile(evenOurs, 0.99), "ms",
-                 goodQuantile(evenBlind, 0.99));
+  reportRequests("p99_ms_slow_upstream_all", goodLatencyQuantile(ours, 0.99),
+                 "ms", goodLatencyQuantile(blind, 0.99));
+  reportRequests("p99_ms_no_fault", goodLatencyQuantile(evenOurs, 0.99), "ms",
+                 goodLatencyQuantile(evenBlind, 0.99));
   reportRequests("p99_raise_percent_slow_upstream",
-                 (p99 / goodQuantile(evenOurs, 0.99) - 1) * 100, "%",
-                 (p99Blind / goodQuantile(evenBlind, 0.99) - 1) * 100);
+                 (p99 / goodLatencyQuantile(evenOurs, 0.99) - 1) * 100, "%",
+                 (p99Blind / goodLatencyQuantile(evenBlind, 0.99) - 1) * 100);
   reportRequests("good_share_slow_upstream", goodShare(ours), "of calls",
                  goodShare(blind));
-  double toSlow =
-      static_cast<double>(goodCount(ours) - goodMillis(ours, rest).size());
+  double toSlow = static_cast<double>(countGoodCalls(ours) -
+                                      goodLatencyMillis(ours, rest).size());
   reportRequests("slow_upstream_share",
                  toSlow / static_cast<double>(ours.size()), "of calls");
   return checkPlainRuns("even", evenOurs, *fleet) +
@@ -143,7 +143,7 @@
   double modest = 0;
   double greedy = 0;
   for (const CallResult &it : Calls) {
-    if (it.Good)
+    if (it.IsGood)
       (isModest(it.Number) ? modest : greedy) += 1;
   }
   return jain(modest, greedy);
@@ -151,20 +151,20 @@
 
 } // namespace
 
-Faithfulness measureFairness() {
+CorrectnessCounts measureFairness() {
   // The modest caller alone asks 0.8 of the capacity, the greedy one 1.6.
   constexpr double Factor = 2.4;
   std::unique_ptr<RequestFleet> fleet = startDesks();
   if (!fleet)
     return {};
   LoadPlan plan =
-      plainLoad("fair", *fleet, prepare(*fleet) * Factor, Span, Deadline);
-  plan.Make = [](std::uint64_t Number) {
-    return plainCall("fair", Number, Deadline,
-                     isModest(Number) ? "modest" : "greedy");
+      makePlainLoad("fair", *fleet, prepare(*fleet) * Factor, Span, Deadline);
+  plan.MakeRequest = [](std::uint64_t Number) {
+    return makePlainRequest("fair", Number, Deadline,
+                            isModest(Number) ? "modest" : "greedy");
   };
   std::vector<CallResult> ours = runLoad(plan);
-  std::vector<CallResult> blind = runLoad(blindLoad(plan, *fleet));
+  std::vector<CallResult> blind = runLoad(makeBaselineLoad(plan, *fleet));
   reportRequests("fairness_index", fairnessOf(ours),
                  "Jain's, of two callers that ask 0.8x and 1.6x",
                  fairnessOf(blind));
--- a/Bench/RequestScenarios.cpp
+++ b/Bench/RequestScenarios.cpp
@@ -17,10 +17,10 @@
 
 void reportRequests(const std::string &Metric, double Value,
                     const std::string &Unit, std::optional<double> Baseline) {
-  report(Figure{"requests", Metric, Value, Unit, Baseline});
+  report(Measurement{"requests", Metric, Value, Unit, Baseline});
 }
 
-void reportDecisions(const std::string &Case, const Decisions &Counts) {
+void reportCounters(const std::string &Case, const Decisions &Counts) {
   constexpr std::string_view Prefix = "wasabi_";
   constexpr std::string_view Suffix = "_total";
   for (const std::pair<const std::string, double> &it : Counts) {
@@ -35,11 +35,11 @@
   }
 }
 
-void reportEndings(const std::string &Case,
-                   const std::vector<CallResult> &Calls) {
+void reportFailedCalls(const std::string &Case,
+                       const std::vector<CallResult> &Calls) {
   std::map<std::string, double> counts;
   for (const CallResult &it : Calls) {
-    if (it.Good)
+    if (it.IsGood)
       continue;
     std::string verdict = it.Verdict.empty() ? "silent" : it.Verdict;
     std::replace(verdict.begin(), verdict.end(), '-', '_');
@@ -62,30 +62,30 @@
   return nullptr;
 }
 
-ClientPolicy blindClient(Millis Deadline) {
+ClientPolicy makeBaselineClient(Millis Deadline) {
   return ClientPolicy{BlindAttempts, BlindLimit, Deadline / 2};
 }
 
-LoadPlan plainLoad(const std::string &Load, const RequestFleet &Fleet,
-                   double Rate, Millis Span, Millis Deadline) {
+LoadPlan makePlainLoad(const std::string &Load, const RequestFleet &Fleet,
+                       double Rate, Millis Span, Millis Deadline) {
   LoadPlan plan;
   plan.Targets = Fleet.callerAddresses();
   plan.Rate = Rate;
   plan.Span = Span;
   plan.Deadline = Deadline;
-  plan.Make = [Load, Deadline](std::uint64_t Number) {
-    return plainCall(Load, Number, Deadline);
+  plan.MakeRequest = [Load, Deadline](std::uint64_t Number) {
+    return makePlainRequest(Load, Number, Deadline);
   };
-  plan.Check = checkPlain;
+  plan.Check = checkPlainResponse;
   return plan;
 }
 
-LoadPlan blindLoad(LoadPlan Through, const RequestFleet &Fleet) {
+LoadPlan makeBaselineLoad(LoadPlan Through, const RequestFleet &Fleet) {
   Through.Targets = Fleet.upstreamAddresses();
-  Through.Client = blindClient(Through.Deadline);
+  Through.Client = makeBaselineClient(Through.Deadline);
   // Its runs are not those that the product is held to.
-  std::function<http::Request(std::uint64_t)> make = Through.Make;
-  Through.Make = [make](std::uint64_t Number) {
+  std::function<http::Request(std::uint64_t)> make = Through.MakeRequest;
+  Through.MakeRequest = [make](std::uint64_t Number) {
     http::Request ask = make(Number);
     for (http::Header &it : ask.Headers) {
       if (it.Name == "X-Request-Id")
@@ -98,28 +98,28 @@
 
 double measureCapacity(LoadPlan Plan, const RequestFleet &Fleet,
                        std::size_t Slots) {
-  Plan = blindLoad(std::move(Plan), Fleet);
+  Plan = makeBaselineLoad(std::move(Plan), Fleet);
   Plan.Client = ClientPolicy();
   Plan.Targets.resize(1);
   Plan.Rate = 0;
   Plan.Workers = Slots;
   Plan.Span = CapacitySpan;
-  Plan.Incidents.clear();
+  Plan.ScheduledActions.clear();
   TimePoint began = monotonicNow();
-  std::size_t good = goodCount(runLoad(Plan));
+  std::size_t good = countGoodCalls(runLoad(Plan));
   double seconds =
       std::chrono::duration<double>(monotonicNow() - began).count();
   return static_cast<double>(good) / seconds *
          static_cast<double>(Fleet.upstreamAddresses().size());
 }
 
-double goodQuantile(const std::vector<CallResult> &Calls, double Share) {
-  return quantile(goodMillis(Calls), Share);
+double goodLatencyQuantile(const std::vector<CallResult> &Calls, double Share) {
+  return quantile(goodLatencyMillis(Calls), Share);
 }
 
 double goodShare(const std::vector<CallResult> &Calls) {
   return Calls.empty() ? 0
-                       : static_cast<double>(goodCount(Calls)) /
+                       : static_cast<double>(countGoodCalls(Calls)) /
                              static_cast<double>(Calls.size());
 }
 
--- a/Bench/RequestScenarios.h
+++ b/Bench/RequestScenarios.h
@@ -14,25 +14,25 @@
                     std::optional<double> Baseline = std::nullopt);
 
 /// Prints the counts of what entries and daemons decided, where not 0.
-void reportDecisions(const std::string &Case, const Decisions &Counts);
+void reportCounters(const std::string &Case, const Decisions &Counts);
 
 /// Prints how calls without a good answer ended, by status and verdict; 0 is
 /// for no answer.
-void reportEndings(const std::string &Case,
-                   const std::vector<CallResult> &Calls);
+void reportFailedCalls(const std::string &Case,
+                       const std::vector<CallResult> &Calls);
 
 /// A fleet, or none and a line on stderr.
 std::unique_ptr<RequestFleet> startFleet(RequestFleet::Settings Setup);
 
 /// The baseline: random choice, fixed limits, three blind retries, each
 /// attempt with half of the deadline.
-ClientPolicy blindClient(Millis Deadline);
+ClientPolicy makeBaselineClient(Millis Deadline);
 
 /// A load of plain calls through the fleet's entries.
-LoadPlan plainLoad(const std::string &Load, const RequestFleet &Fleet,
-                   double Rate, Millis Span, Millis Deadline);
+LoadPlan makePlainLoad(const std::string &Load, const RequestFleet &Fleet,
+                       double Rate, Millis Span, Millis Deadline);
 /// The same load, sent to the upstreams themselves by the blind client.
-LoadPlan blindLoad(LoadPlan Through, const RequestFleet &Fleet);
+LoadPlan makeBaselineLoad(LoadPlan Through, const RequestFleet &Fleet);
 
 /// What the upstreams answer in a second, by keeping the first one's slots
 /// busy. `Plan` gives the calls.
@@ -40,29 +40,29 @@
                        std::size_t Slots);
 
 /// Quantile of the good answers' time, in milliseconds.
-double goodQuantile(const std::vector<CallResult> &Calls, double Share);
+double goodLatencyQuantile(const std::vector<CallResult> &Calls, double Share);
 /// Good answers over all calls.
 double goodShare(const std::vector<CallResult> &Calls);
 
 /// Added latency and CPU of one entry and one daemon, against a direct
 /// connection to the same upstream.
-Faithfulness measureOverhead();
+CorrectnessCounts measureOverhead();
 /// CPU for streamed tokens.
-Faithfulness measureTokens();
+CorrectnessCounts measureTokens();
 /// Goodput at 0.5, 1, 1.5 and 3 times the capacity.
-Faithfulness measureOverload();
+CorrectnessCounts measureOverload();
 /// One of four upstreams ten times slower.
-Faithfulness measureSlowUpstream();
+CorrectnessCounts measureSlowUpstream();
 /// Two callers that together ask more than there is, one twice the other.
-Faithfulness measureFairness();
+CorrectnessCounts measureFairness();
 /// A third of the instances killed at once.
-Faithfulness measureThirdKilled();
+CorrectnessCounts measureKilledInstances();
 /// All upstreams break off, hang, or are gone.
-Faithfulness measureOutages();
+CorrectnessCounts measureOutages();
 /// Engines whose load reports are late.
-Faithfulness measureLateLoad();
+CorrectnessCounts measureLateLoad();
 /// Prompts with common beginnings.
-Faithfulness measureCacheHits();
+CorrectnessCounts measureCacheHits();
 
 } // namespace wasabi::bench
 
--- a/Bench/RequestsBench.cpp
+++ b/Bench/RequestsBench.cpp
@@ -17,7 +17,7 @@
 /// A part of the bench by name; `WASABI_BENCH_CASES` chooses some of them.
 struct Part {
   std::string_view Name;
-  Faithfulness (*Run)();
+  CorrectnessCounts (*Run)();
 };
 
 bool isChosen(std::string_view Name) {
@@ -39,16 +39,17 @@
 } // namespace
 
 void runRequestsBench() {
-  const std::array<Part, 9> parts = {Part{"overhead", measureOverhead},
-                                     Part{"tokens", measureTokens},
-                                     Part{"overload", measureOverload},
-                                     Part{"slow_upstream", measureSlowUpstream},
-                                     Part{"fairness", measureFairness},
-                                     Part{"third_killed", measureThirdKilled},
-                                     Part{"outages", measureOutages},
-                                     Part{"late_load", measureLateLoad},
-                                     Part{"cache", measureCacheHits}};
-  Faithfulness found;
+  const std::array<Part, 9> parts = {
+      Part{"overhead", measureOverhead},
+      Part{"tokens", measureTokens},
+      Part{"overload", measureOverload},
+      Part{"slow_upstream", measureSlowUpstream},
+      Part{"fairness", measureFairness},
+      Part{"third_killed", measureKilledInstances},
+      Part{"outages", measureOutages},
+      Part{"late_load", measureLateLoad},
+      Part{"cache", measureCacheHits}};
+  CorrectnessCounts found;
   for (const Part &it : parts) {
     if (!isChosen(it.Name))
       continue;
--- a/Bench/RolloutBench.cpp
+++ b/Bench/RolloutBench.cpp
@@ -25,7 +25,7 @@
 constexpr Millis RunLimit{180000};
 constexpr Millis OutageTime{20000};
 
-harness::RolloutCluster::Settings settingsOf(RolloutPlan Plan, bool Checks) {
+harness::RolloutCluster::Settings settingsOf(RolloutVariant Plan, bool Checks) {
   harness::RolloutCluster::Settings setup;
   setup.Engines = EngineCount;
   setup.EngineSlots = EngineSlots;
@@ -47,7 +47,7 @@
     trainer.Seed = setup.Trainers.size() + 1;
     setup.Trainers.push_back(trainer);
   }
-  if (Plan == RolloutPlan::Baseline) {
+  if (Plan == RolloutVariant::Baseline) {
     setup.PresetMembers = R"(,"hedge_tail":false,"swap_percent":100,)"
                           R"("on_version_change":"restart")";
     setup.DaemonFlags = {"--rollout_round_robin"};
@@ -105,7 +105,7 @@
   return meanStepUs(Of) / bound;
 }
 
-void addStaleness(RolloutFigures &To, std::vector<std::uint64_t> All) {
+void addStaleness(RolloutMeasurements &To, std::vector<std::uint64_t> All) {
   if (All.empty())
     return;
   std::sort(All.begin(), All.end());
@@ -116,9 +116,9 @@
   To.StalenessMax = static_cast<double>(All.back());
 }
 
-RolloutFigures readFigures(const harness::RolloutCluster &Of,
-                           std::size_t Trainers) {
-  RolloutFigures figures;
+RolloutMeasurements readFigures(const harness::RolloutCluster &Of,
+                                std::size_t Trainers) {
+  RolloutMeasurements figures;
   std::vector<std::uint64_t> staleness;
   double idle = 0;
   double training = 0;
@@ -143,22 +143,22 @@
     figures.Missing += wanted - std::min(wanted, truth->Taken);
   }
   figures.IdleShare = idle / std::max(1.0, idle + training);
-  figures.StepOverBound = meanOf(bounds);
-  figures.IdlePerStep = meanOf(perStep);
+  figures.StepTimeToBoundRatio = meanOf(bounds);
+  figures.IdleSecondsPerStep = meanOf(perStep);
   addStaleness(figures, std::move(staleness));
   double generated = static_cast<double>(Of.generatedTokens());
   figures.WastedTokenShare =
       generated > tokens ? (generated - tokens) / generated : 0;
   double bound = 1e6 * BlobBytes * EngineCount / BytesPerSecond;
   std::vector<double> swaps;
-  for (std::uint64_t it : Of.swapTimes())
+  for (std::uint64_t it : Of.weightSwapTimes())
     swaps.push_back(static_cast<double>(it) / bound);
-  figures.WeightsOverBound = meanOf(swaps);
+  figures.WeightsTimeToBoundRatio = meanOf(swaps);
   return figures;
 }
 
-RolloutFigures runCluster(harness::RolloutCluster::Settings Setup,
-                          RolloutCase Which) {
+RolloutMeasurements runCluster(harness::RolloutCluster::Settings Setup,
+                               RolloutCase Which) {
   std::size_t trainers = Setup.Trainers.size();
   Outcome<std::unique_ptr<harness::RolloutCluster>> cluster =
       toOutcome<std::unique_ptr<harness::RolloutCluster>>(
@@ -171,7 +171,7 @@
   bool finished = true;
   for (std::size_t at = 0; at < trainers; ++at)
     finished = (*cluster)->waitForSteps(at, StepCount, RunLimit) && finished;
-  RolloutFigures figures = readFigures(**cluster, trainers);
+  RolloutMeasurements figures = readFigures(**cluster, trainers);
   figures.Finished = finished;
   return figures;
 }
@@ -181,22 +181,23 @@
   report({"rollout", Metric, Value, Unit, Baseline});
 }
 
-void printBoth(const std::string &Case, const RolloutFigures &Ours,
-               const RolloutFigures &Base) {
+void printBoth(const std::string &Case, const RolloutMeasurements &Ours,
+               const RolloutMeasurements &Base) {
   print("idle_share_" + Case, "share", Ours.IdleShare, Base.IdleShare);
-  print("idle_s_per_step_" + Case, "s", Ours.IdlePerStep, Base.IdlePerStep);
+  print("idle_s_per_step_" + Case, "s", Ours.IdleSecondsPerStep,
+        Base.IdleSecondsPerStep);
   print("staleness_mean_" + Case, "versions", Ours.StalenessMean,
         Base.StalenessMean);
   print("staleness_p99_" + Case, "versions", Ours.StalenessP99,
         Base.StalenessP99);
   print("staleness_max_" + Case, "versions", Ours.StalenessMax,
         Base.StalenessMax);
-  print("step_over_bound_" + Case, "ratio", Ours.StepOverBound,
-        Base.StepOverBound);
+  print("step_over_bound_" + Case, "ratio", Ours.StepTimeToBoundRatio,
+        Base.StepTimeToBoundRatio);
   print("wasted_token_share_" + Case, "share", Ours.WastedTokenShare,
         Base.WastedTokenShare);
-  print("weights_over_bound_" + Case, "ratio", Ours.WeightsOverBound,
-        Base.WeightsOverBound);
+  print("weights_over_bound_" + Case, "ratio", Ours.WeightsTimeToBoundRatio,
+        Base.WeightsTimeToBoundRatio);
   auto count = [&Case](const char *Name, std::uint64_t N) {
     report({"rollout", std::string(Name) + "_" + Case, static_cast<double>(N),
             "samples", std::nullopt});
@@ -211,20 +212,21 @@
 
 void runCase(const std::string &Name, RolloutCase Which) {
   progress("rollout: " + Name);
-  RolloutFigures ours = measureRun(RolloutPlan::Product, Which, true);
-  RolloutFigures base = measureRun(RolloutPlan::Baseline, Which, true);
+  RolloutMeasurements ours = measureRun(RolloutVariant::Product, Which, true);
+  RolloutMeasurements base = measureRun(RolloutVariant::Baseline, Which, true);
   printBoth(Name, ours, base);
 }
 
 } // namespace
 
-RolloutFigures measureRun(RolloutPlan Plan, RolloutCase Which, bool Checks) {
+RolloutMeasurements measureRun(RolloutVariant Plan, RolloutCase Which,
+                               bool Checks) {
   return runCluster(settingsOf(Plan, Checks), Which);
 }
 
-RolloutFigures measurePolicy(const std::string &OnVersionChange) {
+RolloutMeasurements measurePolicy(const std::string &OnVersionChange) {
   harness::RolloutCluster::Settings setup =
-      settingsOf(RolloutPlan::Product, true);
+      settingsOf(RolloutVariant::Product, true);
   setup.PresetMembers = R"(,"on_version_change":")" + OnVersionChange + R"(")";
   return runCluster(std::move(setup), RolloutCase::Clean);
 }
@@ -237,9 +239,9 @@
   for (const char *name : {"resume", "finish", "restart"}) {
     const std::string policy = name;
     progress("rollout: policy " + policy);
-    RolloutFigures figures = measurePolicy(policy);
-    report({"rollout", "idle_s_per_step_policy_" + policy, figures.IdlePerStep,
-            "s", std::nullopt});
+    RolloutMeasurements figures = measurePolicy(policy);
+    report({"rollout", "idle_s_per_step_policy_" + policy,
+            figures.IdleSecondsPerStep, "s", std::nullopt});
     report({"rollout", "staleness_mean_policy_" + policy, figures.StalenessMean,
             "versions", std::nullopt});
     report({"rollout", "wasted_token_share_policy_" + policy,
@@ -247,10 +249,10 @@
   }
   // Point of truth: deliveries first with tokens, or the log first without.
   progress("rollout: log outage");
-  RolloutFigures tokens =
-      measureRun(RolloutPlan::Product, RolloutCase::LogOutage, true);
-  RolloutFigures log =
-      measureRun(RolloutPlan::Product, RolloutCase::LogOutage, false);
+  RolloutMeasurements tokens =
+      measureRun(RolloutVariant::Product, RolloutCase::LogOutage, true);
+  RolloutMeasurements log =
+      measureRun(RolloutVariant::Product, RolloutCase::LogOutage, false);
   print("idle_share_outage_tokens", "share", tokens.IdleShare, log.IdleShare);
   report({"rollout", "duplicates_outage_log_first",
           static_cast<double>(log.Duplicates), "samples", std::nullopt});
--- a/Bench/RolloutBench.h
+++ b/Bench/RolloutBench.h
@@ -11,7 +11,7 @@
 namespace wasabi::bench {
 
 /// How samples and weights are handled in one run.
-enum class RolloutPlan : std::uint8_t {
+enum class RolloutVariant : std::uint8_t {
   /// The product's ordinary preset.
   Product,
   /// Round-robin, no hedging, all engines swapped at once, restart on each
@@ -31,19 +31,19 @@
 };
 
 /// The figures of one run.
-struct RolloutFigures {
+struct RolloutMeasurements {
   double IdleShare = 0;
   /// Seconds that a trainer waits for a step, the first one left out.
-  double IdlePerStep = 0;
+  double IdleSecondsPerStep = 0;
   double StalenessMean = 0;
   double StalenessP99 = 0;
   double StalenessMax = 0;
   /// Mean over the steps of time until whole against the lower bound.
-  double StepOverBound = 0;
+  double StepTimeToBoundRatio = 0;
   double WastedTokenShare = 0;
   /// Mean over the versions of the time until all engines fetched it, against
   /// what the store's rate gives.
-  double WeightsOverBound = 0;
+  double WeightsTimeToBoundRatio = 0;
   std::uint64_t Stale = 0;
   std::uint64_t Mislabelled = 0;
   std::uint64_t Duplicates = 0;
@@ -57,11 +57,12 @@
 
 /// One run with real processes at Lindqvist's size. `Checks` says whether the
 /// trainers check fencing tokens.
-RolloutFigures measureRun(RolloutPlan Plan, RolloutCase Which, bool Checks);
+RolloutMeasurements measureRun(RolloutVariant Plan, RolloutCase Which,
+                               bool Checks);
 
 /// One clean run of the product under another policy on version changes:
 /// `resume`, `finish` or `restart`.
-RolloutFigures measurePolicy(const std::string &OnVersionChange);
+RolloutMeasurements measurePolicy(const std::string &OnVersionChange);
 
 } // namespace wasabi::bench
 
--- a/Bench/RolloutDecisions.cpp
+++ b/Bench/RolloutDecisions.cpp
@@ -1,7 +1,7 @@
 #include "Bench/Report.h"
 #include "Bench/RolloutBench.h"
 #include "Wasabi/Rollout/StepState.h"
-#include "Wasabi/Weights/WavePlan.h"
+#include "Wasabi/Weights/SwapPlan.h"
 
 #include <algorithm>
 #include <random>
@@ -20,10 +20,10 @@
 constexpr std::uint64_t Rounds = 20000;
 constexpr WeightVersion Version = 5;
 
-std::vector<EngineSeen> generatedEngines() {
-  std::vector<EngineSeen> all;
+std::vector<ReportedEngine> generatedEngines() {
+  std::vector<ReportedEngine> all;
   for (std::uint32_t i = 0; i < ServerCount; ++i) {
-    EngineSeen one;
+    ReportedEngine one;
     one.Name = ServerName("server-" + std::to_string(i));
     one.Service = ServiceName("llm");
     one.Daemon = InstanceName("node-" + std::to_string(i));
@@ -98,9 +98,10 @@
   std::mt19937_64 random(Seed);
   TimePoint now{Micros(1000000)};
   std::vector<std::pair<AttemptId, Slot>> running;
-  decide(State, EnginesSeen{generatedEngines()}, now);
-  follow(timed(Into.Open, State, StepSeen{generatedStep(1, Seed), false}, now),
-         running);
+  decide(State, EnginesUpdated{generatedEngines()}, now);
+  follow(
+      timed(Into.Open, State, StepReceived{generatedStep(1, Seed), false}, now),
+      running);
   for (std::uint64_t i = 0; i < Rounds / TrainerCount && !running.empty();
        ++i) {
     now += Micros(100);
@@ -112,7 +113,7 @@
     constexpr std::uint64_t endOdds = 8;
     if (random() % endOdds != 0 || have == 0) {
       timed(Into.ChunkTimes, State,
-            ChunkSeen{attempt, Chunk{have, 8, " some text", Version}}, now);
+            ChunkReceived{attempt, Chunk{have, 8, " some text", Version}}, now);
     } else {
       running.erase(running.begin() + static_cast<std::ptrdiff_t>(at));
       follow(timed(Into.End, State, AttemptEnded{attempt, have}, now), running);
@@ -121,7 +122,7 @@
     constexpr std::uint64_t tickEvery = 64;
     if (i % tickEvery == 0) {
       timed(Into.TickTimes, State, Tick(), now);
-      timed(Into.Engine, State, EnginesSeen{generatedEngines()}, now);
+      timed(Into.Engine, State, EnginesUpdated{generatedEngines()}, now);
     }
   }
 }
@@ -130,15 +131,15 @@
   Times times;
   constexpr std::uint32_t runs = 200;
   for (std::uint32_t i = 0; i < runs; ++i) {
-    WaveState state;
+    SwapPlanState state;
     state.Newest = Version + 1;
     std::vector<SwapTarget> all;
-    for (const EngineSeen &it : generatedEngines())
+    for (const ReportedEngine &it : generatedEngines())
       all.push_back(
           SwapTarget{it.Name, it.Service, it.Daemon, Version, i % 7, 1});
     std::chrono::steady_clock::time_point from =
         std::chrono::steady_clock::now();
-    planWave(state, all, PresetDeclaration(), TimePoint{Micros(1000000)});
+    planSwaps(state, all, PresetDeclaration(), TimePoint{Micros(1000000)});
     times.add(std::chrono::steady_clock::now() - from);
   }
   print("decision_us_wave", times);
@@ -151,8 +152,8 @@
   for (std::uint32_t i = 0; i < TrainerCount; ++i) {
     StepState state;
     RolloutPolicy policy;
-    policy.Part.ShareSum = TrainerCount;
-    decide(state, PolicySeen{policy}, TimePoint{Micros(1)});
+    policy.Part.TotalShares = TrainerCount;
+    decide(state, PolicyChanged{policy}, TimePoint{Micros(1)});
     runOne(state, times, i + 1);
   }
   for (const Times *it : {&times.ChunkTimes, &times.End, &times.Score,
--- a/Bench/StateBench.cpp
+++ b/Bench/StateBench.cpp
@@ -119,8 +119,8 @@
 void reportAt(const std::string &Metric, std::size_t Size, double Value,
               const std::string &Unit,
               std::optional<double> Baseline = std::nullopt) {
-  report(Figure{"state", Metric + "_n" + std::to_string(Size), Value, Unit,
-                Baseline});
+  report(Measurement{"state", Metric + "_n" + std::to_string(Size), Value, Unit,
+                     Baseline});
 }
 
 void measureLeaving(Fleet &Group, std::size_t Size) {
@@ -154,14 +154,14 @@
     progress("state: " + describe(fleet.failure()));
     return;
   }
-  RestCost rest = measureRest(**fleet, RestWindow);
+  IdleCost rest = measureIdleCost(**fleet, RestWindow);
   reportAt("control_bytes_per_s", Size, rest.BytesPerSecond, "B/s");
-  reportAt("control_bytes_per_s_most", Size, rest.MostBytesPerSecond, "B/s");
+  reportAt("control_bytes_per_s_most", Size, rest.MaxBytesPerSecond, "B/s");
   reportAt("control_cpu_percent", Size, rest.CpuPercent, "%");
-  reportAt("daemon_rss_mb", Size, rest.ResidentMb, "MB");
+  reportAt("daemon_rss_mb", Size, rest.ResidentMiB, "MB");
   reportAt("log_appends_per_s", Size, rest.AppendsPerSecond, "1/s");
 
-  std::vector<double> polled = measurePolling((*fleet)->log(), Size);
+  std::vector<double> polled = measurePollingDelays((*fleet)->log(), Size);
   std::vector<double> delays = measureInForce(**fleet);
   reportAt("in_force_p50_ms", Size, quantile(delays, 0.5), "ms",
            quantile(polled, 0.5));
@@ -176,8 +176,8 @@
 } // namespace
 
 void runStateBench() {
-  benchFold();
-  for (std::size_t size : benchSizes())
+  runFoldBench();
+  for (std::size_t size : readFleetSizes())
     runAt(size);
 }
 
--- a/Bench/StateMeasures.cpp
+++ b/Bench/StateMeasures.cpp
@@ -34,7 +34,7 @@
   double Bytes = 0;
   double Frames = 0;
   double CpuSeconds = 0;
-  double ResidentMb = 0;
+  double ResidentMiB = 0;
 };
 
 double number(const boost::json::value &Status, const char *Name) {
@@ -50,9 +50,9 @@
     totals.Frames =
         number(*status, "frames_in") + number(*status, "frames_out");
   }
-  if (std::optional<ProcessUsage> usage = readUsage(Who.Child->pid())) {
+  if (std::optional<ProcessUsage> usage = readProcessUsage(Who.Child->pid())) {
     totals.CpuSeconds = usage->CpuSeconds;
-    totals.ResidentMb = usage->ResidentMb;
+    totals.ResidentMiB = usage->ResidentMiB;
   }
   return totals;
 }
@@ -98,7 +98,7 @@
 
 } // namespace
 
-std::vector<std::size_t> benchSizes() {
+std::vector<std::size_t> readFleetSizes() {
   const char *wanted = std::getenv("WASABI_BENCH_SIZES");
   std::istringstream words(wanted ? wanted : "25,50,100,200");
   std::vector<std::size_t> sizes;
@@ -108,7 +108,7 @@
   return sizes;
 }
 
-RestCost measureRest(Fleet &Group, Millis Window) {
+IdleCost measureIdleCost(Fleet &Group, Millis Window) {
   // The news of the start must have been told before rest can be measured.
   std::this_thread::sleep_for(SettleTime);
   std::vector<Totals> before = totalsOf(Group);
@@ -122,27 +122,27 @@
 
   double n = static_cast<double>(Group.daemons().size());
   constexpr double Percent = 100;
-  RestCost cost;
+  IdleCost cost;
   cost.AppendsPerSecond = appends / seconds;
   for (std::size_t k = 0; k < after.size(); ++k) {
     double bytes = (after[k].Bytes - before[k].Bytes) / seconds;
     double cpu = (after[k].CpuSeconds - before[k].CpuSeconds) / seconds;
     cost.BytesPerSecond += bytes / n;
-    cost.MostBytesPerSecond = std::max(cost.MostBytesPerSecond, bytes);
+    cost.MaxBytesPerSecond = std::max(cost.MaxBytesPerSecond, bytes);
     cost.FramesPerSecond += (after[k].Frames - before[k].Frames) / seconds / n;
     cost.CpuPercent += Percent * cpu / n;
-    cost.ResidentMb += after[k].ResidentMb / n;
+    cost.ResidentMiB += after[k].ResidentMiB / n;
   }
   return cost;
 }
 
-std::vector<double> measurePolling(const harness::StandIn &Log,
-                                   std::size_t Readers) {
+std::vector<double> measurePollingDelays(const harness::StandIn &Log,
+                                         std::size_t Readers) {
   asio::io_context context;
   http::Client::Settings limits;
   std::shared_ptr<http::Client> client =
       http::Client::create(context.get_executor(), limits);
-  LogPort log = httpLog(client, Log.address());
+  LogPort log = makeHttpLog(client, Log.address());
   std::vector<std::uint64_t> appended;
   std::vector<std::vector<std::uint64_t>> seen(Readers);
   std::mt19937_64 random(PhaseSeed);
--- a/Bench/StateMeasures.h
+++ b/Bench/StateMeasures.h
@@ -11,14 +11,14 @@
 namespace wasabi::bench {
 
 /// Means per daemon over a window in which nothing was asked of the fleet.
-struct RestCost {
+struct IdleCost {
   /// Control bytes in and out.
   double BytesPerSecond = 0;
   /// The same of the one daemon that had most.
-  double MostBytesPerSecond = 0;
+  double MaxBytesPerSecond = 0;
   /// Of one core.
   double CpuPercent = 0;
-  double ResidentMb = 0;
+  double ResidentMiB = 0;
   /// Of the whole fleet.
   double AppendsPerSecond = 0;
   /// Frames in and out, per daemon.
@@ -27,15 +27,15 @@
 
 /// Fleet sizes to measure: `WASABI_BENCH_SIZES`, comma-separated, or 25, 50,
 /// 100 and 200.
-std::vector<std::size_t> benchSizes();
+std::vector<std::size_t> readFleetSizes();
 
 /// Leaves the fleet alone for `Window` and counts.
-RestCost measureRest(Fleet &Group, Millis Window);
+IdleCost measureIdleCost(Fleet &Group, Millis Window);
 
 /// Baseline: `Readers` readers that each poll the log once a second at a phase
 /// of their own. Milliseconds from a record's append until each has read it.
-std::vector<double> measurePolling(const harness::StandIn &Log,
-                                   std::size_t Readers);
+std::vector<double> measurePollingDelays(const harness::StandIn &Log,
+                                         std::size_t Readers);
 
 } // namespace wasabi::bench
 
--- a/Ctl/ChangeCommands.cpp
+++ b/Ctl/ChangeCommands.cpp
@@ -78,12 +78,12 @@
 
 /// No new decision is made past a record that this program does not know.
 Result<void> checkNotBlocked(const FoldState &State) {
-  if (!State.BlockedAt)
+  if (!State.BlockedOffset)
     return {};
   return boost::leaf::new_error(
       Failure{Verdict::NotRun,
               FailureCode::NewerSchema,
-              "offset " + std::to_string(*State.BlockedAt),
+              "offset " + std::to_string(*State.BlockedOffset),
               "is a record of a newer program: use the newer wasabictl",
               {}});
 }
@@ -111,7 +111,7 @@
   if (!known) {
     std::cout << accepted << ", in force on an unknown number of instances: "
               << known.failure().Place << " " << known.failure().Reason << "\n";
-    return NotEverywhere;
+    return NotAllInstances;
   }
   std::vector<KnownInstance> staying;
   for (KnownInstance &it : *known)
@@ -126,27 +126,27 @@
   if (reached == all.size())
     return ExitCode::Success;
   std::cout << "not seen on: " << describeMissing(all, At) << "\n";
-  return NotEverywhere;
+  return NotAllInstances;
 }
 
 Result<ExitCode> reportEnd(Session &With, const RecordId &Id,
                            const CommitResult &End) {
   switch (End.Kind) {
-  case CommitKind::Accepted:
+  case CommitStatus::Accepted:
     return reportInForce(With, End.At);
-  case CommitKind::Refused:
+  case CommitStatus::Refused:
     std::cout << "refused: " << End.Reason << "\n";
     return ExitCode::OutcomeNotMet;
-  case CommitKind::NotSent:
+  case CommitStatus::NotAppended:
     std::cout << "not sent: " << End.Reason << "; nothing was changed\n";
     return ExitCode::Unavailable;
-  case CommitKind::Unknown:
+  case CommitStatus::Unknown:
     break;
   }
   std::cout << "unknown: id " << idText(Id) << ": " << End.Reason
             << "; settle it with wasabictl apply --resume " << idText(Id)
             << "\n";
-  return UnknownFate;
+  return UnknownOutcome;
 }
 
 /// Sends a prepared change.
@@ -191,7 +191,7 @@
 Result<ExitCode> plan(Session &With, const std::string &Folder) {
   BOOST_LEAF_AUTO(prepared, prepareFolder(With, Folder));
   std::cout << describePlan(prepared.Plan);
-  for (const std::string &key : prepared.Plan.LeftAlone)
+  for (const std::string &key : prepared.Plan.UnmanagedKeys)
     std::cout << "  " << key << " is not in the folder and stays\n";
   BOOST_LEAF_CHECK(checkNotBlocked(prepared.State));
   BOOST_LEAF_CHECK(checkPlan(prepared.State, prepared.Plan));
--- a/Ctl/Commands.h
+++ b/Ctl/Commands.h
@@ -33,7 +33,7 @@
 /// the users' platform.
 Result<ExitCode> usage(Session &With);
 /// Whether no request is in flight anywhere and none is admitted.
-Result<ExitCode> drainCheck(Session &With);
+Result<ExitCode> checkDrained(Session &With);
 
 } // namespace wasabi::ctl
 
--- a/Ctl/Fleet.cpp
+++ b/Ctl/Fleet.cpp
@@ -59,7 +59,8 @@
 /// Widens what is known by the view of the first process that answers.
 void addView(Session &With, ByAddress &Known) {
   for (const auto &[address, who] : ByAddress(Known)) {
-    Outcome<std::string> status = With.run(getAdmin(With, address, "/status"));
+    Outcome<std::string> status =
+        With.run(fetchFromAdmin(With, address, "/status"));
     if (!status)
       continue;
     addMembers(Known, *status);
@@ -69,7 +70,7 @@
 
 asio::awaitable<void> askOne(Session &With, InstanceStatus &Of) {
   Outcome<std::string> text =
-      co_await getAdmin(With, Of.Who.Admin, "/status?brief=1");
+      co_await fetchFromAdmin(With, Of.Who.Admin, "/status?brief=1");
   if (!text) {
     Of.Problem = text.failure();
     co_return;
@@ -115,8 +116,8 @@
 
 } // namespace
 
-asio::awaitable<Outcome<std::string>> getAdmin(Session &With, Address Where,
-                                               std::string Target) {
+asio::awaitable<Outcome<std::string>>
+fetchFromAdmin(Session &With, Address Where, std::string Target) {
   http::Request ask;
   ask.Method = "GET";
   ask.Target = std::move(Target);
@@ -164,11 +165,11 @@
   return out;
 }
 
-std::vector<InstanceStatus> askStatus(Session &With,
-                                      const std::vector<KnownInstance> &Of) {
+std::vector<InstanceStatus>
+fetchStatuses(Session &With, const std::vector<KnownInstance> &Of) {
   std::vector<InstanceStatus> out = emptyStatuses(Of);
-  With.runEach(out.size(),
-               [&](std::size_t Index) { return askOne(With, out[Index]); });
+  With.runConcurrently(
+      out.size(), [&](std::size_t Index) { return askOne(With, out[Index]); });
   return out;
 }
 
@@ -176,7 +177,7 @@
 awaitApplied(Session &With, const std::vector<KnownInstance> &Of, Offset At) {
   std::vector<InstanceStatus> out = emptyStatuses(Of);
   const TimePoint until = monotonicNow() + With.Given.Wait;
-  With.runEach(out.size(), [&](std::size_t Index) {
+  With.runConcurrently(out.size(), [&](std::size_t Index) {
     return askUntil(With, out[Index], At, until);
   });
   return out;
--- a/Ctl/Fleet.h
+++ b/Ctl/Fleet.h
@@ -35,8 +35,8 @@
 Result<std::vector<KnownInstance>> listInstances(Session &With);
 
 /// Asks all for `/status` at once.
-std::vector<InstanceStatus> askStatus(Session &With,
-                                      const std::vector<KnownInstance> &Of);
+std::vector<InstanceStatus> fetchStatuses(Session &With,
+                                          const std::vector<KnownInstance> &Of);
 
 /// Asks all until each has applied the record at `At`, or the wait is over.
 std::vector<InstanceStatus>
@@ -44,7 +44,7 @@
 
 /// A GET on a process' admin address; any status but 200 is a failure.
 boost::asio::awaitable<Outcome<std::string>>
-getAdmin(Session &With, Address Where, std::string Target);
+fetchFromAdmin(Session &With, Address Where, std::string Target);
 
 } // namespace wasabi::ctl
 
--- a/Ctl/Main.cpp
+++ b/Ctl/Main.cpp
@@ -109,7 +109,7 @@
     {"history", wasabi::ctl::history},
     {"timeline", wasabi::ctl::timeline},
     {"usage", wasabi::ctl::usage},
-    {"drain-check", wasabi::ctl::drainCheck}};
+    {"drain-check", wasabi::ctl::checkDrained}};
 
 Result<ExitCode> runCommand(const std::vector<std::string> &Arguments) {
   if (Arguments.empty())
--- a/Ctl/ReportCommands.cpp
+++ b/Ctl/ReportCommands.cpp
@@ -22,8 +22,8 @@
   std::cout << "log: " << State.Next << " records, configuration revision "
             << State.ConfigRevision << ", snapshot revision "
             << State.SnapshotRevision << "\n";
-  if (State.BlockedAt)
-    std::cout << "log: offset " << *State.BlockedAt
+  if (State.BlockedOffset)
+    std::cout << "log: offset " << *State.BlockedOffset
               << " is a record of a newer program\n";
   const std::string preset = State.Config->InForce.Text;
   std::cout << "preset: " << (preset.empty() ? "(defaults)" : preset) << "\n";
@@ -65,7 +65,7 @@
 asio::awaitable<void> askPage(Session &With, const KnownInstance &Who,
                               Page &Into) {
   Outcome<std::string> text =
-      co_await getAdmin(With, Who.Admin, "/timeline?from=0");
+      co_await fetchFromAdmin(With, Who.Admin, "/timeline?from=0");
   if (!text) {
     Into = text.failure();
     co_return;
@@ -78,7 +78,7 @@
 std::vector<Page> askPages(Session &With,
                            const std::vector<KnownInstance> &All) {
   std::vector<Page> out(All.size(), Page(TimelinePage()));
-  With.runEach(All.size(), [&](std::size_t Index) {
+  With.runConcurrently(All.size(), [&](std::size_t Index) {
     return askPage(With, All[Index], out[Index]);
   });
   return out;
@@ -129,19 +129,19 @@
     std::cout << "log: " << describe(state.failure()) << "\n";
   BOOST_LEAF_AUTO(known, listInstances(With));
   bool all = true;
-  for (const InstanceStatus &it : askStatus(With, known)) {
+  for (const InstanceStatus &it : fetchStatuses(With, known)) {
     printInstance(it);
     all = all && !it.Problem;
   }
   if (!state)
     return ExitCode::Unavailable;
-  return all ? ExitCode::Success : NotEverywhere;
+  return all ? ExitCode::Success : NotAllInstances;
 }
 
 Result<ExitCode> history(Session &With) {
   BOOST_LEAF_AUTO(state, readState(With));
-  for (const HistoryLine &it : state.History) {
-    std::cout << "offset " << it.At << " " << toText(it.Fate) << " by "
+  for (const HistoryEntry &it : state.History) {
+    std::cout << "offset " << it.At << " " << toText(it.ApplyStatus) << " by "
               << it.Operator;
     for (const std::string &key : it.Keys)
       std::cout << " " << key;
@@ -163,11 +163,11 @@
   printEvents(mergePages(all, pages, With.Given), format);
   for (const Page &it : pages)
     if (!it)
-      return NotEverywhere;
+      return NotAllInstances;
   return ExitCode::Success;
 }
 
-Result<ExitCode> drainCheck(Session &With) {
+Result<ExitCode> checkDrained(Session &With) {
   BOOST_LEAF_AUTO(state, readState(With));
   const PresetDeclaration &preset = state.Config->preset();
   const std::string name = "preset " + preset.Name.Text;
@@ -177,7 +177,7 @@
     std::cout << name << " admits rollouts\n";
   bool drained = !preset.AdmitCallers && !preset.AdmitRollouts;
   BOOST_LEAF_AUTO(known, listInstances(With));
-  for (const InstanceStatus &it : askStatus(With, known)) {
+  for (const InstanceStatus &it : fetchStatuses(With, known)) {
     bool idle = !it.Problem && it.InFlight == 0;
     // An instance that lags may still admit what the preset refuses.
     bool current = !it.Problem && it.ConfigRevision >= state.ConfigRevision;
--- a/Ctl/Session.cpp
+++ b/Ctl/Session.cpp
@@ -33,16 +33,16 @@
 Result<LogPort> Session::log() {
   if (Given.Log.empty())
     return badInput("--log", "is needed: IP:PORT of the platform's log");
-  return httpLog(Client, Given.Log);
+  return makeHttpLog(Client, Given.Log);
 }
 
 Result<RecordStore> Session::store() {
   if (Given.Store.empty())
     return badInput("--store", "is needed: IP:PORT of the platform's store");
-  return platform::makeStore(Context.get_executor(), Given.Store);
+  return platform::makeRecordStore(Context.get_executor(), Given.Store);
 }
 
-void Session::runEach(
+void Session::runConcurrently(
     std::size_t Count,
     const std::function<asio::awaitable<void>(std::size_t)> &Body) {
   std::size_t next = 0;
--- a/Ctl/Session.h
+++ b/Ctl/Session.h
@@ -22,8 +22,8 @@
 namespace wasabi::ctl {
 
 /// Exit codes beyond the common ones.
-inline constexpr ExitCode NotEverywhere = static_cast<ExitCode>(5);
-inline constexpr ExitCode UnknownFate = static_cast<ExitCode>(6);
+inline constexpr ExitCode NotAllInstances = static_cast<ExitCode>(5);
+inline constexpr ExitCode UnknownOutcome = static_cast<ExitCode>(6);
 
 /// The flags of all commands. An immutable value.
 struct Settings {
@@ -79,9 +79,9 @@
   }
 
   /// Runs `Body` for 0 to below `Count`, a bounded number at once.
-  void
-  runEach(std::size_t Count,
-          const std::function<boost::asio::awaitable<void>(std::size_t)> &Body);
+  void runConcurrently(
+      std::size_t Count,
+      const std::function<boost::asio::awaitable<void>(std::size_t)> &Body);
 
 private:
   boost::asio::io_context Context;
--- a/Ctl/UsageCommand.cpp
+++ b/Ctl/UsageCommand.cpp
@@ -1,7 +1,7 @@
 #include "Ctl/Commands.h"
-#include "Wasabi/Batch/BatchFold.h"
-#include "Wasabi/Usage/UsageFold.h"
+#include "Wasabi/Batch/BatchState.h"
 #include "Wasabi/Usage/UsageMeter.h"
+#include "Wasabi/Usage/UsageState.h"
 #include "platform/StoreClient.h"
 
 #include <functional>
@@ -47,16 +47,17 @@
     std::cout << "reporter: none has ever held the duty\n";
   else
     std::cout << "reporter: " << Lease.Holder->Instance.Text << ", token "
-              << Lease.Term + 1 << ", last heard of at offset " << Lease.LastAt
+              << Lease.Term + 1 << ", last heard of at offset "
+              << Lease.LastRecordOffset
               << (Lease.Released ? ", given back" : "") << "\n";
 }
 
-void printWindows(const UsageFold &Fold) {
-  if (!Fold.Undecided) {
+void printWindows(const UsageState &Fold) {
+  if (!Fold.FirstUndecided) {
     std::cout << "windows: nobody has counted\n";
     return;
   }
-  std::cout << "windows: decided up to " << *Fold.Undecided - 1 << ", "
+  std::cout << "windows: decided up to " << *Fold.FirstUndecided - 1 << ", "
             << Fold.Untold.size() << " of them not told\n";
   for (const auto &[window, counts] : Fold.Untold) {
     std::uint64_t sum = 0;
@@ -69,7 +70,7 @@
             << " requests came after their window was decided\n";
 }
 
-void printSources(const UsageFold &Fold) {
+void printSources(const UsageState &Fold) {
   for (const auto &[source, state] : Fold.Sources)
     std::cout << "counts: " << source.Instance.Text << " since " << source.Life
               << (state.Left ? ", has left" : "") << ", told through "
@@ -80,7 +81,7 @@
 
 Result<ExitCode> usage(Session &With) {
   BOOST_LEAF_AUTO(store, With.store());
-  BatchFold rollout;
+  BatchState rollout;
   TakeRecord takeRollout = [&rollout](const LogEntry &It) {
     Outcome<BatchRecord> record = toOutcome<BatchRecord>(
         [&] { return decodeRecord(It.Text, "rollout"); });
@@ -88,7 +89,7 @@
       apply(rollout, It.At, *record, monotonicNow());
     return bool(record);
   };
-  UsageFold fold;
+  UsageState fold;
   TakeRecord takeUsage = [&fold](const LogEntry &It) {
     Outcome<UsageRecord> record = toOutcome<UsageRecord>(
         [&] { return decodeUsage(It.Text, UsageTopic); });
--- a/Daemon/Main.cpp
+++ b/Daemon/Main.cpp
@@ -11,7 +11,7 @@
 #include "Wasabi/Core/Published.h"
 #include "Wasabi/Core/Timeline.h"
 #include "Wasabi/Node/ControlPlane.h"
-#include "Wasabi/Rollout/RolloutDuty.h"
+#include "Wasabi/Rollout/RolloutService.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/post.hpp>
@@ -73,7 +73,7 @@
                        FLAGS_control,           FLAGS_admin,
                        FLAGS_advertise_control, FLAGS_log,
                        FLAGS_instances,         FLAGS_seeds};
-    BOOST_LEAF_ASSIGN(Settings, readProcessSettings(flags, wallMicros()));
+    BOOST_LEAF_ASSIGN(Settings, parseProcessSettings(flags, wallMicros()));
     BOOST_LEAF_AUTO(Upstreams, parseUpstreams(FLAGS_upstreams, "--upstreams"));
     BOOST_LEAF_AUTO(Listen, parseAddress(FLAGS_frames, "--frames"));
     BOOST_LEAF_AUTO(Advertise, parseOptionalAddress(FLAGS_advertise_frames,
@@ -91,7 +91,8 @@
     BOOST_LEAF_ASSIGN(
         Control,
         ControlPlane::create(
-            controlSettings(Settings, Role::Daemon, told, Admin->address()),
+            makeControlPlaneSettings(Settings, Role::Daemon, told,
+                                     Admin->address()),
             *Events, [this](Order What, DaemonProxy::OrderCallback Answer) {
               takeOrder(std::move(What), std::move(Answer));
             }));
@@ -123,14 +124,14 @@
     limits.Domain = Settings.Domain;
     limits.Life = Settings.Life;
     std::shared_ptr<DaemonProxy> proxy = Proxy;
-    BOOST_LEAF_ASSIGN(
-        Front,
-        RequestServer::create(
-            Context, limits,
-            [proxy](RequestAttempt Attempt, std::shared_ptr<AnswerSink> Sink) {
-              return proxy->handle(std::move(Attempt), std::move(Sink));
-            }));
-    Front->reportFrom([proxy] { return proxy->loads(); });
+    BOOST_LEAF_ASSIGN(Front, RequestServer::create(
+                                 Context, limits,
+                                 [proxy](RequestAttempt Attempt,
+                                         std::shared_ptr<ResponseSink> Sink) {
+                                   return proxy->handle(std::move(Attempt),
+                                                        std::move(Sink));
+                                 }));
+    Front->setLoadSource([proxy] { return proxy->loads(); });
     return Done{};
   }
 
@@ -140,7 +141,7 @@
     // Without the platform's services this daemon owns no trainer.
     if (Settings.Log.empty() || Weights.empty() || Scorer.empty())
       return Done{};
-    RolloutDuty::Settings setup;
+    RolloutService::Settings setup;
     setup.Instance = Settings.Instance;
     setup.Domain = Settings.Domain;
     setup.Life = Control->life();
@@ -149,7 +150,8 @@
     setup.Scorer = Scorer;
     setup.Seed = Settings.Seed;
     setup.RoundRobin = FLAGS_rollout_round_robin;
-    BOOST_LEAF_ASSIGN(Rollouts, RolloutDuty::create(setup, *Control, *Events));
+    BOOST_LEAF_ASSIGN(Rollouts,
+                      RolloutService::create(setup, *Control, *Events));
     return Done{};
   }
 
@@ -162,7 +164,7 @@
   }
 
   void pushLoads() {
-    std::vector<LoadSeen> now = Proxy->loads();
+    std::vector<ReportedLoad> now = Proxy->loads();
     Front->setLoads(now, Leaving);
     Shown.set(std::move(now));
     Loads.expires_after(LoadPause);
@@ -191,12 +193,12 @@
     AdminSources sources;
     sources.Ready = [this] { return ready(); };
     sources.Metrics = [this] { return Counts.render(); };
-    sources.Brief = [this] { return statusJson(status()); };
+    sources.BriefStatus = [this] { return statusJson(status()); };
     sources.Status = [this] {
       std::string rollouts =
           Rollouts ? "{\"rollouts\":" + Rollouts->statusJson() + "}" : "{}";
       return std::vector<std::string>{Control->statusJson(), rollouts,
-                                      loadsJson(*Shown.get()),
+                                      encodeServerLoads(*Shown.get()),
                                       statusJson(status())};
     };
     Admin->show(std::move(sources));
@@ -260,14 +262,14 @@
   std::shared_ptr<DaemonProxy> Proxy;
   std::shared_ptr<RequestServer> Front;
   std::unique_ptr<ControlPlane> Control;
-  std::unique_ptr<RolloutDuty> Rollouts;
+  std::unique_ptr<RolloutService> Rollouts;
   std::shared_ptr<void> Signals;
   BootTimer Loads{Context};
   BootTimer Drain{Context};
   std::atomic<bool> Leaving{false};
   TimePoint LeftAt;
   /// The loads as the admin thread shows them.
-  Published<std::vector<LoadSeen>> Shown;
+  Published<std::vector<ReportedLoad>> Shown;
   bool Told = false;
   bool HandedOver = false;
 };
--- a/Entry/Main.cpp
+++ b/Entry/Main.cpp
@@ -10,7 +10,7 @@
 #include "Wasabi/Core/Program.h"
 #include "Wasabi/Core/Timeline.h"
 #include "Wasabi/Node/ControlPlane.h"
-#include "Wasabi/Routing/Choice.h"
+#include "Wasabi/Routing/LoadBalancing.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/post.hpp>
@@ -65,7 +65,7 @@
                        FLAGS_control,           FLAGS_admin,
                        FLAGS_advertise_control, FLAGS_log,
                        FLAGS_instances,         FLAGS_seeds};
-    BOOST_LEAF_ASSIGN(Settings, readProcessSettings(flags, wallMicros()));
+    BOOST_LEAF_ASSIGN(Settings, parseProcessSettings(flags, wallMicros()));
     BOOST_LEAF_AUTO(Listen, parseAddress(FLAGS_listen, "--listen"));
     Timeline::Settings ring;
     ring.Capacity = TimelineEvents;
@@ -75,10 +75,11 @@
                     {"role", "entry"},
                     {"domain", Settings.Domain.Text}});
     BOOST_LEAF_ASSIGN(Admin, AdminServer::create(Settings.Admin, *Events));
-    BOOST_LEAF_ASSIGN(Control, ControlPlane::create(
-                                   controlSettings(Settings, Role::Entry,
+    BOOST_LEAF_ASSIGN(Control,
+                      ControlPlane::create(
+                          makeControlPlaneSettings(Settings, Role::Entry,
                                                    Address(), Admin->address()),
-                                   *Events, refuseOrder));
+                          *Events, refuseOrder));
     startProxy();
     BOOST_LEAF_CHECK(startFront(Listen));
     showStatus();
@@ -129,8 +130,9 @@
     if (!Control->ready() || Leaving)
       return false;
     if (!WarmedUp)
-      WarmedUp = knowsServers(*Control->state()->Config, *Control->view()) ||
-                 monotonicNow() > Started + WarmUpLimit;
+      WarmedUp =
+          hasAllCandidates(*Control->state()->Config, *Control->view()) ||
+          monotonicNow() > Started + WarmUpLimit;
     return WarmedUp;
   }
 
@@ -151,7 +153,7 @@
     AdminSources sources;
     sources.Ready = [this] { return ready(); };
     sources.Metrics = [this] { return Counts.render(); };
-    sources.Brief = [this] { return statusJson(status()); };
+    sources.BriefStatus = [this] { return statusJson(status()); };
     sources.Status = [this] {
       return std::vector<std::string>{Control->statusJson(),
                                       statusJson(status())};
--- a/Fuzz/FrameFuzz.cpp
+++ b/Fuzz/FrameFuzz.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t PrefixBytes = 4;
 
 boost::asio::awaitable<void> answer(RequestAttempt,
-                                    std::shared_ptr<AnswerSink> to) {
+                                    std::shared_ptr<ResponseSink> to) {
   to->begin(http::jsonResponse(200, ""), ServerName("one"));
   to->end();
   co_return;
--- a/Fuzz/TextFuzz.cpp
+++ b/Fuzz/TextFuzz.cpp
@@ -52,7 +52,7 @@
       toOutcome<replay::Trace>([&] { return replay::readTrace("t", text); });
   if (!trace)
     return;
-  replay::Outcomes all;
+  replay::TraceExpectations all;
   all.Rules = {"sample-once",
                "label-true",
                "fresh",
@@ -65,14 +65,15 @@
                "fences-never-go-back",
                "idle-share"};
   all.Limits.IdleShare = 0;
-  const std::optional<replay::BrokenOutcome> broken =
+  const std::optional<replay::TraceViolation> broken =
       replay::check(*trace, all);
   if (broken)
-    replay::describeBroken(*trace, *broken);
+    replay::describeViolation(*trace, *broken);
 }
 
 void fuzzOutcomes(std::string_view text) {
-  toOutcome<replay::Outcomes>([&] { return replay::readOutcomes("o", text); });
+  toOutcome<replay::TraceExpectations>(
+      [&] { return replay::readExpectations("o", text); });
 }
 
 } // namespace
--- a/IntegrationTests/Cases/ChaosTest.cpp
+++ b/IntegrationTests/Cases/ChaosTest.cpp
@@ -7,7 +7,7 @@
 
 using namespace wasabi;
 using wasabi::harness::Process;
-using wasabi::harness::ProcessEnd;
+using wasabi::harness::ProcessExit;
 
 namespace {
 
@@ -26,7 +26,7 @@
       toOutcome<std::unique_ptr<Process>>(
           [&] { return Process::start(std::move(setup)); });
   REQUIRE(started);
-  const std::optional<ProcessEnd> end = (*started)->waitAndRead(RunLimit);
+  const std::optional<ProcessExit> end = (*started)->waitAndRead(RunLimit);
   return {end ? end->Code : -1, (*started)->output()};
 }
 
--- a/IntegrationTests/Cases/DeploymentTests.cpp
+++ b/IntegrationTests/Cases/DeploymentTests.cpp
@@ -6,10 +6,10 @@
 
 using wasabi::Millis;
 using wasabi::Outcome;
-using wasabi::harness::CtlRun;
+using wasabi::harness::CtlResult;
 using wasabi::harness::Deployment;
-using wasabi::harness::ProcessEnd;
-using wasabi::harness::ProductNode;
+using wasabi::harness::ProcessExit;
+using wasabi::harness::WasabiProcess;
 
 namespace {
 
@@ -30,17 +30,17 @@
 TEST_CASE("An example starts, takes its declarations and stops in order") {
   std::string example = GENERATE("lindqvist", "balikbayan");
   std::unique_ptr<Deployment> running = deploy(example);
-  CtlRun applied = running->control({"apply", running->declarations()});
+  CtlResult applied = running->control({"apply", running->declarations()});
   INFO(applied.Output << applied.Errors);
   REQUIRE(applied.Code == 0);
   CHECK(running->readyEntries().size() >= 3);
 
   // All at once: each must end by itself also when its peers are leaving.
-  for (ProductNode &it : running->nodes())
+  for (WasabiProcess &it : running->nodes())
     it.Running->signal(SIGTERM);
-  for (ProductNode &it : running->nodes()) {
+  for (WasabiProcess &it : running->nodes()) {
     INFO(it.Name);
-    std::optional<ProcessEnd> end = it.Running->wait(StopLimit);
+    std::optional<ProcessExit> end = it.Running->wait(StopLimit);
     REQUIRE(end);
     CHECK(end->Code == 0);
   }
--- a/IntegrationTests/Cases/DrainTest.cpp
+++ b/IntegrationTests/Cases/DrainTest.cpp
@@ -1,6 +1,6 @@
 /// \file
 /// Graceful stops: what is in flight ends whole, and nothing new is lost.
-#include "IntegrationTests/Cases/RequestWorld.h"
+#include "IntegrationTests/Cases/RequestFixture.h"
 
 #include <catch2/catch.hpp>
 
@@ -10,13 +10,13 @@
 namespace wasabi::test {
 namespace {
 
-struct SlowWorld : RequestWorld {
+struct SlowWorld : RequestFixture {
   SlowWorld() {
     addServer("a", "service", {"--latency_ms=700"});
     addDaemon("d1", "lulea-hall", {{"a", "desk"}});
     addEntry("n1", "lulea-hall", {"--drain_grace_ms=300"});
     publish(R"([{"kind":"service","name":"desk","type":"plain"}])");
-    awaitServers(1);
+    waitForServers(1);
   }
   std::future<Outcome<http::Response>> askLater() {
     return std::async(std::launch::async, [this] {
@@ -48,7 +48,7 @@
     REQUIRE(told);
     CHECK(told->Status == 200);
   }
-  std::optional<harness::ProcessEnd> end = entry.Child->wait(Patience);
+  std::optional<harness::ProcessExit> end = entry.Child->wait(Patience);
   REQUIRE(end);
   CHECK(end->Code == 0);
   CHECK(world.runs("a") == 2);
@@ -64,20 +64,20 @@
   Outcome<http::Response> told = before.get();
   REQUIRE(told);
   CHECK(told->Status == 200);
-  std::optional<harness::ProcessEnd> end = daemon.Child->wait(Patience);
+  std::optional<harness::ProcessExit> end = daemon.Child->wait(Patience);
   REQUIRE(end);
   CHECK(end->Code == 0);
 }
 
 TEST_CASE("Drain: a leaving daemon gets nothing new, its peer takes all") {
-  RequestWorld world;
+  RequestFixture world;
   for (const char *it : {"a", "b"})
     world.addServer(it, "service");
   world.addDaemon("d1", "lulea-hall", {{"a", "desk"}});
   world.addDaemon("d2", "umea-hall", {{"b", "desk"}});
   world.addEntry("n1", "lulea-hall");
   world.publish(R"([{"kind":"service","name":"desk","type":"plain"}])");
-  world.awaitServers(2);
+  world.waitForServers(2);
   // No request fails on the way, whenever the entry learns of it.
   constexpr int Callers = 8;
   constexpr int Each = 50;
@@ -97,7 +97,7 @@
   for (std::future<int> &it : whole)
     CHECK(it.get() == Each);
   CHECK(world.runs("a") + world.runs("b") == std::size_t{Callers} * Each);
-  std::optional<harness::ProcessEnd> end =
+  std::optional<harness::ProcessExit> end =
       world.member("d1").Child->wait(Patience);
   REQUIRE(end);
   CHECK(end->Code == 0);
--- a/IntegrationTests/Cases/HostilePeerTest.cpp
+++ b/IntegrationTests/Cases/HostilePeerTest.cpp
@@ -1,6 +1,6 @@
 /// \file
 /// Peers that hang, pause, starve or hoard connections.
-#include "IntegrationTests/Cases/RequestWorld.h"
+#include "IntegrationTests/Cases/RequestFixture.h"
 
 #include <boost/asio/connect.hpp>
 #include <boost/asio/io_context.hpp>
@@ -32,7 +32,7 @@
 }
 
 /// Two servers before two daemons of two failure domains, and an entry.
-struct TwoServers : RequestWorld {
+struct TwoServers : RequestFixture {
   TwoServers() {
     for (const char *it : {"a", "b"})
       addServer(it, "service");
@@ -40,7 +40,7 @@
     addDaemon("d2", "umea-hall", {{"b", "desk"}});
     addEntry("n1", "lulea-hall");
     publish(PlainService);
-    awaitServers(2);
+    waitForServers(2);
   }
 };
 
@@ -56,7 +56,7 @@
     CHECK(told->Status == 200);
   }
   world.member("d1").Child->signal(SIGCONT);
-  world.awaitServers(2);
+  world.waitForServers(2);
   bool back = harness::waitUntil(
       [&] {
         world.ask("n1", lookUp());
@@ -67,7 +67,7 @@
 }
 
 TEST_CASE("Hostile: a half-open way to a server ends with its deadline") {
-  RequestWorld world;
+  RequestFixture world;
   world.addServer("a", "service");
   harness::StandIn::Settings proxy;
   proxy.Role = "faultproxy";
@@ -77,7 +77,7 @@
   world.addDaemon("d1", "lulea-hall", {{"a", "desk"}}, {{"a", way->address()}});
   world.addEntry("n1", "lulea-hall");
   world.publish(PlainService);
-  world.awaitServers(1);
+  world.waitForServers(1);
   REQUIRE(world.ask("n1", lookUp())->Status == 200);
   REQUIRE(way->setFaults(R"({"half_open":true})"));
   http::Request late = lookUp();
@@ -98,15 +98,16 @@
 }
 
 TEST_CASE("Hostile: a caller that does not read slows only itself") {
-  RequestWorld world;
+  RequestFixture world;
   world.addServer("e", "engine", {"--model=m", "--tokens_per_s=20000"});
   world.addDaemon("d1", "lulea-hall", {{"e", "llm"}});
   world.addEntry("n1", "lulea-hall");
   world.publish(
       R"([{"kind":"service","name":"llm","type":"engines","model":"m"}])");
-  world.awaitServers(1);
+  world.waitForServers(1);
   asio::io_context context;
-  asio::ip::tcp::socket lazy = connectTo(context, world.member("n1").Serves);
+  asio::ip::tcp::socket lazy =
+      connectTo(context, world.member("n1").ListenAddress);
   http::Request big = completion("m", "big", 200000, true);
   std::string text = "POST /v1/completions HTTP/1.1\r\nHost: n1\r\n"
                      "Content-Length: " +
@@ -126,14 +127,14 @@
   std::vector<asio::ip::tcp::socket> idle;
   constexpr std::size_t Connections = 2000;
   for (std::size_t n = 0; n < Connections; ++n)
-    idle.push_back(connectTo(context, world.member("n1").Serves));
+    idle.push_back(connectTo(context, world.member("n1").ListenAddress));
   Outcome<http::Response> told = world.ask("n1", lookUp());
   REQUIRE(told);
   CHECK(told->Status == 200);
 }
 
 TEST_CASE("Hostile: a third of the daemons killed at once") {
-  RequestWorld world;
+  RequestFixture world;
   std::map<int, std::string> names;
   for (int n = 0; n < 3; ++n) {
     std::string server = "s" + std::to_string(n);
@@ -143,7 +144,7 @@
   }
   world.addEntry("n1", "hall-0");
   world.publish(PlainService);
-  world.awaitServers(3);
+  world.waitForServers(3);
   world.kill("d0");
   for (int n = 0; n < 100; ++n) {
     Outcome<http::Response> told = world.ask("n1", lookUp());
--- a/IntegrationTests/Cases/IdempotencyKeyTest.cpp
+++ b/IntegrationTests/Cases/IdempotencyKeyTest.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Repeats with an `Idempotency-Key`, through any entry and past crashes,
 /// against the upstream's own record of what ran.
-#include "IntegrationTests/Cases/RequestWorld.h"
+#include "IntegrationTests/Cases/RequestFixture.h"
 
 #include <catch2/catch.hpp>
 
@@ -12,8 +12,8 @@
 namespace {
 
 /// Two servers before two daemons, and two entries.
-struct KeyWorld : RequestWorld {
-  explicit KeyWorld(const std::vector<std::string> &Flags = {}) {
+struct IdempotencyKeyFixture : RequestFixture {
+  explicit IdempotencyKeyFixture(const std::vector<std::string> &Flags = {}) {
     for (const char *it : {"a", "b"})
       addServer(it, "service", Flags);
     addDaemon("d1", "pasig-a", {{"a", "bids"}});
@@ -21,7 +21,7 @@
     addEntry("n1", "pasig-a");
     addEntry("n2", "pasig-b");
     publish(R"([{"kind":"service","name":"bids","type":"plain"}])");
-    awaitServers(2);
+    waitForServers(2);
   }
   std::size_t allRuns() { return runs("a") + runs("b"); }
 };
@@ -34,7 +34,7 @@
 } // namespace
 
 TEST_CASE("Key: a repeat through another entry gets the first answer") {
-  KeyWorld world;
+  IdempotencyKeyFixture world;
   for (int n = 0; n < 8; ++n) {
     std::string key = "key-" + std::to_string(n);
     Outcome<http::Response> first = world.ask("n1", bid(key));
@@ -49,7 +49,7 @@
 }
 
 TEST_CASE("Key: two at once run once, and the second gets the answer") {
-  KeyWorld world({"--latency_ms=300"});
+  IdempotencyKeyFixture world({"--latency_ms=300"});
   std::vector<std::future<Outcome<http::Response>>> told;
   for (const char *it : {"n1", "n2", "n1", "n2"})
     told.push_back(std::async(
@@ -67,7 +67,7 @@
 }
 
 TEST_CASE("Key: another request with the same key did not run") {
-  KeyWorld world;
+  IdempotencyKeyFixture world;
   REQUIRE(world.ask("n1", bid("k")));
   Outcome<http::Response> other = world.ask("n2", bid("k", "another"));
   REQUIRE(other);
@@ -77,7 +77,7 @@
 }
 
 TEST_CASE("Key: after its daemon is killed a repeat never runs again") {
-  KeyWorld world;
+  IdempotencyKeyFixture world;
   // Keys of both daemons.
   std::vector<std::string> keys;
   for (int n = 0; n < 8; ++n) {
@@ -98,7 +98,7 @@
                 again->header("X-Wasabi-Verdict") == "may-have-run";
     CHECK(told);
   }
-  world.awaitServers(1);
+  world.waitForServers(1);
   for (const std::string &it : keys) {
     Outcome<http::Response> again = world.ask("n2", bid(it));
     REQUIRE(again);
@@ -111,7 +111,7 @@
 }
 
 TEST_CASE("Key: planned stops of all daemons in turn forget no key") {
-  KeyWorld world;
+  IdempotencyKeyFixture world;
   std::vector<std::string> keys;
   for (int n = 0; n < 8; ++n) {
     keys.push_back("key-" + std::to_string(n));
@@ -127,7 +127,7 @@
     world.member(old).Child->signal(SIGTERM);
     REQUIRE(world.member(old).Child->wait(Patience));
     world.addDaemon(old + "-next", "pasig-a", {{server, "bids"}});
-    world.awaitServers(2);
+    world.waitForServers(2);
   }
   for (const std::string &it : keys) {
     Outcome<http::Response> again = world.ask("n2", bid(it));
@@ -139,7 +139,7 @@
 }
 
 TEST_CASE("Key: an entry that dies mid-answer leaves the answer to a repeat") {
-  KeyWorld world({"--latency_ms=1000"});
+  IdempotencyKeyFixture world({"--latency_ms=1000"});
   std::future<Outcome<http::Response>> lost =
       std::async(std::launch::async, [&] { return world.ask("n1", bid("k")); });
   REQUIRE(harness::waitUntil(
--- a/IntegrationTests/Cases/OperatorTests.cpp
+++ b/IntegrationTests/Cases/OperatorTests.cpp
@@ -14,10 +14,10 @@
 using Catch::Contains;
 using wasabi::Millis;
 using wasabi::Outcome;
-using wasabi::harness::CtlRun;
+using wasabi::harness::CtlResult;
 using wasabi::harness::Deployment;
 using wasabi::harness::Process;
-using wasabi::harness::ProcessEnd;
+using wasabi::harness::ProcessExit;
 using wasabi::harness::StandIn;
 using wasabi::harness::TestFolder;
 
@@ -45,9 +45,9 @@
   std::unique_ptr<Process> Child;
   std::string ErrorFile;
 
-  CtlRun finish() {
-    std::optional<ProcessEnd> end = Child->waitAndRead(RunLimit);
-    CtlRun out;
+  CtlResult finish() {
+    std::optional<ProcessExit> end = Child->waitAndRead(RunLimit);
+    CtlResult out;
     out.Code = end ? end->Code : -1;
     out.Output = Child->output();
     out.Errors = readFile(ErrorFile);
@@ -95,7 +95,7 @@
             errors};
   }
 
-  CtlRun run(std::vector<std::string> Arguments) {
+  CtlResult run(std::vector<std::string> Arguments) {
     return start("anna", std::move(Arguments)).finish();
   }
 
@@ -145,11 +145,11 @@
   std::string good = desk.declare("good", {{"a", 1}});
   std::string bad = desk.declare("bad", {{"a", 0}});
   CHECK(desk.run({"validate", good}).Code == 0);
-  CtlRun planned = desk.run({"plan", good});
+  CtlResult planned = desk.run({"plan", good});
   CHECK(planned.Code == 0);
   CHECK_THAT(planned.Output, Contains("+ limit/a"));
   for (const char *command : {"validate", "plan", "apply"}) {
-    CtlRun refused = desk.run({command, bad});
+    CtlResult refused = desk.run({command, bad});
     CHECK(refused.Code == 2);
     CHECK_THAT(refused.Errors,
                Contains("limits.json: /0/burst: must be a whole number"));
@@ -167,7 +167,7 @@
   REQUIRE(
       wasabi::harness::waitUntil([&] { return desk.appends() > 1; }, RunLimit));
   desk.setFaults(R"({"stale_tail":0})");
-  CtlRun applied = applying.finish();
+  CtlResult applied = applying.finish();
   INFO(applied.Output << applied.Errors);
   CHECK(applied.Code == 0);
   CHECK_THAT(applied.Output, Contains("accepted at offset 0"));
@@ -194,7 +194,7 @@
     CHECK(it.finish().Code == 0);
   std::size_t accepted = 0;
   for (Running &it : rivals) {
-    CtlRun end = it.finish();
+    CtlResult end = it.finish();
     INFO(end.Output << end.Errors);
     accepted += end.Code == 0 ? 1 : 0;
     if (end.Code == 0)
@@ -219,12 +219,12 @@
   REQUIRE(
       wasabi::harness::waitUntil([&] { return desk.appends() > 0; }, RunLimit));
   killed.Child->signal(SIGKILL);
-  CtlRun end = killed.finish();
+  CtlResult end = killed.finish();
   std::string id = printedId(end.Errors);
   REQUIRE_FALSE(id.empty());
 
   desk.setFaults(R"({"lose_answers":0,"stale_tail":0})");
-  CtlRun settled = desk.run({"apply", "--resume", id});
+  CtlResult settled = desk.run({"apply", "--resume", id});
   INFO(settled.Output << settled.Errors);
   CHECK(settled.Code == 0);
   CHECK_THAT(settled.Output, Contains("accepted at offset 0"));
@@ -234,7 +234,7 @@
   Desk desk;
   std::string folder = desk.declare("d", {{"a", 1}});
   desk.setFaults(R"({"stale_tail":1000000})");
-  CtlRun unknown = desk.run({"apply", folder, "--wait_ms=300"});
+  CtlResult unknown = desk.run({"apply", folder, "--wait_ms=300"});
   CHECK(unknown.Code == 6);
   CHECK_THAT(unknown.Output,
              Contains("wasabictl apply --resume " + printedId(unknown.Errors)));
@@ -242,7 +242,7 @@
   CHECK(desk.run({"apply", "--resume", printedId(unknown.Errors)}).Code == 0);
 
   // One that never reached the log, and comes late.
-  CtlRun never = desk.run({"apply", "--resume", "late:1:1"});
+  CtlResult never = desk.run({"apply", "--resume", "late:1:1"});
   CHECK(never.Code == 1);
   CHECK_THAT(never.Output, Contains("never will be"));
   wasabi::ConfigChange change{
@@ -267,7 +267,7 @@
   Desk desk;
   desk.run({"apply", desk.declare("one", {{"a", 1}, {"b", 1}})});
   desk.run({"apply", desk.declare("two", {{"a", 2}}), "--prune"});
-  CtlRun back = desk.run({"rollback", "0", "--message", "too slow"});
+  CtlResult back = desk.run({"rollback", "0", "--message", "too slow"});
   CHECK(back.Code == 0);
   CHECK_THAT(back.Output, Contains("/burst: 2 -> 1") && Contains("+ limit/b"));
   CHECK_THAT(
@@ -281,14 +281,14 @@
   });
   Deployment &running = *made;
   const std::string all = std::to_string(running.nodes().size());
-  CtlRun applied = running.control({"apply", running.declarations()});
+  CtlResult applied = running.control({"apply", running.declarations()});
   INFO(applied.Output << applied.Errors);
   CHECK(applied.Code == 0);
   CHECK_THAT(applied.Output,
              Contains("in force on " + all + " of " + all + " instances"));
   CHECK(running.control({"status"}).Code == 0);
 
-  CtlRun line = running.control({"timeline", "--format=json"});
+  CtlResult line = running.control({"timeline", "--format=json"});
   Outcome<wasabi::replay::Trace> trace =
       wasabi::toOutcome<wasabi::replay::Trace>(
           [&] { return wasabi::replay::readTrace("timeline", line.Output); });
@@ -298,7 +298,7 @@
     inForce += it.Kind == "config.in_force" ? 1 : 0;
   CHECK(inForce == running.nodes().size());
 
-  CtlRun busy = running.control({"drain-check"});
+  CtlResult busy = running.control({"drain-check"});
   CHECK(busy.Code == 1);
   CHECK_THAT(busy.Output, Contains("admits callers"));
   CHECK(running.control({"preset", "maintenance"}).Code == 0);
@@ -306,10 +306,10 @@
       [&] { return running.control({"drain-check"}).Code == 0; }, RunLimit));
 
   // One that is gone, and that the platform still lists, is named.
-  wasabi::harness::ProductNode &gone = running.nodes().front();
+  wasabi::harness::WasabiProcess &gone = running.nodes().front();
   gone.Running->signal(SIGKILL);
   gone.Running->wait(RunLimit);
-  CtlRun partly = running.control({"preset", "ordinary", "--wait_ms=2000"});
+  CtlResult partly = running.control({"preset", "ordinary", "--wait_ms=2000"});
   INFO(partly.Output << partly.Errors);
   CHECK(partly.Code == 5);
   CHECK_THAT(partly.Output, Contains("not seen on: " + gone.Name + " ("));
--- a/IntegrationTests/Cases/ProcessTests.cpp
+++ b/IntegrationTests/Cases/ProcessTests.cpp
@@ -9,7 +9,7 @@
 using wasabi::Millis;
 using wasabi::Outcome;
 using wasabi::harness::Process;
-using wasabi::harness::ProcessEnd;
+using wasabi::harness::ProcessExit;
 using wasabi::harness::TestFolder;
 
 namespace {
@@ -21,7 +21,7 @@
 TEST_CASE("A process is run, read and waited for") {
   std::unique_ptr<Process> child =
       Process::start({"wasabi-replay", {"--version"}, {}, ""}).value();
-  std::optional<ProcessEnd> end = child->waitAndRead(Limit);
+  std::optional<ProcessExit> end = child->waitAndRead(Limit);
   REQUIRE(end);
   CHECK(end->Code == 0);
   CHECK(child->output() == "wasabi-replay " WASABI_VERSION "\n");
@@ -31,7 +31,7 @@
 TEST_CASE("A wrong setting ends a program with the usage code") {
   std::unique_ptr<Process> child =
       Process::start({"wasabi-replay", {"--no-such-flag"}, {}, ""}).value();
-  std::optional<ProcessEnd> end = child->wait(Limit);
+  std::optional<ProcessExit> end = child->wait(Limit);
   REQUIRE(end);
   CHECK(end->Code == 2);
 }
@@ -44,7 +44,7 @@
                                                {"--no-such-flag"},
                                                {},
                                                folder->file("errors")}));
-        return child->announced("listening", Limit);
+        return child->waitForAddress("listening", Limit);
       });
   REQUIRE_FALSE(none);
   CHECK_THAT(none.failure().Reason, Catch::Contains("no-such-flag"));
--- a/IntegrationTests/Cases/RequestWorld.cpp
+++ b/IntegrationTests/Cases/RequestFixture.cpp
@@ -1,4 +1,4 @@
-#include "IntegrationTests/Cases/RequestWorld.h"
+#include "IntegrationTests/Cases/RequestFixture.h"
 
 #include "Wasabi/Config/Configuration.h"
 #include "Wasabi/Core/Clock.h"
@@ -40,20 +40,20 @@
 
 } // namespace
 
-RequestWorld::RequestWorld()
+RequestFixture::RequestFixture()
     : Log(startStandIn("log", {})), Instances(startStandIn("instances", {})) {}
 
-harness::StandIn &RequestWorld::addServer(const std::string &Name,
-                                          const std::string &Role,
-                                          std::vector<std::string> Flags) {
+harness::StandIn &RequestFixture::addServer(const std::string &Name,
+                                            const std::string &Role,
+                                            std::vector<std::string> Flags) {
   Flags.push_back("--name=" + Name);
   Servers[Name] = startStandIn(Role, std::move(Flags));
   return *Servers[Name];
 }
 
 std::vector<std::string>
-RequestWorld::platformFlags(const std::string &Name,
-                            const std::string &Domain) {
+RequestFixture::platformFlags(const std::string &Name,
+                              const std::string &Domain) {
   std::vector<std::string> flags = {
       "--instance=" + Name, "--failure_domain=" + Domain,
       "--log=" + toText(Log->address()),
@@ -64,9 +64,9 @@
 }
 
 Member &
-RequestWorld::addDaemon(const std::string &Name, const std::string &Domain,
-                        const std::map<std::string, std::string> &Behind,
-                        const std::map<std::string, Address> &Through) {
+RequestFixture::addDaemon(const std::string &Name, const std::string &Domain,
+                          const std::map<std::string, std::string> &Behind,
+                          const std::map<std::string, Address> &Through) {
   std::string upstreams;
   for (const std::pair<const std::string, std::string> &it : Behind) {
     std::map<std::string, Address>::const_iterator through =
@@ -81,30 +81,30 @@
   Member &made = Members[Name];
   made.Child =
       harness::Process::start({"wasabi-daemon", flags, {}, ""}).value();
-  made.Serves = made.Child->announced("frames").value();
-  made.Admin = made.Child->announced("admin").value();
-  made.Control = made.Child->announced("control").value();
+  made.ListenAddress = made.Child->waitForAddress("frames").value();
+  made.Admin = made.Child->waitForAddress("admin").value();
+  made.Control = made.Child->waitForAddress("control").value();
   Seeds = toText(made.Control);
   return made;
 }
 
-Member &RequestWorld::addEntry(const std::string &Name,
-                               const std::string &Domain,
-                               std::vector<std::string> Flags) {
+Member &RequestFixture::addEntry(const std::string &Name,
+                                 const std::string &Domain,
+                                 std::vector<std::string> Flags) {
   std::vector<std::string> flags = platformFlags(Name, Domain);
   flags.insert(flags.end(), Flags.begin(), Flags.end());
   Member &made = Members[Name];
   made.Child = harness::Process::start({"wasabi-entry", flags, {}, ""}).value();
-  made.Serves = made.Child->announced("listening").value();
-  made.Admin = made.Child->announced("admin").value();
-  made.Control = made.Child->announced("control").value();
+  made.ListenAddress = made.Child->waitForAddress("listening").value();
+  made.Admin = made.Child->waitForAddress("admin").value();
+  made.Control = made.Child->waitForAddress("control").value();
   return made;
 }
 
-void RequestWorld::publish(const std::string &Declarations) {
+void RequestFixture::publish(const std::string &Declarations) {
   ObjectTexts texts = parseDeclarations("test", Declarations).value();
   ConfigChange change;
-  change.Base = PublishedTo;
+  change.Base = PublishedEnd;
   change.Operator = "test";
   for (const std::pair<const std::string, std::string> &it : texts)
     change.Writes.push_back(ObjectWrite{it.first, it.second});
@@ -113,10 +113,10 @@
       Log->address(), "/v1/streams/control/records", encodeRecord(record));
   REQUIRE(appended);
   json::value answer = json::parse(appended->Body);
-  PublishedTo = answer.at("offset").to_number<std::uint64_t>() + 1;
+  PublishedEnd = answer.at("offset").to_number<std::uint64_t>() + 1;
 }
 
-void RequestWorld::awaitServers(std::size_t Count) {
+void RequestFixture::waitForServers(std::size_t Count) {
   for (const std::pair<const std::string, Member> &it : Members) {
     bool entry =
         it.second.Child->output().find("listening") != std::string::npos;
@@ -129,7 +129,7 @@
           if (!status)
             return false;
           std::uint64_t next = status->at("next").to_number<std::uint64_t>();
-          return next >= PublishedTo &&
+          return next >= PublishedEnd &&
                  (!entry || servingSeen(*status) == Count);
         },
         Patience);
@@ -138,20 +138,20 @@
   }
 }
 
-std::size_t RequestWorld::runs(const std::string &Server) {
+std::size_t RequestFixture::runs(const std::string &Server) {
   Outcome<json::value> truth = Servers[Server]->truth();
   REQUIRE(truth);
   return truth->at("runs").as_array().size();
 }
 
-void RequestWorld::kill(const std::string &Name) {
+void RequestFixture::kill(const std::string &Name) {
   Members[Name].Child->signal(SIGKILL);
   REQUIRE(Members[Name].Child->wait(Patience));
 }
 
-Outcome<http::Response> RequestWorld::ask(const std::string &Entry,
-                                          http::Request What, Millis Limit) {
-  return harness::call(Members[Entry].Serves, std::move(What), Limit);
+Outcome<http::Response> RequestFixture::ask(const std::string &Entry,
+                                            http::Request What, Millis Limit) {
+  return harness::call(Members[Entry].ListenAddress, std::move(What), Limit);
 }
 
 http::Request plainRequest(const std::string &Service,
--- a/IntegrationTests/Cases/RequestWorld.h
+++ b/IntegrationTests/Cases/RequestFixture.h
@@ -1,8 +1,8 @@
 /// \file
 /// A small system of real processes for the tests of requests: the platform's
 /// stand-ins, plain services or engines, daemons and entries.
-#ifndef WASABI_INTEGRATIONTESTS_CASES_REQUESTWORLD_H
-#define WASABI_INTEGRATIONTESTS_CASES_REQUESTWORLD_H
+#ifndef WASABI_INTEGRATIONTESTS_CASES_REQUESTFIXTURE_H
+#define WASABI_INTEGRATIONTESTS_CASES_REQUESTFIXTURE_H
 
 #include "IntegrationTests/Harness/HttpCall.h"
 #include "IntegrationTests/Harness/Process.h"
@@ -24,16 +24,16 @@
 struct Member {
   std::unique_ptr<harness::Process> Child;
   /// Callers' HTTP of an entry, frames of a daemon.
-  Address Serves;
+  Address ListenAddress;
   Address Admin;
   Address Control;
 };
 
 /// All processes of one test; ended with it. Not thread-safe.
-class RequestWorld {
+class RequestFixture {
 public:
   /// Starts the log and the instance list.
-  RequestWorld();
+  RequestFixture();
 
   /// Starts a stand-in server, `engine` or `service`, with these flags.
   harness::StandIn &addServer(const std::string &Name, const std::string &Role,
@@ -49,7 +49,7 @@
   void publish(const std::string &Declarations);
   /// Waits until each entry sees these many serving servers, and what was
   /// published last is in force on all.
-  void awaitServers(std::size_t Count);
+  void waitForServers(std::size_t Count);
 
   harness::StandIn &log() { return *Log; }
   harness::StandIn &server(const std::string &Name) { return *Servers[Name]; }
@@ -72,7 +72,7 @@
   std::map<std::string, Member> Members;
   std::string Seeds;
   std::uint64_t Published = 0;
-  std::uint64_t PublishedTo = 0;
+  std::uint64_t PublishedEnd = 0;
 };
 
 /// A GET or POST of a plain service.
@@ -90,4 +90,4 @@
 
 } // namespace wasabi::test
 
-#endif // WASABI_INTEGRATIONTESTS_CASES_REQUESTWORLD_H
+#endif // WASABI_INTEGRATIONTESTS_CASES_REQUESTFIXTURE_H
--- a/IntegrationTests/Cases/RolloutTests.cpp
+++ b/IntegrationTests/Cases/RolloutTests.cpp
@@ -74,7 +74,7 @@
       std::unique_ptr<RolloutCluster> cluster =
           startCluster(withTrainer(trainer));
       REQUIRE(waitForSamples(*cluster, SamplesPerStep + 2));
-      std::optional<std::size_t> owner = cluster->ownerOf("t");
+      std::optional<std::size_t> owner = cluster->findOwner("t");
       REQUIRE(owner);
       std::uint64_t before = cluster->truth(0)->StepsTrained;
       cluster->killDaemon(*owner);
@@ -89,7 +89,7 @@
   std::unique_ptr<RolloutCluster> cluster =
       startCluster(withTrainer(ClusterTrainer()));
   REQUIRE(waitForSamples(*cluster, SamplesPerStep + 2));
-  std::optional<std::size_t> owner = cluster->ownerOf("t");
+  std::optional<std::size_t> owner = cluster->findOwner("t");
   REQUIRE(owner);
   std::uint64_t before = cluster->truth(0)->StepsTrained;
   cluster->daemon(*owner).signal(SIGSTOP);
@@ -190,10 +190,10 @@
   std::unique_ptr<RolloutCluster> cluster =
       startCluster(withTrainer(ClusterTrainer()));
   REQUIRE(waitForSamples(*cluster, SamplesPerStep + 2));
-  std::optional<std::size_t> owner = cluster->ownerOf("t");
+  std::optional<std::size_t> owner = cluster->findOwner("t");
   REQUIRE(owner);
   cluster->daemon(*owner).signal(SIGTERM);
-  std::optional<ProcessEnd> end = cluster->daemon(*owner).wait(Limit);
+  std::optional<ProcessExit> end = cluster->daemon(*owner).wait(Limit);
   REQUIRE(end);
   CHECK(end->Code == 0);
   std::uint64_t before = cluster->truth(0)->StepsTrained;
--- a/IntegrationTests/Cases/VerdictTest.cpp
+++ b/IntegrationTests/Cases/VerdictTest.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Each failure point of docs/design/verdicts.md with real processes: what the
 /// caller is told, against the upstream's own record of what ran.
-#include "IntegrationTests/Cases/RequestWorld.h"
+#include "IntegrationTests/Cases/RequestFixture.h"
 
 #include <boost/json/parse.hpp>
 
@@ -40,18 +40,18 @@
 }
 
 /// One plain server behind one daemon, and an entry.
-struct OneServer : RequestWorld {
+struct OneServer : RequestFixture {
   explicit OneServer(std::vector<std::string> Flags = {}) {
     addServer("a", "service", std::move(Flags));
     addDaemon("d1", "lulea-hall", {{"a", "desk"}});
     addEntry("n1", "lulea-hall");
     publish(PlainService);
-    awaitServers(1);
+    waitForServers(1);
   }
 };
 
 /// Two plain servers, a daemon and a failure domain each, and an entry.
-struct TwoServers : RequestWorld {
+struct TwoServers : RequestFixture {
   TwoServers() {
     for (const char *it : {"a", "b"})
       addServer(it, "service");
@@ -59,11 +59,11 @@
     addDaemon("d2", "umea-hall", {{"b", "desk"}});
     addEntry("n1", "lulea-hall");
     publish(PlainService);
-    awaitServers(2);
+    waitForServers(2);
   }
 };
 
-struct TwoEngines : RequestWorld {
+struct TwoEngines : RequestFixture {
   TwoEngines() {
     for (const char *it : {"a", "b"})
       addServer(it, "engine", {"--model=m", "--tokens_per_s=200"});
@@ -71,7 +71,7 @@
     addDaemon("d2", "umea-hall", {{"b", "llm"}});
     addEntry("n1", "lulea-hall");
     publish(EngineService);
-    awaitServers(2);
+    waitForServers(2);
   }
 };
 
@@ -98,13 +98,13 @@
                        "admit_callers":false},
                       {"kind":"switch","name":"preset",
                        "preset":"maintenance"}])");
-    world.awaitServers(1);
+    world.waitForServers(1);
     checkRefusal(world.ask("n1", quote()), 503, "not-run");
   }
   SECTION("its caller is beyond its limit") {
     world.publish(R"([{"kind":"limit","name":"buyer",
                        "requests_per_second":1,"burst":1}])");
-    world.awaitServers(1);
+    world.waitForServers(1);
     std::vector<http::Header> buyer = {{"X-Caller", "buyer"}};
     checkWhole(world.ask("n1", quote(buyer)));
     checkRefusal(world.ask("n1", quote(buyer)), 503, "not-run");
@@ -226,7 +226,7 @@
       Patience));
   world.member("d1").Child->signal(SIGTERM);
   checkWhole(told.get());
-  std::optional<harness::ProcessEnd> end =
+  std::optional<harness::ProcessExit> end =
       world.member("d1").Child->wait(Patience);
   REQUIRE(end);
   CHECK(end->Code == 0);
@@ -261,13 +261,13 @@
 }
 
 TEST_CASE("Verdict: an engine that refuses did not run it") {
-  RequestWorld world;
+  RequestFixture world;
   world.addServer("e", "engine",
                   {"--model=m", "--slots=1", "--queue=0", "--tokens_per_s=20"});
   world.addDaemon("d1", "lulea-hall", {{"e", "llm"}});
   world.addEntry("n1", "lulea-hall");
   world.publish(EngineService);
-  world.awaitServers(1);
+  world.waitForServers(1);
   // Somebody else holds its only slot, past the daemon.
   std::future<Outcome<http::Response>> other =
       std::async(std::launch::async, [&] {
--- a/IntegrationTests/Chaos/AnswerCheck.cpp
+++ b/IntegrationTests/Chaos/AnswerCheck.cpp
@@ -114,8 +114,9 @@
 
 } // namespace
 
-std::string plainFault(std::string_view Answer, std::string_view Method,
-                       std::string_view Path, std::string_view Body) {
+std::string findPlainAnswerError(std::string_view Answer,
+                                 std::string_view Method, std::string_view Path,
+                                 std::string_view Body) {
   const std::optional<json::object> answer = objectOf(Answer);
   if (!answer)
     return "not a JSON object";
@@ -130,8 +131,8 @@
   return {};
 }
 
-std::string completionFault(std::string_view Answer, std::string_view Prompt,
-                            std::uint64_t Seed) {
+std::string findCompletionError(std::string_view Answer,
+                                std::string_view Prompt, std::uint64_t Seed) {
   const std::optional<json::object> answer = objectOf(Answer);
   if (!answer)
     return "not a JSON object";
@@ -156,8 +157,8 @@
   return textAt(*answer, "text") == text ? std::string() : "another text";
 }
 
-std::string streamFault(std::string_view Events, std::string_view Prompt,
-                        std::uint64_t Seed) {
+std::string findStreamError(std::string_view Events, std::string_view Prompt,
+                            std::uint64_t Seed) {
   StreamState state;
   while (!Events.empty()) {
     const std::size_t end = Events.find(EventEnd);
--- a/IntegrationTests/Chaos/AnswerCheck.h
+++ b/IntegrationTests/Chaos/AnswerCheck.h
@@ -11,16 +11,17 @@
 namespace wasabi::chaos {
 
 /// Why a plain service's answer is not the one to this request; empty if it is.
-std::string plainFault(std::string_view Answer, std::string_view Method,
-                       std::string_view Path, std::string_view Body);
+std::string findPlainAnswerError(std::string_view Answer,
+                                 std::string_view Method, std::string_view Path,
+                                 std::string_view Body);
 
 /// The same for a whole completion.
-std::string completionFault(std::string_view Answer, std::string_view Prompt,
-                            std::uint64_t Seed);
+std::string findCompletionError(std::string_view Answer,
+                                std::string_view Prompt, std::uint64_t Seed);
 
 /// The same for a completion's event stream.
-std::string streamFault(std::string_view Events, std::string_view Prompt,
-                        std::uint64_t Seed);
+std::string findStreamError(std::string_view Events, std::string_view Prompt,
+                            std::uint64_t Seed);
 
 } // namespace wasabi::chaos
 
--- a/IntegrationTests/Chaos/CallerLoad.cpp
+++ b/IntegrationTests/Chaos/CallerLoad.cpp
@@ -103,11 +103,12 @@
 std::string faultOf(const Ask &ask, const std::string &answer) {
   switch (ask.Kind) {
   case CallKind::CompletionWhole:
-    return completionFault(answer, ask.Mark, ask.TokenSeed);
+    return findCompletionError(answer, ask.Mark, ask.TokenSeed);
   case CallKind::CompletionStreamed:
-    return streamFault(answer, ask.Mark, ask.TokenSeed);
+    return findStreamError(answer, ask.Mark, ask.TokenSeed);
   default:
-    return plainFault(answer, ask.Http.Method, ask.Mark, ask.Http.Body);
+    return findPlainAnswerError(answer, ask.Http.Method, ask.Mark,
+                                ask.Http.Body);
   }
 }
 
@@ -146,7 +147,7 @@
     end();
     return Records;
   }
-  std::uint64_t wholeSoFar() const override { return Whole; }
+  std::uint64_t completeAnswerCount() const override { return Whole; }
 
 private:
   void end() {
@@ -179,7 +180,7 @@
   std::mt19937_64 random(Setup.Seed * 1000 + caller);
   for (std::uint64_t count = 0; !Ending; ++count) {
     const Ask ask = makeAsk(Setup, caller, count, random);
-    if (Setup.PatientRepeats > 0)
+    if (Setup.MaxDelayedRetries > 0)
       co_await sendPatiently(ask, random);
     else
       co_await sendAtOnce(ask, random);
@@ -199,7 +200,7 @@
 /// Goes on also when the load is ending: a request once begun is seen through.
 asio::awaitable<void> Load::sendPatiently(const Ask &ask,
                                           std::mt19937_64 &random) {
-  for (std::uint32_t n = 0; n <= Setup.PatientRepeats; ++n) {
+  for (std::uint32_t n = 0; n <= Setup.MaxDelayedRetries; ++n) {
     const Seen end = co_await send(ask, random);
     const bool mayRepeat =
         end == Seen::NotRun ||
@@ -240,7 +241,7 @@
                                     CallerRecord &record) {
   record.Note = toText(where) + ": ";
   const Outcome<http::Response> answer =
-      co_await Client->call(where, ask.Http, Setup.GiveUp);
+      co_await Client->call(where, ask.Http, Setup.CallerTimeout);
   if (answer) {
     judgeAnswer(record, ask, *answer);
     co_return true;
--- a/IntegrationTests/Chaos/CallerLoad.h
+++ b/IntegrationTests/Chaos/CallerLoad.h
@@ -25,11 +25,11 @@
     std::string PlainService;
     /// How long an ask may take, as told to the system and as waited for.
     Millis Deadline{5000};
-    Millis GiveUp{8000};
+    Millis CallerTimeout{8000};
     /// Most times that a caller sends again what did not run, or is in doubt
     /// and has a key, each time after a second. Without, it sends a keyed write
     /// a few times at once and all else once.
-    std::uint32_t PatientRepeats = 0;
+    std::uint32_t MaxDelayedRetries = 0;
   };
 
   static std::unique_ptr<CallerLoad> start(Settings Setup);
@@ -39,7 +39,7 @@
   /// Lets each caller finish its ask, ends them, and gives their records.
   virtual std::vector<CallerRecord> finish() = 0;
   /// Asks answered whole so far.
-  virtual std::uint64_t wholeSoFar() const = 0;
+  virtual std::uint64_t completeAnswerCount() const = 0;
 };
 
 } // namespace wasabi::chaos
--- a/IntegrationTests/Chaos/Cluster.cpp
+++ b/IntegrationTests/Chaos/Cluster.cpp
@@ -62,7 +62,7 @@
 
 } // namespace
 
-Result<ClusterPlan> planOf(const std::string &Deployment) {
+Result<ClusterPlan> findClusterPlan(const std::string &Deployment) {
   if (Deployment == "lindqvist")
     return ClusterPlan{"lindqvist",
                        {"lulea-hall", "umea-hall", "sundsvall-hall"},
@@ -212,17 +212,17 @@
       logFile(Folder, Which.Instance + "." + std::to_string(++Which.Starts));
   BOOST_LEAF_AUTO(started, Process::start(std::move(setup)));
   std::shared_ptr<Process> process(std::move(started));
-  BOOST_LEAF_AUTO(controls, process->announced("control"));
-  BOOST_LEAF_AUTO(admin, process->announced("admin"));
+  BOOST_LEAF_AUTO(controls, process->waitForAddress("control"));
+  BOOST_LEAF_AUTO(admin, process->waitForAddress("admin"));
   const auto point = [](const StandIn &to, const Address &where) {
     to.setFaults(R"({"upstream":")" + toText(where) + R"("})");
   };
   point(*Which.ControlLink, controls);
   Address http;
   if (Which.IsEntry) {
-    BOOST_LEAF_ASSIGN(http, process->announced("listening"));
+    BOOST_LEAF_ASSIGN(http, process->waitForAddress("listening"));
   } else {
-    BOOST_LEAF_AUTO(frames, process->announced("frames"));
+    BOOST_LEAF_AUTO(frames, process->waitForAddress("frames"));
     point(*Which.FramesLink, frames);
   }
   std::lock_guard<std::mutex> lock(Which.Guard);
@@ -252,13 +252,13 @@
 }
 
 void Cluster::killEngine(std::size_t Which) {
-  std::lock_guard<std::mutex> lock(EnginesGuard);
+  std::lock_guard<std::mutex> lock(EnginesMutex);
   Engines[Which]->process().signal(SIGKILL);
   Engines[Which]->process().wait(EndLimit);
 }
 
 Result<void> Cluster::startEngine(std::size_t Which) {
-  std::lock_guard<std::mutex> lock(EnginesGuard);
+  std::lock_guard<std::mutex> lock(EnginesMutex);
   if (Engines[Which]->process().running())
     return {};
   const Address where = Engines[Which]->address();
@@ -269,11 +269,12 @@
 }
 
 std::shared_ptr<StandIn> Cluster::engine(std::size_t Which) const {
-  std::lock_guard<std::mutex> lock(EnginesGuard);
+  std::lock_guard<std::mutex> lock(EnginesMutex);
   return Engines[Which];
 }
 
-Cluster::CommandEnd Cluster::control(std::vector<std::string> Arguments) const {
+Cluster::CtlCommandResult
+Cluster::control(std::vector<std::string> Arguments) const {
   Arguments.push_back("--log=" + toText(Log->address()));
   Arguments.push_back("--instances=" + toText(Instances->address()));
   Process::Settings setup;
@@ -285,7 +286,7 @@
           [&] { return Process::start(std::move(setup)); });
   if (!process)
     return {};
-  const std::optional<harness::ProcessEnd> end =
+  const std::optional<harness::ProcessExit> end =
       (*process)->waitAndRead(CommandLimit);
   return {end ? end->Code : -1, (*process)->output()};
 }
@@ -326,17 +327,17 @@
   return all;
 }
 
-Address Cluster::adminOf(const Slot &Which) {
+Address Cluster::adminAddress(const Slot &Which) {
   std::lock_guard<std::mutex> lock(Which.Guard);
   return Which.Admin;
 }
 
-Address Cluster::httpOf(const Slot &Which) {
+Address Cluster::httpAddress(const Slot &Which) {
   std::lock_guard<std::mutex> lock(Which.Guard);
   return Which.Http;
 }
 
-std::shared_ptr<Process> Cluster::processOf(const Slot &Which) {
+std::shared_ptr<Process> Cluster::currentProcess(const Slot &Which) {
   std::lock_guard<std::mutex> lock(Which.Guard);
   return Which.Process;
 }
@@ -346,7 +347,7 @@
     BOOST_LEAF_CHECK(startSlot(*it));
   for (const std::unique_ptr<Slot> &it : Entries)
     BOOST_LEAF_CHECK(startSlot(*it));
-  const CommandEnd applied =
+  const CtlCommandResult applied =
       control({"apply", writeDeclarations("declarations", 1000),
                "--operator=chaos", "--message=start"});
   if (applied.Code != 0)
@@ -359,7 +360,7 @@
   for (const std::vector<std::unique_ptr<Slot>> *of : {&Daemons, &Entries}) {
     for (const std::unique_ptr<Slot> &it : *of) {
       const bool ready = harness::waitUntil(
-          [&] { return bool(harness::getText(adminOf(*it), "/readyz")); },
+          [&] { return bool(harness::getText(adminAddress(*it), "/readyz")); },
           ReadyLimit);
       if (!ready)
         return boost::leaf::new_error(Failure{Verdict::NotRun,
