--- a/Bench/LoadRun.cpp
+++ b/Bench/LoadRun.cpp
@@ -19,11 +19,11 @@
 
 constexpr asio::as_tuple_t<asio::use_awaitable_t<>> Awaited;
 constexpr unsigned WholeStatus = 200;
-/// How much longer than its deadline a call is waited for, so that a late
-/// answer is seen as one.
+/// Time to wait for a response after its deadline, so that a late response is
+/// recorded as late.
 constexpr Millis Patience{200};
 
-/// One run of a plan, on one thread.
+/// Runs one load plan on one thread.
 class LoadRun {
 public:
   explicit LoadRun(const LoadPlan &Plan)
@@ -36,8 +36,8 @@
 
   std::vector<CallResult> run() {
     Began = monotonicNow();
-    for (const Incident &it : Plan.Incidents)
-      spawn(cause(it));
+    for (const ScheduledAction &it : Plan.ScheduledActions)
+      spawn(runAction(it));
     if (Plan.Rate > 0)
       spawn(arrive());
     else
@@ -48,26 +48,27 @@
   }
 
 private:
-  /// The context ends with the last coroutine: idle connections hold nothing.
-  void spawn(asio::awaitable<void> What) {
+  /// The context ends with the last coroutine; idle connections do not keep it
+  /// running.
+  void spawn(asio::awaitable<void> Body) {
     ++Alive;
-    asio::co_spawn(Context, std::move(What),
+    asio::co_spawn(Context, std::move(Body),
                    [this](const std::exception_ptr &) {
                      if (--Alive == 0)
                        Context.stop();
                    });
   }
 
-  asio::awaitable<void> cause(Incident What) {
-    BootTimer timer(Context, Began + What.At);
+  asio::awaitable<void> runAction(ScheduledAction Scheduled) {
+    BootTimer timer(Context, Began + Scheduled.At);
     co_await timer.async_wait(Awaited);
-    What.Do();
+    Scheduled.Action();
   }
 
   asio::awaitable<void> arrive() {
     std::exponential_distribution<double> gap(Plan.Rate);
     BootTimer timer(Context);
-    TimePoint end = Began + Plan.Span;
+    TimePoint end = Began + Plan.Duration;
     double seconds = gap(Random);
     for (;;) {
       TimePoint due =
@@ -82,7 +83,7 @@
   }
 
   asio::awaitable<void> work() {
-    TimePoint end = Began + Plan.Span;
+    TimePoint end = Began + Plan.Duration;
     while (monotonicNow() < end)
       co_await callOnce(monotonicNow());
   }
@@ -91,13 +92,13 @@
     CallResult result;
     result.Number = Next++;
     result.Due = Due - Began;
-    http::Request ask = Plan.Make(result.Number);
+    http::Request ask = Plan.MakeRequest(result.Number);
     TimePoint until = Due + Plan.Deadline;
-    while (result.Attempts < Plan.Client.MaxAttempts && !result.Right &&
+    while (result.Attempts < Plan.Client.MaxAttempts && !result.IsCorrect &&
            monotonicNow() < until)
       co_await attempt(ask, until, result);
-    result.Took = monotonicNow() - Due;
-    result.Good = result.Right && result.Took <= Plan.Deadline;
+    result.Latency = monotonicNow() - Due;
+    result.IsGood = result.IsCorrect && result.Latency <= Plan.Deadline;
     Results.push_back(std::move(result));
   }
 
@@ -106,7 +107,7 @@
     ++Result.Attempts;
     std::uniform_int_distribution<std::size_t> any(0, Plan.Targets.size() - 1);
     std::size_t to = any(Random);
-    std::uint32_t limit = Plan.Client.LimitPerTarget;
+    std::uint32_t limit = Plan.Client.MaxInFlightPerTarget;
     if (limit > 0 && Open[to] >= limit)
       co_return;
     Millis left = std::chrono::ceil<Millis>(Until - monotonicNow());
@@ -122,14 +123,14 @@
     Result.Status = answer->Status;
     Result.Verdict = std::string(answer->header("X-Wasabi-Verdict"));
     if (answer->Status == WholeStatus)
-      Plan.Check(Ask, *answer, Result);
+      Plan.CheckResponse(Ask, *answer, Result);
   }
 
   const LoadPlan &Plan;
   asio::io_context Context{1};
   std::mt19937_64 Random;
   std::shared_ptr<http::Client> Client;
-  /// Calls at each target now.
+  /// Calls in flight at each target.
   std::vector<std::uint32_t> Open;
   std::vector<CallResult> Results;
   std::uint64_t Next;
@@ -144,20 +145,20 @@
 }
 
 std::vector<double>
-goodMillis(const std::vector<CallResult> &Calls,
-           const std::function<bool(const CallResult &)> &Chosen) {
+goodLatencyMillis(const std::vector<CallResult> &Calls,
+                  const std::function<bool(const CallResult &)> &Chosen) {
   std::vector<double> times;
   for (const CallResult &it : Calls) {
-    if (it.Good && (!Chosen || Chosen(it)))
-      times.push_back(static_cast<double>(it.Took.count()) / 1000.0);
+    if (it.IsGood && (!Chosen || Chosen(it)))
+      times.push_back(static_cast<double>(it.Latency.count()) / 1000.0);
   }
   return times;
 }
 
-std::size_t goodCount(const std::vector<CallResult> &Calls) {
+std::size_t countGoodCalls(const std::vector<CallResult> &Calls) {
   return static_cast<std::size_t>(
       std::count_if(Calls.begin(), Calls.end(),
-                    [](const CallResult &it) { return it.Good; }));
+                    [](const CallResult &it) { return it.IsGood; }));
 }
 
 } // namespace wasabi::bench
--- a/Bench/ProcessUsage.cpp
+++ b/Bench/ProcessUsage.cpp
@@ -9,19 +9,21 @@
 namespace wasabi::bench {
 namespace {
 
-/// Fields of /proc/PID/stat after the command's closing bracket, from 0.
+/// Zero-based indices of fields in /proc/PID/stat after the command's closing
+/// bracket.
 constexpr int UserTimeField = 11;
 constexpr int SystemTimeField = 12;
 constexpr int ResidentPagesField = 21;
 
 } // namespace
 
-std::optional<ProcessUsage> readUsage(pid_t Pid) {
+std::optional<ProcessUsage> readProcessUsage(pid_t Pid) {
   std::ifstream file("/proc/" + std::to_string(Pid) + "/stat");
   std::string text;
   if (!std::getline(file, text))
     return std::nullopt;
-  // The command may hold blanks: count from its last bracket.
+  // The command may contain spaces and brackets, so fields are counted from its
+  // last bracket.
   std::size_t bracket = text.rfind(')');
   if (bracket == std::string::npos)
     return std::nullopt;
@@ -35,7 +37,7 @@
     if (n == UserTimeField || n == SystemTimeField)
       usage.CpuSeconds += std::stod(field) / ticks;
     if (n == ResidentPagesField)
-      usage.ResidentMb = std::stod(field) * page / (1024.0 * 1024.0);
+      usage.ResidentMiB = std::stod(field) * page / (1024.0 * 1024.0);
   }
   return usage;
 }
--- a/Bench/RequestChecks.cpp
+++ b/Bench/RequestChecks.cpp
@@ -13,22 +13,22 @@
 
 constexpr unsigned WholeStatus = 200;
 constexpr std::string_view NotRunWord = "not-run";
-/// Bytes of a plain call's body, as of a small JSON request.
+/// Size in bytes of a plain call's body.
 constexpr std::size_t BodyBytes = 200;
 
 http::Request head(const std::string &Load, std::uint64_t Number,
                    Millis Deadline) {
   http::Request ask;
   ask.Headers = {{"X-Service", FleetService},
-                 {"X-Request-Id", callId(Load, Number)},
+                 {"X-Request-Id", makeRequestId(Load, Number)},
                  {"X-Deadline-Ms", std::to_string(Deadline.count())}};
   return ask;
 }
 
-/// Runs by request over all upstreams of a fleet.
+/// Runs of each request over all upstreams of a fleet.
 struct KnownRuns {
   std::map<std::string, std::uint64_t> Times;
-  /// Whether every upstream told all of its runs.
+  /// True if every upstream reported all of its runs.
   bool Complete = true;
 };
 
@@ -37,14 +37,14 @@
   for (const FleetUpstream &it : Fleet.upstreams()) {
     Outcome<boost::json::value> truth = it.StandIn->truth();
     if (!truth) {
-      progress("requests: no truth of " + it.Server + ": " +
-               describe(truth.failure()));
+      logProgress("requests: no truth of " + it.Server + ": " +
+                  describe(truth.failure()));
       runs.Complete = false;
       continue;
     }
-    // An upstream forgets its oldest runs after so many.
+    // An upstream drops its oldest records when it reaches its limit.
     if (truth->at("dropped").to_number<std::uint64_t>() > 0) {
-      progress("requests: " + it.Server + " has forgotten runs");
+      logProgress("requests: " + it.Server + " has forgotten runs");
       runs.Complete = false;
     }
     for (const boost::json::value &run : truth->at("runs").as_array())
@@ -53,7 +53,7 @@
   return runs;
 }
 
-/// The text and spans of a completion, whole or streamed.
+/// The text and spans of a completion, from one body or from a stream.
 struct Generated {
   std::string Text;
   std::vector<standins::VersionSpan> Spans;
@@ -104,7 +104,7 @@
   return all;
 }
 
-bool isRight(const http::Request &Ask, const http::Response &Answer) {
+bool isCorrect(const http::Request &Ask, const http::Response &Answer) {
   boost::json::object asked = boost::json::parse(Ask.Body).as_object();
   std::string prompt(asked.at("prompt").as_string());
   std::uint64_t seed = asked.at("seed").to_number<std::uint64_t>();
@@ -113,46 +113,49 @@
                                                : readWhole(Answer.Body);
   return got.Ended &&
          got.Tokens == standins::sampleLength(prompt, seed, most) &&
-         standins::areWhole(got.Spans, got.Tokens) &&
+         standins::areContiguous(got.Spans, got.Tokens) &&
          got.Text == standins::spansText(prompt, seed, got.Spans);
 }
 
 } // namespace
 
-std::string callId(const std::string &Load, std::uint64_t Number) {
+std::string makeRequestId(const std::string &Load, std::uint64_t Number) {
   return Load + "-" + std::to_string(Number);
 }
 
-http::Request plainCall(const std::string &Load, std::uint64_t Number,
-                        Millis Deadline, const std::string &Caller) {
+http::Request makePlainRequest(const std::string &Load, std::uint64_t Number,
+                               Millis Deadline, const std::string &Caller) {
   http::Request ask = head(Load, Number, Deadline);
-  ask.Target = "/work/" + callId(Load, Number);
+  ask.Target = "/work/" + makeRequestId(Load, Number);
   ask.Method = "GET";
   if (!Caller.empty())
     ask.Headers.push_back({"X-Caller", Caller});
-  if (!runsOnce(Number))
+  if (!mustRunOnce(Number))
     return ask;
   ask.Method = "POST";
-  ask.Body = callId(Load, Number);
+  ask.Body = makeRequestId(Load, Number);
   ask.Body.resize(BodyBytes, '.');
   return ask;
 }
 
-void checkPlain(const http::Request &Ask, const http::Response &Answer,
-                CallResult &Into) {
+void checkPlainResponse(const http::Request &Ask, const http::Response &Answer,
+                        CallResult &Into) {
   boost::system::error_code ec;
   boost::json::value body = boost::json::parse(Answer.Body, ec);
   if (ec || !body.is_object())
     return;
   Into.Server = body.at("service").as_string();
-  Into.Right = body.at("path").as_string() == Ask.Target &&
-               body.at("method").as_string() == Ask.Method &&
-               body.at("body_hash").as_string() == standins::hashText(Ask.Body);
+  Into.IsCorrect =
+      body.at("path").as_string() == Ask.Target &&
+      body.at("method").as_string() == Ask.Method &&
+      body.at("body_hash").as_string() == standins::hashText(Ask.Body);
 }
 
-http::Request completionCall(const std::string &Load, std::uint64_t Number,
-                             const std::string &Prompt, std::uint64_t MaxTokens,
-                             bool Streamed, Millis Deadline) {
+http::Request makeCompletionRequest(const std::string &Load,
+                                    std::uint64_t Number,
+                                    const std::string &Prompt,
+                                    std::uint64_t MaxTokens, bool Streamed,
+                                    Millis Deadline) {
   http::Request ask = head(Load, Number, Deadline);
   ask.Method = "POST";
   ask.Target = "/v1/completions";
@@ -167,16 +170,16 @@
   return ask;
 }
 
-void checkCompletion(const http::Request &Ask, const http::Response &Answer,
-                     CallResult &Into) {
+void checkCompletionResponse(const http::Request &Ask,
+                             const http::Response &Answer, CallResult &Into) {
   try {
-    Into.Right = isRight(Ask, Answer);
+    Into.IsCorrect = isCorrect(Ask, Answer);
   } catch (const std::exception &Why) {
-    progress(std::string("requests: unreadable completion: ") + Why.what());
+    logProgress(std::string("requests: unreadable completion: ") + Why.what());
   }
 }
 
-std::uint64_t completionTokens(const http::Request &Ask) {
+std::uint64_t expectedCompletionTokens(const http::Request &Ask) {
   boost::json::object asked = boost::json::parse(Ask.Body).as_object();
   return standins::sampleLength(
       std::string(asked.at("prompt").as_string()),
@@ -184,30 +187,31 @@
       asked.at("max_tokens").to_number<std::uint64_t>());
 }
 
-Faithfulness checkPlainRuns(const std::string &Load,
-                            const std::vector<CallResult> &Calls,
-                            RequestFleet &Fleet) {
+CorrectnessCounts checkPlainRuns(const std::string &Load,
+                                 const std::vector<CallResult> &Calls,
+                                 RequestFleet &Fleet) {
   KnownRuns runs = runsOf(Fleet);
-  Faithfulness found;
+  CorrectnessCounts found;
   for (const CallResult &it : Calls) {
     std::map<std::string, std::uint64_t>::const_iterator known =
-        runs.Times.find(callId(Load, it.Number));
+        runs.Times.find(makeRequestId(Load, it.Number));
     std::uint64_t times = known == runs.Times.end() ? 0 : known->second;
-    // Without all records an answer may look right and not be.
+    // Incomplete records cannot prove that a response is correct.
     found.Checked += runs.Complete ? 1 : 0;
     if (it.Verdict == NotRunWord && times > 0)
       ++found.FalseNotRun;
-    if (runsOnce(it.Number) && times > 1)
+    if (mustRunOnce(it.Number) && times > 1)
       ++found.DoubleRuns;
     bool fromNowhere = runs.Complete && times == 0;
-    if (it.Status == WholeStatus && (!it.Right || fromNowhere))
+    if (it.Status == WholeStatus && (!it.IsCorrect || fromNowhere))
       ++found.WrongAnswers;
   }
   return found;
 }
 
-Faithfulness operator+(const Faithfulness &Left, const Faithfulness &Right) {
-  return Faithfulness{
+CorrectnessCounts operator+(const CorrectnessCounts &Left,
+                            const CorrectnessCounts &Right) {
+  return CorrectnessCounts{
       Left.FalseNotRun + Right.FalseNotRun, Left.DoubleRuns + Right.DoubleRuns,
       Left.WrongAnswers + Right.WrongAnswers, Left.Checked + Right.Checked};
 }
--- a/Bench/RequestChecks.h
+++ b/Bench/RequestChecks.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the bench sends, and how answers are held against what the upstreams
-/// themselves say has happened.
+/// Builds the bench's requests and checks the responses against the upstreams'
+/// own records.
 #ifndef WASABI_BENCH_REQUESTCHECKS_H
 #define WASABI_BENCH_REQUESTCHECKS_H
 
@@ -13,54 +13,60 @@
 
 namespace wasabi::bench {
 
-/// The `X-Request-Id` of a call; `Load` tells the loads of one fleet apart.
-std::string callId(const std::string &Load, std::uint64_t Number);
+/// Returns the `X-Request-Id` of a call. `Load` distinguishes the loads of one
+/// fleet.
+std::string makeRequestId(const std::string &Load, std::uint64_t Number);
 
-/// Whether a call must run at most once: every second one must.
-inline bool runsOnce(std::uint64_t Number) { return Number % 2 == 1; }
+/// Returns true for every second call, which must run at most once.
+inline bool mustRunOnce(std::uint64_t Number) { return Number % 2 == 1; }
 
-/// A small call of a plain service: a GET, or a POST that must run once.
-/// `Caller` is empty for none. Deadline in milliseconds.
-http::Request plainCall(const std::string &Load, std::uint64_t Number,
-                        Millis Deadline, const std::string &Caller = "");
+/// Makes a small call of a plain service: a GET, or a POST that must run at
+/// most once. An empty `Caller` sends no caller. The deadline is in
+/// milliseconds.
+http::Request makePlainRequest(const std::string &Load, std::uint64_t Number,
+                               Millis Deadline, const std::string &Caller = "");
 
-/// Checks a plain service's answer: path, and the hash of the body.
-void checkPlain(const http::Request &Ask, const http::Response &Answer,
-                CallResult &Into);
+/// Checks the path and the body hash in a plain service's response.
+void checkPlainResponse(const http::Request &Ask, const http::Response &Answer,
+                        CallResult &Into);
 
-/// A completion of an engine.
-http::Request completionCall(const std::string &Load, std::uint64_t Number,
-                             const std::string &Prompt, std::uint64_t MaxTokens,
-                             bool Streamed, Millis Deadline);
+/// Makes a completion request to an engine.
+http::Request makeCompletionRequest(const std::string &Load,
+                                    std::uint64_t Number,
+                                    const std::string &Prompt,
+                                    std::uint64_t MaxTokens, bool Streamed,
+                                    Millis Deadline);
 
-/// Checks a completion: every token recomputed from the labels, and as many as
-/// there must be. `CallResult::Server` is left empty.
-void checkCompletion(const http::Request &Ask, const http::Response &Answer,
-                     CallResult &Into);
+/// Checks a completion: recomputes every token from the labels and checks the
+/// number of tokens. Leaves `CallResult::Server` empty.
+void checkCompletionResponse(const http::Request &Ask,
+                             const http::Response &Answer, CallResult &Into);
 
-/// How many tokens a completion must have. Precondition: `Ask` is one.
-std::uint64_t completionTokens(const http::Request &Ask);
+/// Returns the expected number of tokens of a completion. Precondition: `Ask`
+/// is a completion request.
+std::uint64_t expectedCompletionTokens(const http::Request &Ask);
 
-/// What was promised and must be 0.
-struct Faithfulness {
-  /// Answered `not-run` though an upstream ran it.
+/// Violations of the guarantees. All counts but `Checked` must be 0.
+struct CorrectnessCounts {
+  /// Calls answered `not-run` although an upstream ran them.
   std::uint64_t FalseNotRun = 0;
-  /// Ran twice though it had to run once.
+  /// Calls that ran twice although they must run at most once.
   std::uint64_t DoubleRuns = 0;
-  /// Answered with something else than what it asked, or out of nowhere.
+  /// Calls whose response does not match the request, or that no upstream ran.
   std::uint64_t WrongAnswers = 0;
-  /// Calls held against complete records.
+  /// Calls checked against complete records.
   std::uint64_t Checked = 0;
 };
 
-/// Holds the calls of plain services against the upstreams' own records. An
-/// upstream that does not answer is left out, and said on stderr.
-Faithfulness checkPlainRuns(const std::string &Load,
-                            const std::vector<CallResult> &Calls,
-                            RequestFleet &Fleet);
+/// Checks the calls of plain services against the upstreams' own records. An
+/// upstream that does not answer is skipped and logged on stderr.
+CorrectnessCounts checkPlainRuns(const std::string &Load,
+                                 const std::vector<CallResult> &Calls,
+                                 RequestFleet &Fleet);
 
-/// Adds up.
-Faithfulness operator+(const Faithfulness &Left, const Faithfulness &Right);
+/// Adds the counts.
+CorrectnessCounts operator+(const CorrectnessCounts &Left,
+                            const CorrectnessCounts &Right);
 
 } // namespace wasabi::bench
 
--- a/Bench/RequestFaults.cpp
+++ b/Bench/RequestFaults.cpp
@@ -33,12 +33,12 @@
   return later;
 }
 
-/// From the kill to the end of the last tenth of a second that had a call
-/// without a good answer.
+/// Returns the time from the kill to the end of the last tenth of a second in
+/// which a call failed.
 double recoveryMillis(const std::vector<CallResult> &Calls) {
   Micros last = KillAt;
   for (const CallResult &it : Calls) {
-    if (!it.Good && it.Due >= KillAt - Deadline)
+    if (!it.IsGood && it.Due >= KillAt - Deadline)
       last = std::max(last, Micros((it.Due / Bin + 1) * Bin));
   }
   return static_cast<double>((last - KillAt).count()) / 1000.0;
@@ -51,36 +51,37 @@
   return Calls.empty() ? 0 : sum / static_cast<double>(Calls.size());
 }
 
-double attemptsPerRequest(const Decisions &Counts) {
-  Decisions::const_iterator attempts =
+double attemptsPerRequest(const CounterTotals &Counts) {
+  CounterTotals::const_iterator attempts =
       Counts.find("wasabi_entry_attempts_total");
-  Decisions::const_iterator requests =
+  CounterTotals::const_iterator requests =
       Counts.find("wasabi_entry_requests_total");
   bool known = attempts != Counts.end() && requests != Counts.end();
   return known && requests->second > 0 ? attempts->second / requests->second
                                        : 0;
 }
 
-/// One outage: attempts a request, ours and the blind client's.
+/// Runs one outage and reports the attempts per request of the product and of
+/// the client with fixed retries.
 struct OutageResult {
   double Ours = 0;
   double Blind = 0;
-  Faithfulness Found;
+  CorrectnessCounts Found;
 };
 
 OutageResult measureOutage(const std::string &Name, RequestFleet &Fleet,
                            double Rate) {
   std::string load = "outage_" + Name;
-  LoadPlan plan = plainLoad(load, Fleet, Rate, OutageSpan, Deadline);
-  Decisions before = Fleet.decisions();
+  LoadPlan plan = makePlainLoad(load, Fleet, Rate, OutageSpan, Deadline);
+  CounterTotals before = Fleet.readCounters();
   std::vector<CallResult> ours = runLoad(plan);
-  Decisions made = difference(Fleet.decisions(), before);
-  reportDecisions(load, made);
-  reportEndings(load, ours);
+  CounterTotals made = subtractCounters(Fleet.readCounters(), before);
+  reportCounters(load, made);
+  reportFailedCalls(load, ours);
   OutageResult result;
   result.Ours = attemptsPerRequest(made);
   result.Found = checkPlainRuns(load, ours, Fleet);
-  result.Blind = meanAttempts(runLoad(blindLoad(plan, Fleet)));
+  result.Blind = meanAttempts(runLoad(makeBaselineLoad(plan, Fleet)));
   reportRequests("attempts_per_request_" + load, result.Ours, "attempts",
                  result.Blind);
   return result;
@@ -88,46 +89,47 @@
 
 } // namespace
 
-Faithfulness measureThirdKilled() {
+CorrectnessCounts measureKilledInstances() {
   constexpr std::size_t Upstreams = 6;
   std::unique_ptr<RequestFleet> fleet = startDesks(Upstreams);
   if (!fleet)
     return {};
   double rate =
-      measureCapacity(plainLoad("capacity", *fleet, 0, WarmSpan, Deadline),
+      measureCapacity(makePlainLoad("capacity", *fleet, 0, WarmSpan, Deadline),
                       *fleet, Slots) *
       0.4;
-  runLoad(plainLoad("warm", *fleet, rate, WarmSpan, Deadline));
-
-  // A killed daemon takes the only road to its servers with it; their records
-  // stay readable.
-  LoadPlan plan = plainLoad("killed", *fleet, rate, KillSpan, Deadline);
-  plan.Incidents.push_back({KillAt, [&] {
-                              for (std::size_t n = 0; n < Upstreams / 3; ++n)
-                                fleet->upstreams()[n].Daemon->signal(SIGKILL);
-                            }});
-  Decisions before = fleet->decisions();
+  runLoad(makePlainLoad("warm", *fleet, rate, WarmSpan, Deadline));
+
+  // The servers behind a killed daemon are unreachable through the product;
+  // their records can still be read directly.
+  LoadPlan plan = makePlainLoad("killed", *fleet, rate, KillSpan, Deadline);
+  plan.ScheduledActions.push_back(
+      {KillAt, [&] {
+         for (std::size_t n = 0; n < Upstreams / 3; ++n)
+           fleet->upstreams()[n].Daemon->signal(SIGKILL);
+       }});
+  CounterTotals before = fleet->readCounters();
   std::vector<CallResult> ours = runLoad(plan);
-  // The killed ones' counts are gone; the entries' are whole.
-  Decisions made = difference(fleet->decisions(), before);
+  // The counters of killed daemons are lost; those of the entries are complete.
+  CounterTotals made = subtractCounters(fleet->readCounters(), before);
   std::erase_if(made, [](const std::pair<const std::string, double> &it) {
     return !it.first.starts_with("wasabi_entry");
   });
-  reportDecisions("third_killed", made);
-  reportEndings("third_killed", ours);
-  Faithfulness found = checkPlainRuns("killed", ours, *fleet);
-
-  LoadPlan blindPlan = blindLoad(plan, *fleet);
-  blindPlan.Incidents = {{KillAt, [&] {
-                            for (std::size_t n = 0; n < Upstreams / 3; ++n)
-                              fleet->upstreams()[n].StandIn->process().signal(
-                                  SIGKILL);
-                          }}};
+  reportCounters("third_killed", made);
+  reportFailedCalls("third_killed", ours);
+  CorrectnessCounts found = checkPlainRuns("killed", ours, *fleet);
+
+  LoadPlan blindPlan = makeBaselineLoad(plan, *fleet);
+  blindPlan.ScheduledActions = {
+      {KillAt, [&] {
+         for (std::size_t n = 0; n < Upstreams / 3; ++n)
+           fleet->upstreams()[n].StandIn->process().signal(SIGKILL);
+       }}};
   std::vector<CallResult> blind = runLoad(blindPlan);
   std::vector<CallResult> after = dueAfter(ours, KillAt);
   std::vector<CallResult> blindAfter = dueAfter(blind, KillAt);
-  reportRequests("p99_ms_third_killed", goodQuantile(after, 0.99),
-                 "ms, after the kill", goodQuantile(blindAfter, 0.99));
+  reportRequests("p99_ms_third_killed", goodLatencyQuantile(after, 0.99),
+                 "ms, after the kill", goodLatencyQuantile(blindAfter, 0.99));
   reportRequests("recovery_ms_third_killed", recoveryMillis(ours), "ms",
                  recoveryMillis(blind));
   reportRequests("good_share_third_killed", goodShare(after),
@@ -137,16 +139,16 @@
   return found;
 }
 
-Faithfulness measureOutages() {
+CorrectnessCounts measureOutages() {
   constexpr std::size_t Upstreams = 4;
   std::unique_ptr<RequestFleet> fleet = startDesks(Upstreams);
   if (!fleet)
     return {};
   double rate =
-      measureCapacity(plainLoad("capacity", *fleet, 0, WarmSpan, Deadline),
+      measureCapacity(makePlainLoad("capacity", *fleet, 0, WarmSpan, Deadline),
                       *fleet, Slots) *
       0.5;
-  runLoad(plainLoad("warm", *fleet, rate, WarmSpan, Deadline));
+  runLoad(makePlainLoad("warm", *fleet, rate, WarmSpan, Deadline));
 
   std::vector<OutageResult> all;
   for (const FleetUpstream &it : fleet->upstreams())
@@ -160,7 +162,7 @@
   all.push_back(measureOutage("killed", *fleet, rate));
 
   const OutageResult *worst = &all.front();
-  Faithfulness found;
+  CorrectnessCounts found;
   for (const OutageResult &it : all) {
     found = found + it.Found;
     if (it.Ours > worst->Ours)
--- a/Bench/RequestOverhead.cpp
+++ b/Bench/RequestOverhead.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr Millis Deadline{2000};
-/// Direct and proxied calls take turns, so that what else the machine does
-/// falls on both.
+/// Direct and proxied calls alternate, so that other load on the machine
+/// affects both equally.
 constexpr int Turns = 6;
 constexpr Millis Turn{400};
 constexpr Millis CostSpan{2500};
@@ -19,12 +19,12 @@
   LoadPlan plan;
   plan.Targets = std::move(Targets);
   plan.Workers = Workers;
-  plan.Span = Span;
+  plan.Duration = Span;
   plan.Deadline = Deadline;
-  plan.Make = [Load](std::uint64_t Number) {
-    return plainCall(Load, Number, Deadline);
+  plan.MakeRequest = [Load](std::uint64_t Number) {
+    return makePlainRequest(Load, Number, Deadline);
   };
-  plan.Check = checkPlain;
+  plan.CheckResponse = checkPlainResponse;
   return plan;
 }
 
@@ -32,9 +32,9 @@
   To.insert(To.end(), More.begin(), More.end());
 }
 
-/// One worker, so that nothing queues.
+/// Uses one worker, so that no request queues.
 std::vector<CallResult> measureLatency(RequestFleet &Fleet) {
-  // Connections and averages first.
+  // Warms up connections and moving averages.
   runLoad(plainPlan("warm", Fleet.callerAddresses(), 1, Turn));
   std::vector<CallResult> direct;
   std::vector<CallResult> through;
@@ -47,8 +47,8 @@
   }
   for (int percent : {50, 99}) {
     double share = percent / 100.0;
-    double ours = quantile(goodMillis(through), share) * 1000;
-    double theirs = quantile(goodMillis(direct), share) * 1000;
+    double ours = quantile(goodLatencyMillis(through), share) * 1000;
+    double theirs = quantile(goodLatencyMillis(direct), share) * 1000;
     std::string name = "_p" + std::to_string(percent) + "_us";
     reportRequests("added_latency" + name, ours - theirs, "us");
     reportRequests("latency" + name, ours, "us", theirs);
@@ -72,7 +72,8 @@
   reportRequests("cpu_us_per_request", entryMicros + daemonMicros, "us");
   reportRequests("cpu_us_per_request_entry", entryMicros, "us");
   reportRequests("cpu_us_per_request_daemon", daemonMicros, "us");
-  // One core for the entry and one for the daemon: the busier one bounds.
+  // With one core each for the entry and the daemon, the busier process limits
+  // the rate.
   reportRequests("requests_per_s_one_core",
                  MicrosPerSecond / std::max(entryMicros, daemonMicros),
                  "1/s (derived: 1e6 / CPU us of the busier process)");
@@ -83,7 +84,7 @@
 
 } // namespace
 
-Faithfulness measureOverhead() {
+CorrectnessCounts measureOverhead() {
   RequestFleet::Settings setup;
   setup.Flags = {"--latency_ms=0", "--slots=0"};
   std::unique_ptr<RequestFleet> fleet = startFleet(std::move(setup));
@@ -95,7 +96,7 @@
          checkPlainRuns("cost", cost, *fleet);
 }
 
-Faithfulness measureTokens() {
+CorrectnessCounts measureTokens() {
   constexpr Millis span{6000};
   constexpr std::size_t workers = 24;
   constexpr std::uint64_t most = 2000;
@@ -109,17 +110,18 @@
   LoadPlan plan;
   plan.Targets = fleet->callerAddresses();
   plan.Workers = workers;
-  plan.Span = span;
+  plan.Duration = span;
   plan.Deadline = Millis(20000);
   std::uint64_t tokens = 0;
-  plan.Make = [&](std::uint64_t Number) {
-    return completionCall("tokens", Number, "prompt " + std::to_string(Number),
-                          most, true, plan.Deadline);
+  plan.MakeRequest = [&](std::uint64_t Number) {
+    return makeCompletionRequest("tokens", Number,
+                                 "prompt " + std::to_string(Number), most, true,
+                                 plan.Deadline);
   };
-  plan.Check = [&](const http::Request &Ask, const http::Response &Answer,
-                   CallResult &Into) {
-    checkCompletion(Ask, Answer, Into);
-    tokens += completionTokens(Ask);
+  plan.CheckResponse = [&](const http::Request &Ask,
+                           const http::Response &Answer, CallResult &Into) {
+    checkCompletionResponse(Ask, Answer, Into);
+    tokens += expectedCompletionTokens(Ask);
   };
   double entry = fleet->entryCpuSeconds();
   double daemon = fleet->daemonCpuSeconds();
@@ -127,10 +129,10 @@
   entry = fleet->entryCpuSeconds() - entry;
   daemon = fleet->daemonCpuSeconds() - daemon;
 
-  Faithfulness found;
+  CorrectnessCounts found;
   for (const CallResult &it : calls) {
     ++found.Checked;
-    if (it.Status == 200 && !it.Right)
+    if (it.Status == 200 && !it.IsCorrect)
       ++found.WrongAnswers;
   }
   if (tokens == 0)
--- a/Bench/StateMeasures.cpp
+++ b/Bench/StateMeasures.cpp
@@ -24,17 +24,17 @@
 namespace asio = boost::asio;
 
 constexpr Millis PollPeriod{1000};
-/// How long the news of a fleet's start goes on being told.
+/// Time until gossip about the start of the fleet has ended.
 constexpr Millis SettleTime{20000};
 constexpr int PolledRecords = 5;
 constexpr std::uint64_t PhaseSeed = 7;
 
-/// One daemon's totals.
+/// Totals of one daemon.
 struct Totals {
   double Bytes = 0;
   double Frames = 0;
   double CpuSeconds = 0;
-  double ResidentMb = 0;
+  double ResidentMiB = 0;
 };
 
 double number(const boost::json::value &Status, const char *Name) {
@@ -42,25 +42,26 @@
   return found ? found->to_number<double>() : 0;
 }
 
-Totals totalsOf(const FleetDaemon &Who) {
+Totals readTotals(const FleetDaemon &Daemon) {
   Totals totals;
-  if (std::optional<boost::json::value> status = statusOf(Who)) {
+  if (std::optional<boost::json::value> status = fetchStatus(Daemon)) {
     totals.Bytes = number(*status, "control_bytes_in") +
                    number(*status, "control_bytes_out");
     totals.Frames =
         number(*status, "frames_in") + number(*status, "frames_out");
   }
-  if (std::optional<ProcessUsage> usage = readUsage(Who.Child->pid())) {
+  if (std::optional<ProcessUsage> usage =
+          readProcessUsage(Daemon.Child->pid())) {
     totals.CpuSeconds = usage->CpuSeconds;
-    totals.ResidentMb = usage->ResidentMb;
+    totals.ResidentMiB = usage->ResidentMiB;
   }
   return totals;
 }
 
-std::vector<Totals> totalsOf(Fleet &Group) {
+std::vector<Totals> readTotals(Fleet &Group) {
   std::vector<Totals> all;
   for (const FleetDaemon &it : Group.daemons())
-    all.push_back(totalsOf(it));
+    all.push_back(readTotals(it));
   return all;
 }
 
@@ -69,7 +70,7 @@
   return truth ? truth->at("appends").to_number<double>() : 0;
 }
 
-/// Polls `Stream` at a phase of its own and notes when records came.
+/// Polls `Stream` with its own phase and records when records arrive.
 asio::awaitable<void> poll(LogPort Log, Millis Phase, std::size_t Wanted,
                            std::vector<std::uint64_t> &Seen) {
   BootTimer timer(co_await asio::this_coro::executor, Phase);
@@ -98,7 +99,7 @@
 
 } // namespace
 
-std::vector<std::size_t> benchSizes() {
+std::vector<std::size_t> readFleetSizes() {
   const char *wanted = std::getenv("WASABI_BENCH_SIZES");
   std::istringstream words(wanted ? wanted : "25,50,100,200");
   std::vector<std::size_t> sizes;
@@ -108,41 +109,42 @@
   return sizes;
 }
 
-RestCost measureRest(Fleet &Group, Millis Window) {
-  // The news of the start must have been told before rest can be measured.
+IdleCost measureIdleCost(Fleet &Group, Millis Window) {
+  // Waits until gossip about the start has ended, so that only idle cost is
+  // measured.
   std::this_thread::sleep_for(SettleTime);
-  std::vector<Totals> before = totalsOf(Group);
+  std::vector<Totals> before = readTotals(Group);
   double appendsBefore = appendsOf(Group.log());
   TimePoint start = monotonicNow();
   std::this_thread::sleep_for(Window);
-  std::vector<Totals> after = totalsOf(Group);
+  std::vector<Totals> after = readTotals(Group);
   double appends = appendsOf(Group.log()) - appendsBefore;
   double seconds =
       std::chrono::duration<double>(monotonicNow() - start).count();
 
   double n = static_cast<double>(Group.daemons().size());
   constexpr double Percent = 100;
-  RestCost cost;
+  IdleCost cost;
   cost.AppendsPerSecond = appends / seconds;
   for (std::size_t k = 0; k < after.size(); ++k) {
     double bytes = (after[k].Bytes - before[k].Bytes) / seconds;
     double cpu = (after[k].CpuSeconds - before[k].CpuSeconds) / seconds;
     cost.BytesPerSecond += bytes / n;
-    cost.MostBytesPerSecond = std::max(cost.MostBytesPerSecond, bytes);
+    cost.MaxBytesPerSecond = std::max(cost.MaxBytesPerSecond, bytes);
     cost.FramesPerSecond += (after[k].Frames - before[k].Frames) / seconds / n;
     cost.CpuPercent += Percent * cpu / n;
-    cost.ResidentMb += after[k].ResidentMb / n;
+    cost.ResidentMiB += after[k].ResidentMiB / n;
   }
   return cost;
 }
 
-std::vector<double> measurePolling(const harness::StandIn &Log,
-                                   std::size_t Readers) {
+std::vector<double> measurePollingDelays(const harness::StandIn &Log,
+                                         std::size_t Readers) {
   asio::io_context context;
   http::Client::Settings limits;
   std::shared_ptr<http::Client> client =
       http::Client::create(context.get_executor(), limits);
-  LogPort log = httpLog(client, Log.address());
+  LogPort log = makeHttpLog(client, Log.address());
   std::vector<std::uint64_t> appended;
   std::vector<std::vector<std::uint64_t>> seen(Readers);
   std::mt19937_64 random(PhaseSeed);
--- a/IntegrationTests/Cases/DeploymentTests.cpp
+++ b/IntegrationTests/Cases/DeploymentTests.cpp
@@ -6,16 +6,16 @@
 
 using wasabi::Millis;
 using wasabi::Outcome;
-using wasabi::harness::CtlRun;
+using wasabi::harness::CtlResult;
 using wasabi::harness::Deployment;
-using wasabi::harness::ProcessEnd;
-using wasabi::harness::ProductNode;
+using wasabi::harness::ProcessExit;
+using wasabi::harness::WasabiProcess;
 
 namespace {
 
-constexpr Millis StopLimit{20000};
+constexpr Millis StopTimeout{20000};
 
-std::unique_ptr<Deployment> deploy(const std::string &Example) {
+std::unique_ptr<Deployment> startDeployment(const std::string &Example) {
   Outcome<std::unique_ptr<Deployment>> made =
       wasabi::toOutcome<std::unique_ptr<Deployment>>([&] {
         return Deployment::start({Example, 1, false, {}});
@@ -27,20 +27,20 @@
 
 } // namespace
 
-TEST_CASE("An example starts, takes its declarations and stops in order") {
+TEST_CASE("An example starts, applies its declarations and stops cleanly") {
   std::string example = GENERATE("lindqvist", "balikbayan");
-  std::unique_ptr<Deployment> running = deploy(example);
-  CtlRun applied = running->control({"apply", running->declarations()});
+  std::unique_ptr<Deployment> running = startDeployment(example);
+  CtlResult applied = running->control({"apply", running->declarations()});
   INFO(applied.Output << applied.Errors);
   REQUIRE(applied.Code == 0);
   CHECK(running->readyEntries().size() >= 3);
 
-  // All at once: each must end by itself also when its peers are leaving.
-  for (ProductNode &it : running->nodes())
-    it.Running->signal(SIGTERM);
-  for (ProductNode &it : running->nodes()) {
+  // Stop all at once: each must exit although its peers are leaving.
+  for (WasabiProcess &it : running->nodes())
+    it.Child->signal(SIGTERM);
+  for (WasabiProcess &it : running->nodes()) {
     INFO(it.Name);
-    std::optional<ProcessEnd> end = it.Running->wait(StopLimit);
+    std::optional<ProcessExit> end = it.Child->wait(StopTimeout);
     REQUIRE(end);
     CHECK(end->Code == 0);
   }
--- a/IntegrationTests/Chaos/Main.cpp
+++ b/IntegrationTests/Chaos/Main.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// wasabi-chaos: real processes of the whole product under faults drawn from a
-/// seed, judged by the stand-ins' own records.
+/// wasabi-chaos: runs the whole product as real processes under faults drawn
+/// from a seed, and checks it against the stand-ins' records.
 #include "IntegrationTests/Chaos/Run.h"
 #include "IntegrationTests/Chaos/Schedule.h"
 #include "Wasabi/Core/Program.h"
@@ -9,10 +9,10 @@
 
 #include <iostream>
 
-DEFINE_uint64(seed, 1, "what every random choice is drawn from");
-DEFINE_uint32(seconds, 20, "how long faults happen, in seconds");
+DEFINE_uint64(seed, 1, "seed of all random choices");
+DEFINE_uint32(seconds, 20, "duration of the faults in seconds");
 DEFINE_string(deployment, "lindqvist", "lindqvist or balikbayan");
-DEFINE_bool(schedule_only, false, "print the schedule of the seed and end");
+DEFINE_bool(schedule_only, false, "print the schedule of the seed and exit");
 
 DEFINE_bool(keep, false, "keep the time line and the logs also of a good run");
 
@@ -28,15 +28,15 @@
     "begins with \"chaos:\"; exit code 0 only if every promise held."};
 
 Result<ExitCode> run() {
-  BOOST_LEAF_AUTO(plan, wasabi::chaos::planOf(FLAGS_deployment));
+  BOOST_LEAF_AUTO(plan, wasabi::chaos::findClusterPlan(FLAGS_deployment));
   const std::vector<wasabi::chaos::Fault> schedule =
       wasabi::chaos::makeSchedule(FLAGS_seed,
                                   std::chrono::seconds(FLAGS_seconds));
   std::cout << wasabi::chaos::describe(schedule) << std::flush;
   if (FLAGS_schedule_only)
     return ExitCode::Success;
-  return wasabi::chaos::runOnce(std::move(plan), FLAGS_seed, schedule,
-                                FLAGS_keep);
+  return wasabi::chaos::runChaosTest(std::move(plan), FLAGS_seed, schedule,
+                                     FLAGS_keep);
 }
 
 } // namespace
--- a/IntegrationTests/Chaos/Run.cpp
+++ b/IntegrationTests/Chaos/Run.cpp
@@ -20,63 +20,65 @@
 
 namespace {
 
-/// Most lines of what is wrong that are printed.
+/// Maximum number of violations that are printed.
 constexpr std::size_t MaxPrinted = 20;
 
-std::vector<UpstreamRun> gatherRuns(Cluster &of, Tally &sum) {
+std::vector<UpstreamRun> readUpstreamRuns(Cluster &cluster, Tally &sum) {
   std::vector<UpstreamRun> runs;
-  const auto take = [&](const harness::StandIn &from, const std::string &name) {
+  const auto addRuns = [&](const harness::StandIn &from,
+                           const std::string &name) {
     const Outcome<boost::json::value> truth = from.truth();
     if (!truth) {
-      sum.Faults.push_back("no truth of " + name + ": " +
-                           describe(truth.failure()));
+      sum.Violations.push_back("no truth of " + name + ": " +
+                               describe(truth.failure()));
       return;
     }
-    const std::vector<UpstreamRun> found = readRuns(*truth, name);
+    const std::vector<UpstreamRun> found = parseUpstreamRuns(*truth, name);
     runs.insert(runs.end(), found.begin(), found.end());
   };
-  for (std::size_t n = 0; n < of.Plan.Engines; ++n)
-    take(*of.engine(n), of.Plan.EngineService + "-" + std::to_string(n + 1));
-  for (std::size_t n = 0; n < of.Services.size(); ++n)
-    take(*of.Services[n], of.Plan.PlainService + "-" + std::to_string(n + 1));
+  for (std::size_t n = 0; n < cluster.Plan.Engines; ++n)
+    addRuns(*cluster.engine(n),
+            cluster.Plan.EngineService + "-" + std::to_string(n + 1));
+  for (std::size_t n = 0; n < cluster.Services.size(); ++n)
+    addRuns(*cluster.Services[n],
+            cluster.Plan.PlainService + "-" + std::to_string(n + 1));
   return runs;
 }
 
-/// Every link must have been used: else faults on it prove nothing.
-void judgeLinks(Tally &sum, Cluster &of) {
-  for (harness::StandIn *it : of.links()) {
+/// Checks that every link was used; faults on an unused link test nothing.
+void checkLinks(Tally &sum, Cluster &cluster) {
+  for (harness::StandIn *it : cluster.links()) {
     const Outcome<boost::json::value> truth = it->truth();
     const bool used = truth && truth->is_object() &&
                       truth->as_object().contains("connections") &&
                       truth->at("connections").to_number<std::uint64_t>() > 0;
     if (!used)
-      sum.Faults.push_back("nothing went through the link at " +
-                           toText(it->address()));
+      sum.Violations.push_back("nothing went through the link at " +
+                               toText(it->address()));
   }
 }
 
-void gatherTrainer(Cluster &of, Tally &sum) {
-  const Outcome<boost::json::value> truth = of.Trainer->truth();
+void checkTrainer(Cluster &cluster, Tally &sum) {
+  const Outcome<boost::json::value> truth = cluster.Trainer->truth();
   if (truth)
-    judgeTrainer(sum, readTrainer(*truth));
+    checkTrainerTruth(sum, parseTrainerTruth(*truth));
   else
-    sum.Faults.push_back("no truth of the trainer");
+    sum.Violations.push_back("no truth of the trainer");
 }
 
-/// What an operator was told is what is in force in the end: the limit has the
-/// rate of the last act that was accepted.
-void judgeOperators(Tally &sum, Cluster &of,
-                    const std::vector<OperatorAct> &acts) {
+/// Checks that the history holds every accepted operator change.
+void checkOperators(Tally &sum, Cluster &cluster,
+                    const std::vector<OperatorAction> &actions) {
   constexpr int Accepted = 0;
   constexpr int AcceptedNotSeen = 5;
-  const Cluster::CommandEnd history = of.control({"history"});
-  for (const OperatorAct &it : acts) {
+  const Cluster::CtlCommandResult history = cluster.runCtl({"history"});
+  for (const OperatorAction &it : actions) {
     if (it.Code != Accepted && it.Code != AcceptedNotSeen)
       continue;
-    // It was in force already: nothing was accepted.
+    // The configuration was unchanged, so there is no record in the history.
     if (it.Output.find("nothing to change") != std::string::npos)
       continue;
-    // "accepted at offset N…" is found again in the history.
+    // Finds "accepted at offset N…" in the history.
     const std::size_t at = it.Output.find("offset ");
     const std::string offset =
         at == std::string::npos
@@ -87,33 +89,34 @@
         history.Output.find(offset + " accepted") != std::string::npos)
       continue;
     ++sum.ConfigReverts;
-    sum.Faults.push_back("an accepted change is not in the history: " +
-                         it.Output);
+    sum.Violations.push_back("an accepted change is not in the history: " +
+                             it.Output);
   }
 }
 
-/// Holds the gathered time line against the promises.
-void judgeTimeline(Tally &sum, const replay::Trace &trace) {
-  const replay::Outcomes config{{"config-never-reverts"}, {}, {}};
-  const std::optional<replay::BrokenOutcome> broken =
+/// Checks the collected timeline for violations.
+void checkTimeline(Tally &sum, const replay::Trace &trace) {
+  const replay::TraceExpectations config{{"config-never-reverts"}, {}, {}};
+  const std::optional<replay::TraceViolation> broken =
       replay::check(trace, config);
   if (!broken)
     return;
   ++sum.ConfigReverts;
-  sum.Faults.push_back(replay::describeBroken(trace, *broken));
+  sum.Violations.push_back(replay::describeViolation(trace, *broken));
 }
 
-/// The other rules say where to look; the stand-ins' records decide.
+/// Prints violations of the other rules as hints; the stand-ins' records decide
+/// the verdict.
 void printTimelineHints(const replay::Trace &trace) {
   for (const std::string rule :
        {"sample-once", "label-true", "fresh", "answer-whole", "not-run-is-true",
         "at-most-once", "leaving-gets-no-new-work", "planned-stop-cuts-nothing",
         "fences-never-go-back"}) {
-    const replay::Outcomes against{{rule}, {}, {}};
-    const std::optional<replay::BrokenOutcome> broken =
-        replay::check(trace, against);
+    const replay::TraceExpectations expectations{{rule}, {}, {}};
+    const std::optional<replay::TraceViolation> broken =
+        replay::check(trace, expectations);
     if (broken)
-      std::cout << "time line: " << replay::describeBroken(trace, *broken);
+      std::cout << "time line: " << replay::describeViolation(trace, *broken);
   }
 }
 
@@ -132,7 +135,8 @@
          << " ended_us=" << it.Ended << " " << it.Note << "\n";
 }
 
-CallerLoad::Settings loadOf(const ClusterPlan &plan, std::uint64_t seed) {
+CallerLoad::Settings makeLoadSettings(const ClusterPlan &plan,
+                                      std::uint64_t seed) {
   CallerLoad::Settings setup;
   setup.Seed = seed;
   setup.EngineService = plan.EngineService;
@@ -141,7 +145,7 @@
   return setup;
 }
 
-std::string secondsOf(std::optional<Millis> took) {
+std::string formatSeconds(std::optional<Millis> took) {
   constexpr double MillisPerSecond = 1000;
   if (!took)
     return "none";
@@ -151,17 +155,17 @@
   return text;
 }
 
-void printFaults(const Tally &sum) {
-  for (std::size_t n = 0; n < sum.Faults.size() && n < MaxPrinted; ++n)
-    std::cout << "wrong: " << sum.Faults[n] << "\n";
-  if (sum.Faults.size() > MaxPrinted)
-    std::cout << "wrong: " << sum.Faults.size() - MaxPrinted << " more\n";
+void printViolations(const Tally &sum) {
+  for (std::size_t n = 0; n < sum.Violations.size() && n < MaxPrinted; ++n)
+    std::cout << "wrong: " << sum.Violations[n] << "\n";
+  if (sum.Violations.size() > MaxPrinted)
+    std::cout << "wrong: " << sum.Violations.size() - MaxPrinted << " more\n";
 }
 
 } // namespace
 
-Result<ExitCode> runOnce(ClusterPlan Plan, std::uint64_t Seed,
-                         const std::vector<Fault> &Schedule, bool Keep) {
+Result<ExitCode> runChaosTest(ClusterPlan Plan, std::uint64_t Seed,
+                              const std::vector<Fault> &Schedule, bool Keep) {
   BOOST_LEAF_AUTO(folder, harness::TestFolder::create());
   const Outcome<std::unique_ptr<Cluster>> started =
       toOutcome<std::unique_ptr<Cluster>>([&] {
@@ -181,38 +185,37 @@
         Verdict::NotRun, FailureCode::Unavailable, "cluster", missing, {}});
   }
   const std::unique_ptr<CallerLoad> load =
-      CallerLoad::start(loadOf(cluster.Plan, Seed));
+      CallerLoad::start(makeLoadSettings(cluster.Plan, Seed));
   Observer observer(cluster, *load);
   Injector injector(cluster);
 
-  // Faults, then none, under load throughout.
+  // Injects all faults, then waits for recovery, under load throughout.
   injector.run(Schedule);
-  injector.heal();
-  const std::uint64_t healed = wallMicros();
+  injector.restoreCluster();
+  const std::uint64_t faultsEnded = wallMicros();
   const std::optional<Millis> recovered =
-      awaitRecovery(cluster, healed, missing);
+      awaitRecovery(cluster, faultsEnded, missing);
   const std::vector<CallerRecord> seen = load->finish();
 
-  // The verdict.
   Tally sum;
-  const std::vector<UpstreamRun> runs = gatherRuns(cluster, sum);
-  judgeCallers(sum, seen, runs);
-  judgeStops(sum, injector.stops(), seen, runs);
-  judgeOperators(sum, cluster, injector.acts());
-  judgeLinks(sum, cluster);
+  const std::vector<UpstreamRun> runs = readUpstreamRuns(cluster, sum);
+  checkCallers(sum, seen, runs);
+  checkPlannedStops(sum, injector.stops(), seen, runs);
+  checkOperators(sum, cluster, injector.operatorActions());
+  checkLinks(sum, cluster);
   for (const std::string &it : injector.problems())
-    sum.Faults.push_back(it);
+    sum.Violations.push_back(it);
   if (!recovered)
-    sum.Faults.push_back("no recovery: " + missing);
-  else if (*recovered > RecoveryBound)
-    sum.Faults.push_back("recovery took too long");
+    sum.Violations.push_back("no recovery: " + missing);
+  else if (*recovered > MaxRecoveryTime)
+    sum.Violations.push_back("recovery took too long");
   const replay::Trace trace = replay::makeTrace(observer.finish());
   injector.stopAll();
-  gatherTrainer(cluster, sum);
-  judgeTimeline(sum, trace);
+  checkTrainer(cluster, sum);
+  checkTimeline(sum, trace);
 
-  printFaults(sum);
-  const bool held = holds(sum);
+  printViolations(sum);
+  const bool held = hasNoViolations(sum);
   printTimelineHints(trace);
   if (!held || Keep) {
     writeTrace(folder->file("timeline.jsonl"), trace);
@@ -221,7 +224,7 @@
     std::cout << "kept: " << folder->path().string() << "\n";
   }
   std::cout << "chaos: seed=" << Seed << " faults=" << Schedule.size() << " "
-            << describe(sum) << " recovered_s=" << secondsOf(recovered)
+            << describe(sum) << " recovered_s=" << formatSeconds(recovered)
             << std::endl;
   return held ? ExitCode::Success : ExitCode::OutcomeNotMet;
 }
--- a/IntegrationTests/Harness/Deployment.cpp
+++ b/IntegrationTests/Harness/Deployment.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-const Address Anywhere{"127.0.0.1", 0};
-constexpr Millis ReadyLimit{30000};
+const Address AnyPort{"127.0.0.1", 0};
+constexpr Millis ReadyTimeout{30000};
 
 std::string flag(std::string_view Name, std::string_view Value) {
   return "--" + std::string(Name) + "=" + std::string(Value);
@@ -43,7 +43,7 @@
   return text.str();
 }
 
-std::set<DomainName> domainsOf(const Configuration &Declared) {
+std::set<DomainName> findDomains(const Configuration &Declared) {
   std::set<DomainName> domains;
   for (const std::pair<const ServiceName, ServiceDeclaration> &service :
        Declared.Services) {
@@ -53,8 +53,8 @@
   return domains;
 }
 
-/// Whether a process' status names a member as alive at this control address,
-/// with all of its servers serving.
+/// Returns true if a process' status lists a member with this control address
+/// as alive and all of its servers as serving.
 bool isServing(const boost::json::object &Member, const Address &Control) {
   namespace json = boost::json;
   if (Member.at("state") != "alive" ||
@@ -67,7 +67,7 @@
          });
 }
 
-bool knowsDaemons(const ProductNode &Node,
+bool knowsDaemons(const WasabiProcess &Node,
                   const std::map<std::string, Address> &Daemons) {
   Outcome<boost::json::value> status = getJson(Node.Admin, "/status");
   if (!status)
@@ -90,7 +90,8 @@
       Folder(std::move(Folder)) {}
 
 Deployment::~Deployment() {
-  // The product goes first, so that it does not see its platform vanish.
+  // Stop the product first, so that it does not observe an outage of the
+  // platform.
   Nodes.clear();
 }
 
@@ -117,11 +118,11 @@
 }
 
 Result<Done> Deployment::startPlatform() {
-  BOOST_LEAF_ASSIGN(Log, startStandIn("log", "log", {}, Anywhere));
+  BOOST_LEAF_ASSIGN(Log, startStandIn("log", "log", {}, AnyPort));
   BOOST_LEAF_ASSIGN(Instances,
-                    startStandIn("instances", "instances", {}, Anywhere));
-  BOOST_LEAF_ASSIGN(Weights, startStandIn("weights", "weights", {}, Anywhere));
-  BOOST_LEAF_ASSIGN(Scorer, startStandIn("scorer", "scorer", {}, Anywhere));
+                    startStandIn("instances", "instances", {}, AnyPort));
+  BOOST_LEAF_ASSIGN(Weights, startStandIn("weights", "weights", {}, AnyPort));
+  BOOST_LEAF_ASSIGN(Scorer, startStandIn("scorer", "scorer", {}, AnyPort));
   return Done{};
 }
 
@@ -138,7 +139,7 @@
              flag("staleness_bound", std::to_string(declared.StalenessBound)),
              flag("checks_fences", declared.ChecksFences ? "true" : "false"),
              flag("store", Weights->address())},
-            Anywhere));
+            AnyPort));
     addresses[it.first] = trainer->address();
     Trainers[it.first] = std::move(trainer);
   }
@@ -146,7 +147,7 @@
 }
 
 std::vector<std::string>
-Deployment::upstreamFlags(const UpstreamNode &Node) const {
+Deployment::upstreamFlags(const UpstreamProcess &Node) const {
   const ServiceDeclaration &service = Source.Declared.Services.at(Node.Service);
   if (service.Kind == ServiceKind::Plain)
     return {flag("name", Node.Name)};
@@ -160,7 +161,7 @@
        Source.Declared.Services) {
     for (const Placement &place : service.second.Placements) {
       for (std::uint32_t i = 1; i <= place.Servers; ++i) {
-        UpstreamNode node;
+        UpstreamProcess node;
         node.Name = service.first.Text + "-" + place.Domain.Text + "-" +
                     std::to_string(i);
         node.Service = service.first;
@@ -173,8 +174,8 @@
   return Done{};
 }
 
-Result<Done> Deployment::restart(UpstreamNode &Node) {
-  Address listen = Node.Server ? Node.Server->address() : Anywhere;
+Result<Done> Deployment::restart(UpstreamProcess &Node) {
+  Address listen = Node.Server ? Node.Server->address() : AnyPort;
   Node.Server.reset();
   bool plain =
       Source.Declared.Services.at(Node.Service).Kind == ServiceKind::Plain;
@@ -186,28 +187,28 @@
 
 Result<Done> Deployment::startNodes() {
   for (std::size_t i = 0; i < Upstreams.size(); ++i) {
-    ProductNode node;
+    WasabiProcess node;
     node.Name = "slot-" + Upstreams[i].Name;
     node.Domain = Upstreams[i].Domain;
     node.Upstream = i;
     Nodes.push_back(std::move(node));
   }
-  for (const DomainName &domain : domainsOf(Source.Declared)) {
+  for (const DomainName &domain : findDomains(Source.Declared)) {
     for (std::size_t i = 1; i <= Setup.EntriesPerDomain; ++i) {
-      ProductNode node;
+      WasabiProcess node;
       node.Name = "entry-" + domain.Text + "-" + std::to_string(i);
       node.Domain = domain;
       Nodes.push_back(std::move(node));
     }
   }
-  // The first one is the others' seed; those start side by side.
+  // The first process is the seed of the others, which start in parallel.
   BOOST_LEAF_CHECK(restart(Nodes.front()));
   for (std::size_t i = 1; i < Nodes.size(); ++i)
     BOOST_LEAF_CHECK(launch(Nodes[i]));
   for (std::size_t i = 1; i < Nodes.size(); ++i)
     BOOST_LEAF_CHECK(readAddresses(Nodes[i]));
-  for (const ProductNode &it : Nodes) {
-    if (!waitUntil([&] { return isReady(it); }, ReadyLimit))
+  for (const WasabiProcess &it : Nodes) {
+    if (!waitUntil([&] { return isReady(it); }, ReadyTimeout))
       return unavailable(it.Name, "it did not become ready: " +
                                       readFile(Folder->file(it.Name + ".err")));
   }
@@ -215,13 +216,13 @@
 }
 
 std::vector<std::string>
-Deployment::nodeArguments(const ProductNode &Node) const {
+Deployment::nodeArguments(const WasabiProcess &Node) const {
   std::vector<std::string> arguments = {
       flag("instance", Node.Name), flag("failure_domain", Node.Domain.Text),
       flag("log", Log->address()), flag("instances", Instances->address())};
   std::string seeds;
-  for (const ProductNode &it : Nodes) {
-    if (seeds.empty() && it.Running && it.Name != Node.Name &&
+  for (const WasabiProcess &it : Nodes) {
+    if (seeds.empty() && it.Child && it.Name != Node.Name &&
         !it.Control.empty())
       seeds = toText(it.Control);
   }
@@ -229,7 +230,7 @@
     arguments.push_back(flag("seeds", seeds));
   if (Node.isEntry())
     return arguments;
-  const UpstreamNode &server = Upstreams[*Node.Upstream];
+  const UpstreamProcess &server = Upstreams[*Node.Upstream];
   arguments.push_back(flag("weights", Weights->address()));
   arguments.push_back(flag("scorer", Scorer->address()));
   arguments.push_back(flag("upstreams", server.Name + "=" +
@@ -238,13 +239,13 @@
   return arguments;
 }
 
-Result<Done> Deployment::launch(ProductNode &Node) {
+Result<Done> Deployment::launch(WasabiProcess &Node) {
   std::vector<std::string> arguments = nodeArguments(Node);
-  if (Setup.Proxied && !Node.isEntry())
+  if (Setup.UsesFaultProxies && !Node.isEntry())
     BOOST_LEAF_CHECK(launchBehindProxy(Node, arguments));
-  Node.Running.reset();
+  Node.Child.reset();
   BOOST_LEAF_ASSIGN(
-      Node.Running,
+      Node.Child,
       Process::start({Node.isEntry() ? "wasabi-entry" : "wasabi-daemon",
                       std::move(arguments),
                       {},
@@ -253,61 +254,63 @@
 }
 
 Result<Done>
-Deployment::launchBehindProxy(ProductNode &Node,
+Deployment::launchBehindProxy(WasabiProcess &Node,
                               std::vector<std::string> &Arguments) {
   if (!Node.Proxy) {
-    // The proxy needs the daemon's port before there is a daemon, and stays
-    // when the daemon is replaced.
-    BOOST_LEAF_ASSIGN(Node.Serves, freePort());
+    // The proxy needs the daemon's port before the daemon starts, and outlives
+    // a replaced daemon.
+    BOOST_LEAF_ASSIGN(Node.ListenAddress, freePort());
     BOOST_LEAF_ASSIGN(Node.Proxy,
                       startStandIn("faultproxy", "proxy-" + Node.Name,
-                                   {flag("upstream", Node.Serves)}, Anywhere));
+                                   {flag("upstream", Node.ListenAddress)},
+                                   AnyPort));
   }
-  Arguments.push_back(flag("frames", Node.Serves));
+  Arguments.push_back(flag("frames", Node.ListenAddress));
   Arguments.push_back(flag("advertise_frames", Node.Proxy->address()));
   return Done{};
 }
 
-Result<Done> Deployment::readAddresses(ProductNode &Node) {
-  BOOST_LEAF_ASSIGN(Node.Control, Node.Running->announced("control"));
-  BOOST_LEAF_ASSIGN(Node.Admin, Node.Running->announced("admin"));
-  BOOST_LEAF_ASSIGN(Node.Serves, Node.Running->announced(
-                                     Node.isEntry() ? "listening" : "frames"));
+Result<Done> Deployment::readAddresses(WasabiProcess &Node) {
+  BOOST_LEAF_ASSIGN(Node.Control, Node.Child->waitForAddress("control"));
+  BOOST_LEAF_ASSIGN(Node.Admin, Node.Child->waitForAddress("admin"));
+  BOOST_LEAF_ASSIGN(
+      Node.ListenAddress,
+      Node.Child->waitForAddress(Node.isEntry() ? "listening" : "frames"));
   return Done{};
 }
 
-Result<Done> Deployment::restart(ProductNode &Node) {
+Result<Done> Deployment::restart(WasabiProcess &Node) {
   BOOST_LEAF_CHECK(launch(Node));
   return readAddresses(Node);
 }
 
-bool Deployment::isReady(const ProductNode &Node) {
-  return Node.Running && Node.Running->running() &&
+bool Deployment::isReady(const WasabiProcess &Node) {
+  return Node.Child && Node.Child->running() &&
          static_cast<bool>(getText(Node.Admin, "/readyz"));
 }
 
 std::vector<Address> Deployment::readyEntries() const {
   std::vector<Address> ready;
-  for (const ProductNode &it : Nodes) {
+  for (const WasabiProcess &it : Nodes) {
     if (it.isEntry() && isReady(it))
-      ready.push_back(it.Serves);
+      ready.push_back(it.ListenAddress);
   }
   return ready;
 }
 
-std::map<std::string, Address> Deployment::daemonControls() const {
+std::map<std::string, Address> Deployment::daemonControlAddresses() const {
   std::map<std::string, Address> daemons;
-  for (const ProductNode &it : Nodes) {
+  for (const WasabiProcess &it : Nodes) {
     if (!it.isEntry())
       daemons[it.Name] = it.Control;
   }
   return daemons;
 }
 
-std::string Deployment::describeViews() const {
-  std::map<std::string, Address> daemons = daemonControls();
+std::string Deployment::describeIncompleteViews() const {
+  std::map<std::string, Address> daemons = daemonControlAddresses();
   std::string text;
-  for (const ProductNode &it : Nodes) {
+  for (const WasabiProcess &it : Nodes) {
     if (!isReady(it) || knowsDaemons(it, daemons))
       continue;
     Outcome<std::string> status = getText(it.Admin, "/status");
@@ -317,48 +320,51 @@
   return text;
 }
 
-bool Deployment::isAcquainted() const {
-  std::map<std::string, Address> daemons = daemonControls();
-  return std::all_of(Nodes.begin(), Nodes.end(), [&](const ProductNode &it) {
+bool Deployment::areAllUpstreamsKnown() const {
+  std::map<std::string, Address> daemons = daemonControlAddresses();
+  return std::all_of(Nodes.begin(), Nodes.end(), [&](const WasabiProcess &it) {
     return !isReady(it) || knowsDaemons(it, daemons);
   });
 }
 
-CtlRun Deployment::control(std::vector<std::string> Arguments, Millis Limit) {
+CtlResult Deployment::control(std::vector<std::string> Arguments,
+                              Millis Timeout) {
   Arguments.push_back(flag("log", Log->address()));
   Arguments.push_back(flag("instances", Instances->address()));
   Arguments.push_back(flag("operator", "harness"));
   std::string errors = Folder->file("wasabictl.err");
   std::ofstream(errors).close();
-  TimePoint begun = monotonicNow();
-  CtlRun run;
+  TimePoint started = monotonicNow();
+  CtlResult run;
   Outcome<std::unique_ptr<Process>> child =
       toOutcome<std::unique_ptr<Process>>([&] {
         return Process::start({"wasabictl", std::move(Arguments), {}, errors});
       });
   if (!child)
     return {-1, "", describe(child.failure()), Millis(0)};
-  std::optional<ProcessEnd> end = (*child)->waitAndRead(Limit);
+  std::optional<ProcessExit> end = (*child)->waitAndRead(Timeout);
   run.Code = end ? end->Code : -1;
   run.Output = (*child)->output();
   run.Errors = readFile(errors);
-  run.Took = std::chrono::duration_cast<Millis>(monotonicNow() - begun);
+  run.Duration = std::chrono::duration_cast<Millis>(monotonicNow() - started);
   return run;
 }
 
-void Deployment::kill(ProductNode &Node) {
-  Node.Running->signal(SIGKILL);
-  Node.Running->wait(StartLimit);
-  http::Request ask;
-  ask.Method = "DELETE";
-  ask.Target = "/v1/instances/" + Node.Name;
-  // A list that is down learns of it later, as the platform's own does.
-  call(Instances->address(), std::move(ask));
+void Deployment::kill(WasabiProcess &Node) {
+  Node.Child->signal(SIGKILL);
+  Node.Child->wait(ProcessStartTimeout);
+  http::Request req;
+  req.Method = "DELETE";
+  req.Target = "/v1/instances/" + Node.Name;
+  // An instance list that is down receives the change later, as the platform's
+  // own does.
+  call(Instances->address(), std::move(req));
 }
 
-std::optional<ProcessEnd> Deployment::stop(ProductNode &Node, Millis Limit) {
-  Node.Running->signal(SIGTERM);
-  return Node.Running->wait(Limit);
+std::optional<ProcessExit> Deployment::stop(WasabiProcess &Node,
+                                            Millis Timeout) {
+  Node.Child->signal(SIGTERM);
+  return Node.Child->wait(Timeout);
 }
 
 } // namespace wasabi::harness
--- a/IntegrationTests/Harness/Deployment.h
+++ b/IntegrationTests/Harness/Deployment.h
@@ -1,6 +1,6 @@
 /// \file
-/// A whole example as real processes on loopback: the platform's stand-ins, a
-/// daemon beside each upstream server, and entries.
+/// Runs a whole example as real processes on loopback: the platform's
+/// stand-ins, a daemon for each upstream server, and entries.
 #ifndef WASABI_INTEGRATIONTESTS_HARNESS_DEPLOYMENT_H
 #define WASABI_INTEGRATIONTESTS_HARNESS_DEPLOYMENT_H
 
@@ -18,54 +18,54 @@
 namespace wasabi::harness {
 
 /// One upstream server of a service.
-struct UpstreamNode {
+struct UpstreamProcess {
   std::string Name;
   ServiceName Service;
   DomainName Domain;
   std::unique_ptr<StandIn> Server;
 };
 
-/// One process of the product, which may be ended and started again.
-struct ProductNode {
+/// One process of the product, which can be stopped and restarted.
+struct WasabiProcess {
   std::string Name;
   DomainName Domain;
-  /// Index of the server that a daemon stands in front of.
+  /// Index of the server that a daemon serves.
   std::optional<std::size_t> Upstream;
-  std::unique_ptr<Process> Running;
+  std::unique_ptr<Process> Child;
   Address Control;
   Address Admin;
-  /// An entry's address for callers, a daemon's for frames.
-  Address Serves;
-  /// The fault proxy between the entries and a daemon, if there is one.
+  /// Address for callers of an entry, or for frames of a daemon.
+  Address ListenAddress;
+  /// The fault proxy between the entries and a daemon; null without one.
   std::unique_ptr<StandIn> Proxy;
 
   bool isEntry() const { return !Upstream.has_value(); }
 };
 
-/// How a `wasabictl` ended. An immutable value.
-struct CtlRun {
+/// Outcome of a `wasabictl` run. An immutable value.
+struct CtlResult {
   int Code = 0;
   std::string Output;
   std::string Errors;
-  Millis Took{0};
+  Millis Duration{0};
 };
 
-/// All processes end when it is destroyed. Not thread-safe, but for what only
-/// reads.
+/// The processes of one example; the destructor stops them all. Not thread-safe
+/// except for const methods.
 class Deployment {
 public:
   struct Settings {
-    /// A folder of `examples/`.
+    /// Name of a folder in `examples/`.
     std::string Example = "lindqvist";
     std::size_t EntriesPerDomain = 1;
-    /// Whether a fault proxy stands in front of each daemon's frames.
-    bool Proxied = false;
-    /// Flags of the stand-ins by role, besides addresses and names.
+    /// True if a fault proxy is placed in front of each daemon's frame address.
+    bool UsesFaultProxies = false;
+    /// Flags of the stand-ins by role, in addition to addresses and names.
     std::map<std::string, std::vector<std::string>> Flags;
   };
 
-  /// Starts everything and waits until all entries and daemons are ready; no
-  /// configuration is published yet. Errors: `Unavailable`, `BadInput`.
+  /// Starts all processes and waits until all entries and daemons are ready.
+  /// Publishes no configuration. Errors: `Unavailable`, `BadInput`.
   static Result<std::unique_ptr<Deployment>> start(Settings Setup);
   ~Deployment();
   Deployment(const Deployment &) = delete;
@@ -78,34 +78,36 @@
   const std::map<TrainerName, std::unique_ptr<StandIn>> &trainers() const {
     return Trainers;
   }
-  std::vector<UpstreamNode> &upstreams() { return Upstreams; }
-  /// Daemons, in the order of `upstreams`, then entries.
-  std::vector<ProductNode> &nodes() { return Nodes; }
+  std::vector<UpstreamProcess> &upstreams() { return Upstreams; }
+  /// Daemons, in the order of `upstreams`, followed by the entries.
+  std::vector<WasabiProcess> &nodes() { return Nodes; }
   const Example &example() const { return Source; }
-  /// The declarations with real endpoints, for `wasabictl apply`.
+  /// The declarations with the real endpoints, for `wasabictl apply`.
   std::string declarations() const { return Folder->file("declarations"); }
   TestFolder &folder() { return *Folder; }
 
-  /// Where callers may ask: the entries that run and call themselves ready.
+  /// Returns the addresses of the entries that run and report themselves ready.
   std::vector<Address> readyEntries() const;
-  /// Whether a process says that it is ready.
-  static bool isReady(const ProductNode &Node);
-  /// Whether every ready process knows all upstreams as serving, behind the
-  /// daemons that run now.
-  bool isAcquainted() const;
-  /// The view of each ready process that lacks one, for a person.
-  std::string describeViews() const;
-  /// Runs `wasabictl` to its end with the platform's addresses.
-  CtlRun control(std::vector<std::string> Arguments,
-                 Millis Limit = Millis(60000));
-  /// Starts a node's process anew, after it ended. Errors: `Unavailable`.
-  Result<Done> restart(ProductNode &Node);
-  /// Starts an upstream anew on the address that it had. Errors: `Unavailable`.
-  Result<Done> restart(UpstreamNode &Node);
-  /// SIGKILL, and the platform takes the instance off its list.
-  void kill(ProductNode &Node);
-  /// SIGTERM, and how it ended; empty when it still runs after `Limit`.
-  static std::optional<ProcessEnd> stop(ProductNode &Node, Millis Limit);
+  /// Returns true if a process reports itself ready.
+  static bool isReady(const WasabiProcess &Node);
+  /// Returns true if every ready process sees all upstreams as serving through
+  /// the daemons that run now.
+  bool areAllUpstreamsKnown() const;
+  /// Returns a readable view of each ready process that does not see all
+  /// upstreams as serving.
+  std::string describeIncompleteViews() const;
+  /// Runs `wasabictl` with the platform's addresses and waits for its exit.
+  CtlResult control(std::vector<std::string> Arguments,
+                    Millis Timeout = Millis(60000));
+  /// Restarts a node's process after it exited. Errors: `Unavailable`.
+  Result<Done> restart(WasabiProcess &Node);
+  /// Restarts an upstream on its previous address. Errors: `Unavailable`.
+  Result<Done> restart(UpstreamProcess &Node);
+  /// Sends SIGKILL and removes the instance from the platform's list.
+  void kill(WasabiProcess &Node);
+  /// Sends SIGTERM and returns the exit; empty if the process still runs after
+  /// `Timeout`.
+  static std::optional<ProcessExit> stop(WasabiProcess &Node, Millis Timeout);
 
 private:
   explicit Deployment(Settings Setup, Example Source,
@@ -115,17 +117,17 @@
   Result<Done> startTrainers();
   Result<Done> startUpstreams();
   Result<Done> startNodes();
-  std::map<std::string, Address> daemonControls() const;
-  Result<Done> launch(ProductNode &Node);
-  Result<Done> launchBehindProxy(ProductNode &Node,
+  std::map<std::string, Address> daemonControlAddresses() const;
+  Result<Done> launch(WasabiProcess &Node);
+  Result<Done> launchBehindProxy(WasabiProcess &Node,
                                  std::vector<std::string> &Arguments);
-  Result<Done> readAddresses(ProductNode &Node);
+  Result<Done> readAddresses(WasabiProcess &Node);
   Result<std::unique_ptr<StandIn>> startStandIn(const std::string &Role,
                                                 const std::string &Name,
                                                 std::vector<std::string> Flags,
                                                 Address Listen);
-  std::vector<std::string> upstreamFlags(const UpstreamNode &Node) const;
-  std::vector<std::string> nodeArguments(const ProductNode &Node) const;
+  std::vector<std::string> upstreamFlags(const UpstreamProcess &Node) const;
+  std::vector<std::string> nodeArguments(const WasabiProcess &Node) const;
 
   const Settings Setup;
   const Example Source;
@@ -135,8 +137,8 @@
   std::unique_ptr<StandIn> Weights;
   std::unique_ptr<StandIn> Scorer;
   std::map<TrainerName, std::unique_ptr<StandIn>> Trainers;
-  std::vector<UpstreamNode> Upstreams;
-  std::vector<ProductNode> Nodes;
+  std::vector<UpstreamProcess> Upstreams;
+  std::vector<WasabiProcess> Nodes;
 };
 
 } // namespace wasabi::harness
--- a/IntegrationTests/Soak/SoakInjector.cpp
+++ b/IntegrationTests/Soak/SoakInjector.cpp
@@ -8,65 +8,65 @@
 
 namespace {
 
-/// An engine's usual pause between events, and a slow one's.
-constexpr Millis UsualPace{15};
-constexpr Millis SlowPace{120};
-/// A registration outlives its server by this.
-constexpr Millis RegistrationLag{1000};
-/// How long a stopped process may take.
-constexpr Millis StopLimit{12000};
-/// A leaving server goes on serving for this long after its report.
+/// Delay between events of a normal engine and of a slow one.
+constexpr Millis NormalEventDelay{15};
+constexpr Millis SlowEventDelay{120};
+/// Time after which the registration of a crashed server expires.
+constexpr Millis RegistrationExpiryDelay{1000};
+/// Maximum duration of a planned stop.
+constexpr Millis StopTimeout{12000};
+/// Time for which a draining server continues to serve.
 constexpr Millis DrainTime{3500};
 
 } // namespace
 
-SoakInjector::SoakInjector(test::PlatformWorld &World, SoakClients &Clients,
+SoakInjector::SoakInjector(test::PlatformFixture &World, SoakClients &Clients,
                            std::size_t Customers)
     : World(World), Clients(Clients), Customers(Customers) {}
 
-void SoakInjector::later(Millis After, std::function<void()> Act) {
-  Queue.push(Timed{monotonicNow() + After, Orders++, std::move(Act)});
+void SoakInjector::scheduleAction(Millis After, std::function<void()> Run) {
+  Queue.push(QueuedAction{monotonicNow() + After, NextOrder++, std::move(Run)});
 }
 
-void SoakInjector::play(const std::vector<SoakStep> &Plan) {
-  for (const SoakStep &it : Plan)
-    later(it.At, [this, it] { begin(it); });
+void SoakInjector::runPlan(const std::vector<ScheduledFault> &Plan) {
+  for (const ScheduledFault &it : Plan)
+    scheduleAction(it.At, [this, it] { inject(it); });
   while (!Queue.empty()) {
-    Timed next = Queue.top();
+    QueuedAction next = Queue.top();
     Queue.pop();
     std::this_thread::sleep_until(next.At);
-    next.Act();
+    next.Run();
   }
 }
 
-void SoakInjector::begin(const SoakStep &Step) {
+void SoakInjector::inject(const ScheduledFault &Step) {
   TimePoint now = monotonicNow();
-  Done.Faults.push_back({Step.Kind, now, now + Step.For});
-  noteStoreCut(Step, now);
-  if (beginPlanned(Step) || beginOnProcess(Step) || beginOnStore(Step) ||
-      beginOnLink(Step) || beginOnKeys(Step) || beginOnReporter(Step) ||
-      beginOnReports(Step))
+  GroundTruth.Faults.push_back({Step.Kind, now, now + Step.Duration});
+  recordStoreOutage(Step, now);
+  if (injectPlannedWork(Step) || injectProcessFault(Step) ||
+      injectStoreFault(Step) || injectLinkFault(Step) || injectKeyFault(Step) ||
+      injectReporterFault(Step) || injectReportFault(Step))
     return;
-  beginOnServer(Step);
+  injectServerFault(Step);
 }
 
 //===--- Planned work -----------------------------------------------------===//
 
-bool SoakInjector::beginPlanned(const SoakStep &Step) {
+bool SoakInjector::injectPlannedWork(const ScheduledFault &Step) {
   std::size_t edge = Step.Target % World.edges();
   switch (Step.Kind) {
   case SoakFault::Configure:
     publish();
     return true;
   case SoakFault::NameVersion:
-    World.nameVersion(Clients.Named + 1);
-    ++Clients.Named;
+    World.nameVersion(Clients.LatestNamedVersion + 1);
+    ++Clients.LatestNamedVersion;
     return true;
   case SoakFault::StopEdge:
     stopEdge(edge);
     return true;
   case SoakFault::ReloadEdge:
-    if (!EdgesAway.contains(edge))
+    if (!UnavailableEdges.contains(edge))
       World.edge(edge).Running->signal(SIGHUP);
     return true;
   case SoakFault::DrainServer:
@@ -79,190 +79,200 @@
 
 void SoakInjector::publish() {
   World.configure(++Versions);
-  Done.Publications.push_back({Versions, monotonicNow()});
-  Clients.Configured = Versions;
+  GroundTruth.Publications.push_back({Versions, monotonicNow()});
+  Clients.LatestConfigVersion = Versions;
 }
 
-/// A stop of the only process that is left is no planned work, so it is left
-/// out.
+/// Does nothing if it would stop the last available process, which would not be
+/// planned work.
 void SoakInjector::stopEdge(std::size_t Edge) {
-  if (EdgesAway.contains(Edge) || EdgesAway.size() + 1 >= World.edges())
+  if (UnavailableEdges.contains(Edge) ||
+      UnavailableEdges.size() + 1 >= World.edges())
     return;
-  EdgesAway.insert(Edge);
-  Done.Stops.push_back({Edge, Clients.Lives[Edge], monotonicNow()});
+  UnavailableEdges.insert(Edge);
+  GroundTruth.Stops.push_back(
+      {Edge, Clients.Incarnations[Edge], monotonicNow()});
   World.edge(Edge).Running->signal(SIGTERM);
-  later(Millis(0),
-        [this, Edge] { awaitStop(Edge, monotonicNow() + StopLimit); });
+  scheduleAction(Millis(0), [this, Edge] {
+    checkStopped(Edge, monotonicNow() + StopTimeout);
+  });
 }
 
-void SoakInjector::awaitStop(std::size_t Edge, TimePoint Until) {
-  constexpr Millis Look{50};
+void SoakInjector::checkStopped(std::size_t Edge, TimePoint Until) {
+  constexpr Millis CheckInterval{50};
   harness::Process &process = *World.edge(Edge).Running;
   if (process.running() && monotonicNow() < Until) {
-    later(Look, [this, Edge, Until] { awaitStop(Edge, Until); });
+    scheduleAction(CheckInterval,
+                   [this, Edge, Until] { checkStopped(Edge, Until); });
     return;
   }
   if (process.running())
-    Done.Unstopped.push_back(Edge);
+    GroundTruth.UnstoppedEdges.push_back(Edge);
   restartEdge(Edge);
 }
 
 void SoakInjector::drainServer(std::size_t Index) {
-  if (Away.contains(Index) || Away.size() + 2 >= World.servers())
+  if (UnavailableServers.contains(Index) ||
+      UnavailableServers.size() + 2 >= World.servers())
     return;
-  Away.insert(Index);
+  UnavailableServers.insert(Index);
   std::string id = World.server(Index).id();
   World.registerServer(Index, true);
-  Done.Drains.push_back({id, monotonicNow()});
-  later(DrainTime, [this, Index, id] {
+  GroundTruth.Drains.push_back({id, monotonicNow()});
+  scheduleAction(DrainTime, [this, Index, id] {
     World.unregisterServer(id);
-    returnServer(Index, newId());
+    restartServer(Index, makeServerId());
   });
 }
 
 //===--- Processes --------------------------------------------------------===//
 
-bool SoakInjector::beginOnProcess(const SoakStep &Step) {
+bool SoakInjector::injectProcessFault(const ScheduledFault &Step) {
   std::size_t edge = Step.Target % World.edges();
-  std::size_t side = Step.Target % World.size().Engines;
+  std::size_t sidecar = Step.Target % World.size().Engines;
   switch (Step.Kind) {
   case SoakFault::KillEdge:
-    killEdge(edge, Step.For);
+    killEdge(edge, Step.Duration);
     return true;
   case SoakFault::KillAllEdges:
     for (std::size_t i = 0; i < World.edges(); ++i)
-      killEdge(i, Step.For);
+      killEdge(i, Step.Duration);
     return true;
   case SoakFault::PauseEdge:
-    pauseEdge(edge, Step.For);
+    pauseEdge(edge, Step.Duration);
     return true;
-  case SoakFault::KillSide:
-    if (!SidesAway.insert(side).second)
+  case SoakFault::KillSidecar:
+    if (!UnavailableSidecars.insert(sidecar).second)
       return true;
-    World.side(side).signal(SIGKILL);
-    later(Step.For, [this, side] {
-      SidesAway.erase(side);
-      World.startSide(side);
+    World.sidecar(sidecar).signal(SIGKILL);
+    scheduleAction(Step.Duration, [this, sidecar] {
+      UnavailableSidecars.erase(sidecar);
+      World.startSidecar(sidecar);
     });
     return true;
-  case SoakFault::PauseSide:
-    World.side(side).signal(SIGSTOP);
-    later(Step.For, [this, side] { World.side(side).signal(SIGCONT); });
+  case SoakFault::PauseSidecar:
+    World.sidecar(sidecar).signal(SIGSTOP);
+    scheduleAction(Step.Duration,
+                   [this, sidecar] { World.sidecar(sidecar).signal(SIGCONT); });
     return true;
   default:
     return false;
   }
 }
 
-/// What it has written before may arrive when it goes on.
-void SoakInjector::pauseEdge(std::size_t Edge, Millis For) {
-  if (EdgesAway.contains(Edge))
+/// Reports sent before the pause may arrive after the process resumes.
+void SoakInjector::pauseEdge(std::size_t Edge, Millis Duration) {
+  if (UnavailableEdges.contains(Edge))
     return;
   World.edge(Edge).Running->signal(SIGSTOP);
-  later(For, [this, Edge] {
+  scheduleAction(Duration, [this, Edge] {
     World.edge(Edge).Running->signal(SIGCONT);
-    heldUpUntil(Millis(0));
+    recordReportDelay(Millis(0));
   });
 }
 
 void SoakInjector::killEdge(std::size_t Edge, Millis Down) {
-  if (!EdgesAway.insert(Edge).second)
+  if (!UnavailableEdges.insert(Edge).second)
     return;
-  Done.Kills.push_back({Edge, Clients.Lives[Edge], monotonicNow()});
+  GroundTruth.Kills.push_back(
+      {Edge, Clients.Incarnations[Edge], monotonicNow()});
   World.edge(Edge).Running->signal(SIGKILL);
-  later(Down, [this, Edge] { restartEdge(Edge); });
+  scheduleAction(Down, [this, Edge] { restartEdge(Edge); });
 }
 
 void SoakInjector::restartEdge(std::size_t Edge) {
-  Done.Output += World.edge(Edge).Running->output();
-  ++Clients.Lives[Edge];
+  GroundTruth.Output += World.edge(Edge).Running->output();
+  ++Clients.Incarnations[Edge];
   World.startEdge(Edge);
-  EdgesAway.erase(Edge);
+  UnavailableEdges.erase(Edge);
 }
 
 //===--- The store --------------------------------------------------------===//
 
-void SoakInjector::mood(test::StoreMood What, Millis For) {
-  World.onPlatform([&] { World.store().setMood(What); });
-  later(For, [this] {
-    World.onPlatform([&] { World.store().setMood(test::StoreMood::Well); });
+void SoakInjector::setStoreFault(test::StoreBehavior Behavior,
+                                 Millis Duration) {
+  World.runOnPlatformThread([&] { World.store().setBehavior(Behavior); });
+  scheduleAction(Duration, [this] {
+    World.runOnPlatformThread(
+        [&] { World.store().setBehavior(test::StoreBehavior::Normal); });
   });
 }
 
-bool SoakInjector::beginOnStore(const SoakStep &Step) {
-  using test::StoreMood;
+bool SoakInjector::injectStoreFault(const ScheduledFault &Step) {
+  using test::StoreBehavior;
   switch (Step.Kind) {
   case SoakFault::StoreBusy:
-    mood(StoreMood::Busy, Step.For);
+    setStoreFault(StoreBehavior::Busy, Step.Duration);
     return true;
   case SoakFault::StoreSilent:
-    mood(StoreMood::Silent, Step.For);
+    setStoreFault(StoreBehavior::Unresponsive, Step.Duration);
     return true;
   case SoakFault::StoreResets:
-    mood(StoreMood::Reset, Step.For);
+    setStoreFault(StoreBehavior::Reset, Step.Duration);
     return true;
   case SoakFault::StoreLosesAnswers:
-    mood(StoreMood::LosesAnswers, Step.For);
+    setStoreFault(StoreBehavior::LosesAnswers, Step.Duration);
     return true;
   case SoakFault::StoreLate:
-    mood(StoreMood::Late, Step.For);
+    setStoreFault(StoreBehavior::Late, Step.Duration);
     return true;
   case SoakFault::StoreSlow:
-    mood(StoreMood::Slow, Step.For);
+    setStoreFault(StoreBehavior::Slow, Step.Duration);
     return true;
-  case SoakFault::StoreForgets:
-    World.onPlatform([&] {
+  case SoakFault::StoreCompacts:
+    World.runOnPlatformThread([&] {
       World.store().compact("keyed.op");
       World.store().compact("keyed.servers");
     });
-    writeForeignEntries(Step.Target % World.servers());
+    writeInvalidRegistrations(Step.Target % World.servers());
     return true;
-  case SoakFault::RegistrationsLapse:
-    lapse(Step);
+  case SoakFault::RegistrationsExpire:
+    expireRegistrations(Step);
     return true;
   default:
     return false;
   }
 }
 
-/// Another writer puts entries among the registrations, one over that of a
-/// server, which registers again a heartbeat later.
-void SoakInjector::writeForeignEntries(std::size_t Over) {
+/// Simulates another writer that adds invalid entries to the registrations and
+/// overwrites one server, which registers again after a heartbeat.
+void SoakInjector::writeInvalidRegistrations(std::size_t ServerIndex) {
   constexpr Millis Heartbeat{600};
   const std::string entries[] = {
       "{", R"({"service":"desk"})", "\xff\xfe bytes",
       R"({"service":"desk","address":"127.0.0.1:9","zone":"hall",)"
       R"("version":"v1","slots":4,"state":"warming","sequence":1})"};
-  World.onPlatform([&] {
+  World.runOnPlatformThread([&] {
     for (std::size_t i = 0; i < std::size(entries); ++i)
       World.store().write("keyed.servers", "x-" + std::to_string(i),
                           entries[i]);
-    if (!Away.contains(Over))
-      World.store().write("keyed.servers", World.server(Over).id(), "{}");
+    if (!UnavailableServers.contains(ServerIndex))
+      World.store().write("keyed.servers", World.server(ServerIndex).id(),
+                          "{}");
   });
-  later(Heartbeat, [this, Over] {
-    if (!Away.contains(Over))
-      World.registerServer(Over, false);
+  scheduleAction(Heartbeat, [this, ServerIndex] {
+    if (!UnavailableServers.contains(ServerIndex))
+      World.registerServer(ServerIndex, false);
   });
 }
 
-/// The store is away, and registrations lapse meanwhile; the servers are back
-/// in it within two seconds of its return.
-void SoakInjector::lapse(const SoakStep &Step) {
-  constexpr Millis BackAfter{1200};
-  mood(test::StoreMood::Busy, Step.For);
-  std::vector<std::size_t> lapsed;
+/// Registrations expire while the store is unreachable; the servers register
+/// again within two seconds of its return.
+void SoakInjector::expireRegistrations(const ScheduledFault &Step) {
+  constexpr Millis ReturnDelay{1200};
+  setStoreFault(test::StoreBehavior::Busy, Step.Duration);
+  std::vector<std::size_t> expired;
   for (std::size_t i = 0; i < World.servers(); ++i) {
-    if (!Away.contains(i))
-      lapsed.push_back(i);
+    if (!UnavailableServers.contains(i))
+      expired.push_back(i);
   }
-  later(Step.For / 2, [this, lapsed] {
-    for (std::size_t it : lapsed)
+  scheduleAction(Step.Duration / 2, [this, expired] {
+    for (std::size_t it : expired)
       World.unregisterServer(World.server(it).id());
   });
-  later(Step.For + BackAfter, [this, lapsed] {
-    for (std::size_t it : lapsed) {
-      if (!Away.contains(it))
+  scheduleAction(Step.Duration + ReturnDelay, [this, expired] {
+    for (std::size_t it : expired) {
+      if (!UnavailableServers.contains(it))
         World.registerServer(it, false);
     }
   });
@@ -270,85 +280,90 @@
 
 //===--- Links ------------------------------------------------------------===//
 
-void SoakInjector::fault(const test::PlatformWorld::Proxy &Of, const char *Name,
-                         const boost::json::value &Begin,
-                         const boost::json::value &End, Millis For) {
-  World.setFaults(Of, {{Name, Begin}});
-  later(For, [this, Of, Name, End] { World.setFaults(Of, {{Name, End}}); });
+void SoakInjector::setLinkFault(const test::PlatformFixture::Proxy &Link,
+                                const char *Name,
+                                const boost::json::value &Begin,
+                                const boost::json::value &End,
+                                Millis Duration) {
+  World.setFaults(Link, {{Name, Begin}});
+  scheduleAction(Duration, [this, Link, Name, End] {
+    World.setFaults(Link, {{Name, End}});
+  });
 }
 
-bool SoakInjector::beginOnLink(const SoakStep &Step) {
+bool SoakInjector::injectLinkFault(const ScheduledFault &Step) {
   constexpr double DelayMs = 250;
   std::size_t process = Step.Target % (World.edges() + World.size().Engines);
-  test::PlatformWorld::Proxy store = World.storeLink(process);
-  test::PlatformWorld::Proxy caller =
+  test::PlatformFixture::Proxy store = World.storeLink(process);
+  test::PlatformFixture::Proxy caller =
       World.callerLink(Step.Target % World.edges());
   switch (Step.Kind) {
   case SoakFault::StoreLinkRefuses:
     World.setFaults(store, {{"cut_now", true}});
-    fault(store, "refuse", true, false, Step.For);
+    setLinkFault(store, "refuse", true, false, Step.Duration);
     return true;
   case SoakFault::StoreLinkSilent:
-    fault(store, "half_open", true, false, Step.For);
+    setLinkFault(store, "half_open", true, false, Step.Duration);
     return true;
   case SoakFault::StoreLinkOneWay:
-    fault(store, "one_way", true, false, Step.For);
+    setLinkFault(store, "one_way", true, false, Step.Duration);
     return true;
   case SoakFault::StoreLinkDelays:
-    fault(store, "delay_ms", DelayMs, 0.0, Step.For);
+    setLinkFault(store, "delay_ms", DelayMs, 0.0, Step.Duration);
     return true;
   case SoakFault::CallerLinkCut:
     World.setFaults(caller, {{"cut_now", true}});
     return true;
   case SoakFault::CallerLinkDelays:
-    fault(caller, "delay_ms", DelayMs, 0.0, Step.For);
+    setLinkFault(caller, "delay_ms", DelayMs, 0.0, Step.Duration);
     return true;
   default:
     return false;
   }
 }
 
-//===--- Keys and the reporter
-//---------------------------------------------===//
+//===--- Keys and the reporter --------------------------------------------===//
 
-bool SoakInjector::beginOnKeys(const SoakStep &Step) {
+bool SoakInjector::injectKeyFault(const ScheduledFault &Step) {
   if (Step.Kind != SoakFault::RevokeKey)
     return false;
   std::size_t customer = Step.Target % Customers;
   if (!Revoked.insert(customer).second)
     return true;
-  World.setCustomers(customersOf(Customers, Revoked));
+  World.setCustomers(makeSoakCustomers(Customers, Revoked));
   publish();
-  Done.KeyChanges.push_back({customer, true, monotonicNow()});
-  later(Step.For + Millis(3000), [this, customer] {
+  GroundTruth.KeyChanges.push_back({customer, true, monotonicNow()});
+  scheduleAction(Step.Duration + Millis(3000), [this, customer] {
     Revoked.erase(customer);
-    World.setCustomers(customersOf(Customers, Revoked));
-    Done.KeyChanges.push_back({customer, false, monotonicNow()});
+    World.setCustomers(makeSoakCustomers(Customers, Revoked));
+    GroundTruth.KeyChanges.push_back({customer, false, monotonicNow()});
     publish();
   });
   return true;
 }
 
-/// Notes for whom the store is out of reach during a step.
-void SoakInjector::noteStoreCut(const SoakStep &Step, TimePoint Now) {
+/// Records which processes can't reach the store during a step.
+void SoakInjector::recordStoreOutage(const ScheduledFault &Step,
+                                     TimePoint Now) {
   bool ofReporter = Step.Kind >= SoakFault::ReporterStoreRefuses &&
                     Step.Kind <= SoakFault::ReporterStoreDelays;
   bool ofLink = Step.Kind >= SoakFault::StoreLinkRefuses &&
                 Step.Kind <= SoakFault::StoreLinkDelays;
   bool ofAll = Step.Kind >= SoakFault::StoreBusy &&
-               Step.Kind <= SoakFault::RegistrationsLapse;
+               Step.Kind <= SoakFault::RegistrationsExpire;
   std::optional<std::size_t> edge;
   if (ofReporter)
-    edge = reporter();
+    edge = findLastReporter();
   if (ofLink)
     edge = Step.Target % (World.edges() + World.size().Engines);
   if (ofAll || edge)
-    Done.StoreCuts.push_back({edge, {Now, Now + Step.For}});
+    GroundTruth.StoreOutagePeriods.push_back(
+        {edge, {Now, Now + Step.Duration}});
 }
 
-/// The edge process that reported last; empty if none has.
-std::optional<std::size_t> SoakInjector::reporter() {
-  std::string holder = World.onPlatform<std::string>([&] {
+/// Returns the edge process that reported last; empty if none has.
+std::optional<std::size_t> SoakInjector::findLastReporter() {
+  std::string holder = World.runOnPlatformThread<std::string>([&] {
     const std::vector<test::ReportCall> &calls = World.reports().Calls;
     return calls.empty() ? std::string() : calls.back().Holder;
   });
@@ -358,72 +373,74 @@
   return std::stoul(holder.substr(Prefix.size()));
 }
 
-bool SoakInjector::beginOnReporter(const SoakStep &Step) {
+bool SoakInjector::injectReporterFault(const ScheduledFault &Step) {
   constexpr double DelayMs = 400;
   if (Step.Kind < SoakFault::KillReporter ||
       Step.Kind > SoakFault::ReporterStoreDelays)
     return false;
-  std::optional<std::size_t> found = reporter();
+  std::optional<std::size_t> found = findLastReporter();
   if (!found)
     return true;
-  test::PlatformWorld::Proxy store = World.storeLink(*found);
+  test::PlatformFixture::Proxy store = World.storeLink(*found);
   switch (Step.Kind) {
   case SoakFault::KillReporter:
-    killEdge(*found, Step.For);
+    killEdge(*found, Step.Duration);
     break;
   case SoakFault::PauseReporter:
-    pauseEdge(*found, Step.For);
+    pauseEdge(*found, Step.Duration);
     break;
   case SoakFault::StopReporter:
     stopEdge(*found);
     break;
   case SoakFault::ReporterStoreRefuses:
     World.setFaults(store, {{"cut_now", true}});
-    fault(store, "refuse", true, false, Step.For);
+    setLinkFault(store, "refuse", true, false, Step.Duration);
     break;
   case SoakFault::ReporterStoreSilent:
-    fault(store, "half_open", true, false, Step.For);
+    setLinkFault(store, "half_open", true, false, Step.Duration);
     break;
   default:
-    fault(store, "delay_ms", DelayMs, 0.0, Step.For);
+    setLinkFault(store, "delay_ms", DelayMs, 0.0, Step.Duration);
   }
   return true;
 }
 
-void SoakInjector::reportMood(test::ReportMood What, Millis For) {
-  World.onPlatform([&] { World.reports().setMood(What); });
-  later(For, [this] {
-    World.onPlatform([&] { World.reports().setMood(test::ReportMood::Well); });
+void SoakInjector::setReportFault(test::ReportBehavior Behavior,
+                                  Millis Duration) {
+  World.runOnPlatformThread([&] { World.reports().setBehavior(Behavior); });
+  scheduleAction(Duration, [this] {
+    World.runOnPlatformThread(
+        [&] { World.reports().setBehavior(test::ReportBehavior::Normal); });
   });
 }
 
-/// Calls that were held up may arrive until shortly after `After` from now.
-void SoakInjector::heldUpUntil(Millis After) {
-  constexpr Millis Thaw{300};
+/// Records that delayed calls may arrive until shortly after `After` from now.
+void SoakInjector::recordReportDelay(Millis After) {
+  constexpr Millis ResumeTime{300};
   TimePoint now = monotonicNow();
-  Done.HeldUp.push_back({now, now + After + Thaw});
+  GroundTruth.ReportDelaySpans.push_back({now, now + After + ResumeTime});
 }
 
-bool SoakInjector::beginOnReports(const SoakStep &Step) {
+bool SoakInjector::injectReportFault(const ScheduledFault &Step) {
   constexpr double DelayMs = 700;
-  test::PlatformWorld::Proxy link =
+  test::PlatformFixture::Proxy link =
       World.reportLink(Step.Target % World.edges());
   switch (Step.Kind) {
   case SoakFault::ReportsBusy:
-    reportMood(test::ReportMood::Busy, Step.For);
+    setReportFault(test::ReportBehavior::Busy, Step.Duration);
     return true;
   case SoakFault::ReportsLoseAnswers:
-    reportMood(test::ReportMood::LosesAnswers, Step.For);
+    setReportFault(test::ReportBehavior::LosesAnswers, Step.Duration);
     return true;
   case SoakFault::ReportsSilent:
-    reportMood(test::ReportMood::Silent, Step.For);
+    setReportFault(test::ReportBehavior::Unresponsive, Step.Duration);
     return true;
   case SoakFault::ReportLinkSilent:
-    fault(link, "half_open", true, false, Step.For);
-    later(Step.For, [this] { heldUpUntil(Millis(0)); });
+    setLinkFault(link, "half_open", true, false, Step.Duration);
+    scheduleAction(Step.Duration, [this] { recordReportDelay(Millis(0)); });
     return true;
   case SoakFault::ReportLinkDelays:
-    fault(link, "delay_ms", DelayMs, 0.0, Step.For);
+    setLinkFault(link, "delay_ms", DelayMs, 0.0, Step.Duration);
     return true;
   default:
     return false;
@@ -432,38 +449,38 @@
 
 //===--- Servers ----------------------------------------------------------===//
 
-void SoakInjector::beginOnServer(const SoakStep &Step) {
+void SoakInjector::injectServerFault(const ScheduledFault &Step) {
   std::size_t index = Step.Target % World.servers();
   test::PlatformServer &server = World.server(index);
-  test::PlatformWorld::Proxy link = World.serverLink(index);
-  constexpr int Few = 3;
+  test::PlatformFixture::Proxy link = World.serverLink(index);
+  constexpr int FaultCount = 3;
   switch (Step.Kind) {
   case SoakFault::ServerCrashes:
-    crashServer(index, Step.For);
+    crashServer(index, Step.Duration);
     return;
   case SoakFault::ServerSilent:
-    fault(link, "half_open", true, false, Step.For);
+    setLinkFault(link, "half_open", true, false, Step.Duration);
     return;
   case SoakFault::ServerOneWay:
-    fault(link, "one_way", true, false, Step.For);
+    setLinkFault(link, "one_way", true, false, Step.Duration);
     return;
   case SoakFault::ServerLinkCut:
     World.setFaults(link, {{"cut_now", true}});
     return;
   case SoakFault::ServerLosesAnswers:
-    fault(link, "answer_loss", Few, 0, Step.For);
+    setLinkFault(link, "answer_loss", FaultCount, 0, Step.Duration);
     return;
   case SoakFault::ServerSlow:
-    World.onPlatform([&] { server.Pace = SlowPace; });
-    later(Step.For, [this, &server] {
-      World.onPlatform([&] { server.Pace = UsualPace; });
+    World.runOnPlatformThread([&] { server.EventDelay = SlowEventDelay; });
+    scheduleAction(Step.Duration, [this, &server] {
+      World.runOnPlatformThread([&] { server.EventDelay = NormalEventDelay; });
     });
     return;
-  case SoakFault::ServerBreaksOff:
-    World.onPlatform([&] { server.Breaks = Few; });
+  case SoakFault::ServerBreaksStreams:
+    World.runOnPlatformThread([&] { server.StreamsToBreak = FaultCount; });
     return;
   case SoakFault::ServerFails:
-    World.onPlatform([&] { server.Fails = Few; });
+    World.runOnPlatformThread([&] { server.RequestsToFail = FaultCount; });
     return;
   default:
     return;
@@ -471,33 +488,35 @@
 }
 
 void SoakInjector::crashServer(std::size_t Index, Millis Down) {
-  if (!Away.insert(Index).second)
+  if (!UnavailableServers.insert(Index).second)
     return;
   std::string id = World.server(Index).id();
   World.setFaults(World.serverLink(Index), {{"cut_now", true}});
   World.setFaults(World.serverLink(Index), {{"refuse", true}});
-  // One that is back sooner finds its registration as it was.
-  if (Down > RegistrationLag)
-    later(RegistrationLag, [this, id] { World.unregisterServer(id); });
-  // By turns it starts again under a new id and under the one that it had.
-  std::string next = ++Crashes % 2 == 0 ? newId() : id;
-  later(Down, [this, Index, next] { returnServer(Index, next); });
+  // A server that returns sooner finds its registration unchanged.
+  if (Down > RegistrationExpiryDelay)
+    scheduleAction(RegistrationExpiryDelay,
+                   [this, id] { World.unregisterServer(id); });
+  // Alternates between a new id and the previous one.
+  std::string next = ++Crashes % 2 == 0 ? makeServerId() : id;
+  scheduleAction(Down, [this, Index, next] { restartServer(Index, next); });
 }
 
-std::string SoakInjector::newId() {
+std::string SoakInjector::makeServerId() {
   return "i-again-" + std::to_string(++Starts);
 }
 
-/// The server starts anew, as another incarnation at the same address.
-void SoakInjector::returnServer(std::size_t Index, const std::string &Id) {
-  // A request may have ended it meanwhile, and it registered under a new id.
+/// Restarts the server as another incarnation at the same address.
+void SoakInjector::restartServer(std::size_t Index, const std::string &Id) {
+  // A request may have crashed the server meanwhile, so that it registered
+  // under a new id.
   std::string before = World.server(Index).id();
   if (before != Id)
     World.unregisterServer(before);
-  World.onPlatform([&] { World.server(Index).restart(Id); });
+  World.runOnPlatformThread([&] { World.server(Index).restart(Id); });
   World.setFaults(World.serverLink(Index), {{"refuse", false}});
   World.registerServer(Index, false);
-  Away.erase(Index);
+  UnavailableServers.erase(Index);
 }
 
 } // namespace wasabi::soak
--- a/IntegrationTests/Soak/SoakRun.cpp
+++ b/IntegrationTests/Soak/SoakRun.cpp
@@ -11,117 +11,124 @@
 
 namespace {
 
-/// The users' bound for a whole recovery.
-constexpr Millis RecoveryLimit{12000};
+/// Maximum time of a full recovery that users accept.
+constexpr Millis RecoveryTimeout{12000};
 constexpr unsigned Ok = 200;
 constexpr unsigned Accepted = 202;
 
-std::vector<ClientEdge> clientEdges(test::PlatformWorld &World) {
-  std::vector<ClientEdge> edges;
+std::vector<EdgeEndpoints> makeClientEndpoints(test::PlatformFixture &World) {
+  std::vector<EdgeEndpoints> edges;
   for (std::size_t i = 0; i < World.edges(); ++i)
-    edges.push_back({World.edge(i).Callers, World.edge(i).Readiness});
+    edges.push_back(
+        {World.edge(i).CallerAddress, World.edge(i).ReadinessAddress});
   return edges;
 }
 
-void prepareServers(test::PlatformWorld &World) {
-  World.onPlatform([&] {
+void prepareServers(test::PlatformFixture &World) {
+  World.runOnPlatformThread([&] {
     for (std::size_t i = 0; i < World.servers(); ++i) {
       test::PlatformServer &it = World.server(i);
-      it.TellsVersion = true;
-      it.Length = 5;
-      it.Spread = 30;
-      it.Pace = Millis(15);
+      it.IncludesVersion = true;
+      it.MinEvents = 5;
+      it.ExtraEvents = 30;
+      it.EventDelay = Millis(15);
       it.LoadTime = Millis(300);
       it.Slots = 6;
     }
   });
 }
 
-SoakTruth gather(test::PlatformWorld &World, SoakTruth Done) {
-  World.onPlatform([&] {
+SoakGroundTruth collectGroundTruth(test::PlatformFixture &World,
+                                   SoakGroundTruth Truth) {
+  World.runOnPlatformThread([&] {
     for (std::size_t i = 0; i < World.servers(); ++i) {
       test::PlatformServer &it = World.server(i);
       bool engine = i < World.size().Engines;
       std::vector<test::ServerCall> &runs =
-          engine ? Done.EngineRuns : Done.PlainRuns;
+          engine ? Truth.EngineRuns : Truth.PlainRuns;
       runs.insert(runs.end(), it.Runs.begin(), it.Runs.end());
       if (engine)
-        Done.Orders.push_back(it.Orders);
+        Truth.Orders.push_back(it.Orders);
     }
   });
   auto byTime = [](const test::ServerCall &L, const test::ServerCall &R) {
     return L.At < R.At;
   };
-  std::sort(Done.EngineRuns.begin(), Done.EngineRuns.end(), byTime);
-  return Done;
+  std::sort(Truth.EngineRuns.begin(), Truth.EngineRuns.end(), byTime);
+  return Truth;
 }
 
-/// After the last fault everything must be served again, everywhere.
-bool recovers(test::PlatformWorld &World, const std::string &Job,
-              std::uint64_t Version) {
+/// Waits until all edge processes serve requests and jobs after the last fault.
+bool waitForRecovery(test::PlatformFixture &World, const std::string &Job,
+                     std::uint64_t Version) {
   constexpr std::size_t Items = 4;
   std::string route = "/desk-" + std::to_string(Version) + "/";
   auto serves = [&] {
     for (std::size_t i = 0; i < World.edges(); ++i) {
-      if (!World.ready(i) || World.ask(i, route, OwnName).Status != Ok)
+      if (!World.ready(i) ||
+          World.postRequest(i, route, HarnessRequestName).Status != Ok)
         return false;
     }
     return true;
   };
-  if (!harness::waitUntil(serves, RecoveryLimit))
+  if (!harness::waitUntil(serves, RecoveryTimeout))
     return false;
   auto submitted = [&] { return World.submit(0, Job, Items, 1) == Accepted; };
-  if (!harness::waitUntil(submitted, RecoveryLimit))
+  if (!harness::waitUntil(submitted, RecoveryTimeout))
     return false;
-  return World.finishes(World.edges() - 1, Job, Items);
+  return World.waitForResults(World.edges() - 1, Job, Items);
 }
 
-/// What was accepted can be read at every process, as it was read before.
-void checkKept(test::PlatformWorld &World, const SoakRecord &Seen,
-               std::vector<std::string> &Faults) {
+/// Checks that every process returns the results of accepted jobs as they were
+/// read before.
+void checkAcceptedJobs(test::PlatformFixture &World,
+                       const SoakObservations &Seen,
+                       std::vector<std::string> &Violations) {
   for (const JobRecord &job : Seen.Jobs) {
     if (!job.Accepted)
       continue;
     for (std::size_t edge = 0; edge < World.edges(); ++edge) {
       unsigned status = 0;
       if (!job.Customer.empty())
-        World.useKey(lastingKey(job.CustomerNumber));
+        World.setCustomerKey(permanentKey(job.CustomerNumber));
       boost::json::value page = World.results(edge, job.Id, status);
       if (status != Ok) {
-        Faults.push_back(job.Id + " can't be read at edge " +
-                         std::to_string(edge) + ": " + std::to_string(status));
+        Violations.push_back(job.Id + " can't be read at edge " +
+                             std::to_string(edge) + ": " +
+                             std::to_string(status));
         continue;
       }
       const boost::json::array &results = page.at("results").as_array();
-      for (const auto &[position, text] : job.Seen) {
+      for (const auto &[position, text] : job.ReadResults) {
         bool same = position < results.size() &&
                     boost::json::serialize(results[position]) == text;
         if (!same)
-          Faults.push_back(job.Id + " has something else at position " +
-                           std::to_string(position));
+          Violations.push_back(job.Id + " has something else at position " +
+                               std::to_string(position));
       }
     }
   }
 }
 
-/// All calls once the windows of the last requests have been reported.
-std::vector<test::ReportCall> lastReports(test::PlatformWorld &World,
-                                          const SoakRecord &Seen) {
+/// Waits until the windows of the last requests are reported, and returns all
+/// report calls.
+std::vector<test::ReportCall> waitForReports(test::PlatformFixture &World,
+                                             const SoakObservations &Seen) {
   auto calls = [&] {
-    return World.onPlatform<std::vector<test::ReportCall>>(
+    return World.runOnPlatformThread<std::vector<test::ReportCall>>(
         [&] { return World.reports().Calls; });
   };
   TimePoint last;
-  for (const AskRecord &it : Seen.Asks)
+  for (const ClientRequestRecord &it : Seen.Requests)
     last = std::max(last, it.Done);
-  // A report that leaves late enough holds all that was counted before it.
-  TimePoint until = last + World.reportsDue() + Millis(1000);
+  // A report sent after this time contains all earlier counts.
+  TimePoint until = last + World.reportDueDelay() + Millis(1000);
   harness::waitUntil([&] { return monotonicNow() > until; },
-                     World.reportsDue() + Millis(2000));
+                     World.reportDueDelay() + Millis(2000));
   return calls();
 }
 
-void keepLogs(test::PlatformWorld &World, const SoakTruth &Truth,
+void keepLogs(test::PlatformFixture &World, const SoakGroundTruth &Truth,
               std::uint64_t Seed) {
   std::string path = "soak-" + std::to_string(Seed) + ".log";
   std::ofstream file(path);
@@ -129,24 +136,25 @@
   for (std::size_t i = 0; i < World.edges(); ++i)
     file << World.edge(i).Running->output();
   for (std::size_t i = 0; i < World.size().Engines; ++i)
-    file << World.side(i).output();
+    file << World.sidecar(i).output();
 }
 
 } // namespace
 
-SoakResult soakOnce(const SoakSize &Size, std::uint64_t Seed,
-                    const std::vector<SoakStep> &Plan, bool KeepLogs) {
-  test::WorldShape shape{Size.Edges, Size.Engines, Size.Desks, true};
-  shape.Reports = Size.Customers > 0;
+SoakResult runSoakTest(const SoakSize &Size, std::uint64_t Seed,
+                       const std::vector<ScheduledFault> &Plan, bool KeepLogs) {
+  test::PlatformFixtureSettings settings{Size.Edges, Size.Engines, Size.Desks,
+                                         true};
+  settings.Reports = Size.Customers > 0;
   if (Size.Customers > 0)
-    shape.Customers = customersOf(Size.Customers, {});
-  test::PlatformWorld world(shape);
+    settings.Customers = makeSoakCustomers(Size.Customers, {});
+  test::PlatformFixture world(settings);
   if (Size.Customers > 0)
-    world.useKey(OwnKey);
+    world.setCustomerKey(HarnessKey);
   prepareServers(world);
   SoakResult result;
-  if (!world.allReady()) {
-    result.Faults.push_back("the processes did not become ready");
+  if (!world.waitUntilAllReady()) {
+    result.Violations.push_back("the processes did not become ready");
     keepLogs(world, {}, Seed);
     return result;
   }
@@ -154,40 +162,41 @@
   setup.Seed = Seed;
   setup.Callers = Size.Callers;
   setup.Trainers = Size.Trainers;
-  setup.Crashing = Size.Crashing;
+  setup.CrashingCallers = Size.CrashingCallers;
   setup.Customers = Size.Customers;
-  if (Size.Crashing > 0)
-    world.crashOn(CrashPath);
-  setup.LengthOf = [&world](const std::string &Item) {
-    return world.server(0).lengthOf(Item);
+  if (Size.CrashingCallers > 0)
+    world.setCrashMarker(CrashPathPrefix);
+  setup.ExpectedEventCount = [&world](const std::string &Item) {
+    return world.server(0).eventCount(Item);
   };
-  SoakClients clients(setup, clientEdges(world));
+  SoakClients clients(setup, makeClientEndpoints(world));
   SoakInjector injector(world, clients, Size.Customers);
-  injector.play(Plan);
-  TimePoint healed = monotonicNow();
-  if (!recovers(world, OwnName, clients.Configured))
-    result.Faults.push_back("not all is served again after the last fault");
-  result.Recovered =
-      std::chrono::duration_cast<Millis>(monotonicNow() - healed);
+  injector.runPlan(Plan);
+  TimePoint faultsEnded = monotonicNow();
+  if (!waitForRecovery(world, HarnessRequestName, clients.LatestConfigVersion))
+    result.Violations.push_back("service did not recover after the last fault");
+  result.RecoveryTime =
+      std::chrono::duration_cast<Millis>(monotonicNow() - faultsEnded);
   clients.stop();
 
-  SoakTruth truth = gather(world, injector.done());
-  const SoakRecord &seen = clients.record();
-  std::vector<std::string> faults = judge(seen, truth);
+  SoakGroundTruth truth = collectGroundTruth(world, injector.groundTruth());
+  const SoakObservations &seen = clients.record();
+  std::vector<std::string> violations = findViolations(seen, truth);
   if (Size.Customers > 0) {
-    truth.Reports = lastReports(world, seen);
-    std::vector<std::string> more = judgeCustomers(seen, truth, {});
-    faults.insert(faults.end(), more.begin(), more.end());
+    truth.Reports = waitForReports(world, seen);
+    std::vector<std::string> more = findCustomerViolations(seen, truth, {});
+    violations.insert(violations.end(), more.begin(), more.end());
   }
-  result.Faults.insert(result.Faults.end(), faults.begin(), faults.end());
-  checkKept(world, seen, result.Faults);
-  for (const AskRecord &it : seen.Asks)
+  result.Violations.insert(result.Violations.end(), violations.begin(),
+                           violations.end());
+  checkAcceptedJobs(world, seen, result.Violations);
+  for (const ClientRequestRecord &it : seen.Requests)
     result.Served += it.Status == Ok ? 1 : 0;
-  result.Asks = seen.Asks.size();
+  result.Requests = seen.Requests.size();
   for (const JobRecord &it : seen.Jobs)
-    result.WholeJobs += it.Seen.size() == it.Items.size() ? 1 : 0;
+    result.CompleteJobs += it.ReadResults.size() == it.Items.size() ? 1 : 0;
   result.Jobs = seen.Jobs.size();
-  if (KeepLogs || !result.Faults.empty())
+  if (KeepLogs || !result.Violations.empty())
     keepLogs(world, truth, Seed);
   return result;
 }
--- a/StandIns/Faults.cpp
+++ b/StandIns/Faults.cpp
@@ -10,8 +10,8 @@
   return {Text.data(), Text.size()};
 }
 
-/// Whether `Given` may stand where `Known` does: a switch for a switch, a text
-/// for a text, a number from 0 for a number, whole where the default is whole.
+/// Returns true if `Given` has the same kind as `Known`: a boolean, a string,
+/// or a non-negative number that is an integer if the default is one.
 bool fits(const boost::json::value &Known, const boost::json::value &Given) {
   if (Known.is_bool() || Given.is_bool())
     return Known.is_bool() && Given.is_bool();
@@ -28,10 +28,10 @@
   for (const boost::json::key_value_pair &it : Changes) {
     const boost::json::value *known = Values.if_contains(it.key());
     if (known == nullptr)
-      throw BadBody("no fault '" + std::string(it.key()) + "'");
+      throw InvalidBody("no fault '" + std::string(it.key()) + "'");
     if (!fits(*known, it.value())) {
-      throw BadBody("the fault '" + std::string(it.key()) +
-                    "' takes another kind of value");
+      throw InvalidBody("the fault '" + std::string(it.key()) +
+                        "' takes another kind of value");
     }
   }
   for (const boost::json::key_value_pair &it : Changes) {
@@ -66,7 +66,7 @@
   return std::chrono::milliseconds(number(Name));
 }
 
-bool Faults::takeOne(std::string_view Name) {
+bool Faults::consumeOne(std::string_view Name) {
   std::uint64_t left = number(Name);
   if (left == 0)
     return false;
--- a/StandIns/Main.cpp
+++ b/StandIns/Main.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// `wasabi-standin ROLE`: plays a part of the platform in tests and the demo.
+/// `wasabi-standin ROLE` runs one simulated platform service for tests and the
+/// demo.
 #include "StandIns/EngineRole.h"
 #include "StandIns/FaultProxy.h"
 #include "StandIns/InstancesRole.h"
@@ -56,7 +57,7 @@
 
 using Executor = boost::asio::any_io_executor;
 
-/// An optional address flag; empty stays empty.
+/// Parses an optional address flag. Empty stays empty.
 Result<Address> readStore() {
   if (FLAGS_store.empty())
     return Address{};
@@ -77,23 +78,23 @@
   settings.ChecksFences = FLAGS_checks_fences;
   settings.Store = Store;
   settings.LoadTime = Millis(FLAGS_load_ms);
-  settings.LoadLag = Millis(FLAGS_load_lag_ms);
+  settings.LoadReportDelay = Millis(FLAGS_load_lag_ms);
   settings.Seed = FLAGS_seed;
   return settings;
 }
 
 TrainerSettings trainerSettings(const Address &Store) {
   TrainerSettings settings;
-  settings.Book.Name = FLAGS_name;
-  settings.Book.Model = FLAGS_model;
-  settings.Book.Groups = FLAGS_groups;
-  settings.Book.GroupSize = FLAGS_group_size;
-  settings.Book.MaxTokens = FLAGS_max_tokens;
-  settings.Book.StalenessBound = FLAGS_staleness_bound;
-  settings.Book.ChecksFences = FLAGS_checks_fences;
-  settings.Book.Version = FLAGS_weights_version;
-  settings.Book.Seed = FLAGS_seed;
-  settings.TrainTime = Millis(FLAGS_train_ms);
+  settings.Simulator.Name = FLAGS_name;
+  settings.Simulator.Model = FLAGS_model;
+  settings.Simulator.Groups = FLAGS_groups;
+  settings.Simulator.GroupSize = FLAGS_group_size;
+  settings.Simulator.MaxTokens = FLAGS_max_tokens;
+  settings.Simulator.StalenessBound = FLAGS_staleness_bound;
+  settings.Simulator.ChecksFences = FLAGS_checks_fences;
+  settings.Simulator.Version = FLAGS_weights_version;
+  settings.Simulator.Seed = FLAGS_seed;
+  settings.TrainingTime = Millis(FLAGS_train_ms);
   settings.Steps = FLAGS_steps;
   settings.Store = Store;
   return settings;
@@ -124,8 +125,8 @@
   return badInput("command line", "no role '" + std::string(Name) + "'");
 }
 
-void announce(std::string_view What, const Address &Where) {
-  std::printf("%s %s\n", std::string(What).c_str(), toText(Where).c_str());
+void announce(std::string_view Label, const Address &Where) {
+  std::printf("%s %s\n", std::string(Label).c_str(), toText(Where).c_str());
   std::fflush(stdout);
 }
 
@@ -155,7 +156,7 @@
   boost::asio::io_context context(1);
   boost::asio::signal_set ending(context, SIGTERM, SIGINT);
   ending.async_wait([](boost::system::error_code, int) {
-    // Nothing is to be saved, and nobody is to wait.
+    // Exits at once: there is no state to save.
     std::_Exit(EXIT_SUCCESS);
   });
   BOOST_LEAF_AUTO(listen, parseAddress(FLAGS_listen, "--listen"));
@@ -182,7 +183,7 @@
   }
 }
 
-/// The word after the program's name that is no flag.
+/// Returns the first argument that is not a flag.
 std::string takeRole(std::vector<std::string> &Words) {
   if (Words.size() < 2 || Words[1].starts_with("-"))
     return {};
@@ -191,7 +192,7 @@
   return role;
 }
 
-/// gflags takes `--version` for itself; with a value it is the weights'.
+/// gflags reserves `--version`; with a value it is the weight version.
 void renameVersion(std::vector<std::string> &Words) {
   constexpr std::string_view Short = "--version=";
   for (std::string &it : Words) {
--- a/StandIns/ScorerRole.cpp
+++ b/StandIns/ScorerRole.cpp
@@ -21,20 +21,20 @@
   }
 
   boost::asio::awaitable<void> answer(const http::Request &Ask,
-                                      const Answer &To) override {
+                                      const ResponderPtr &To) override {
     if (Ask.Method != "POST" || Ask.path() != "/v1/score") {
       co_await sendError(To, NotFound, "no such path");
       co_return;
     }
     boost::json::object body = readObject(Ask.Body);
     std::string slot = readText(body, "slot");
-    double score = scoreOf(readText(body, "text"));
-    if (Told.takeOne("fail_next")) {
+    double score = computeScore(readText(body, "text"));
+    if (InjectedFaults.consumeOne("fail_next")) {
       co_await sendError(To, InternalError, "told to fail");
       co_return;
     }
     ++Scored[slot];
-    if (Told.takeOne("lose_answers")) {
+    if (InjectedFaults.consumeOne("lose_answers")) {
       To->abort();
       co_return;
     }
@@ -48,7 +48,7 @@
 
 } // namespace
 
-double scoreOf(std::string_view Text) {
+double computeScore(std::string_view Text) {
   constexpr int DroppedBits = 11;
   constexpr double Two53 = 9007199254740992.0;
   std::uint64_t hash = XXH64(Text.data(), Text.size(), 0);
--- a/StandIns/TrainerRole.h
+++ b/StandIns/TrainerRole.h
@@ -4,21 +4,22 @@
 #define WASABI_STANDINS_TRAINERROLE_H
 
 #include "StandIns/RoleServer.h"
-#include "StandIns/TrainerBook.h"
+#include "StandIns/TrainerSimulator.h"
 
 namespace wasabi::standins {
 
 struct TrainerSettings {
-  TrainerBook::Settings Book;
-  /// How long training on a whole step takes.
-  Millis TrainTime{1000};
-  /// Steps in all; 0: no end.
+  TrainerSimulator::Settings Simulator;
+  /// Duration of training on a complete step.
+  Millis TrainingTime{1000};
+  /// Maximum number of steps; 0 for no limit.
   std::uint64_t Steps = 0;
-  /// The weight store; empty: it publishes nowhere.
+  /// Address of the weight store. If empty, versions are not published to a
+  /// store.
   Address Store;
 };
 
-/// Used on the executor's thread.
+/// Creates the role. Used on the executor's thread.
 std::shared_ptr<Role>
 createTrainerRole(const boost::asio::any_io_executor &Executor,
                   const TrainerSettings &Settings);
--- a/UnitTests/Adapters/PlatformLog/FakeLog.h
+++ b/UnitTests/Adapters/PlatformLog/FakeLog.h
@@ -1,5 +1,5 @@
 /// \file
-/// A log in memory with the faults of the platform's.
+/// In-memory log that injects faults.
 #ifndef WASABI_UNITTESTS_ADAPTERS_PLATFORMLOG_FAKELOG_H
 #define WASABI_UNITTESTS_ADAPTERS_PLATFORMLOG_FAKELOG_H
 
@@ -14,33 +14,33 @@
 
 namespace wasabi::logtest {
 
-/// One stream. Used on one thread; outlives its ports.
+/// Fake log with one stream. Used on one thread; outlives its ports.
 struct FakeLog {
   std::vector<LogEntry> Entries;
   Offset First = 0;
-  /// The next appends take effect, and their answers are lost.
-  int LoseAnswers = 0;
-  /// The next appends are refused without an effect.
-  int RefuseAppends = 0;
-  /// The next reads hide the newest record.
-  int StaleReads = 0;
-  bool Outage = false;
+  /// Number of appends that take effect but whose response is lost.
+  int AppendAnswersToLose = 0;
+  /// Number of appends that are refused without effect.
+  int AppendsToRefuse = 0;
+  /// Number of reads that hide the newest record.
+  int StaleReadsLeft = 0;
+  bool Unreachable = false;
   int Appends = 0;
 
   Outcome<Offset> append(std::string Text) {
     ++Appends;
-    if (Outage)
+    if (Unreachable)
       return Failure{
           Verdict::NotRun, FailureCode::Unreachable, "log", "down", {}};
-    if (RefuseAppends > 0) {
-      --RefuseAppends;
+    if (AppendsToRefuse > 0) {
+      --AppendsToRefuse;
       return Failure{Verdict::NotRun, FailureCode::Overloaded, "log", "busy",
                      Millis(1)};
     }
     Offset at = First + Entries.size();
     Entries.push_back({at, std::move(Text)});
-    if (LoseAnswers > 0) {
-      --LoseAnswers;
+    if (AppendAnswersToLose > 0) {
+      --AppendAnswersToLose;
       return Failure{Verdict::MayHaveRun,
                      FailureCode::ConnectionLost,
                      "log",
@@ -51,14 +51,14 @@
   }
 
   Outcome<LogRange> read(Offset From, std::size_t Max) {
-    if (Outage)
+    if (Unreachable)
       return Failure{
           Verdict::NotRun, FailureCode::Unreachable, "log", "down", {}};
     LogRange out;
     out.First = First;
     out.End = First + Entries.size();
-    if (StaleReads > 0 && out.End > out.First) {
-      --StaleReads;
+    if (StaleReadsLeft > 0 && out.End > out.First) {
+      --StaleReadsLeft;
       --out.End;
     }
     for (Offset at = From; at >= First && at < out.End; ++at)
@@ -67,7 +67,7 @@
     return out;
   }
 
-  /// Drops what is below `To`.
+  /// Removes the entries below `To`.
   void expireBelow(Offset To) {
     Entries.erase(Entries.begin(),
                   Entries.begin() + static_cast<std::ptrdiff_t>(To - First));
@@ -89,18 +89,18 @@
   }
 };
 
-/// Keeps what a coroutine gives.
+/// Stores the result of a coroutine in `Out`.
 template <typename T>
-boost::asio::awaitable<void> keepIn(std::optional<T> &Out,
-                                    boost::asio::awaitable<T> Body) {
+boost::asio::awaitable<void> storeResult(std::optional<T> &Out,
+                                         boost::asio::awaitable<T> Body) {
   Out = co_await std::move(Body);
 }
 
-/// Runs a coroutine to its end.
-template <typename T> T runToEnd(boost::asio::awaitable<T> Body) {
+/// Runs a coroutine to completion and returns its result.
+template <typename T> T runUntilComplete(boost::asio::awaitable<T> Body) {
   boost::asio::io_context context;
   std::optional<T> out;
-  boost::asio::co_spawn(context, keepIn(out, std::move(Body)),
+  boost::asio::co_spawn(context, storeResult(out, std::move(Body)),
                         boost::asio::detached);
   context.run();
   return std::move(*out);
--- a/UnitTests/Dispatch/FakeEngines.cpp
+++ b/UnitTests/Dispatch/FakeEngines.cpp
@@ -8,17 +8,19 @@
 
 constexpr unsigned Ok = 200;
 
-Failure lost(FailureCode Code) {
-  return Failure{Verdict::MayHaveRun, Code, "fake engine", "as told", {}};
+Failure makeFailure(FailureCode Code) {
+  return Failure{
+      Verdict::MayHaveRun, Code, "fake engine", "injected fault", {}};
 }
 
-/// A text whose events are called `ITEM:N`.
+/// Stream of a text whose events have the data `ITEM:N`.
 class FakeStream final : public EngineStream {
 public:
-  FakeStream(FakeEngines &All, ServerName Where, std::string Item,
+  FakeStream(FakeEngines &Engines, ServerName ServerId, std::string Item,
              std::uint64_t After, StreamHead Head)
-      : All(All), Where(std::move(Where)), Item(std::move(Item)), Next(After),
-        Head(std::move(Head)), Wake(All.Context.get_executor()) {}
+      : Engines(Engines), ServerId(std::move(ServerId)), Item(std::move(Item)),
+        LastEvent(After), Head(std::move(Head)),
+        Wake(Engines.Context.get_executor()) {}
 
   const StreamHead &head() const override { return Head; }
   void cancel() override {
@@ -28,27 +30,29 @@
 
   asio::awaitable<Outcome<std::optional<EngineEvent>>>
   next(Millis Timeout) override {
-    FakeServer &server = All.Servers[Where];
-    TimePoint until = monotonicNow() + (server.Dark ? Timeout : server.Pace);
+    FakeServer &server = Engines.Servers[ServerId];
+    TimePoint until =
+        monotonicNow() + (server.Unresponsive ? Timeout : server.EventDelay);
     if (!Cancelled)
       co_await Wake.wait(until);
-    // It fell silent while the event was on its way.
-    if (!Cancelled && server.Dark)
+    // The server may have become unresponsive during the delay.
+    if (!Cancelled && server.Unresponsive)
       co_await Wake.wait(monotonicNow() + Timeout);
-    server.Ended =
-        server.Ended || (Item == All.CrashOn && Made >= All.CrashAfter);
-    if (server.Ended)
-      co_return lost(FailureCode::ConnectionLost);
-    if (Cancelled || server.Dark)
-      co_return lost(FailureCode::Cancelled);
-    if (Next >= All.Length)
+    server.Crashed = server.Crashed || (Item == Engines.CrashItem &&
+                                        EventsSent >= Engines.CrashAfterEvents);
+    if (server.Crashed)
+      co_return makeFailure(FailureCode::ConnectionLost);
+    if (Cancelled || server.Unresponsive)
+      co_return makeFailure(FailureCode::Cancelled);
+    if (LastEvent >= Engines.EventsPerText)
       co_return std::optional<EngineEvent>();
-    if (server.BreakAfter > 0 && ++Sent > server.BreakAfter)
-      co_return lost(FailureCode::ConnectionLost);
+    if (server.BreakAfterEvents > 0 &&
+        ++AttemptedEvents > server.BreakAfterEvents)
+      co_return makeFailure(FailureCode::ConnectionLost);
     EngineEvent event;
-    event.Id = ++Next;
-    ++Made;
-    event.Data = Item + ":" + std::to_string(Next);
+    event.Id = ++LastEvent;
+    ++EventsSent;
+    event.Data = Item + ":" + std::to_string(LastEvent);
     if (Head.Version != server.Version) {
       event.Version = server.Version;
       Head.Version = server.Version;
@@ -57,12 +61,12 @@
   }
 
 private:
-  FakeEngines &All;
-  const ServerName Where;
+  FakeEngines &Engines;
+  const ServerName ServerId;
   const std::string Item;
-  std::uint64_t Next;
-  std::uint64_t Sent = 0;
-  std::uint64_t Made = 0;
+  std::uint64_t LastEvent;
+  std::uint64_t AttemptedEvents = 0;
+  std::uint64_t EventsSent = 0;
   StreamHead Head;
   AsyncSignal Wake;
   bool Cancelled = false;
@@ -72,57 +76,57 @@
 
 EnginePort FakeEngines::port() {
   EnginePort port;
-  port.Open = [this](UpstreamEntry Server, const http::Request &,
+  port.Open = [this](UpstreamRegistration Server, const http::Request &,
                      SendOptions Options, Millis) {
     return open(std::move(Server), std::move(Options));
   };
-  port.Call = [this](UpstreamEntry Server, const http::Request &,
+  port.Call = [this](UpstreamRegistration Server, const http::Request &,
                      SendOptions Options, Millis) {
     return call(std::move(Server), std::move(Options));
   };
-  port.Probe = [this](UpstreamEntry Server, Millis) {
+  port.Probe = [this](UpstreamRegistration Server, Millis) {
     return probe(std::move(Server));
   };
   return port;
 }
 
-asio::awaitable<Outcome<ServerPresence>>
-FakeEngines::probe(UpstreamEntry Server) {
+asio::awaitable<Outcome<ServerProbeResult>>
+FakeEngines::probe(UpstreamRegistration Server) {
   co_await pauseFor(Context.get_executor(), Millis(1));
-  co_return Servers[Server.Id].Ended ? ServerPresence::Refuses
-                                     : ServerPresence::Listens;
+  co_return Servers[Server.Id].Crashed ? ServerProbeResult::RefusesConnections
+                                       : ServerProbeResult::Listens;
 }
 
 asio::awaitable<Outcome<std::unique_ptr<EngineStream>>>
-FakeEngines::open(UpstreamEntry Server, SendOptions Options) {
+FakeEngines::open(UpstreamRegistration Server, SendOptions Options) {
   co_await pauseFor(Context.get_executor(), Millis(1));
   FakeServer &server = Servers[Server.Id];
   server.Runs.push_back(Options.RequestId);
-  if (server.Refuses || server.Ended)
+  if (server.RefusesConnections || server.Crashed)
     co_return Failure{Verdict::NotRun, FailureCode::Unreachable, Server.Id.Text,
                       "refused", Millis(0)};
   std::uint64_t after = Options.ResumeAfter.value_or(0);
   Customers.insert(Options.Customer.Text);
   if (after > 0)
-    Resumed.push_back(after);
+    ResumedAfter.push_back(after);
   StreamHead head;
   head.Proof = AnswerProof::Ran;
   head.Response.Status = server.Status;
-  // A server that has nothing to add tells no version.
-  if (after < Length)
+  // A server that has no events to add reports no version.
+  if (after < EventsPerText)
     head.Version = server.Version;
   std::unique_ptr<EngineStream> stream = std::make_unique<FakeStream>(
       *this, Server.Id, Options.RequestId, after, std::move(head));
   co_return stream;
 }
 
-asio::awaitable<Outcome<UpstreamAnswer>>
-FakeEngines::call(UpstreamEntry Server, SendOptions Options) {
+asio::awaitable<Outcome<UpstreamResponse>>
+FakeEngines::call(UpstreamRegistration Server, SendOptions Options) {
   co_await pauseFor(Context.get_executor(), Millis(1));
-  ScoreTimes.push_back(Options.Deadline.value_or(Millis(0)));
-  if (Servers[Server.Id].Dark)
-    co_return lost(FailureCode::TimedOut);
-  UpstreamAnswer answer;
+  ScoreDeadlines.push_back(Options.Deadline.value_or(Millis(0)));
+  if (Servers[Server.Id].Unresponsive)
+    co_return makeFailure(FailureCode::TimedOut);
+  UpstreamResponse answer;
   answer.Proof = AnswerProof::Ran;
   answer.Response.Status = Ok;
   if (!ScoreStatuses.empty()) {
@@ -130,7 +134,7 @@
     ScoreStatuses.erase(ScoreStatuses.begin());
   }
   answer.Signature = "sig-" + Options.RequestId;
-  Scored.push_back(Options.RequestId);
+  ScoredItems.push_back(Options.RequestId);
   co_return answer;
 }
 
--- a/UnitTests/Fuzz/ControlMutationTest.cpp
+++ b/UnitTests/Fuzz/ControlMutationTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Damaged control frames: what the verifier lets through is read or refused.
+/// Damaged control frames that pass the verifier are read or rejected without a
+/// crash.
 #include "UnitTests/Fuzz/Mutation.h"
 #include "Wasabi/Adapters/Frames/Generated/Wire_generated.h"
 #include "Wasabi/Node/ControlMessage.h"
@@ -15,12 +16,12 @@
 
 std::vector<ControlMessage> goodMessages() {
   Gossip gossip;
-  MemberNews news;
-  news.About.Instance = InstanceName("lulea-1");
-  news.About.Control = Address{"127.0.0.1", 2};
-  news.About.Servers.push_back(
+  MemberUpdate news;
+  news.Subject.Instance = InstanceName("lulea-1");
+  news.Subject.Control = Address{"127.0.0.1", 2};
+  news.Subject.Servers.push_back(
       ServerStatus{ServerName("llm-1"), ServiceName("llm"), 9, 4, false});
-  gossip.News = {news};
+  gossip.Updates = {news};
   gossip.Digests = {1, 2, 3};
   return {PingMessage{3, "a", "b", gossip}, PingRequestMessage{4, "a", "c"},
           LogPushMessage{9, "a", {LogEntry{7, "text"}}, 8, 1, Millis(20)}};
@@ -46,6 +47,6 @@
     if (!read)
       CHECK_FALSE(read.failure().Reason.empty());
   }
-  // The damage must get past the verifier to say anything.
+  // Requires that some damaged frames pass the verifier.
   CHECK(verified > Rounds / 100);
 }
